--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -104,11 +104,12 @@
 }
 
 void read_guaranteed(toml_table table,
-                     core::pool::guaranteed_room_settings& out)
+                     core::pool::short_job_reserve_settings& out)
 {
     out.enabled = table.flag_or("enabled", out.enabled);
     out.window = table.duration_or("window_ms", out.window, 1s, 600s);
-    out.enough = table.number_or("enough", out.enough, 0, 1);
+    out.covered_fraction =
+        table.number_or("enough", out.covered_fraction, 0, 1);
     table.refuse_unread();
 }
 
@@ -149,7 +150,8 @@
         root.choice_or("log_level", 1, {"debug", "info", "warning", "error"}));
     read_sharing(root.table("sharing"), made.pool.owner.sharing);
     read_regroup(root.table("regroup"), made.pool.owner.regroup);
-    read_guaranteed(root.table("guaranteed_room"), made.pool.owner.guaranteed);
+    read_guaranteed(root.table("guaranteed_room"),
+                    made.pool.owner.short_job_reserve);
     read_machine(root.table("machine"), made.pool.claim);
     read_bounds(root.table("bounds"), made.pool);
     root.refuse_unread();
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -79,7 +79,7 @@
     if (now >= next_rank_)
     {
         rank_again(now);
-        observe_guaranteed(now);
+        observe_short_job_demand(now);
         drop_old_finals(now);
         drop_spare_cancels(now);
         next_rank_ = now + rank_interval;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -5,7 +5,6 @@
 #include "core/pool/colocation.hpp"
 #include "core/pool/directory.hpp"
 #include "core/pool/fleet.hpp"
-#include "core/pool/guaranteed_room.hpp"
 #include "core/pool/job_run.hpp"
 #include "core/pool/ledger.hpp"
 #include "core/pool/log_digest.hpp"
@@ -14,6 +13,7 @@
 #include "core/pool/pool_view.hpp"
 #include "core/pool/regroup.hpp"
 #include "core/pool/room_index.hpp"
+#include "core/pool/short_job_reserve.hpp"
 #include "core/pool/worker_list.hpp"
 
 #include <cstdint>
@@ -305,15 +305,15 @@
                        std::uint16_t image) const;
 
     // owner_room.cpp: room that lasting tasks leave to short work.
-    guaranteed_room& guaranteed_room_of(std::string const& service);
-    void observe_guaranteed(common::time_point now);
-    guaranteed_demand guaranteed_demand_of(common::time_point now,
-                                           job_run const& run) const;
+    short_job_reserve& short_job_reserve_of(std::string const& service);
+    void observe_short_job_demand(common::time_point now);
+    short_job_demand short_job_demand_of(common::time_point now,
+                                         job_run const& run) const;
     void note_room_of_unusable(common::time_point now);
     /// Whether the task may only go where there is room for two of it.
-    bool must_leave_room(job_run const& run, ports::task_name const& name);
+    bool must_leave_reserve(job_run const& run, ports::task_name const& name);
     /// The task found a place.
-    void note_taken(job_run const& run, ports::task_name const& name);
+    void note_placement(job_run const& run, ports::task_name const& name);
 
     // owner_advice.cpp: steps under a policy.
     struct ready_key;
@@ -430,7 +430,8 @@
     fleet fleet_;
     worker_list list_;
     colocation colocation_;
-    std::map<std::string, guaranteed_room> guaranteed_; ///< By service.
+    std::map<std::string, short_job_reserve>
+        short_job_reserves_; ///< By service.
     owner_counters counters_;
 
     std::unordered_map<std::string, job_run> jobs_;
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -198,12 +198,12 @@
             return false;
         }
         steps.ready.pop_back();
-        bool const left_room = must_leave_room(run, name);
+        bool const left_room = must_leave_reserve(run, name);
         place(run, name, *on);
-        note_taken(run, name);
+        note_placement(run, name);
         room_changed(*on);
         start(now, run, name, *on);
-        if (left_room != must_leave_room(run, name))
+        if (left_room != must_leave_reserve(run, name))
         {
             ranked.reset();
         }
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -185,7 +185,7 @@
         room_ = usable_workers(now);
     }
     auto const& what = run.step_of(name);
-    bool const leaves_room = must_leave_room(run, name);
+    bool const leaves_room = must_leave_reserve(run, name);
     auto const least = what.declared.millicores * (leaves_room ? 2 : 1);
     auto const candidates =
         what.fills ? room_->with_idle(least) : room_->with_free(least);
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -187,7 +187,7 @@
         idle += std::max<std::int64_t>(each.idle_cores(), 0);
     }
     std::int64_t kept = 0;
-    for (auto const& [service, room] : guaranteed_)
+    for (auto const& [service, room] : short_job_reserves_)
     {
         kept += room.expected();
     }
--- a/src/core/pool/owner_room.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -6,18 +6,19 @@
 namespace fuchsia::core::pool
 {
 
-guaranteed_room& owner::guaranteed_room_of(std::string const& service)
+short_job_reserve& owner::short_job_reserve_of(std::string const& service)
 {
-    return guaranteed_.try_emplace(service, settings_.guaranteed).first->second;
+    return short_job_reserves_.try_emplace(service, settings_.short_job_reserve)
+        .first->second;
 }
 
-void owner::observe_guaranteed(common::time_point now)
+void owner::observe_short_job_demand(common::time_point now)
 {
-    std::map<std::string, guaranteed_demand> demands;
+    std::map<std::string, short_job_demand> demands;
     std::map<std::string, std::int64_t> left;
     for (auto const& [id, run] : jobs_)
     {
-        auto const demand = guaranteed_demand_of(now, run);
+        auto const demand = short_job_demand_of(now, run);
         auto& sum = demands[run.rules.service];
         sum.millicores += demand.millicores;
         sum.tasks += demand.tasks;
@@ -28,24 +29,25 @@
             !operators_.data_centres_out.contains(each.info.data_centre))
         {
             left[each.info.service] +=
-                guaranteed_room_of(each.info.service)
-                    .usable(each.info.capacity.millicores - each.lasting_cores);
+                short_job_reserve_of(each.info.service)
+                    .usable_millicores(each.info.capacity.millicores -
+                                       each.lasting_cores);
         }
     }
     for (auto const& [service, demand] : demands)
     {
-        auto& room = guaranteed_room_of(service);
+        auto& room = short_job_reserve_of(service);
         room.observe(now, demand);
-        room.set_left(left[service]);
+        room.set_available(left[service]);
     }
     note_room_of_unusable(now);
 }
 
 // What is late already may wait for what is left.
-guaranteed_demand owner::guaranteed_demand_of(common::time_point now,
-                                              job_run const& run) const
+short_job_demand owner::short_job_demand_of(common::time_point now,
+                                            job_run const& run) const
 {
-    guaranteed_demand made;
+    short_job_demand made;
     bool const on_time = out_.unix_ms(now) <= run.due_unix_ms;
     for (auto const& occurrence : run.occurrences)
     {
@@ -102,14 +104,15 @@
 
 // A job of which nothing is at work serves nobody: its first task goes before
 // the room of others, and so does what was at work before.
-bool owner::must_leave_room(job_run const& run, ports::task_name const& name)
+bool owner::must_leave_reserve(job_run const& run, ports::task_name const& name)
 {
     auto const& what = run.step_of(name);
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    bool const may_have_to =
-        what.lasting && !what.fills && !steps.room_elsewhere &&
-        !steps.tasks[name.index].returns &&
-        !guaranteed_room_of(run.rules.service).spares(what.declared.millicores);
+    bool const may_have_to = what.lasting && !what.fills &&
+                             !steps.room_elsewhere &&
+                             !steps.tasks[name.index].returns &&
+                             !short_job_reserve_of(run.rules.service)
+                                  .leaves_enough(what.declared.millicores);
     return may_have_to && std::any_of(steps.tasks.begin(),
                                       steps.tasks.end(),
                                       [](task const& each)
@@ -118,12 +121,13 @@
                                       });
 }
 
-void owner::note_taken(job_run const& run, ports::task_name const& name)
+void owner::note_placement(job_run const& run, ports::task_name const& name)
 {
     auto const& what = run.step_of(name);
     if (what.lasting && !what.fills)
     {
-        guaranteed_room_of(run.rules.service).take(what.declared.millicores);
+        short_job_reserve_of(run.rules.service)
+            .consume(what.declared.millicores);
     }
 }
 
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -2,9 +2,9 @@
 
 #include "core/pool/colocation.hpp"
 #include "core/pool/fleet.hpp"
-#include "core/pool/guaranteed_room.hpp"
 #include "core/pool/ledger.hpp"
 #include "core/pool/regroup.hpp"
+#include "core/pool/short_job_reserve.hpp"
 #include "core/pool/worker_list.hpp"
 
 #include <cstddef>
@@ -20,7 +20,7 @@
     ledger_settings commits;
     colocation_settings sharing;
     regroup_settings regroup;
-    guaranteed_room_settings guaranteed;
+    short_job_reserve_settings short_job_reserve;
     common::duration call_timeout = std::chrono::milliseconds(900);
     /// A page of the store is up to 1 MB: 0.8 s on a link of 10 Mbit/s that has
     /// nothing else to carry.
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -73,13 +73,13 @@
     made.ready =
         run.occurrences[first.occurrence].steps[first.step].ready.size();
     auto const& declared = run.step_of(first).declared;
-    bool const leaves_room = must_leave_room(run, first);
+    bool const leaves_room = must_leave_reserve(run, first);
     for (auto& [id, each] : fleet_.all())
     {
         auto reason = obstacle_to(now, each, run, first);
         if (!reason && leaves_room && !each.has_room_twice(declared))
         {
-            reason = obstacle::kept_room;
+            reason = obstacle::short_job_reserve;
         }
         if (reason)
         {
--- a/src/core/pool/pool_view.hpp
+++ b/src/core/pool/pool_view.hpp
@@ -30,9 +30,9 @@
     room,        ///< What is placed there leaves too little.
     ticket,      ///< The policy has not allowed it, or not recently.
     siblings,    ///< It runs as many tasks of the step as may be on one worker.
-    no_idle_core, ///< Tasks that fill need cores that nobody uses.
-    disturbs,     ///< A serving task there would lose its headroom.
-    kept_room,    ///< What it has left is kept for short work.
+    no_idle_core,      ///< Tasks that fill need cores that nobody uses.
+    disturbs,          ///< A serving task there would lose its headroom.
+    short_job_reserve, ///< What it has left is kept for short work.
 };
 
 constexpr std::array<std::string_view, 14> obstacle_names{
--- a/tests/contract/platform/settings_test.cpp
+++ b/tests/contract/platform/settings_test.cpp
@@ -80,8 +80,8 @@
     auto const file =
         adapters::settings::parse_pool_settings(text, "pool.toml", reason);
     ASSERT_TRUE(file) << to_string(reason);
-    EXPECT_FALSE(file->pool.owner.guaranteed.enabled);
-    EXPECT_EQ(file->pool.owner.guaranteed.window, 4000ms);
+    EXPECT_FALSE(file->pool.owner.short_job_reserve.enabled);
+    EXPECT_EQ(file->pool.owner.short_job_reserve.window, 4000ms);
     EXPECT_FALSE(adapters::settings::parse_pool_settings(
         filled_template() + "\n[guaranteed_room]\nwindow_ms = 10\n",
         "pool.toml",
--- a/tests/unit/pool/guaranteed_room_test.cpp
+++ b/tests/unit/pool/guaranteed_room_test.cpp
@@ -1,10 +1,10 @@
-#include "core/pool/guaranteed_room.hpp"
+#include "core/pool/short_job_reserve.hpp"
 #include "pool_world.hpp"
 
 #include <gtest/gtest.h>
 
 using namespace fuchsia::tests::unit::pool;
-using fuchsia::core::pool::guaranteed_room;
+using fuchsia::core::pool::short_job_reserve;
 namespace common = fuchsia::core::common;
 
 namespace
@@ -85,22 +85,22 @@
 TEST(pool_guaranteed_room, counts_whole_pieces_alone)
 {
     guaranteed_room room({});
-    EXPECT_EQ(room.usable(7'000), 7'000);
+    EXPECT_EQ(room.usable_millicores(7'000), 7'000);
     room.observe(start, {24'000, 2});
-    EXPECT_EQ(room.usable(11'999), 0);
-    EXPECT_EQ(room.usable(30'000), 24'000);
-    EXPECT_EQ(room.usable(-1'000), 0);
+    EXPECT_EQ(room.usable_millicores(11'999), 0);
+    EXPECT_EQ(room.usable_millicores(30'000), 24'000);
+    EXPECT_EQ(room.usable_millicores(-1'000), 0);
 }
 
 TEST(pool_guaranteed_room, spares_what_is_beyond_the_expected)
 {
     guaranteed_room room({});
     room.observe(start, {24'000, 2});
-    room.set_left(40'000);
-    EXPECT_TRUE(room.spares(16'000));
-    EXPECT_FALSE(room.spares(17'000));
-    room.take(10'000);
-    EXPECT_FALSE(room.spares(7'000));
+    room.set_available(40'000);
+    EXPECT_TRUE(room.leaves_enough(16'000));
+    EXPECT_FALSE(room.leaves_enough(17'000));
+    room.consume(10'000);
+    EXPECT_FALSE(room.leaves_enough(7'000));
 }
 
 // Lasting tasks took all that could be reserved, and short jobs waited until
