--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -87,18 +87,18 @@
     table.refuse_unread();
 }
 
-void read_regroup(toml_table table, core::pool::regroup_settings& out)
+void read_regroup(toml_table table, core::pool::rebalance_settings& out)
 {
     out.enabled = table.flag_or("enabled", out.enabled);
     out.interval = table.duration_or("interval_ms", out.interval, 25ms, 60s);
-    out.patience = table.duration_or("patience_ms", out.patience, 0ms, 60s);
-    out.least_stay =
-        table.duration_or("least_stay_ms", out.least_stay, 0ms, 600s);
-    out.kept_clear =
-        table.duration_or("kept_clear_ms", out.kept_clear, 0ms, 600s);
-    out.most_tasks = static_cast<std::size_t>(table.integer_or(
-        "most_tasks", static_cast<std::int64_t>(out.most_tasks), 1, 1000));
-    out.horizon = table.number_or("horizon_s", out.horizon, 0, 600);
+    out.min_wait = table.duration_or("patience_ms", out.min_wait, 0ms, 60s);
+    out.min_stay = table.duration_or("least_stay_ms", out.min_stay, 0ms, 600s);
+    out.clear_period =
+        table.duration_or("kept_clear_ms", out.clear_period, 0ms, 600s);
+    out.max_moved_tasks = static_cast<std::size_t>(table.integer_or(
+        "most_tasks", static_cast<std::int64_t>(out.max_moved_tasks), 1, 1000));
+    out.benefit_horizon =
+        table.number_or("horizon_s", out.benefit_horizon, 0, 600);
     out.move_cost = table.number_or("move_cost_s", out.move_cost, 0, 600);
     table.refuse_unread();
 }
@@ -149,7 +149,7 @@
     made.log_level = static_cast<ports::severity>(
         root.choice_or("log_level", 1, {"debug", "info", "warning", "error"}));
     read_sharing(root.table("sharing"), made.pool.owner.sharing);
-    read_regroup(root.table("regroup"), made.pool.owner.regroup);
+    read_regroup(root.table("regroup"), made.pool.owner.rebalance);
     read_guaranteed(root.table("guaranteed_room"),
                     made.pool.owner.short_job_reserve);
     read_machine(root.table("machine"), made.pool.claim);
--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -62,7 +62,7 @@
     /// Serving tasks that are being moved here: their room is reserved.
     std::set<ports::task_name> promised;
     /// Filling images that this worker was cleared for, and until when.
-    std::map<std::uint16_t, common::time_point> kept_for;
+    std::map<std::uint16_t, common::time_point> cleared_for;
 
     std::uint64_t clock_ms = 0;      ///< As it last told,
     common::time_point clock_read{}; ///< and when that was received.
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -86,7 +86,7 @@
     }
     wants_dispatch_ = wants_dispatch_ || now >= next_dispatch_;
     dispatch_if_wanted(now);
-    regroup(now);
+    rebalance(now);
     save_all_progress();
     log_load(now);
     write_backlog(now);
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -12,7 +12,7 @@
 #include "core/pool/outbox.hpp"
 #include "core/pool/owner_settings.hpp"
 #include "core/pool/pool_view.hpp"
-#include "core/pool/regroup.hpp"
+#include "core/pool/rebalance.hpp"
 #include "core/pool/short_job_reserve.hpp"
 #include "core/pool/worker_list.hpp"
 
@@ -288,21 +288,21 @@
     void pace_failed(std::string const& id, ports::task_run const& what);
 
     // owner_regroup.cpp: serving tasks move to where they bind least.
-    void regroup(common::time_point now);
+    void rebalance(common::time_point now);
     std::vector<waiting_image> waiting_fills(common::time_point now);
-    std::vector<regroup_worker> regroup_workers(common::time_point now);
+    std::vector<rebalance_worker> rebalance_workers(common::time_point now);
     bool may_move(common::time_point now,
                   job_run const& run,
                   ports::task_name const& name) const;
-    void carry_out(common::time_point now, regroup_plan const& plan);
+    void carry_out(common::time_point now, rebalance_plan const& plan);
     worker* take_promise(common::time_point now,
                          job_run& run,
                          ports::task_name const& name);
     /// The worker that room was kept at, if any; that room is free again.
     worker* drop_promise(job_run const& run, ports::task_name const& name);
-    bool kept_clear_of(common::time_point now,
-                       worker const& on,
-                       std::uint16_t image) const;
+    bool cleared_against(common::time_point now,
+                         worker const& on,
+                         std::uint16_t image) const;
 
     // owner_room.cpp: room that lasting tasks leave to short work.
     short_job_reserve& short_job_reserve_of(std::string const& service);
@@ -481,7 +481,7 @@
     std::set<std::string> roster_; ///< As it lies in the store.
     bool roster_writing_ = false;
     common::time_point next_rank_{};
-    common::time_point next_regroup_{};
+    common::time_point next_rebalance_{};
     common::time_point next_load_line_{};
     /// When it was last said why steps of a queue and image wait.
     std::map<std::pair<std::string, std::string>, common::time_point>
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -294,7 +294,7 @@
         {
             total += other_image_penalty;
         }
-        if (what.tail_target.count() > 0 && kept_clear_of(now, on, image))
+        if (what.tail_target.count() > 0 && cleared_against(now, on, image))
         {
             total += kept_clear_penalty;
         }
--- a/src/core/pool/owner_regroup.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -18,21 +18,21 @@
 
 } // namespace
 
-void owner::regroup(common::time_point now)
+void owner::rebalance(common::time_point now)
 {
-    auto const& limits = settings_.regroup;
-    if (!limits.enabled || now < next_regroup_ || !settled_ || !may_act(now))
+    auto const& limits = settings_.rebalance;
+    if (!limits.enabled || now < next_rebalance_ || !settled_ || !may_act(now))
     {
         return;
     }
-    next_regroup_ = now + limits.interval;
+    next_rebalance_ = now + limits.interval;
     auto const waiting = waiting_fills(now);
     if (waiting.empty())
     {
         return;
     }
     auto const plan =
-        plan_regroup(limits, colocation_, regroup_workers(now), waiting);
+        plan_rebalance(limits, colocation_, rebalance_workers(now), waiting);
     if (plan)
     {
         carry_out(now, *plan);
@@ -61,7 +61,8 @@
         auto const each = run->spec.steps[key.step].declared.millicores;
         auto& sum = by_image[steps.image];
         sum.image = steps.image;
-        sum.each = sum.total == 0 ? each : std::min(sum.each, each);
+        sum.smallest_task =
+            sum.total == 0 ? each : std::min(sum.smallest_task, each);
         sum.total += each * static_cast<std::int64_t>(steps.ready.size());
     }
     std::erase_if(waiting_since_,
@@ -73,7 +74,7 @@
     for (auto const& [image, sum] : by_image)
     {
         auto const since = waiting_since_.emplace(image, now).first->second;
-        if (now - since >= settings_.regroup.patience && sum.total > 0)
+        if (now - since >= settings_.rebalance.min_wait && sum.total > 0)
         {
             made.push_back(sum);
         }
@@ -81,16 +82,16 @@
     return made;
 }
 
-std::vector<regroup_worker> owner::regroup_workers(common::time_point now)
+std::vector<rebalance_worker> owner::rebalance_workers(common::time_point now)
 {
-    std::vector<regroup_worker> made;
+    std::vector<rebalance_worker> made;
     for (auto& [id, each] : fleet_.all())
     {
         if (obstacle_at(now, each))
         {
             continue;
         }
-        regroup_worker row;
+        rebalance_worker row;
         row.id = id;
         row.service = each.info.service;
         row.capacity = each.info.capacity.millicores;
@@ -98,12 +99,12 @@
         row.free -= each.reserved;
         row.fills = declared_shares_of(view_of(each).fills);
         row.idle = each.idle_cores();
-        row.settled = each.promised.empty();
-        for (auto const& [image, until] : each.kept_for)
+        row.may_be_cleared = each.promised.empty();
+        for (auto const& [image, until] : each.cleared_for)
         {
             if (now < until)
             {
-                row.kept_for.push_back(image);
+                row.cleared_for.push_back(image);
             }
         }
         for (auto const& name : each.runs)
@@ -148,10 +149,10 @@
            what.max_per_worker == 0 && what.required_label.empty() &&
            what.near_rack.empty() && !run.rules.advice &&
            each.phase == task_phase::running && each.percent >= 100 &&
-           now - each.started >= settings_.regroup.least_stay && away < allowed;
+           now - each.started >= settings_.rebalance.min_stay && away < allowed;
 }
 
-void owner::carry_out(common::time_point now, regroup_plan const& plan)
+void owner::carry_out(common::time_point now, rebalance_plan const& plan)
 {
     auto* const from = fleet_.find(plan.from);
     if (from == nullptr)
@@ -168,7 +169,7 @@
         {
             continue;
         }
-        ++counters_.regrouped;
+        ++counters_.rebalanced;
         promises_[move.name] = move.to;
         to->promised.insert(move.name);
         to->reserved += run->step_of(move.name).declared;
@@ -186,7 +187,7 @@
                   {"idle_cores", std::to_string(plan.idle / 1000)},
                   {"tasks", joined(told, told.size())}});
     }
-    from->kept_for[plan.image] = now + settings_.regroup.kept_clear;
+    from->cleared_for[plan.image] = now + settings_.rebalance.clear_period;
 }
 
 // Where the task was to move, if it may still start there.
@@ -218,12 +219,12 @@
     return to;
 }
 
-bool owner::kept_clear_of(common::time_point now,
-                          worker const& on,
-                          std::uint16_t image) const
+bool owner::cleared_against(common::time_point now,
+                            worker const& on,
+                            std::uint16_t image) const
 {
-    return std::any_of(on.kept_for.begin(),
-                       on.kept_for.end(),
+    return std::any_of(on.cleared_for.begin(),
+                       on.cleared_for.end(),
                        [&](auto const& each)
                        {
                            return now < each.second &&
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -3,7 +3,7 @@
 #include "core/pool/colocation.hpp"
 #include "core/pool/fleet.hpp"
 #include "core/pool/ledger.hpp"
-#include "core/pool/regroup.hpp"
+#include "core/pool/rebalance.hpp"
 #include "core/pool/short_job_reserve.hpp"
 #include "core/pool/worker_list.hpp"
 
@@ -19,7 +19,7 @@
     fleet_settings workers;
     ledger_settings commits;
     colocation_settings sharing;
-    regroup_settings regroup;
+    rebalance_settings rebalance;
     short_job_reserve_settings short_job_reserve;
     common::duration call_timeout = std::chrono::milliseconds(900);
     /// A page of the store is up to 1 MB: 0.8 s on a link of 10 Mbit/s that has
@@ -84,9 +84,9 @@
     std::uint64_t tasks_lost = 0;
     std::uint64_t paced = 0;
     std::uint64_t evicted = 0;
-    std::uint64_t regrouped = 0; ///< Serving tasks moved.
-    std::uint64_t rounds = 0;    ///< Of placing.
-    std::uint64_t scored = 0;    ///< Workers looked at for a task.
+    std::uint64_t rebalanced = 0; ///< Serving tasks moved.
+    std::uint64_t rounds = 0;     ///< Of placing.
+    std::uint64_t scored = 0;     ///< Workers looked at for a task.
     std::uint64_t jobs_finished = 0;
 };
 
--- a/src/core/pool/regroup.cpp
+++ b/src/core/pool/rebalance.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/regroup.hpp"
+#include "core/pool/rebalance.hpp"
 
 #include <algorithm>
 #include <map>
@@ -15,7 +15,7 @@
 constexpr double other_image = 0.5;
 
 bool disturbed(colocation const& pairs,
-               regroup_worker const& on,
+               rebalance_worker const& on,
                std::uint16_t fill)
 {
     return std::any_of(on.serving.begin(),
@@ -28,7 +28,7 @@
 
 // What the tasks that fill leave to one that would come.
 double headroom_at(colocation const& pairs,
-                   regroup_worker const& on,
+                   rebalance_worker const& on,
                    movable_task const& what)
 {
     return what.alone - pairs.taken(what.image, on.fills);
@@ -48,7 +48,7 @@
 
 // Cores beside which waiting work may run no more once `what` stands there.
 double closed_by(colocation const& pairs,
-                 regroup_worker const& on,
+                 rebalance_worker const& on,
                  movable_task const& what,
                  std::vector<waiting_image> const& waiting)
 {
@@ -66,7 +66,7 @@
 }
 
 double score_place(colocation const& pairs,
-                   regroup_worker const& on,
+                   rebalance_worker const& on,
                    movable_task const& what,
                    std::vector<waiting_image> const& waiting)
 {
@@ -86,9 +86,9 @@
 class planner
 {
 public:
-    planner(regroup_settings const& settings,
+    planner(rebalance_settings const& settings,
             colocation const& pairs,
-            std::vector<regroup_worker> const& workers,
+            std::vector<rebalance_worker> const& workers,
             std::vector<waiting_image> const& waiting)
         : settings_(settings), pairs_(pairs), workers_(workers),
           waiting_(waiting)
@@ -96,10 +96,10 @@
     }
 
     // Of what would unlock most, the first that has places for its tasks.
-    std::optional<regroup_plan> best() const
+    std::optional<rebalance_plan> best() const
     {
         auto wanted = candidates();
-        auto const tries = std::min(wanted.size(), settings_.most_tries);
+        auto const tries = std::min(wanted.size(), settings_.max_tries);
         std::partial_sort(wanted.begin(),
                           wanted.begin() + static_cast<std::ptrdiff_t>(tries),
                           wanted.end(),
@@ -121,7 +121,7 @@
     struct candidate
     {
         double gain = 0;
-        regroup_worker const* from = nullptr;
+        rebalance_worker const* from = nullptr;
         waiting_image const* work = nullptr;
     };
 
@@ -151,15 +151,15 @@
     {
         return std::any_of(workers_.begin(),
                            workers_.end(),
-                           [&](regroup_worker const& each)
+                           [&](rebalance_worker const& each)
                            {
-                               return each.idle >= work.each &&
+                               return each.idle >= work.smallest_task &&
                                       !disturbed(pairs_, each, work.image);
                            });
     }
 
     // Core-seconds that clearing `from` unlocks, less what it costs.
-    double worth(regroup_worker const& from, waiting_image const& work) const
+    double worth(rebalance_worker const& from, waiting_image const& work) const
     {
         std::int64_t moved = 0;
         std::size_t count = 0;
@@ -175,21 +175,21 @@
             known =
                 known && each.may_move && pairs_.known(each.image, work.image);
         }
-        if (!from.settled || !known || count == 0 ||
-            count > settings_.most_tasks || from.idle < work.each)
+        if (!from.may_be_cleared || !known || count == 0 ||
+            count > settings_.max_moved_tasks || from.idle < work.smallest_task)
         {
             return 0;
         }
         auto const unlocked =
             static_cast<double>(std::min(from.idle, work.total));
-        return unlocked * settings_.horizon -
+        return unlocked * settings_.benefit_horizon -
                static_cast<double>(moved) * settings_.move_cost;
     }
 
-    std::optional<regroup_plan> clear(regroup_worker const& from,
-                                      waiting_image const& work) const
+    std::optional<rebalance_plan> clear(rebalance_worker const& from,
+                                        waiting_image const& work) const
     {
-        regroup_plan made{from.id, work.image, from.idle, {}};
+        rebalance_plan made{from.id, work.image, from.idle, {}};
         std::map<std::string, ports::resources> promised;
         for (auto const& each : from.serving)
         {
@@ -210,13 +210,13 @@
 
     // Where the task disturbs nobody's plans: among tasks that the same work
     // would disturb, with room, and beside nothing that disturbs it.
-    regroup_worker const*
+    rebalance_worker const*
     place_for(movable_task const& what,
-              regroup_worker const& from,
+              rebalance_worker const& from,
               waiting_image const& work,
               std::map<std::string, ports::resources> const& promised) const
     {
-        regroup_worker const* best = nullptr;
+        rebalance_worker const* best = nullptr;
         double lowest = 0;
         for (auto const& to : workers_)
         {
@@ -231,7 +231,7 @@
             bool const opens =
                 !to.serving.empty() && !disturbed(pairs_, to, work.image);
             if (!fits || opens ||
-                disturbed_by_any(pairs_, what.image, to.kept_for) ||
+                disturbed_by_any(pairs_, what.image, to.cleared_for) ||
                 headroom_at(pairs_, to, what) < pairs_.settings().place_above)
             {
                 continue;
@@ -246,19 +246,19 @@
         return best;
     }
 
-    regroup_settings const& settings_;
+    rebalance_settings const& settings_;
     colocation const& pairs_;
-    std::vector<regroup_worker> const& workers_;
+    std::vector<rebalance_worker> const& workers_;
     std::vector<waiting_image> const& waiting_;
 };
 
 } // namespace
 
-std::optional<regroup_plan>
-plan_regroup(regroup_settings const& settings,
-             colocation const& pairs,
-             std::vector<regroup_worker> const& workers,
-             std::vector<waiting_image> const& waiting)
+std::optional<rebalance_plan>
+plan_rebalance(rebalance_settings const& settings,
+               colocation const& pairs,
+               std::vector<rebalance_worker> const& workers,
+               std::vector<waiting_image> const& waiting)
 {
     return planner(settings, pairs, workers, waiting).best();
 }
--- a/src/programs/pool/pool_metrics.cpp
+++ b/src/programs/pool/pool_metrics.cpp
@@ -150,7 +150,7 @@
         counts.evicted);
     set("fuchsia_pool_regrouped",
         "Serving tasks moved to where they keep less work out",
-        counts.regrouped);
+        counts.rebalanced);
     set("fuchsia_pool_rounds", "Rounds of placing", counts.rounds);
     set("fuchsia_pool_workers_scored",
         "Workers looked at for a task",
--- a/tests/unit/pool/regroup_test.cpp
+++ b/tests/unit/pool/regroup_test.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/regroup.hpp"
+#include "core/pool/rebalance.hpp"
 #include "pool_world.hpp"
 
 #include <algorithm>
@@ -49,17 +49,17 @@
 
 // A worker with `images` on it, one serving task each, that use half of what
 // they reserve.
-regroup_worker make_worker(std::string id,
-                           std::vector<std::uint16_t> const& images)
+rebalance_worker make_worker(std::string id,
+                             std::vector<std::uint16_t> const& images)
 {
     static std::uint32_t next = 0;
-    regroup_worker made;
+    rebalance_worker made;
     made.id = std::move(id);
     made.capacity = cores;
     auto const reserved = static_cast<std::int64_t>(images.size()) * task_cores;
     made.free = {cores - reserved, 250'000, 0};
     made.idle = cores - reserved / 2;
-    made.settled = true;
+    made.may_be_cleared = true;
     for (auto const image : images)
     {
         made.serving.push_back(make_task(image, ++next));
@@ -81,15 +81,15 @@
         teach(pairs, sturdy, light, 0);
     }
 
-    std::optional<regroup_plan> plan() const
+    std::optional<rebalance_plan> plan() const
     {
-        return plan_regroup(settings, pairs, workers, waiting);
+        return plan_rebalance(settings, pairs, workers, waiting);
     }
 
     // Carries the plan out at once, as stop and start do within a second.
-    void apply(regroup_plan const& what)
+    void apply(rebalance_plan const& what)
     {
-        auto const find = [this](std::string const& id) -> regroup_worker&
+        auto const find = [this](std::string const& id) -> rebalance_worker&
         {
             return *std::find_if(workers.begin(),
                                  workers.end(),
@@ -115,7 +115,7 @@
             from.idle += task->declared.millicores / 2;
             from.serving.erase(task);
         }
-        from.kept_for.push_back(what.image);
+        from.cleared_for.push_back(what.image);
     }
 
     std::int64_t open_to(std::uint16_t fill) const
@@ -135,13 +135,13 @@
         return total;
     }
 
-    regroup_settings settings;
+    rebalance_settings settings;
     colocation pairs;
     std::uint16_t delicate = 0;
     std::uint16_t sturdy = 0;
     std::uint16_t heavy = 0;
     std::uint16_t light = 0;
-    std::vector<regroup_worker> workers;
+    std::vector<rebalance_worker> workers;
     std::vector<waiting_image> waiting;
 };
 
@@ -208,7 +208,7 @@
     workers = {make_worker("a", {delicate, sturdy}),
                make_worker("b", {delicate})};
     workers[1].fills = {{heavy, 0.5}};
-    workers[1].settled = false;
+    workers[1].may_be_cleared = false;
     waiting = {{heavy, 7000, 70'000}};
     EXPECT_FALSE(plan().has_value());
 }
@@ -227,7 +227,7 @@
 TEST_F(regrouping, leaves_a_cleared_worker_clear)
 {
     workers = {make_worker("a", {}), make_worker("b", {delicate})};
-    workers[0].kept_for = {heavy};
+    workers[0].cleared_for = {heavy};
     workers[0].idle = 0;
     waiting = {{heavy, 7000, 70'000}};
     EXPECT_FALSE(plan().has_value());
@@ -265,7 +265,7 @@
             each.fills = open ? std::vector<neighbour_share>{{heavy, 0.5}}
                               : std::vector<neighbour_share>{};
         }
-        auto const made = plan_regroup(settings, pairs, seen, waiting);
+        auto const made = plan_rebalance(settings, pairs, seen, waiting);
         if (!made)
         {
             break;
@@ -464,7 +464,7 @@
         }
     }
     auto const owner = *pool.world.owner();
-    EXPECT_EQ(moved, pool.world.scheduler(owner).counters().regrouped);
+    EXPECT_EQ(moved, pool.world.scheduler(owner).counters().rebalanced);
     ASSERT_FALSE(lines.empty());
     for (auto const& [when, count] : lines)
     {
