--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -30,8 +30,9 @@
 // A pair counts as learned once this part of its first variance is left.
 constexpr double known_part = 0.2;
 
-std::vector<neighbour_share> sum_by_image(std::vector<fill_view> const& fills,
-                                          double fill_view::*share)
+std::vector<neighbour_share>
+sum_by_image(std::vector<best_effort_view> const& fills,
+             double best_effort_view::*share)
 {
     std::map<std::uint16_t, double> sums;
     for (auto const& each : fills)
@@ -76,15 +77,16 @@
     return pairs_[served * settings_.max_images + beside].weight;
 }
 
-std::vector<neighbour_share> shares_of(std::vector<fill_view> const& fills)
+std::vector<neighbour_share>
+shares_of(std::vector<best_effort_view> const& fills)
 {
-    return sum_by_image(fills, &fill_view::used);
+    return sum_by_image(fills, &best_effort_view::used);
 }
 
 std::vector<neighbour_share>
-declared_shares_of(std::vector<fill_view> const& fills)
+declared_shares_of(std::vector<best_effort_view> const& fills)
 {
-    return sum_by_image(fills, &fill_view::declared);
+    return sum_by_image(fills, &best_effort_view::declared);
 }
 
 double colocation::taken(std::uint16_t image,
@@ -210,8 +212,9 @@
 }
 
 // Share of their speed that the neighbours which disturb `served` may have.
-double colocation::speed_beside(serving_view const& served,
-                                std::vector<fill_view> const& fills) const
+double
+colocation::speed_beside(serving_view const& served,
+                         std::vector<best_effort_view> const& fills) const
 {
     double wanted = 0;
     for (auto const& each : fills)
@@ -227,15 +230,15 @@
                                            common::time_point now,
                                            common::time_point& over_since) const
 {
-    std::vector<double> speeds(seen.fills.size(), 1.0);
+    std::vector<double> speeds(seen.best_effort.size(), 1.0);
     bool over = false;
     for (auto const& served : seen.serving)
     {
         over = over || served.headroom < 1;
-        double const speed = speed_beside(served, seen.fills);
+        double const speed = speed_beside(served, seen.best_effort);
         for (std::size_t index = 0; index < speeds.size(); ++index)
         {
-            if (disturbs(served.image, seen.fills[index].image))
+            if (disturbs(served.image, seen.best_effort[index].image))
             {
                 speeds[index] = std::min(speeds[index], speed);
             }
@@ -255,13 +258,13 @@
     {
         auto const percent = static_cast<std::uint32_t>(
             std::lround(stop_all ? 0.0 : speeds[index] * 100));
-        auto const before = seen.fills[index].pace;
+        auto const before = seen.best_effort[index].pace;
         auto const change =
             percent > before ? percent - before : before - percent;
         bool const to_end = percent == 0 || percent == 100;
         if (change >= settings_.least_change || (to_end && change > 0))
         {
-            changes.push_back({seen.fills[index].name, percent});
+            changes.push_back({seen.best_effort[index].name, percent});
         }
     }
     return changes;
@@ -276,7 +279,7 @@
     for (auto const& served : seen.serving)
     {
         double taken = weight(served.image, image) * share;
-        for (auto const& each : seen.fills)
+        for (auto const& each : seen.best_effort)
         {
             taken += weight(served.image, each.image) * each.declared;
         }
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -59,10 +59,10 @@
 
 /// What neighbours use, summed up by image.
 std::vector<neighbour_share>
-shares_of(std::vector<struct fill_view> const& fills);
+shares_of(std::vector<struct best_effort_view> const& fills);
 /// What they may use, summed up by image.
 std::vector<neighbour_share>
-declared_shares_of(std::vector<struct fill_view> const& fills);
+declared_shares_of(std::vector<struct best_effort_view> const& fills);
 
 /// A serving task.
 struct serving_view
@@ -74,7 +74,7 @@
 };
 
 /// A task that fills, with its shares of the worker's cores.
-struct fill_view
+struct best_effort_view
 {
     ports::task_name name;
     std::uint16_t image = 0;
@@ -87,7 +87,7 @@
 struct worker_view
 {
     std::vector<serving_view> serving;
-    std::vector<fill_view> fills;
+    std::vector<best_effort_view> best_effort;
 };
 
 /// The speed that a task is to have from now on, in percent.
@@ -156,7 +156,7 @@
     std::vector<double> const&
     beyond_the_mean(std::vector<serving_reading const*> const& readings);
     double speed_beside(serving_view const& served,
-                        std::vector<fill_view> const& fills) const;
+                        std::vector<best_effort_view> const& fills) const;
 
     colocation_settings settings_;
     std::map<std::string, std::uint16_t> numbers_;
--- a/src/core/pool/fleet.cpp
+++ b/src/core/pool/fleet.cpp
@@ -8,7 +8,7 @@
 std::int64_t worker::idle_cores() const noexcept
 {
     auto const others = reserved.millicores - serving_cores;
-    return info.capacity.millicores - others - serving_used - fill_cores;
+    return info.capacity.millicores - others - serving_used - best_effort_cores;
 }
 
 bool worker::has_capacity_for_two(
--- a/src/core/pool/job.cpp
+++ b/src/core/pool/job.cpp
@@ -45,7 +45,7 @@
     flag("same_rack", value.same_rack);
     flag("speculative", value.speculative);
     flag("lasting", value.lasting);
-    flag("fills", value.fills);
+    flag("fills", value.best_effort);
     text("label", value.required_label);
     text("near_rack", value.near_rack);
     text("image", value.image);
@@ -72,7 +72,7 @@
     value.same_rack = in.flag_or("same_rack", false);
     value.speculative = in.flag_or("speculative", false);
     value.lasting = in.flag_or("lasting", false);
-    value.fills = in.flag_or("fills", false);
+    value.best_effort = in.flag_or("fills", false);
     value.required_label = in.text_or("label", "");
     value.near_rack = in.text_or("near_rack", "");
     value.image = in.text_or("image", "");
--- a/src/core/pool/job.hpp
+++ b/src/core/pool/job.hpp
@@ -45,7 +45,7 @@
     bool lasting = false;             ///< Runs until the job is cancelled.
     std::string image;                ///< Tasks of one image behave alike.
     common::duration tail_target{};   ///< Of a serving task; 0: serves nobody.
-    bool fills = false;         ///< Uses what others leave; takes no capacity.
+    bool best_effort = false;   ///< Uses what others leave; takes no capacity.
     std::uint32_t may_miss = 0; ///< Tasks that may be away by our own orders.
 };
 
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -280,7 +280,7 @@
     void read_serving(common::time_point now, worker& of);
     void evict_idle(common::time_point now,
                     worker& of,
-                    std::vector<fill_view> const& fills);
+                    std::vector<best_effort_view> const& fills);
     void pace(common::time_point now,
               worker& on,
               ports::task_name const& name,
@@ -289,7 +289,7 @@
 
     // owner_regroup.cpp: serving tasks move to where they bind least.
     void rebalance(common::time_point now);
-    std::vector<waiting_image> waiting_fills(common::time_point now);
+    std::vector<waiting_image> waiting_best_effort(common::time_point now);
     std::vector<rebalance_worker> rebalance_workers(common::time_point now);
     bool may_move(common::time_point now,
                   job_run const& run,
@@ -416,8 +416,8 @@
                                 job_run& run,
                                 ports::task_name const& name);
     std::optional<obstacle>
-    obstacle_to_fill(worker& on, step const& what, std::uint16_t image);
-    double score_fill(worker& on, step const& what, std::uint16_t image);
+    obstacle_to_best_effort(worker& on, step const& what, std::uint16_t image);
+    double score_best_effort(worker& on, step const& what, std::uint16_t image);
 
     owner_settings settings_;
     directory const& words_;
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -35,7 +35,7 @@
 bool as_hard(shape const& failed, shape const& wanted)
 {
     return failed.service == wanted.service &&
-           failed.what->fills == wanted.what->fills &&
+           failed.what->best_effort == wanted.what->best_effort &&
            failed.what->required_label == wanted.what->required_label &&
            failed.what->max_per_worker == 0 &&
            failed.what->image == wanted.what->image &&
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -115,9 +115,9 @@
     ++run.placed;
     on.reserved.memory_mb += what.declared.memory_mb;
     on.reserved.accelerators += what.declared.accelerators;
-    if (what.fills)
+    if (what.best_effort)
     {
-        on.fill_cores += what.declared.millicores;
+        on.best_effort_cores += what.declared.millicores;
         return;
     }
     on.reserved.millicores += what.declared.millicores;
@@ -141,9 +141,9 @@
     --run.placed;
     on->reserved.memory_mb -= what.declared.memory_mb;
     on->reserved.accelerators -= what.declared.accelerators;
-    if (what.fills)
+    if (what.best_effort)
     {
-        on->fill_cores -= what.declared.millicores;
+        on->best_effort_cores -= what.declared.millicores;
         return;
     }
     on->reserved.millicores -= what.declared.millicores;
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -138,14 +138,15 @@
     {
         return obstacle::siblings;
     }
-    return what.fills ? obstacle_to_fill(on, what, steps.image) : std::nullopt;
+    return what.best_effort ? obstacle_to_best_effort(on, what, steps.image)
+                            : std::nullopt;
 }
 
 bool owner::fits(worker const& on, step const& what) const
 {
     auto used = on.reserved;
     used += what.declared;
-    if (what.fills)
+    if (what.best_effort)
     {
         used.millicores = 0;
     }
@@ -187,8 +188,9 @@
     auto const& what = run.step_of(name);
     bool const leaves_room = must_leave_reserve(run, name);
     auto const least = what.declared.millicores * (leaves_room ? 2 : 1);
-    auto const candidates = what.fills ? capacity_index_->with_idle(least)
-                                       : capacity_index_->with_free(least);
+    auto const candidates = what.best_effort
+                                ? capacity_index_->with_idle(least)
+                                : capacity_index_->with_free(least);
     std::vector<ranked_worker> made;
     for (auto* const each : candidates)
     {
@@ -277,9 +279,9 @@
     auto const& what = run.step_of(name);
     auto const image = run.occurrences[name.occurrence].steps[name.step].image;
     double total = 0;
-    if (what.fills)
+    if (what.best_effort)
     {
-        total = score_fill(on, what, image);
+        total = score_best_effort(on, what, image);
     }
     else
     {
@@ -313,8 +315,9 @@
     return total;
 }
 
-std::optional<obstacle>
-owner::obstacle_to_fill(worker& on, step const& what, std::uint16_t image)
+std::optional<obstacle> owner::obstacle_to_best_effort(worker& on,
+                                                       step const& what,
+                                                       std::uint16_t image)
 {
     auto const& seen = view_of(on);
     if (on.idle_cores() < what.declared.millicores)
@@ -332,7 +335,8 @@
 // Tasks that fill go beside serving tasks that they do not disturb, as long as
 // there are idle cores, and leave workers without serving tasks to those that
 // would disturb everywhere else.
-double owner::score_fill(worker& on, step const& what, std::uint16_t image)
+double
+owner::score_best_effort(worker& on, step const& what, std::uint16_t image)
 {
     auto const& seen = view_of(on);
     auto const idle = on.idle_cores() - what.declared.millicores;
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -26,7 +26,7 @@
         return;
     }
     next_rebalance_ = now + limits.interval;
-    auto const waiting = waiting_fills(now);
+    auto const waiting = waiting_best_effort(now);
     if (waiting.empty())
     {
         return;
@@ -40,7 +40,7 @@
 }
 
 // Filling work that has been waiting for a while and may still be of use.
-std::vector<waiting_image> owner::waiting_fills(common::time_point now)
+std::vector<waiting_image> owner::waiting_best_effort(common::time_point now)
 {
     std::map<std::uint16_t, waiting_image> by_image;
     std::size_t looked_at = 0;
@@ -48,7 +48,7 @@
     for (auto const& key : ready_)
     {
         auto* const run = find_job(key.job);
-        if (run == nullptr || !run->spec.steps[key.step].fills ||
+        if (run == nullptr || !run->spec.steps[key.step].best_effort ||
             now_ms > run->due_unix_ms)
         {
             continue;
@@ -97,7 +97,7 @@
         row.capacity = each.info.capacity.millicores;
         row.free = each.info.capacity;
         row.free -= each.reserved;
-        row.fills = declared_shares_of(view_of(each).fills);
+        row.best_effort = declared_shares_of(view_of(each).best_effort);
         row.idle = each.idle_cores();
         row.may_be_cleared = each.promised.empty();
         for (auto const& [image, until] : each.cleared_for)
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -179,8 +179,8 @@
         capacity += each.info.capacity.millicores;
         reserved += each.reserved.millicores;
         serving += each.serving_cores;
-        fills += each.fill_cores;
-        for (auto const& fill : view_of(each).fills)
+        fills += each.best_effort_cores;
+        for (auto const& fill : view_of(each).best_effort)
         {
             slowed += 1 - fill.pace / 100.0;
         }
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -54,7 +54,7 @@
         for (std::size_t number = 0; number < occurrence.steps.size(); ++number)
         {
             auto const& what = run.spec.steps[number];
-            if (what.fills || what.lasting)
+            if (what.best_effort || what.lasting)
             {
                 continue;
             }
@@ -108,7 +108,7 @@
 {
     auto const& what = run.step_of(name);
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    bool const may_have_to = what.lasting && !what.fills &&
+    bool const may_have_to = what.lasting && !what.best_effort &&
                              !steps.capacity_elsewhere &&
                              !steps.tasks[name.index].returns &&
                              !short_job_reserve_of(run.rules.service)
@@ -124,7 +124,7 @@
 void owner::note_placement(job_run const& run, ports::task_name const& name)
 {
     auto const& what = run.step_of(name);
-    if (what.lasting && !what.fills)
+    if (what.lasting && !what.best_effort)
     {
         short_job_reserve_of(run.rules.service)
             .consume(what.declared.millicores);
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -38,7 +38,7 @@
     of.view_known = true;
     auto& made = of.view;
     made.serving.clear();
-    made.fills.clear();
+    made.best_effort.clear();
     of.serving_used = 0;
     auto const cores = static_cast<double>(
         std::max<std::int64_t>(of.info.capacity.millicores, 1));
@@ -68,9 +68,9 @@
                  steps.alone,
                  colocation_.own(steps.alone, each->reading)});
         }
-        if (what.fills)
+        if (what.best_effort)
         {
-            made.fills.push_back(
+            made.best_effort.push_back(
                 {name,
                  steps.image,
                  static_cast<double>(what.declared.millicores) / cores,
@@ -102,7 +102,7 @@
     {
         auto const expected =
             served.alone -
-            colocation_.taken(served.image, shares_of(of.view.fills));
+            colocation_.taken(served.image, shares_of(of.view.best_effort));
         if (served.alone > 0)
         {
             ratios.push_back(served.headroom /
@@ -126,7 +126,7 @@
     {
         return;
     }
-    auto const beside = shares_of(view_of(of).fills);
+    auto const beside = shares_of(view_of(of).best_effort);
     std::vector<serving_reading const*> readings;
     for (auto const& name : of.runs)
     {
@@ -188,13 +188,13 @@
     {
         pace(now, of, change.name, change.percent);
     }
-    evict_idle(now, of, seen.fills);
+    evict_idle(now, of, seen.best_effort);
 }
 
 // A task that stands still has a better place elsewhere, if it can go on there.
 void owner::evict_idle(common::time_point now,
                        worker& of,
-                       std::vector<fill_view> const& fills)
+                       std::vector<best_effort_view> const& fills)
 {
     for (auto const& fill : fills)
     {
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -55,7 +55,7 @@
     bool const unwritten = of.listed_end > of.seen;
     if (order.until_ms > 0 && !unwritten)
     {
-        bool const guarded = of.serves() && of.fill_cores > 0;
+        bool const guarded = of.serves() && of.best_effort_cores > 0;
         order.wait = guarded ? settings_.guarded_wait : settings_.calm_wait;
     }
     of.holding = true;
--- a/src/core/pool/rebalance.cpp
+++ b/src/core/pool/rebalance.cpp
@@ -31,7 +31,7 @@
                    rebalance_worker const& on,
                    movable_task const& what)
 {
-    return what.alone - pairs.taken(what.image, on.fills);
+    return what.alone - pairs.taken(what.image, on.best_effort);
 }
 
 bool disturbed_by_any(colocation const& pairs,
--- a/src/core/pool/rebalance.hpp
+++ b/src/core/pool/rebalance.hpp
@@ -59,7 +59,7 @@
     std::int64_t idle = 0;       ///< Of those, in use by nobody.
     bool may_be_cleared = false; ///< It may be cleared now.
     std::vector<movable_task> serving;
-    std::vector<neighbour_share> fills; ///< Declared, by image.
+    std::vector<neighbour_share> best_effort; ///< Declared, by image.
     std::vector<std::uint16_t>
         cleared_for; ///< Filling images it was cleared for.
 };
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -143,7 +143,7 @@
     };
     auto filling = simple_job(1, 60s);
     filling.steps.front().declared.millicores = 4000;
-    filling.steps.front().fills = true;
+    filling.steps.front().best_effort = true;
     filling.steps.front().image = "fills";
     filling.spec = "work=60000 cores=4000 strain=100";
     world.submit(other, "filling", filling);
--- a/tests/unit/pool/colocation_test.cpp
+++ b/tests/unit/pool/colocation_test.cpp
@@ -59,9 +59,10 @@
     return made;
 }
 
-fill_view make_fill(std::uint16_t image, double share, std::uint32_t index)
+best_effort_view
+make_fill(std::uint16_t image, double share, std::uint32_t index)
 {
-    fill_view made;
+    best_effort_view made;
     made.name = {"fill", 0, 0, index};
     made.image = image;
     made.declared = share;
@@ -128,8 +129,8 @@
 {
     worker_view seen;
     seen.serving.push_back(like_its_siblings(image, 1.0, 2.8));
-    seen.fills.push_back(make_fill(heavy_image, 0.3, 0));
-    seen.fills.push_back(make_fill(light_image, 0.3, 1));
+    seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
+    seen.best_effort.push_back(make_fill(light_image, 0.3, 1));
     time_point over{};
     auto const changes = sharing.paces(seen, time_point(1s), over);
     ASSERT_EQ(changes.size(), 1U);
@@ -148,7 +149,7 @@
     double const own = sharing.own(alone, last);
     EXPECT_NEAR(own, 3.3, 0.01);
     worker_view seen;
-    seen.fills.push_back(make_fill(heavy_image, 0.3, 0));
+    seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
     time_point over{};
     seen.serving.push_back(like_its_siblings(image, 1.2, alone));
     EXPECT_TRUE(sharing.paces(seen, time_point(1s), over).empty());
@@ -172,7 +173,7 @@
 {
     worker_view seen;
     seen.serving.push_back(like_its_siblings(image, 0.5, 4));
-    seen.fills.push_back(make_fill(light_image, 0.3, 0));
+    seen.best_effort.push_back(make_fill(light_image, 0.3, 0));
     time_point over{};
     EXPECT_TRUE(sharing.paces(seen, time_point(10s), over).empty());
     auto const changes = sharing.paces(seen, time_point(11600ms), over);
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -113,7 +113,7 @@
     serving.steps.front().tail_target = 100ms;
     serving.spec = "lasts tail=20";
     auto filling = fuchsia::tests::unit::pool::simple_job(16, 60s);
-    filling.steps.front().fills = true;
+    filling.steps.front().best_effort = true;
     filling.steps.front().image = "fills";
     filling.spec = "work=60000 cores=1000";
     auto const other = fuchsia::tests::unit::pool::other_than(first);
--- a/tests/unit/pool/placement_load_test.cpp
+++ b/tests/unit/pool/placement_load_test.cpp
@@ -109,7 +109,7 @@
     {
         auto job = simple_job(1, 300ms);
         job.steps.front().image = "image" + std::to_string(kind);
-        job.steps.front().fills = true;
+        job.steps.front().best_effort = true;
         world.submit(0, "waits" + std::to_string(kind), job);
     }
     world.run(100ms);
--- a/tests/unit/pool/regroup_test.cpp
+++ b/tests/unit/pool/regroup_test.cpp
@@ -207,7 +207,7 @@
 {
     workers = {make_worker("a", {delicate, sturdy}),
                make_worker("b", {delicate})};
-    workers[1].fills = {{heavy, 0.5}};
+    workers[1].best_effort = {{heavy, 0.5}};
     workers[1].may_be_cleared = false;
     waiting = {{heavy, 7000, 70'000}};
     EXPECT_FALSE(plan().has_value());
@@ -262,8 +262,8 @@
                                                return task.image == delicate;
                                            });
             each.idle = open ? 0 : each.idle;
-            each.fills = open ? std::vector<neighbour_share>{{heavy, 0.5}}
-                              : std::vector<neighbour_share>{};
+            each.best_effort = open ? std::vector<neighbour_share>{{heavy, 0.5}}
+                                    : std::vector<neighbour_share>{};
         }
         auto const made = plan_rebalance(settings, pairs, seen, waiting);
         if (!made)
@@ -300,7 +300,7 @@
     made.spec = "work=1500 strain=30 cores=1000";
     auto& what = made.steps.front();
     what.declared = {1000, 100, 0};
-    what.fills = true;
+    what.best_effort = true;
     what.image = "heavy";
     return made;
 }
--- a/tests/unit/pool/room_index_test.cpp
+++ b/tests/unit/pool/room_index_test.cpp
@@ -53,7 +53,7 @@
         of.reserved.millicores = amount();
         of.serving_cores = of.reserved.millicores / 2;
         of.serving_used = of.serving_cores / 2;
-        of.fill_cores = amount();
+        of.best_effort_cores = amount();
         of.view_known = below(4) > 0;
     }
 
@@ -142,7 +142,7 @@
     random_pool pool(1);
     auto& full = pool.any();
     full.view_known = false;
-    full.fill_cores = full.info.capacity.millicores;
+    full.best_effort_cores = full.info.capacity.millicores;
     capacity_index index({&full});
     EXPECT_EQ(index.with_idle(1'000).size(), 1U);
     full.view_known = true;
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -516,7 +516,7 @@
                                    millicores,
                                    filling_ms,
                                    "filling-" + std::to_string(image)));
-    made.steps.back().fills = true;
+    made.steps.back().best_effort = true;
     made.steps.back().checkpoints = true;
     made.steps.push_back(made.steps.back());
     made.steps.back().after = {0};
