--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -89,8 +89,9 @@
     return sum_by_image(fills, &best_effort_view::declared);
 }
 
-double colocation::taken(std::uint16_t image,
-                         std::vector<neighbour_share> const& beside) const
+double
+colocation::headroom_loss(std::uint16_t image,
+                          std::vector<neighbour_share> const& beside) const
 {
     double total = 0;
     for (auto const& each : beside)
@@ -109,12 +110,12 @@
     auto const count = static_cast<double>(readings.size());
     for (auto const* each : readings)
     {
-        for (auto const& other : each->beside)
+        for (auto const& other : each->neighbours)
         {
             beyond_[other.image] -= other.share / count;
         }
     }
-    for (auto const& other : readings.back()->beside)
+    for (auto const& other : readings.back()->neighbours)
     {
         beyond_[other.image] += other.share;
     }
@@ -165,21 +166,21 @@
 
 // The least disturbed tasks tell the load best: what is added back for
 // neighbours is as wrong as what was learned of them.
-double
-colocation::alone(std::vector<serving_reading const*> const& readings) const
+double colocation::isolated_headroom(
+    std::vector<serving_reading const*> const& readings) const
 {
-    double least = readings.front()->taken;
+    double least = readings.front()->headroom_loss;
     for (auto const* each : readings)
     {
-        least = std::min(least, each->taken);
+        least = std::min(least, each->headroom_loss);
     }
     std::vector<double> estimates;
     estimates.reserve(readings.size());
     for (auto const* each : readings)
     {
-        if (each->taken <= least + like_the_least)
+        if (each->headroom_loss <= least + like_the_least)
         {
-            estimates.push_back(each->headroom + each->taken);
+            estimates.push_back(each->headroom + each->headroom_loss);
         }
     }
     auto const middle =
@@ -190,9 +191,10 @@
 
 // The users of one task may press harder than those of its siblings for a
 // second or so. That they press less is not counted on.
-double colocation::own(double alone, serving_reading const& last) const
+double colocation::task_isolated_headroom(double alone,
+                                          serving_reading const& last) const
 {
-    double const beyond = last.headroom + last.taken - alone;
+    double const beyond = last.headroom + last.headroom_loss - alone;
     bool const read = last.headroom > 0;
     return read && beyond < 0 ? alone + settings_.carry * beyond : alone;
 }
@@ -204,7 +206,7 @@
                       : std::clamp(1 - alone / idle, 0.1, 1.0);
 }
 
-void colocation::note_alone(std::uint16_t image, double alone)
+void colocation::observe_isolated_headroom(std::uint16_t image, double alone)
 {
     auto& usual = usual_[image];
     usual.readings = std::min(usual.readings + 1, most_readings);
@@ -222,7 +224,7 @@
         double const cost = weight(served.image, each.image);
         wanted += disturbs(served.image, each.image) ? cost * each.declared : 0;
     }
-    double const spare = served.own - settings_.keep;
+    double const spare = served.task_isolated_headroom - settings_.keep;
     return wanted <= 0 ? 1 : std::clamp(spare / wanted, 0.0, 1.0);
 }
 
@@ -270,9 +272,9 @@
     return changes;
 }
 
-double colocation::expected(worker_view const& seen,
-                            std::uint16_t image,
-                            double share) const
+double colocation::expected_headroom(worker_view const& seen,
+                                     std::uint16_t image,
+                                     double share) const
 {
     constexpr double plenty = 100;
     double least = plenty;
@@ -285,7 +287,7 @@
         }
         // One that nothing placed here disturbs is no reason to stay away.
         least = disturbs(served.image, image)
-                    ? std::min(least, served.own - taken)
+                    ? std::min(least, served.task_isolated_headroom - taken)
                     : least;
     }
     return least;
@@ -296,7 +298,7 @@
     return weight(served, beside) > settings_.harmless;
 }
 
-bool colocation::known(std::uint16_t served, std::uint16_t beside) const
+bool colocation::pair_known(std::uint16_t served, std::uint16_t beside) const
 {
     auto const& pair = pairs_[served * settings_.max_images + beside];
     return pair.variance < known_part * settings_.prior_variance;
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -69,8 +69,10 @@
 {
     std::uint16_t image = 0; ///< As `colocation::number_of` gives it.
     double headroom = 0;     ///< Target / tail as last read.
-    double alone = 0;        ///< Headroom its step has without any neighbours.
-    double own = 0;          ///< The same of this task, as far as it lasts.
+    double isolated_headroom =
+        0; ///< Headroom its step has without any neighbours.
+    double task_isolated_headroom =
+        0; ///< The same of this task, as far as it lasts.
 };
 
 /// A task that fills, with its shares of the worker's cores.
@@ -108,36 +110,39 @@
     std::uint16_t number_of(std::string const& image);
 
     /// Headroom that neighbours take from a task of `image`, as far as known.
-    double taken(std::uint16_t image,
-                 std::vector<neighbour_share> const& beside) const;
+    double headroom_loss(std::uint16_t image,
+                         std::vector<neighbour_share> const& beside) const;
     /// Learns from the last of `readings`, all of tasks of one step.
     void learn(std::uint16_t image,
                std::vector<serving_reading const*> const& readings);
     /// Headroom that the tasks of one step would have without neighbours.
-    double alone(std::vector<serving_reading const*> const& readings) const;
+    double isolated_headroom(
+        std::vector<serving_reading const*> const& readings) const;
 
     /// Headroom without neighbours that a task of a step will have when it is
     /// asked next, by its own last reading.
-    double own(double alone, serving_reading const& last) const;
+    double task_isolated_headroom(double alone,
+                                  serving_reading const& last) const;
 
     /// Share of its cores that a serving task uses, by its headroom without
     /// neighbours.
     double load(std::uint16_t image, double alone) const noexcept;
     /// Takes in what a reading says of an image's headroom without neighbours.
-    void note_alone(std::uint16_t image, double alone);
+    void observe_isolated_headroom(std::uint16_t image, double alone);
 
     /// Speeds that leave every serving task its headroom.
     std::vector<pace_change> paces(worker_view const& seen,
                                    common::time_point now,
                                    common::time_point& over_since) const;
     /// The least headroom that stays, were `image` to use `share` besides.
-    double
-    expected(worker_view const& seen, std::uint16_t image, double share) const;
+    double expected_headroom(worker_view const& seen,
+                             std::uint16_t image,
+                             double share) const;
     /// Whether `beside` is taken to disturb `served`, as every pair is until
     /// it was seen,
     bool disturbs(std::uint16_t served, std::uint16_t beside) const;
     /// and whether that was learned.
-    bool known(std::uint16_t served, std::uint16_t beside) const;
+    bool pair_known(std::uint16_t served, std::uint16_t beside) const;
     /// What readings have taught so far.
     learned_images learned() const;
     /// Takes over what an earlier owner had learned; of images that were seen
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -37,9 +37,9 @@
 struct serving_reading
 {
     common::time_point when{};
-    double headroom = 0; ///< Target / tail.
-    double taken = 0;    ///< What its neighbours were taken to cost then.
-    std::vector<neighbour_share> beside; ///< By image, ascending.
+    double headroom = 0;      ///< Target / tail.
+    double headroom_loss = 0; ///< What its neighbours were taken to cost then.
+    std::vector<neighbour_share> neighbours; ///< By image, ascending.
 };
 
 /// A task and its only run. At most one attempt may be at work anywhere, so
@@ -91,7 +91,8 @@
     std::uint32_t left = 0;      ///< Tasks that are not done.
     bool open = false;           ///< Its tasks may start.
     std::uint16_t image = 0;     ///< Number of the image that its tasks run.
-    double alone = 0; ///< Headroom of its serving tasks without neighbours.
+    double isolated_headroom =
+        0; ///< Headroom of its serving tasks without neighbours.
     /// Of a lasting step: a worker that can't be used now has room for two of
     /// its tasks.
     bool capacity_elsewhere = false;
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -327,7 +327,7 @@
     auto const share =
         share_of(what.declared.millicores, on.info.capacity.millicores);
     bool const disturbs =
-        on.serves() && colocation_.expected(seen, image, share) <
+        on.serves() && colocation_.expected_headroom(seen, image, share) <
                            settings_.sharing.place_above;
     return disturbs ? std::optional(obstacle::disturbs) : std::nullopt;
 }
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -119,7 +119,7 @@
             row.serving.push_back({name,
                                    steps.image,
                                    run->step_of(name).declared,
-                                   steps.alone,
+                                   steps.isolated_headroom,
                                    may_move(now, *run, name)});
         }
         made.push_back(std::move(row));
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -55,7 +55,8 @@
             static_cast<double>(common::to_milliseconds(what.tail_target));
         if (target > 0)
         {
-            double const load = colocation_.load(steps.image, steps.alone);
+            double const load =
+                colocation_.load(steps.image, steps.isolated_headroom);
             of.serving_used += static_cast<std::int64_t>(
                 load * static_cast<double>(what.declared.millicores));
         }
@@ -64,9 +65,10 @@
             auto const tail = static_cast<double>(each->level);
             made.serving.push_back(
                 {steps.image,
-                 tail > 0 ? target / tail : steps.alone,
-                 steps.alone,
-                 colocation_.own(steps.alone, each->reading)});
+                 tail > 0 ? target / tail : steps.isolated_headroom,
+                 steps.isolated_headroom,
+                 colocation_.task_isolated_headroom(steps.isolated_headroom,
+                                                    each->reading)});
         }
         if (what.best_effort)
         {
@@ -86,8 +88,10 @@
         {
             auto const& steps =
                 run->occurrences[name.occurrence].steps[name.step];
-            made.serving.push_back(
-                {steps.image, steps.alone, steps.alone, steps.alone});
+            made.serving.push_back({steps.image,
+                                    steps.isolated_headroom,
+                                    steps.isolated_headroom,
+                                    steps.isolated_headroom});
         }
     }
     return made;
@@ -100,10 +104,10 @@
     std::vector<double> ratios;
     for (auto const& served : view_of(of).serving)
     {
-        auto const expected =
-            served.alone -
-            colocation_.taken(served.image, shares_of(of.view.best_effort));
-        if (served.alone > 0)
+        auto const expected = served.isolated_headroom -
+                              colocation_.headroom_loss(
+                                  served.image, shares_of(of.view.best_effort));
+        if (served.isolated_headroom > 0)
         {
             ratios.push_back(served.headroom /
                              std::max(expected, least_expected));
@@ -145,8 +149,8 @@
         reading.when = now;
         reading.headroom =
             static_cast<double>(target) / static_cast<double>(each->level);
-        reading.taken = colocation_.taken(steps.image, beside);
-        reading.beside = beside;
+        reading.headroom_loss = colocation_.headroom_loss(steps.image, beside);
+        reading.neighbours = beside;
         readings.clear();
         for (auto const& sibling : steps.tasks)
         {
@@ -158,8 +162,9 @@
             }
         }
         readings.push_back(&reading);
-        steps.alone = colocation_.alone(readings);
-        colocation_.note_alone(steps.image, steps.alone);
+        steps.isolated_headroom = colocation_.isolated_headroom(readings);
+        colocation_.observe_isolated_headroom(steps.image,
+                                              steps.isolated_headroom);
         if (readings.size() >= readings_to_learn)
         {
             colocation_.learn(steps.image, readings);
--- a/src/core/pool/rebalance.cpp
+++ b/src/core/pool/rebalance.cpp
@@ -31,7 +31,8 @@
                    rebalance_worker const& on,
                    movable_task const& what)
 {
-    return what.alone - pairs.taken(what.image, on.best_effort);
+    return what.isolated_headroom -
+           pairs.headroom_loss(what.image, on.best_effort);
 }
 
 bool disturbed_by_any(colocation const& pairs,
@@ -172,8 +173,8 @@
             }
             ++count;
             moved += each.declared.millicores;
-            known =
-                known && each.may_move && pairs_.known(each.image, work.image);
+            known = known && each.may_move &&
+                    pairs_.pair_known(each.image, work.image);
         }
         if (!from.may_be_cleared || !known || count == 0 ||
             count > settings_.max_moved_tasks || from.idle < work.smallest_task)
--- a/src/core/pool/rebalance.hpp
+++ b/src/core/pool/rebalance.hpp
@@ -45,7 +45,7 @@
     ports::task_name name;
     std::uint16_t image = 0;
     ports::resources declared;
-    double alone = 0; ///< Headroom without neighbours.
+    double isolated_headroom = 0; ///< Headroom without neighbours.
     bool may_move = false;
 };
 
--- a/tests/unit/pool/colocation_test.cpp
+++ b/tests/unit/pool/colocation_test.cpp
@@ -53,7 +53,7 @@
         serving_reading reading;
         reading.headroom = std::max(
             0.1, idle_headroom * (1 - load) - heavy * beside + noise(random));
-        reading.beside = {{heavy_image, beside}, {light_image, harmless}};
+        reading.neighbours = {{heavy_image, beside}, {light_image, harmless}};
         made.readings.push_back(reading);
     }
     return made;
@@ -117,11 +117,11 @@
     auto const limit = sharing.settings().place_above;
     worker_view peak;
     peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
-    EXPECT_LT(sharing.expected(peak, heavy_image, 0.15), limit);
-    EXPECT_GT(sharing.expected(peak, light_image, 0.15), limit);
+    EXPECT_LT(sharing.expected_headroom(peak, heavy_image, 0.15), limit);
+    EXPECT_GT(sharing.expected_headroom(peak, light_image, 0.15), limit);
     worker_view trough;
     trough.serving.push_back(like_its_siblings(image, 4.5, 4.5));
-    EXPECT_GT(sharing.expected(trough, heavy_image, 0.15), limit);
+    EXPECT_GT(sharing.expected_headroom(trough, heavy_image, 0.15), limit);
 }
 
 // Failure: harmless neighbours are slowed, or the culprit more than needed.
@@ -144,16 +144,16 @@
 {
     serving_reading last;
     last.headroom = 1.2;
-    last.taken = 1.3;
+    last.headroom_loss = 1.3;
     double const alone = 4.5;
-    double const own = sharing.own(alone, last);
+    double const own = sharing.task_isolated_headroom(alone, last);
     EXPECT_NEAR(own, 3.3, 0.01);
     worker_view seen;
     seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
     time_point over{};
     seen.serving.push_back(like_its_siblings(image, 1.2, alone));
     EXPECT_TRUE(sharing.paces(seen, time_point(1s), over).empty());
-    seen.serving.front().own = own;
+    seen.serving.front().task_isolated_headroom = own;
     auto const changes = sharing.paces(seen, time_point(1s), over);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_LT(changes.front().percent, 85U);
@@ -165,7 +165,7 @@
     colocation const sharing{colocation_settings{}};
     serving_reading last;
     last.headroom = 5;
-    EXPECT_DOUBLE_EQ(sharing.own(3, last), 3);
+    EXPECT_DOUBLE_EQ(sharing.task_isolated_headroom(3, last), 3);
 }
 
 // Failure: a task stays over its target, since nobody is known to disturb it.
@@ -192,8 +192,8 @@
     worker_view peak;
     peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
     auto const limit = sharing.settings().place_above;
-    EXPECT_GT(sharing.expected(trough, unknown, 0.15), limit);
-    EXPECT_LT(sharing.expected(peak, unknown, 0.15), limit);
+    EXPECT_GT(sharing.expected_headroom(trough, unknown, 0.15), limit);
+    EXPECT_LT(sharing.expected_headroom(peak, unknown, 0.15), limit);
 }
 
 // Failure: a task that has hardly begun is blamed for a long tail.
@@ -206,7 +206,7 @@
     calm.headroom = 3;
     serving_reading hit;
     hit.headroom = 0.5;
-    hit.beside = {{tiny, 0.003}};
+    hit.neighbours = {{tiny, 0.003}};
     for (int repeat = 0; repeat < 100; ++repeat)
     {
         sharing.learn(image, {&calm, &calm, &hit});
@@ -229,7 +229,7 @@
         auto const image = model.number_of("idle " + std::to_string(idle));
         for (int reading = 0; reading < 2000; ++reading)
         {
-            model.note_alone(image, idle * (1 - swing(random)));
+            model.observe_isolated_headroom(image, idle * (1 - swing(random)));
         }
         EXPECT_NEAR(model.load(image, idle * 0.7), 0.3, 0.05);
         EXPECT_NEAR(model.load(image, idle * 0.4), 0.6, 0.05);
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -29,10 +29,10 @@
             bool const beside_heavy = task % 2 == 0;
             auto& each = readings[task];
             each.headroom = beside_heavy ? 2.0 : 4.0;
-            each.beside = {{beside_heavy ? heavy : light, 0.2}};
+            each.neighbours = {{beside_heavy ? heavy : light, 0.2}};
             all.push_back(&each);
         }
-        made.note_alone(first, 4.0);
+        made.observe_isolated_headroom(first, 4.0);
         made.learn(first, all);
     }
     return made;
@@ -59,12 +59,13 @@
     for (auto const* image : {"heavy", "light"})
     {
         EXPECT_NEAR(
-            after.taken(served, {{after.number_of(image), 1.0}}),
-            old.taken(old.number_of("first"), {{old.number_of(image), 1.0}}),
+            after.headroom_loss(served, {{after.number_of(image), 1.0}}),
+            old.headroom_loss(old.number_of("first"),
+                              {{old.number_of(image), 1.0}}),
             0.02)
             << image;
-        EXPECT_EQ(after.known(served, after.number_of(image)),
-                  old.known(old.number_of("first"), old.number_of(image)));
+        EXPECT_EQ(after.pair_known(served, after.number_of(image)),
+                  old.pair_known(old.number_of("first"), old.number_of(image)));
     }
 }
 
--- a/tests/unit/pool/learning_test.cpp
+++ b/tests/unit/pool/learning_test.cpp
@@ -73,12 +73,12 @@
         auto const count = static_cast<double>(readings.size());
         for (auto const* each : readings)
         {
-            for (auto const& other : each->beside)
+            for (auto const& other : each->neighbours)
             {
                 made[other.image] -= other.share / count;
             }
         }
-        for (auto const& other : readings.back()->beside)
+        for (auto const& other : readings.back()->neighbours)
         {
             made[other.image] += other.share;
         }
@@ -107,8 +107,8 @@
         {
             if (part(random) < 0.4)
             {
-                each.beside.push_back({static_cast<std::uint16_t>(image),
-                                       0.3 * part(random) * part(random)});
+                each.neighbours.push_back({static_cast<std::uint16_t>(image),
+                                           0.3 * part(random) * part(random)});
             }
         }
     }
@@ -140,7 +140,8 @@
         plain.learn(readings);
         for (std::uint16_t other = 0; other < numbers; ++other)
         {
-            ASSERT_EQ(model.taken(0, {{other, 1.0}}), plain.weight(other))
+            ASSERT_EQ(model.headroom_loss(0, {{other, 1.0}}),
+                      plain.weight(other))
                 << "seed " << seed << ", step " << step;
         }
     }
--- a/tests/unit/pool/regroup_test.cpp
+++ b/tests/unit/pool/regroup_test.cpp
@@ -31,7 +31,7 @@
         calm.headroom = alone;
         serving_reading beside;
         beside.headroom = std::max(alone - weight * share, 0.5);
-        beside.beside = {{fill, share}};
+        beside.neighbours = {{fill, share}};
         pairs.learn(served, {&calm, &calm, &beside});
     }
 }
@@ -42,7 +42,7 @@
     made.name = {"serving", 0, 0, index};
     made.image = image;
     made.declared = {task_cores, 1000, 0};
-    made.alone = alone;
+    made.isolated_headroom = alone;
     made.may_move = true;
     return made;
 }
