--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -228,9 +228,10 @@
     return wanted <= 0 ? 1 : std::clamp(spare / wanted, 0.0, 1.0);
 }
 
-std::vector<pace_change> colocation::paces(worker_view const& seen,
-                                           common::time_point now,
-                                           common::time_point& over_since) const
+std::vector<speed_limit_change>
+colocation::speed_limits(worker_view const& seen,
+                         common::time_point now,
+                         common::time_point& over_since) const
 {
     std::vector<double> speeds(seen.best_effort.size(), 1.0);
     bool over = false;
@@ -255,12 +256,12 @@
         over_since = now;
     }
     bool const stop_all = over && now - over_since >= settings_.stop_after;
-    std::vector<pace_change> changes;
+    std::vector<speed_limit_change> changes;
     for (std::size_t index = 0; index < speeds.size(); ++index)
     {
         auto const percent = static_cast<std::uint32_t>(
             std::lround(stop_all ? 0.0 : speeds[index] * 100));
-        auto const before = seen.best_effort[index].pace;
+        auto const before = seen.best_effort[index].speed_limit;
         auto const change =
             percent > before ? percent - before : before - percent;
         bool const to_end = percent == 0 || percent == 100;
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -82,7 +82,7 @@
     std::uint16_t image = 0;
     double declared = 0;
     double used = 0; ///< As last read.
-    std::uint32_t pace = 100;
+    std::uint32_t speed_limit = 100;
 };
 
 /// What stands beside each other on one worker.
@@ -93,7 +93,7 @@
 };
 
 /// The speed that a task is to have from now on, in percent.
-struct pace_change
+struct speed_limit_change
 {
     ports::task_name name;
     std::uint32_t percent = 100;
@@ -131,9 +131,10 @@
     void observe_isolated_headroom(std::uint16_t image, double alone);
 
     /// Speeds that leave every serving task its headroom.
-    std::vector<pace_change> paces(worker_view const& seen,
-                                   common::time_point now,
-                                   common::time_point& over_since) const;
+    std::vector<speed_limit_change>
+    speed_limits(worker_view const& seen,
+                 common::time_point now,
+                 common::time_point& over_since) const;
     /// The least headroom that stays, were `image` to use `share` besides.
     double expected_headroom(worker_view const& seen,
                              std::uint16_t image,
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -58,9 +58,9 @@
     std::string checkpoint;
     std::uint32_t percent = 0;
     std::int64_t level = 0;
-    std::uint32_t pace = 100;   ///< As ordered.
-    common::time_point paced{}; ///< When it was ordered to stand still.
-    serving_reading reading;    ///< Of a serving task; the last one.
+    std::uint32_t speed_limit = 100; ///< As ordered.
+    common::time_point paused_at{};  ///< When it was ordered to stand still.
+    serving_reading reading;         ///< Of a serving task; the last one.
     common::time_point started{};
     common::time_point told{};          ///< When its percent was last told.
     common::time_point moved{};         ///< Last seen to make progress.
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -281,11 +281,11 @@
     void evict_idle(common::time_point now,
                     worker& of,
                     std::vector<best_effort_view> const& fills);
-    void pace(common::time_point now,
-              worker& on,
-              ports::task_name const& name,
-              std::uint32_t percent);
-    void pace_failed(std::string const& id, ports::task_run const& what);
+    void set_speed_limit(common::time_point now,
+                         worker& on,
+                         ports::task_name const& name,
+                         std::uint32_t percent);
+    void speed_limit_failed(std::string const& id, ports::task_run const& what);
 
     // owner_regroup.cpp: serving tasks move to where they bind least.
     void rebalance(common::time_point now);
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -227,7 +227,7 @@
     each.unclear = false;
     each.returns = false;
     each.percent = 0;
-    each.pace = 100;
+    each.speed_limit = 100;
     each.started = now;
     each.moved = now;
     if (run.first_start_unix_ms == 0)
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -252,7 +252,7 @@
     unplace(run, name);
     auto& each = run.at(name);
     each.percent = 0;
-    each.pace = 100;
+    each.speed_limit = 100;
     if (run.phase == job_phase::active)
     {
         // Before all workers were asked, one of them may know of failures that
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -182,7 +182,7 @@
         fills += each.best_effort_cores;
         for (auto const& fill : view_of(each).best_effort)
         {
-            slowed += 1 - fill.pace / 100.0;
+            slowed += 1 - fill.speed_limit / 100.0;
         }
         idle += std::max<std::int64_t>(each.idle_cores(), 0);
     }
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -235,13 +235,13 @@
         each.started = now;
         each.moved = now;
     }
-    if (row.percent != each.percent || each.pace < 100)
+    if (row.percent != each.percent || each.speed_limit < 100)
     {
         each.moved = now;
     }
     // A task at full speed shows how fast its worker is.
     auto const& what = run.step_of(row.what.task);
-    bool const steady = each.pace == 100 && each.told > each.started &&
+    bool const steady = each.speed_limit == 100 && each.told > each.started &&
                         row.percent > each.percent;
     if (steady && !what.lasting)
     {
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -77,7 +77,7 @@
                  steps.image,
                  static_cast<double>(what.declared.millicores) / cores,
                  static_cast<double>(each->level) / cores,
-                 each->pace});
+                 each->speed_limit});
         }
     }
     // What is on its way here must find its headroom when it comes.
@@ -189,9 +189,10 @@
     read_serving(now, of);
     // A copy: pacing changes what it is made from.
     auto const seen = view_of(of);
-    for (auto const& change : colocation_.paces(seen, now, of.over_since))
+    for (auto const& change :
+         colocation_.speed_limits(seen, now, of.over_since))
     {
-        pace(now, of, change.name, change.percent);
+        set_speed_limit(now, of, change.name, change.percent);
     }
     evict_idle(now, of, seen.best_effort);
 }
@@ -206,8 +207,8 @@
         auto* const run = find_job(fill.name.job);
         auto& each = run->at(fill.name);
         bool const waits = each.phase == task_phase::running &&
-                           each.pace == 0 &&
-                           now - each.paced > settings_.sharing.evict_after;
+                           each.speed_limit == 0 &&
+                           now - each.paused_at > settings_.sharing.evict_after;
         if (waits && run->step_of(fill.name).checkpoints)
         {
             ++counters_.evicted;
@@ -217,10 +218,10 @@
     }
 }
 
-void owner::pace(common::time_point now,
-                 worker& on,
-                 ports::task_name const& name,
-                 std::uint32_t percent)
+void owner::set_speed_limit(common::time_point now,
+                            worker& on,
+                            ports::task_name const& name,
+                            std::uint32_t percent)
 {
     auto* const run = find_job(name.job);
     auto& each = run->at(name);
@@ -228,9 +229,9 @@
     {
         return;
     }
-    ++counters_.paced;
-    each.pace = percent;
-    each.paced = now;
+    ++counters_.speed_limit_changes;
+    each.speed_limit = percent;
+    each.paused_at = now;
     on.view_known = false;
     out_.order(
         life_,
@@ -249,21 +250,22 @@
             }
             else if (reply.status != order_status::done)
             {
-                pace_failed(id, what);
+                speed_limit_failed(id, what);
             }
         });
 }
 
 // Believed, a task that was to stand still would go on beside one that it slows
 // down. The next look at its worker finds it at another speed than wanted.
-void owner::pace_failed(std::string const& id, ports::task_run const& what)
+void owner::speed_limit_failed(std::string const& id,
+                               ports::task_run const& what)
 {
     auto const [run, each] = find_task(what.task);
     if (each == nullptr || each->worker != id || each->attempt != what.attempt)
     {
         return;
     }
-    each->pace = each->pace < 100 ? 100 : 0;
+    each->speed_limit = each->speed_limit < 100 ? 100 : 0;
     if (auto* const on = fleet_.find(id))
     {
         on->view_known = false;
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -122,7 +122,7 @@
                                       each.failures.size(),
                                       each.worker,
                                       each.percent,
-                                      each.pace});
+                                      each.speed_limit});
             }
             if (!steps[number].ready.empty())
             {
--- a/src/core/pool/pool_view.hpp
+++ b/src/core/pool/pool_view.hpp
@@ -126,7 +126,7 @@
     std::size_t failures = 0;
     std::string worker; ///< Of the present or last run.
     std::uint32_t percent = 0;
-    std::uint32_t pace = 100;
+    std::uint32_t speed_limit = 100;
 };
 
 /// Why the first ready task of a step starts nowhere: workers by what stands
--- a/src/programs/pool/pool_administration.cpp
+++ b/src/programs/pool/pool_administration.cpp
@@ -101,7 +101,7 @@
             {"failures", what.failures},
             {"worker", what.worker},
             {"percent", what.percent},
-            {"pace", what.pace}};
+            {"pace", what.speed_limit}};
 }
 
 json::object to_json(step_status const& what)
--- a/tests/unit/pool/colocation_test.cpp
+++ b/tests/unit/pool/colocation_test.cpp
@@ -132,7 +132,7 @@
     seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
     seen.best_effort.push_back(make_fill(light_image, 0.3, 1));
     time_point over{};
-    auto const changes = sharing.paces(seen, time_point(1s), over);
+    auto const changes = sharing.speed_limits(seen, time_point(1s), over);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes.front().name.index, 0U);
     EXPECT_GT(changes.front().percent, 30U);
@@ -152,9 +152,9 @@
     seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
     time_point over{};
     seen.serving.push_back(like_its_siblings(image, 1.2, alone));
-    EXPECT_TRUE(sharing.paces(seen, time_point(1s), over).empty());
+    EXPECT_TRUE(sharing.speed_limits(seen, time_point(1s), over).empty());
     seen.serving.front().task_isolated_headroom = own;
-    auto const changes = sharing.paces(seen, time_point(1s), over);
+    auto const changes = sharing.speed_limits(seen, time_point(1s), over);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_LT(changes.front().percent, 85U);
 }
@@ -175,8 +175,8 @@
     seen.serving.push_back(like_its_siblings(image, 0.5, 4));
     seen.best_effort.push_back(make_fill(light_image, 0.3, 0));
     time_point over{};
-    EXPECT_TRUE(sharing.paces(seen, time_point(10s), over).empty());
-    auto const changes = sharing.paces(seen, time_point(11600ms), over);
+    EXPECT_TRUE(sharing.speed_limits(seen, time_point(10s), over).empty());
+    auto const changes = sharing.speed_limits(seen, time_point(11600ms), over);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes.front().percent, 0U);
 }
