--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -53,7 +53,7 @@
         std::chrono::seconds(bounds.integer_or("states_kept_s", 120, 1, 86400));
     out.owner.final_kept = kept + final_reserve;
     auto const harm = bounds.duration_or("harm_ms", 4s, 100ms, 600s);
-    auto& stop_after = out.owner.sharing.stop_after;
+    auto& stop_after = out.owner.colocation.stop_after;
     stop_after = std::min<core::common::duration>(stop_after, harm / 2);
     auto const visible = bounds.duration_or("visible_ms", 3s, 100ms, 600s);
     auto& limit = out.front.count_age_limit;
@@ -75,11 +75,14 @@
 
 void read_sharing(toml_table table, core::pool::colocation_settings& out)
 {
-    out.keep = table.number_or("keep", out.keep, 0, 100);
-    out.place_above = table.number_or("place_above", out.place_above, 0, 100);
-    out.carry = table.number_or("carry", out.carry, 0, 1);
-    out.harmless = table.number_or("harmless", out.harmless, 0, 100);
-    out.prior = table.number_or("prior", out.prior, 0, 100);
+    out.min_headroom = table.number_or("keep", out.min_headroom, 0, 100);
+    out.placement_headroom =
+        table.number_or("place_above", out.placement_headroom, 0, 100);
+    out.residual_carryover =
+        table.number_or("carry", out.residual_carryover, 0, 1);
+    out.harmless_weight =
+        table.number_or("harmless", out.harmless_weight, 0, 100);
+    out.prior_weight = table.number_or("prior", out.prior_weight, 0, 100);
     out.evict_after =
         table.duration_or("evict_after_ms", out.evict_after, 0ms, 60s);
     out.stop_after =
@@ -148,7 +151,7 @@
     }
     made.log_level = static_cast<ports::severity>(
         root.choice_or("log_level", 1, {"debug", "info", "warning", "error"}));
-    read_sharing(root.table("sharing"), made.pool.owner.sharing);
+    read_sharing(root.table("sharing"), made.pool.owner.colocation);
     read_regroup(root.table("regroup"), made.pool.owner.rebalance);
     read_guaranteed(root.table("guaranteed_room"),
                     made.pool.owner.short_job_reserve);
--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -52,11 +52,11 @@
 
 colocation::colocation(colocation_settings settings)
     : settings_(settings),
-      usual_(
-          settings.max_images,
-          {(1 - settings.usual_load) * settings.idle_headroom, first_readings}),
+      usual_(settings.max_images,
+             {(1 - settings.average_load) * settings.idle_headroom,
+              first_readings}),
       pairs_(settings.max_images * settings.max_images,
-             {settings.prior, settings.prior_variance})
+             {settings.prior_weight, settings.prior_variance})
 {
 }
 
@@ -158,8 +158,8 @@
         auto& pair = row[other];
         double const gain = pair.variance * share / total;
         pair.weight =
-            std::clamp(pair.weight + gain * error, 0.0, settings_.most);
-        pair.variance = std::max(settings_.least_variance,
+            std::clamp(pair.weight + gain * error, 0.0, settings_.max_weight);
+        pair.variance = std::max(settings_.min_variance,
                                  pair.variance * (1 - gain * share));
     }
 }
@@ -196,13 +196,14 @@
 {
     double const beyond = last.headroom + last.headroom_loss - alone;
     bool const read = last.headroom > 0;
-    return read && beyond < 0 ? alone + settings_.carry * beyond : alone;
+    return read && beyond < 0 ? alone + settings_.residual_carryover * beyond
+                              : alone;
 }
 
 double colocation::load(std::uint16_t image, double alone) const noexcept
 {
-    double const idle = usual_[image].mean / (1 - settings_.usual_load);
-    return alone <= 0 ? settings_.usual_load
+    double const idle = usual_[image].mean / (1 - settings_.average_load);
+    return alone <= 0 ? settings_.average_load
                       : std::clamp(1 - alone / idle, 0.1, 1.0);
 }
 
@@ -224,7 +225,7 @@
         double const cost = weight(served.image, each.image);
         wanted += disturbs(served.image, each.image) ? cost * each.declared : 0;
     }
-    double const spare = served.task_isolated_headroom - settings_.keep;
+    double const spare = served.task_isolated_headroom - settings_.min_headroom;
     return wanted <= 0 ? 1 : std::clamp(spare / wanted, 0.0, 1.0);
 }
 
@@ -265,7 +266,7 @@
         auto const change =
             percent > before ? percent - before : before - percent;
         bool const to_end = percent == 0 || percent == 100;
-        if (change >= settings_.least_change || (to_end && change > 0))
+        if (change >= settings_.min_speed_change || (to_end && change > 0))
         {
             changes.push_back({seen.best_effort[index].name, percent});
         }
@@ -296,7 +297,7 @@
 
 bool colocation::disturbs(std::uint16_t served, std::uint16_t beside) const
 {
-    return weight(served, beside) > settings_.harmless;
+    return weight(served, beside) > settings_.harmless_weight;
 }
 
 bool colocation::pair_known(std::uint16_t served, std::uint16_t beside) const
@@ -352,9 +353,9 @@
         auto const served = number_of(each.served);
         auto const beside = number_of(each.beside);
         pairs_[served * settings_.max_images + beside] = {
-            std::clamp(each.weight, 0.0, settings_.most),
+            std::clamp(each.weight, 0.0, settings_.max_weight),
             std::clamp(each.variance,
-                       settings_.least_variance,
+                       settings_.min_variance,
                        settings_.prior_variance)};
     }
 }
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -22,37 +22,37 @@
 {
     /// Headroom that neighbours leave to a serving task. Above 1, since
     /// readings are old and tails scatter.
-    double keep = 1.7;
+    double min_headroom = 1.7;
     /// A task that fills is placed only where this headroom is expected to
     /// stay.
-    double place_above = 2.0;
+    double placement_headroom = 2.0;
     /// Tasks that fill stand still on a worker whose serving task has been over
     /// its target for this long, whatever was learned.
     common::duration stop_after = std::chrono::milliseconds(1500);
     /// A task that stood still for this long is moved elsewhere.
     common::duration evict_after = std::chrono::milliseconds(1500);
     /// Percent; smaller changes of a task's speed are not worth an order.
-    std::uint32_t least_change = 15;
+    std::uint32_t min_speed_change = 15;
     /// Headroom that a whole worker of a pair that was never seen is taken to
     /// cost, and how unsure that is.
-    double prior = 6;
+    double prior_weight = 6;
     double prior_variance = 16;
     /// Of one reading's headroom around what load and neighbours explain.
     double reading_variance = 0.09;
     /// Of a pair, however often it was seen, since pairs change.
-    double least_variance = 0.1;
+    double min_variance = 0.1;
     /// Headroom that a whole worker of a pair costs at most.
-    double most = 25;
+    double max_weight = 25;
     /// A pair whose whole worker costs less headroom is taken for harmless.
-    double harmless = 3;
+    double harmless_weight = 3;
     /// Headroom of a serving task without any load, until its image was seen
     /// for a while.
     double idle_headroom = 6;
     /// Share of its cores that a serving task uses on average.
-    double usual_load = 0.45;
+    double average_load = 0.45;
     /// Share of a task's distance from its siblings that is left at its next
     /// reading.
-    double carry = 0.6;
+    double residual_carryover = 0.6;
     /// Images told apart; later ones share the last number.
     std::size_t max_images = 64;
 };
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -38,7 +38,7 @@
             {
                 take_list(at, seen);
             }),
-      colocation_(settings.sharing), began_(now), parts_(parts_to_load)
+      colocation_(settings.colocation), began_(now), parts_(parts_to_load)
 {
     load_roster(now);
     load_jobs(now);
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -328,7 +328,7 @@
         share_of(what.declared.millicores, on.info.capacity.millicores);
     bool const disturbs =
         on.serves() && colocation_.expected_headroom(seen, image, share) <
-                           settings_.sharing.place_above;
+                           settings_.colocation.placement_headroom;
     return disturbs ? std::optional(obstacle::disturbs) : std::nullopt;
 }
 
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -18,7 +18,7 @@
 {
     fleet_settings workers;
     ledger_settings commits;
-    colocation_settings sharing;
+    colocation_settings colocation;
     rebalance_settings rebalance;
     short_job_reserve_settings short_job_reserve;
     common::duration call_timeout = std::chrono::milliseconds(900);
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -206,9 +206,9 @@
     {
         auto* const run = find_job(fill.name.job);
         auto& each = run->at(fill.name);
-        bool const waits = each.phase == task_phase::running &&
-                           each.speed_limit == 0 &&
-                           now - each.paused_at > settings_.sharing.evict_after;
+        bool const waits =
+            each.phase == task_phase::running && each.speed_limit == 0 &&
+            now - each.paused_at > settings_.colocation.evict_after;
         if (waits && run->step_of(fill.name).checkpoints)
         {
             ++counters_.evicted;
--- a/src/core/pool/rebalance.cpp
+++ b/src/core/pool/rebalance.cpp
@@ -233,7 +233,8 @@
                 !to.serving.empty() && !disturbed(pairs_, to, work.image);
             if (!fits || opens ||
                 disturbed_by_any(pairs_, what.image, to.cleared_for) ||
-                headroom_at(pairs_, to, what) < pairs_.settings().place_above)
+                headroom_at(pairs_, to, what) <
+                    pairs_.settings().placement_headroom)
             {
                 continue;
             }
--- a/tests/contract/platform/settings_test.cpp
+++ b/tests/contract/platform/settings_test.cpp
@@ -60,7 +60,7 @@
     EXPECT_EQ(file->store.port, 8169);
     EXPECT_EQ(file->pool.claim.ttl, 1500ms);
     EXPECT_EQ(file->pool.owner.workers.lease, 3000ms);
-    EXPECT_EQ(file->pool.owner.sharing.stop_after, 1000ms);
+    EXPECT_EQ(file->pool.owner.colocation.stop_after, 1000ms);
     EXPECT_EQ(file->pool.front.count_age_limit, 3000ms);
     EXPECT_EQ(file->pool.owner.list_age_limit, 1875ms);
     EXPECT_EQ(file->pool.owner.configuration_age_limit, 1950ms);
--- a/tests/unit/pool/colocation_test.cpp
+++ b/tests/unit/pool/colocation_test.cpp
@@ -114,7 +114,7 @@
 // Failure: work is placed by its pair alone, or by the load alone.
 TEST_F(learned_pair, places_by_load_and_pair)
 {
-    auto const limit = sharing.settings().place_above;
+    auto const limit = sharing.settings().placement_headroom;
     worker_view peak;
     peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
     EXPECT_LT(sharing.expected_headroom(peak, heavy_image, 0.15), limit);
@@ -191,7 +191,7 @@
     trough.serving.push_back(like_its_siblings(image, 4, 4));
     worker_view peak;
     peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
-    auto const limit = sharing.settings().place_above;
+    auto const limit = sharing.settings().placement_headroom;
     EXPECT_GT(sharing.expected_headroom(trough, unknown, 0.15), limit);
     EXPECT_LT(sharing.expected_headroom(peak, unknown, 0.15), limit);
 }
@@ -215,7 +215,7 @@
     seen.serving.push_back(like_its_siblings(image, 3, 3));
 
     EXPECT_DOUBLE_EQ(sharing.worst_weight(seen, tiny),
-                     sharing.settings().prior);
+                     sharing.settings().prior_weight);
 }
 
 // Failure: load is read by one figure for all images; idle cores look used.
@@ -241,5 +241,5 @@
 {
     colocation model{colocation_settings{}};
     auto const image = model.number_of("new");
-    EXPECT_DOUBLE_EQ(model.load(image, 0), model.settings().usual_load);
+    EXPECT_DOUBLE_EQ(model.load(image, 0), model.settings().average_load);
 }
--- a/tests/unit/pool/learning_test.cpp
+++ b/tests/unit/pool/learning_test.cpp
@@ -52,17 +52,17 @@
         {
             double& variance = variances_[other];
             double const gain = variance * share / total;
-            weights_[other] =
-                std::clamp(weights_[other] + gain * error, 0.0, settings_.most);
-            variance = std::max(settings_.least_variance,
-                                variance * (1 - gain * share));
+            weights_[other] = std::clamp(
+                weights_[other] + gain * error, 0.0, settings_.max_weight);
+            variance =
+                std::max(settings_.min_variance, variance * (1 - gain * share));
         }
     }
 
     double weight(std::uint16_t of)
     {
         variances_.emplace(of, settings_.prior_variance);
-        return weights_.emplace(of, settings_.prior).first->second;
+        return weights_.emplace(of, settings_.prior_weight).first->second;
     }
 
 private:
