--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -306,7 +306,7 @@
     return pair.variance < known_part * settings_.prior_variance;
 }
 
-learned_images colocation::learned() const
+interference_estimates colocation::estimates() const
 {
     std::vector<std::string const*> names(settings_.max_images, nullptr);
     for (auto const& [image, number] : numbers_)
@@ -315,7 +315,7 @@
     }
     // Images behind the last number share it, and are told apart by nobody.
     names.back() = nullptr;
-    learned_images made;
+    interference_estimates made;
     for (std::size_t served = 0; served < names.size(); ++served)
     {
         auto const& usual = usual_[served];
@@ -340,7 +340,7 @@
     return made;
 }
 
-void colocation::recall(learned_images const& earlier)
+void colocation::restore(interference_estimates const& earlier)
 {
     for (auto const& each : earlier.headrooms)
     {
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "core/pool/interference_estimates.hpp"
 #include "core/pool/job_run.hpp"
-#include "core/pool/learned.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -145,10 +145,10 @@
     /// and whether that was learned.
     bool pair_known(std::uint16_t served, std::uint16_t beside) const;
     /// What readings have taught so far.
-    learned_images learned() const;
+    interference_estimates estimates() const;
     /// Takes over what an earlier owner had learned; of images that were seen
     /// here before, too.
-    void recall(learned_images const& earlier);
+    void restore(interference_estimates const& earlier);
     /// Headroom that `image` takes at most, for a whole worker.
     double worst_weight(worker_view const& seen, std::uint16_t image) const;
 
--- a/src/core/pool/learned.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/learned.hpp"
+#include "core/pool/interference_estimates.hpp"
 
 #include "core/common/json.hpp"
 
@@ -85,7 +85,7 @@
 
 } // namespace
 
-std::string to_json(learned_images const& value)
+std::string to_json(interference_estimates const& value)
 {
     numbering images;
     json::array headrooms;
@@ -107,8 +107,8 @@
                                         {"pairs", std::move(pairs)}});
 }
 
-std::optional<learned_images> parse_learned(std::string_view text,
-                                            failure& reason)
+std::optional<interference_estimates>
+parse_interference_estimates(std::string_view text, failure& reason)
 {
     auto const object = common::parse_json_object(text, "learned", reason);
     if (!object)
@@ -136,7 +136,7 @@
         images.emplace_back(each.as_string());
     }
     auto const known = static_cast<std::int64_t>(images.size());
-    learned_images made;
+    interference_estimates made;
     for (auto const& row : *headrooms)
     {
         auto const cells = cells_of(row, headroom_cells);
--- a/src/core/pool/learned.hpp
+++ b/src/core/pool/interference_estimates.hpp
@@ -30,15 +30,15 @@
     double variance = 0;
 };
 
-struct learned_images
+struct interference_estimates
 {
     std::vector<headroom_record> headrooms;
     std::vector<pair_record> pairs;
 };
 
-std::string to_json(learned_images const& value);
+std::string to_json(interference_estimates const& value);
 /// Empty, with the reason, where the record or a part of it can't be used.
-std::optional<learned_images> parse_learned(std::string_view text,
-                                            common::failure& reason);
+std::optional<interference_estimates>
+parse_interference_estimates(std::string_view text, common::failure& reason);
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/keys.hpp
+++ b/src/core/pool/keys.hpp
@@ -25,7 +25,7 @@
 /// Workers that may hold tasks: who takes over asks each of them.
 constexpr std::string_view roster = "roster";
 /// What owners learned of images.
-constexpr std::string_view learned = "learned";
+constexpr std::string_view interference_estimates = "learned";
 
 inline std::string job(std::string_view id)
 {
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -44,7 +44,7 @@
     load_jobs(now);
     load_progress(now);
     load_finals(now);
-    load_learned(now);
+    load_estimates(now);
     list_.tick(now);
 }
 
@@ -90,7 +90,7 @@
     save_all_progress();
     log_load(now);
     write_backlog(now);
-    write_learned(now);
+    write_estimates(now);
     ledger_.tick(now);
 }
 
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -135,7 +135,7 @@
     void load_progress(common::time_point now);
     void load_roster(common::time_point now);
     void load_finals(common::time_point now);
-    void load_learned(common::time_point now);
+    void load_estimates(common::time_point now);
     void parts_loaded(common::time_point now);
 
     // owner_list.cpp: which workers there are.
@@ -146,7 +146,7 @@
 
     // owner_reports.cpp: what it tells of itself.
     void write_backlog(common::time_point now);
-    void write_learned(common::time_point now);
+    void write_estimates(common::time_point now);
     void log_backlog(common::duration took);
     void log_load(common::time_point now);
     void drop_old_finals(common::time_point now);
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -243,14 +243,14 @@
 }
 
 // Without it the owner learns anew.
-void owner::load_learned(common::time_point now)
+void owner::load_estimates(common::time_point now)
 {
     load_key(now,
-             keys::learned,
+             keys::interference_estimates,
              [this](std::string const& text)
              {
                  common::failure reason;
-                 auto const known = parse_learned(text, reason);
+                 auto const known = parse_interference_estimates(text, reason);
                  if (!known)
                  {
                      out_.log(severity::warning,
@@ -258,7 +258,7 @@
                               {{"why", common::to_string(reason)}});
                      return;
                  }
-                 colocation_.recall(*known);
+                 colocation_.restore(*known);
                  out_.log(severity::info,
                           "learned_recalled",
                           {{"images", std::to_string(known->headrooms.size())},
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -71,7 +71,7 @@
 }
 
 // Some seconds old it still tells a successor nearly all.
-void owner::write_learned(common::time_point now)
+void owner::write_estimates(common::time_point now)
 {
     if (now < next_learned_ || learned_writing_)
     {
@@ -81,10 +81,10 @@
     learned_writing_ = true;
     ledger_.write_latest(
         write_rank::record,
-        std::string(keys::learned),
+        std::string(keys::interference_estimates),
         [this]
         {
-            return to_json(colocation_.learned());
+            return to_json(colocation_.estimates());
         },
         [this](common::time_point)
         {
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -3,8 +3,8 @@
 #include "core/pool/backlog.hpp"
 #include "core/pool/fleet.hpp"
 #include "core/pool/holder.hpp"
+#include "core/pool/interference_estimates.hpp"
 #include "core/pool/job_run.hpp"
-#include "core/pool/learned.hpp"
 #include "core/pool/progress.hpp"
 #include "core/pool/roster.hpp"
 #include "platform/advice_codec.hpp"
@@ -340,7 +340,7 @@
 std::string check_learned(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_learned(input, reason);
+    auto const made = pool::parse_interference_estimates(input, reason);
     if (!made)
     {
         return told(reason);
@@ -353,7 +353,7 @@
                         "a headroom out of bounds");
     }
     auto const stored = to_json(*made);
-    auto const back = pool::parse_learned(stored, reason);
+    auto const back = pool::parse_interference_estimates(stored, reason);
     return fault + if_not(back && to_json(*back) == stored,
                           "written and read again it differs");
 }
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -1,5 +1,5 @@
 #include "core/pool/colocation.hpp"
-#include "core/pool/learned.hpp"
+#include "core/pool/interference_estimates.hpp"
 #include "pool_world.hpp"
 
 #include <gtest/gtest.h>
@@ -46,12 +46,13 @@
 {
     auto const before = taught();
     common::failure reason;
-    auto const read = parse_learned(to_json(before.learned()), reason);
+    auto const read =
+        parse_interference_estimates(to_json(before.estimates()), reason);
     ASSERT_TRUE(read) << to_string(reason);
     colocation after({});
     // It met the images in another order.
     after.number_of("light");
-    after.recall(*read);
+    after.restore(*read);
     auto const served = after.number_of("first");
     auto old = taught();
     EXPECT_NEAR(
@@ -75,8 +76,8 @@
     colocation fresh({});
     fresh.number_of("first");
     fresh.number_of("heavy");
-    EXPECT_TRUE(fresh.learned().headrooms.empty());
-    EXPECT_TRUE(fresh.learned().pairs.empty());
+    EXPECT_TRUE(fresh.estimates().headrooms.empty());
+    EXPECT_TRUE(fresh.estimates().pairs.empty());
 }
 
 // A damaged record must neither stop an owner nor be believed in part.
@@ -94,7 +95,7 @@
           R"({"images":["a"],"headrooms":[],"pairs":[[0,0,1e300,5]]})"})
     {
         common::failure reason;
-        EXPECT_FALSE(parse_learned(text, reason)) << text;
+        EXPECT_FALSE(parse_interference_estimates(text, reason)) << text;
         EXPECT_NE(reason.code, common::result_code::ok) << text;
     }
 }
