--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -56,12 +56,12 @@
     auto& stop_after = out.owner.colocation.stop_after;
     stop_after = std::min<core::common::duration>(stop_after, harm / 2);
     auto const visible = bounds.duration_or("visible_ms", 3s, 100ms, 600s);
-    auto& limit = out.front.count_age_limit;
+    auto& limit = out.request_handler.count_age_limit;
     limit = std::min<core::common::duration>(limit, visible + count_slack);
     auto const drain = bounds.duration_or("drain_ms", 2s, 500ms, 600s);
     out.owner.list_age_limit = drain * list_parts / drain_parts;
     auto const change = bounds.duration_or("config_ms", 2s, 1200ms, 600s);
-    out.front.configuration_age_limit = change - answer_reserve;
+    out.request_handler.configuration_age_limit = change - answer_reserve;
     out.owner.configuration_age_limit = change - answer_reserve;
     auto const history = std::chrono::duration_cast<core::common::duration>(
         std::chrono::duration<double>(
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -18,7 +18,7 @@
     : settings_(settings), words_(std::move(words)),
       operators_(settings.operators, words_, out_, times_),
       claim_(settings.claim, std::move(self), out_),
-      front_(settings.front, operators_, out_, times_)
+      request_handler_(settings.request_handler, operators_, out_, times_)
 {
 }
 
@@ -43,7 +43,7 @@
 
 void engine::on_request(common::time_point now, pool_request const& request)
 {
-    front_.on_request(now, request, owner_.get());
+    request_handler_.on_request(now, request, owner_.get());
     follow(now);
 }
 
@@ -77,7 +77,7 @@
     out_.log(ports::severity::info,
              "stopping",
              {{"owner", owns() ? "true" : "false"},
-              {"open", std::to_string(front_.open())}});
+              {"open", std::to_string(request_handler_.open())}});
     if (owner_)
     {
         owner_->stop();
@@ -175,8 +175,8 @@
 void engine::tell_readiness(common::time_point now)
 {
     bool const ready = operators_.known() && !stopping_ &&
-                       !front_.store_away(now) &&
-                       !front_.configuration_is_old(now);
+                       !request_handler_.store_unavailable(now) &&
+                       !request_handler_.configuration_is_old(now);
     if (told_ready_ == ready)
     {
         return;
@@ -188,7 +188,7 @@
               {"store_silent_ms",
                std::to_string(common::to_milliseconds(store_silence(now)))},
               {"configuration_old",
-               front_.configuration_is_old(now) ? "true" : "false"}});
+               request_handler_.configuration_is_old(now) ? "true" : "false"}});
     out_.push(ports::readiness{ready});
 }
 
@@ -199,7 +199,7 @@
         return;
     }
     auto const since = now - *stopping_;
-    bool const done = since >= settings_.linger && front_.open() == 0;
+    bool const done = since >= settings_.linger && request_handler_.open() == 0;
     if (done || since >= settings_.stop_limit)
     {
         stop_told_ = true;
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "core/pool/claim.hpp"
-#include "core/pool/front.hpp"
 #include "core/pool/operators.hpp"
 #include "core/pool/owner.hpp"
+#include "core/pool/request_handler.hpp"
 
 #include <memory>
 #include <optional>
@@ -16,7 +16,7 @@
 {
     claim_settings claim;
     operators_settings operators;
-    front_settings front;
+    request_handler_settings request_handler;
     owner_settings owner;
     /// A stopping instance goes on answering for this long: the balancer needs
     /// two looks, a second apart, to send new connections elsewhere.
@@ -69,7 +69,7 @@
     revision_times times_;
     operators operators_;
     claim claim_;
-    front front_;
+    request_handler request_handler_;
     std::unique_ptr<owner> owner_;
     common::time_point started_{};
     std::uint64_t told_changes_ = 0;
--- a/src/core/pool/front.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/front.hpp"
+#include "core/pool/request_handler.hpp"
 
 #include "core/pool/keys.hpp"
 
@@ -36,15 +36,15 @@
 
 } // namespace
 
-front::front(front_settings settings,
-             operators const& rules,
-             outbox& out,
-             revision_times& times)
+request_handler::request_handler(request_handler_settings settings,
+                                 operators const& rules,
+                                 outbox& out,
+                                 revision_times& times)
     : settings_(settings), rules_(rules), out_(out), times_(times)
 {
 }
 
-std::size_t front::open() const noexcept
+std::size_t request_handler::open() const noexcept
 {
     return open_;
 }
@@ -52,20 +52,21 @@
 // A call that fails for want of a connection takes most of a second. After two
 // of them in a row the next callers are not made to wait for a third. A lost
 // answer says nothing of the next call.
-bool front::store_away(common::time_point now) const noexcept
+bool request_handler::store_unavailable(common::time_point now) const noexcept
 {
     auto const silent = store_silence(now);
     bool const failing =
         failures_ >= failures_to_believe && silent > settings_.failing_after;
-    return failing || silent > settings_.store_away_after;
+    return failing || silent > settings_.store_unavailable_after;
 }
 
-common::duration front::store_silence(common::time_point now) const noexcept
+common::duration
+request_handler::store_silence(common::time_point now) const noexcept
 {
     return now - out_.store_answered();
 }
 
-void front::note(ports::kv_reply const& reply)
+void request_handler::note(ports::kv_reply const& reply)
 {
     if (reply.status == kv_status::refused)
     {
@@ -77,9 +78,9 @@
     }
 }
 
-void front::on_request(common::time_point now,
-                       pool_request const& request,
-                       owner const* owned)
+void request_handler::on_request(common::time_point now,
+                                 pool_request const& request,
+                                 owner const* owned)
 {
     ++open_;
     if (!rules_.known())
@@ -89,7 +90,7 @@
     }
     auto const* const into =
         rules_.state().config.find(request.host, request.path);
-    bool const submits = std::holds_alternative<submit_request>(request.what);
+    bool const submits = std::holds_alternative<submit_request>(request.action);
     // A job's state lies in the store, whatever has become of its queue.
     bool const of_job = into != nullptr && !submits &&
                         request.path.size() > into->prefix.size();
@@ -105,17 +106,17 @@
     }
     auto id = request.path.substr(into->prefix.size());
     bool const of_queue =
-        id.empty() && std::holds_alternative<query_request>(request.what);
+        id.empty() && std::holds_alternative<query_request>(request.action);
     if (!of_queue && !is_job_id(id))
     {
-        answer_odd_id(request.caller, submits);
+        answer_malformed_id(request.caller, submits);
         return;
     }
-    if (auto const* const given = std::get_if<submit_request>(&request.what))
+    if (auto const* const given = std::get_if<submit_request>(&request.action))
     {
-        submit(now, request.caller, given->what, *into, std::move(id));
+        submit(now, request.caller, given->job_spec, *into, std::move(id));
     }
-    else if (std::holds_alternative<cancel_request>(request.what))
+    else if (std::holds_alternative<cancel_request>(request.action))
     {
         cancel(now, ask_about(now, request.caller, id));
     }
@@ -130,7 +131,7 @@
 }
 
 // Nobody can have handed such a job in.
-void front::answer_odd_id(std::uint64_t caller, bool submits)
+void request_handler::answer_malformed_id(std::uint64_t caller, bool submits)
 {
     if (!submits)
     {
@@ -143,15 +144,16 @@
                                "1 to 64 letters, digits, - and _"}});
 }
 
-bool front::configuration_is_old(common::time_point now) const noexcept
+bool request_handler::configuration_is_old(
+    common::time_point now) const noexcept
 {
     return now - rules_.state().vouched > settings_.configuration_age_limit;
 }
 
 // An instance that hears late of changes would go on saying that a queue which
 // was just added is absent, and take jobs for one that is gone.
-void front::refuse_by_old_configuration(common::time_point now,
-                                        pool_request const& request)
+void request_handler::refuse_by_old_configuration(common::time_point now,
+                                                  pool_request const& request)
 {
     auto const& state = rules_.state();
     out_.log(severity::warning,
@@ -167,13 +169,13 @@
 // again after its answer was lost or seconds after it was accepted, stays one
 // job, whichever instance gets it. Nor must its cancelling, which may have
 // overtaken it: a job that was cancelled before it came never runs.
-void front::submit(common::time_point now,
-                   std::uint64_t caller,
-                   job what,
-                   queue const& into,
-                   std::string id)
+void request_handler::submit(common::time_point now,
+                             std::uint64_t caller,
+                             job what,
+                             queue const& into,
+                             std::string id)
 {
-    if (store_away(now))
+    if (store_unavailable(now))
     {
         out_.log(severity::warning,
                  "job_turned_away",
@@ -238,24 +240,23 @@
         });
 }
 
-front::job_question front::ask_about(common::time_point now,
-                                     std::uint64_t caller,
-                                     std::string const& id) const
+request_handler::job_question request_handler::ask_about(
+    common::time_point now, std::uint64_t caller, std::string const& id) const
 {
     return {caller, id, now + settings_.answer_limit};
 }
 
 // A call may take a connection first, which is not in its limit.
-common::duration front::time_for(common::time_point now,
-                                 job_question const& asked,
-                                 common::duration limit) const
+common::duration request_handler::time_for(common::time_point now,
+                                           job_question const& asked,
+                                           common::duration limit) const
 {
     return std::clamp(asked.until - now, settings_.least_timeout, limit);
 }
 
-void front::query(common::time_point now,
-                  job_question const& asked,
-                  owner const* owned)
+void request_handler::query(common::time_point now,
+                            job_question const& asked,
+                            owner const* owned)
 {
     auto const known = finals_.find(asked.id);
     if (known != finals_.end())
@@ -271,7 +272,7 @@
         answer(asked.caller, ports::job_status{*state});
         return;
     }
-    if (store_away(now))
+    if (store_unavailable(now))
     {
         refuse(asked.caller, "the store is away");
         return;
@@ -282,7 +283,8 @@
 // Submitters ask most often when the last task has ended, and an end is never
 // taken back: a copy that is seconds behind may say that there is one, at a
 // tenth of the price. That it knows none says nothing.
-void front::query_old_final(common::time_point now, job_question const& asked)
+void request_handler::query_old_final(common::time_point now,
+                                      job_question const& asked)
 {
     out_.store(life_,
                ports::kv_read{keys::final_state(asked.id), true},
@@ -300,7 +302,8 @@
 
 // The job's key before that of its end: a job that ends between the two reads
 // is then found by the second, and none is taken for unknown.
-void front::query_job(common::time_point now, job_question const& asked)
+void request_handler::query_job(common::time_point now,
+                                job_question const& asked)
 {
     out_.store(life_,
                ports::kv_read{keys::job(asked.id)},
@@ -323,7 +326,8 @@
                });
 }
 
-void front::query_final(common::time_point now, job_question const& asked)
+void request_handler::query_final(common::time_point now,
+                                  job_question const& asked)
 {
     out_.store(life_,
                ports::kv_read{keys::final_state(asked.id)},
@@ -345,7 +349,8 @@
                });
 }
 
-void front::answer_final(job_question const& asked, ports::kv_item const& item)
+void request_handler::answer_final(job_question const& asked,
+                                   ports::kv_item const& item)
 {
     auto const state = final_from(item.value);
     if (!state)
@@ -358,13 +363,13 @@
     answer(asked.caller, ports::job_status{*state});
 }
 
-void front::answer(std::uint64_t caller, ports::job_answer what)
+void request_handler::answer(std::uint64_t caller, ports::job_answer what)
 {
     --open_;
     out_.reply(caller, std::move(what));
 }
 
-void front::refuse(std::uint64_t caller, std::string why)
+void request_handler::refuse(std::uint64_t caller, std::string why)
 {
     answer(caller,
            ports::job_refused{
@@ -372,21 +377,21 @@
                settings_.retry_after});
 }
 
-void front::unknown(std::uint64_t caller, std::string why)
+void request_handler::unknown(std::uint64_t caller, std::string why)
 {
     answer(caller,
            ports::job_unknown{
                {result_code::store_unclear, "store", std::move(why)}});
 }
 
-void front::remember(std::string const& id, job_state state)
+void request_handler::remember(std::string const& id, job_state state)
 {
     if (!finals_.emplace(id, state).second)
     {
         return;
     }
     final_order_.push_back(id);
-    if (final_order_.size() > settings_.remembered)
+    if (final_order_.size() > settings_.max_final_states)
     {
         finals_.erase(final_order_.front());
         final_order_.pop_front();
--- a/src/core/pool/front.hpp
+++ b/src/core/pool/request_handler.hpp
@@ -15,7 +15,7 @@
 namespace fuchsia::core::pool
 {
 
-struct front_settings
+struct request_handler_settings
 {
     /// Callers wait 3 s for an answer; a slow store answers in 0.4 s.
     common::duration call_timeout = std::chrono::milliseconds(1500);
@@ -31,7 +31,7 @@
     common::duration least_timeout = std::chrono::milliseconds(200);
     /// A store that has not answered anything for this long is taken for away,
     /// and what needs it is refused at once.
-    common::duration store_away_after = std::chrono::milliseconds(2000);
+    common::duration store_unavailable_after = std::chrono::milliseconds(2000);
     /// After two failed calls in a row this much silence is enough. Longer than
     /// the answers of a store that is merely slow.
     common::duration failing_after = std::chrono::milliseconds(600);
@@ -44,25 +44,25 @@
     /// A count that may leave out jobs accepted longer ago is not told.
     common::duration count_age_limit = std::chrono::milliseconds(4000);
     /// Final states remembered, so that repeated questions need no call.
-    std::size_t remembered = 4096;
+    std::size_t max_final_states = 4096;
 };
 
 /// Answers submitters. Any instance does: what was accepted lies in the store
 /// before the answer goes out, and its owner learns of it there.
-class front
+class request_handler
 {
 public:
-    front(front_settings settings,
-          operators const& rules,
-          outbox& out,
-          revision_times& times);
+    request_handler(request_handler_settings settings,
+                    operators const& rules,
+                    outbox& out,
+                    revision_times& times);
 
     void on_request(common::time_point now,
                     pool_request const& request,
                     owner const* owned);
     /// Requests without an answer.
     std::size_t open() const noexcept;
-    bool store_away(common::time_point now) const noexcept;
+    bool store_unavailable(common::time_point now) const noexcept;
     /// Whether what operators set was last heard too long ago to take jobs.
     bool configuration_is_old(common::time_point now) const noexcept;
 
@@ -96,7 +96,7 @@
                 job what,
                 queue const& into,
                 std::string id);
-    void answer_odd_id(std::uint64_t caller, bool submits);
+    void answer_malformed_id(std::uint64_t caller, bool submits);
     void query(common::time_point now,
                job_question const& asked,
                owner const* owned);
@@ -112,10 +112,10 @@
                     std::uint64_t caller,
                     std::string const& name,
                     ports::kv_reply const& reply);
-    void tell_waiting(std::uint64_t caller,
-                      std::string const& name,
-                      backlog const& known,
-                      count_source const& source);
+    void report_waiting(std::uint64_t caller,
+                        std::string const& name,
+                        backlog const& known,
+                        count_source const& source);
 
     // front_cancel.cpp
     void cancel(common::time_point now, job_question const& asked);
@@ -134,7 +134,7 @@
     void unknown(std::uint64_t caller, std::string why);
     void remember(std::string const& id, ports::job_state state);
 
-    front_settings settings_;
+    request_handler_settings settings_;
     operators const& rules_;
     outbox& out_;
     revision_times& times_;
--- a/src/core/pool/front_cancel.cpp
+++ b/src/core/pool/request_handler_cancel.cpp
@@ -1,5 +1,5 @@
-#include "core/pool/front.hpp"
 #include "core/pool/keys.hpp"
+#include "core/pool/request_handler.hpp"
 
 #include <utility>
 
@@ -11,9 +11,9 @@
 using ports::kv_status;
 using ports::severity;
 
-void front::cancel(common::time_point now, job_question const& asked)
+void request_handler::cancel(common::time_point now, job_question const& asked)
 {
-    if (store_away(now))
+    if (store_unavailable(now))
     {
         refuse(asked.caller, "the store is away");
         return;
@@ -37,7 +37,8 @@
                });
 }
 
-void front::cancel_ended(common::time_point now, job_question const& asked)
+void request_handler::cancel_ended(common::time_point now,
+                                   job_question const& asked)
 {
     out_.store(life_,
                ports::kv_read{keys::final_state(asked.id)},
@@ -61,7 +62,8 @@
 
 // Its submission may still be on the way, or be carried out by the store
 // seconds from now: it finds the cancelling there and makes no job.
-void front::cancel_unknown(common::time_point now, job_question const& asked)
+void request_handler::cancel_unknown(common::time_point now,
+                                     job_question const& asked)
 {
     ports::kv_commit commit;
     commit.expected.push_back({keys::job(asked.id), 0});
@@ -93,9 +95,9 @@
         });
 }
 
-void front::cancel_known(common::time_point now,
-                         job_question const& asked,
-                         std::uint64_t revision)
+void request_handler::cancel_known(common::time_point now,
+                                   job_question const& asked,
+                                   std::uint64_t revision)
 {
     ports::kv_commit commit;
     commit.expected.push_back({keys::job(asked.id), revision});
--- a/src/core/pool/front_counts.cpp
+++ b/src/core/pool/request_handler_counts.cpp
@@ -1,5 +1,5 @@
-#include "core/pool/front.hpp"
 #include "core/pool/keys.hpp"
+#include "core/pool/request_handler.hpp"
 
 #include <utility>
 
@@ -12,20 +12,20 @@
 using ports::kv_status;
 using ports::severity;
 
-void front::query_queue(common::time_point now,
-                        std::uint64_t caller,
-                        std::string const& name,
-                        owner const* owned)
+void request_handler::query_queue(common::time_point now,
+                                  std::uint64_t caller,
+                                  std::string const& name,
+                                  owner const* owned)
 {
     if (owned != nullptr && owned->loaded())
     {
-        tell_waiting(caller,
-                     name,
-                     owned->waiting_jobs(),
-                     {"memory", 0, now - owned->heard()});
+        report_waiting(caller,
+                       name,
+                       owned->waiting_jobs(),
+                       {"memory", 0, now - owned->heard()});
         return;
     }
-    if (store_away(now))
+    if (store_unavailable(now))
     {
         refuse(caller, "the store is away");
         return;
@@ -42,10 +42,10 @@
 }
 
 // A record that was never written has heard of nothing yet.
-void front::on_backlog(common::time_point now,
-                       std::uint64_t caller,
-                       std::string const& name,
-                       kv_reply const& reply)
+void request_handler::on_backlog(common::time_point now,
+                                 std::uint64_t caller,
+                                 std::string const& name,
+                                 kv_reply const& reply)
 {
     if (reply.status != kv_status::done && reply.status != kv_status::missing)
     {
@@ -66,15 +66,15 @@
     }
     auto const complete = times_.complete_until(known->heard);
     auto const age = complete ? std::optional(now - *complete) : std::nullopt;
-    tell_waiting(caller, name, *known, {"store", reply.revision, age});
+    report_waiting(caller, name, *known, {"store", reply.revision, age});
 }
 
 // An owner that is gone or far behind leaves a count that may be far too low.
 // Nobody's clock but this one's tells how old it is.
-void front::tell_waiting(std::uint64_t caller,
-                         std::string const& name,
-                         backlog const& known,
-                         count_source const& source)
+void request_handler::report_waiting(std::uint64_t caller,
+                                     std::string const& name,
+                                     backlog const& known,
+                                     count_source const& source)
 {
     auto const found = known.waiting.find(name);
     auto const jobs = found == known.waiting.end() ? 0 : found->second;
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -217,7 +217,7 @@
     {
         respond(platform::encode(ports::job_refused{
             {core::common::result_code::queue_full, "", "too many wait here"},
-            settings_.pool.front.retry_after}));
+            settings_.pool.request_handler.retry_after}));
         return;
     }
     waiting_.emplace(caller, respond);
--- a/tests/contract/platform/settings_test.cpp
+++ b/tests/contract/platform/settings_test.cpp
@@ -61,10 +61,10 @@
     EXPECT_EQ(file->pool.claim.ttl, 1500ms);
     EXPECT_EQ(file->pool.owner.workers.lease, 3000ms);
     EXPECT_EQ(file->pool.owner.colocation.stop_after, 1000ms);
-    EXPECT_EQ(file->pool.front.count_age_limit, 3000ms);
+    EXPECT_EQ(file->pool.request_handler.count_age_limit, 3000ms);
     EXPECT_EQ(file->pool.owner.list_age_limit, 1875ms);
     EXPECT_EQ(file->pool.owner.configuration_age_limit, 1950ms);
-    EXPECT_EQ(file->pool.front.configuration_age_limit, 1950ms);
+    EXPECT_EQ(file->pool.request_handler.configuration_age_limit, 1950ms);
     EXPECT_EQ(file->pool.owner.news_age_limit, 2600ms);
     EXPECT_LE(file->pool.stop_limit, 4500ms);
     // The scarcer of 0.069 of 0.5 cores and 10 of 200 Mbit/s.
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -202,7 +202,7 @@
 {
     core::pool::pool_request request;
     request.path = prefix + id;
-    request.what = core::pool::submit_request{std::move(what)};
+    request.action = core::pool::submit_request{std::move(what)};
     return ask(instance, std::move(request));
 }
 
@@ -210,7 +210,7 @@
 {
     core::pool::pool_request request;
     request.path = prefix + id;
-    request.what = core::pool::cancel_request{};
+    request.action = core::pool::cancel_request{};
     return ask(instance, std::move(request));
 }
 
@@ -225,7 +225,7 @@
 {
     core::pool::pool_request request;
     request.path = path + id;
-    request.what = core::pool::query_request{};
+    request.action = core::pool::query_request{};
     return ask(instance, std::move(request));
 }
 
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -472,7 +472,7 @@
     request.caller = ++next_request_;
     request.host = host;
     request.path = "/" + queue + "/job-" + std::to_string(request.caller);
-    request.what = core::pool::submit_request{std::move(what)};
+    request.action = core::pool::submit_request{std::move(what)};
     tell(pool_duty::submissions,
          [&](engine& to)
          {
