--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -14,9 +14,11 @@
 
 } // namespace
 
-engine::engine(pool_settings const& settings, directory words, std::string self)
-    : settings_(settings), words_(std::move(words)),
-      operators_(settings.operators, words_, out_, times_),
+engine::engine(pool_settings const& settings,
+               platform_records words,
+               std::string self)
+    : settings_(settings), platform_records_(std::move(words)),
+      operators_(settings.operators, platform_records_, out_, times_),
       claim_(settings.claim, std::move(self), out_),
       request_handler_(settings.request_handler, operators_, out_, times_)
 {
@@ -154,8 +156,12 @@
     }
     if (!owner_ && claim_.held() && operators_.known())
     {
-        owner_ = std::make_unique<owner>(
-            settings_.owner, words_, operators_.state(), claim_, out_, now);
+        owner_ = std::make_unique<owner>(settings_.owner,
+                                         platform_records_,
+                                         operators_.state(),
+                                         claim_,
+                                         out_,
+                                         now);
     }
     if (owner_ && operators_.changes() != told_changes_)
     {
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -31,7 +31,9 @@
 class engine
 {
 public:
-    engine(pool_settings const& settings, directory words, std::string self);
+    engine(pool_settings const& settings,
+           platform_records words,
+           std::string self);
 
     void start(common::time_point now);
     /// Called at least every `tick_interval`.
@@ -64,7 +66,7 @@
     void follow_stop(common::time_point now);
 
     pool_settings settings_;
-    directory words_;
+    platform_records platform_records_;
     outbox out_;
     revision_times times_;
     operators operators_;
--- a/src/core/pool/operators.cpp
+++ b/src/core/pool/operators.cpp
@@ -12,10 +12,10 @@
 using ports::severity;
 
 operators::operators(operators_settings settings,
-                     directory const& words,
+                     platform_records const& words,
                      outbox& out,
                      revision_times& times)
-    : settings_(settings), words_(words), out_(out), times_(times)
+    : settings_(settings), platform_records_(words), out_(out), times_(times)
 {
 }
 
@@ -55,7 +55,7 @@
         out_in_pages_.clear();
     }
     out_.store(life_,
-               ports::kv_range{words_.operators_prefix, after},
+               ports::kv_range{platform_records_.operators_prefix, after},
                settings_.call_timeout,
                [this, after, now](common::time_point at, kv_reply const& reply)
                {
@@ -115,7 +115,7 @@
 {
     out_.store(
         life_,
-        ports::kv_watch{words_.operators_prefix, watched_, wait},
+        ports::kv_watch{platform_records_.operators_prefix, watched_, wait},
         wait + settings_.call_timeout,
         [this, asked = now, wait](common::time_point at, kv_reply const& reply)
         {
@@ -196,7 +196,7 @@
         return;
     }
     common::failure reason;
-    auto change = words_.read_operator(item, reason);
+    auto change = platform_records_.read_operator(item, reason);
     if (!change)
     {
         out_.log(severity::error,
--- a/src/core/pool/operators.hpp
+++ b/src/core/pool/operators.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "core/pool/directory.hpp"
 #include "core/pool/outbox.hpp"
+#include "core/pool/platform_records.hpp"
 #include "core/pool/revision_times.hpp"
 
 #include <cstdint>
@@ -35,7 +35,7 @@
 {
 public:
     operators(operators_settings settings,
-              directory const& words,
+              platform_records const& words,
               outbox& out,
               revision_times& times);
 
@@ -71,7 +71,7 @@
                       ports::kv_status status);
 
     operators_settings settings_;
-    directory const& words_;
+    platform_records const& platform_records_;
     outbox& out_;
     revision_times& times_;
     scope life_ = std::make_shared<char>();
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -23,14 +23,14 @@
 } // namespace
 
 owner::owner(owner_settings const& settings,
-             directory const& words,
+             platform_records const& words,
              operator_state const& operators,
              claim& held,
              outbox& out,
              common::time_point now)
-    : settings_(settings), words_(words), operators_(operators), claim_(held),
-      out_(out), digest_(out), ledger_(settings.commits, held, out, now),
-      fleet_(settings.workers),
+    : settings_(settings), platform_records_(words), operators_(operators),
+      claim_(held), out_(out), digest_(out),
+      ledger_(settings.commits, held, out, now), fleet_(settings.workers),
       list_(settings.list,
             words,
             out,
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -4,13 +4,13 @@
 #include "core/pool/capacity_index.hpp"
 #include "core/pool/claim.hpp"
 #include "core/pool/colocation.hpp"
-#include "core/pool/directory.hpp"
 #include "core/pool/fleet.hpp"
 #include "core/pool/job_run.hpp"
 #include "core/pool/ledger.hpp"
 #include "core/pool/log_digest.hpp"
 #include "core/pool/outbox.hpp"
 #include "core/pool/owner_settings.hpp"
+#include "core/pool/platform_records.hpp"
 #include "core/pool/pool_view.hpp"
 #include "core/pool/rebalance.hpp"
 #include "core/pool/short_job_reserve.hpp"
@@ -39,7 +39,7 @@
 {
 public:
     owner(owner_settings const& settings,
-          directory const& words,
+          platform_records const& words,
           operator_state const& operators,
           claim& held,
           outbox& out,
@@ -420,7 +420,7 @@
     double score_best_effort(worker& on, step const& what, std::uint16_t image);
 
     owner_settings settings_;
-    directory const& words_;
+    platform_records const& platform_records_;
     operator_state const& operators_;
     claim& claim_;
     outbox& out_;
--- a/src/core/pool/directory.hpp
+++ b/src/core/pool/platform_records.hpp
@@ -30,7 +30,7 @@
 
 /// How workers and operators write into the store. The adapter of a platform
 /// fills it; nothing else knows their keys and formats.
-struct directory
+struct platform_records
 {
     std::string workers_prefix;
     std::string operators_prefix;
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -11,10 +11,11 @@
 using ports::severity;
 
 worker_list::worker_list(worker_list_settings settings,
-                         directory const& words,
+                         platform_records const& words,
                          outbox& out,
                          handler handle)
-    : settings_(settings), words_(words), out_(out), handle_(std::move(handle))
+    : settings_(settings), platform_records_(words), out_(out),
+      handle_(std::move(handle))
 {
 }
 
@@ -59,7 +60,7 @@
         pages_asked_ = asked_;
     }
     out_.store(life_,
-               ports::kv_range{words_.workers_prefix, after_},
+               ports::kv_range{platform_records_.workers_prefix, after_},
                settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
@@ -98,15 +99,16 @@
 
 void worker_list::watch()
 {
-    out_.store(
-        life_,
-        ports::kv_watch{words_.workers_prefix, watched_, settings_.interval},
-        settings_.interval + settings_.call_timeout,
-        [this](common::time_point at, kv_reply const& reply)
-        {
-            busy_ = false;
-            on_watch(at, reply);
-        });
+    out_.store(life_,
+               ports::kv_watch{platform_records_.workers_prefix,
+                               watched_,
+                               settings_.interval},
+               settings_.interval + settings_.call_timeout,
+               [this](common::time_point at, kv_reply const& reply)
+               {
+                   busy_ = false;
+                   on_watch(at, reply);
+               });
 }
 
 // An answer without events vouches for nothing, nor does it move the place from
@@ -154,9 +156,10 @@
 // What can't be read names no worker to use, whatever stood there before.
 void worker_list::take(ports::kv_item const& item, worker_changes& into)
 {
-    auto const id = item.key.substr(words_.workers_prefix.size());
+    auto const id = item.key.substr(platform_records_.workers_prefix.size());
     common::failure reason;
-    auto each = item.erased ? std::nullopt : words_.read_worker(item, reason);
+    auto each = item.erased ? std::nullopt
+                            : platform_records_.read_worker(item, reason);
     if (each)
     {
         std::erase(into.gone, id);
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "core/pool/directory.hpp"
 #include "core/pool/outbox.hpp"
+#include "core/pool/platform_records.hpp"
 #include "core/pool/revision_times.hpp"
 
 #include <cstddef>
@@ -44,7 +44,7 @@
         std::function<void(common::time_point, worker_changes const&)>;
 
     worker_list(worker_list_settings settings,
-                directory const& words,
+                platform_records const& words,
                 outbox& out,
                 handler handle);
 
@@ -64,7 +64,7 @@
     void take(ports::kv_item const& item, worker_changes& into);
 
     worker_list_settings settings_;
-    directory const& words_;
+    platform_records const& platform_records_;
     outbox& out_;
     handler handle_;
     scope life_ = std::make_shared<char>();
--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -67,7 +67,7 @@
     std::size_t parsed = 0;
 
 private:
-    core::pool::directory words_;
+    core::pool::platform_records words_;
     core::pool::outbox out_;
     core::pool::revision_times times_;
 
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -30,9 +30,9 @@
 }
 
 // The stand-in's own words for what operators and workers write.
-core::pool::directory make_words()
+core::pool::platform_records make_words()
 {
-    core::pool::directory made;
+    core::pool::platform_records made;
     made.workers_prefix = "workers/";
     made.operators_prefix = "operators/";
     made.read_worker =
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-directory make_words()
+platform_records make_words()
 {
-    directory made;
+    platform_records made;
     made.workers_prefix = "workers/";
     made.read_worker =
         [](ports::kv_item const& item,
@@ -154,7 +154,7 @@
         }
     }
 
-    directory words_;
+    platform_records words_;
     outbox out_;
     common::time_point now_{1h};
     worker_list list_;
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -105,9 +105,9 @@
     return made;
 }
 
-core::pool::directory make_words()
+core::pool::platform_records make_words()
 {
-    core::pool::directory made;
+    core::pool::platform_records made;
     made.workers_prefix = "workers/";
     made.operators_prefix = "operators/";
     made.read_worker =
