--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -149,12 +149,12 @@
         owner_.reset();
         claim_.tick(now);
     }
-    bool const waits = !owner_ && claim_.held() && !operators_.known();
+    bool const waits = !owner_ && claim_.held() && !operators_.loaded();
     if (waits && now - claim_.since() > settings_.owner.load_patience)
     {
         claim_.hand_over(now, "no configuration was read");
     }
-    if (!owner_ && claim_.held() && operators_.known())
+    if (!owner_ && claim_.held() && operators_.loaded())
     {
         owner_ = std::make_unique<owner>(settings_.owner,
                                          platform_records_,
@@ -180,7 +180,7 @@
 
 void engine::tell_readiness(common::time_point now)
 {
-    bool const ready = operators_.known() && !stopping_ &&
+    bool const ready = operators_.loaded() && !stopping_ &&
                        !request_handler_.store_unavailable(now) &&
                        !request_handler_.configuration_is_old(now);
     if (told_ready_ == ready)
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/pool/claim.hpp"
-#include "core/pool/operators.hpp"
+#include "core/pool/operator_follower.hpp"
 #include "core/pool/owner.hpp"
 #include "core/pool/request_handler.hpp"
 
@@ -15,7 +15,7 @@
 struct pool_settings
 {
     claim_settings claim;
-    operators_settings operators;
+    operator_follower_settings operators;
     request_handler_settings request_handler;
     owner_settings owner;
     /// A stopping instance goes on answering for this long: the balancer needs
@@ -69,7 +69,7 @@
     platform_records platform_records_;
     outbox out_;
     revision_times times_;
-    operators operators_;
+    operator_follower operators_;
     claim claim_;
     request_handler request_handler_;
     std::unique_ptr<owner> owner_;
--- a/src/core/pool/operators.cpp
+++ b/src/core/pool/operator_follower.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/operators.hpp"
+#include "core/pool/operator_follower.hpp"
 
 #include <algorithm>
 #include <bit>
@@ -11,20 +11,20 @@
 using ports::kv_status;
 using ports::severity;
 
-operators::operators(operators_settings settings,
-                     platform_records const& words,
-                     outbox& out,
-                     revision_times& times)
+operator_follower::operator_follower(operator_follower_settings settings,
+                                     platform_records const& words,
+                                     outbox& out,
+                                     revision_times& times)
     : settings_(settings), platform_records_(words), out_(out), times_(times)
 {
 }
 
-void operators::start(common::time_point now)
+void operator_follower::start(common::time_point now)
 {
     read(now, "");
 }
 
-void operators::tick(common::time_point now)
+void operator_follower::tick(common::time_point now)
 {
     if (waiting_to_read_ && now >= read_at_)
     {
@@ -33,22 +33,22 @@
     }
 }
 
-operator_state const& operators::state() const noexcept
+operator_state const& operator_follower::state() const noexcept
 {
     return state_;
 }
 
-bool operators::known() const noexcept
+bool operator_follower::loaded() const noexcept
 {
     return known_;
 }
 
-std::uint64_t operators::changes() const noexcept
+std::uint64_t operator_follower::changes() const noexcept
 {
     return changes_;
 }
 
-void operators::read(common::time_point now, std::string const& after)
+void operator_follower::read(common::time_point now, std::string const& after)
 {
     if (after.empty())
     {
@@ -64,10 +64,10 @@
                });
 }
 
-void operators::on_page(common::time_point now,
-                        common::time_point asked,
-                        std::string const& after,
-                        kv_reply const& reply)
+void operator_follower::on_page(common::time_point now,
+                                common::time_point asked,
+                                std::string const& after,
+                                kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
     {
@@ -111,7 +111,7 @@
     }
 }
 
-void operators::watch(common::time_point now, common::duration wait)
+void operator_follower::watch(common::time_point now, common::duration wait)
 {
     out_.store(
         life_,
@@ -125,8 +125,8 @@
 
 // What a later item of the same answer replaces need not be read: a document of
 // a thousand queues takes a small instance most of a second.
-bool operators::is_replaced(std::vector<ports::kv_item> const& items,
-                            std::size_t number)
+bool operator_follower::is_replaced(std::vector<ports::kv_item> const& items,
+                                    std::size_t number)
 {
     return std::any_of(items.begin() + static_cast<std::ptrdiff_t>(number + 1),
                        items.end(),
@@ -140,7 +140,7 @@
 // after a while: a watch that was deaf may have missed a change. Left where it
 // is, the place would fall out of the store's history, and all that operators
 // set would be read again whenever they are quiet for that long.
-void operators::move_on(common::time_point now, std::uint64_t revision)
+void operator_follower::move_on(common::time_point now, std::uint64_t revision)
 {
     quiet_.push_back({now, revision});
     while (now - quiet_.front().at >= settings_.watch_overlap)
@@ -150,10 +150,10 @@
     }
 }
 
-void operators::on_watch(common::time_point now,
-                         common::time_point asked,
-                         common::duration wait,
-                         kv_reply const& reply)
+void operator_follower::on_watch(common::time_point now,
+                                 common::time_point asked,
+                                 common::duration wait,
+                                 kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
     {
@@ -188,7 +188,7 @@
     watch(now, settings_.watch_wait_after_change);
 }
 
-void operators::take(ports::kv_item const& item)
+void operator_follower::take(ports::kv_item const& item)
 {
     // To parse a document of thousands of queues takes a small instance long.
     if (item.key == config_key_ && item.revision == config_revision_)
@@ -228,7 +228,7 @@
     }
 }
 
-void operators::take_config(configuration config)
+void operator_follower::take_config(configuration config)
 {
     if (config.version <= state_.config.version)
     {
@@ -244,10 +244,10 @@
 }
 
 // The first failure in a row and then ever fewer of them.
-void operators::note_failure(common::time_point now,
-                             common::time_point asked,
-                             char const* call,
-                             kv_status status)
+void operator_follower::note_failure(common::time_point now,
+                                     common::time_point asked,
+                                     char const* call,
+                                     kv_status status)
 {
     if (!std::has_single_bit(++failures_))
     {
@@ -266,7 +266,7 @@
           known_ ? std::to_string(common::to_milliseconds(age)) : "unknown"}});
 }
 
-void operators::read_again(common::time_point now)
+void operator_follower::read_again(common::time_point now)
 {
     waiting_to_read_ = true;
     read_at_ = now + settings_.retry;
--- a/src/core/pool/operators.hpp
+++ b/src/core/pool/operator_follower.hpp
@@ -13,7 +13,7 @@
 namespace fuchsia::core::pool
 {
 
-struct operators_settings
+struct operator_follower_settings
 {
     /// How long a watch waits. A connection that went silent is noticed after
     /// this and `call_timeout` together, within the 2 s that a change may take
@@ -31,20 +31,20 @@
 
 /// Follows what operators write. A version once seen is never left for an
 /// older one, whatever a late answer says.
-class operators
+class operator_follower
 {
 public:
-    operators(operators_settings settings,
-              platform_records const& words,
-              outbox& out,
-              revision_times& times);
+    operator_follower(operator_follower_settings settings,
+                      platform_records const& words,
+                      outbox& out,
+                      revision_times& times);
 
     void start(common::time_point now);
     void tick(common::time_point now);
 
     operator_state const& state() const noexcept;
     /// Everything was read once.
-    bool known() const noexcept;
+    bool loaded() const noexcept;
     /// Rises with each change.
     std::uint64_t changes() const noexcept;
 
@@ -70,7 +70,7 @@
                       char const* call,
                       ports::kv_status status);
 
-    operators_settings settings_;
+    operator_follower_settings settings_;
     platform_records const& platform_records_;
     outbox& out_;
     revision_times& times_;
--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -37,7 +37,7 @@
 } // namespace
 
 request_handler::request_handler(request_handler_settings settings,
-                                 operators const& rules,
+                                 operator_follower const& rules,
                                  outbox& out,
                                  revision_times& times)
     : settings_(settings), rules_(rules), out_(out), times_(times)
@@ -83,7 +83,7 @@
                                  owner const* owned)
 {
     ++open_;
-    if (!rules_.known())
+    if (!rules_.loaded())
     {
         refuse(request.caller, "no configuration was read yet");
         return;
--- a/src/core/pool/request_handler.hpp
+++ b/src/core/pool/request_handler.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/pool/operators.hpp"
+#include "core/pool/operator_follower.hpp"
 #include "core/pool/outbox.hpp"
 #include "core/pool/owner.hpp"
 #include "core/pool/request.hpp"
@@ -53,7 +53,7 @@
 {
 public:
     request_handler(request_handler_settings settings,
-                    operators const& rules,
+                    operator_follower const& rules,
                     outbox& out,
                     revision_times& times);
 
@@ -135,7 +135,7 @@
     void remember(std::string const& id, ports::job_state state);
 
     request_handler_settings settings_;
-    operators const& rules_;
+    operator_follower const& rules_;
     outbox& out_;
     revision_times& times_;
     scope life_ = std::make_shared<char>();
--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/operators.hpp"
+#include "core/pool/operator_follower.hpp"
 
 #include <gtest/gtest.h>
 
@@ -72,7 +72,7 @@
     core::pool::revision_times times_;
 
 protected:
-    core::pool::operators rules{{}, words_, out_, times_};
+    core::pool::operator_follower rules{{}, words_, out_, times_};
 };
 
 } // namespace
@@ -83,7 +83,7 @@
 {
     rules.start(now);
     answer(call(), ports::kv_status::done);
-    ASSERT_TRUE(rules.known());
+    ASSERT_TRUE(rules.loaded());
     ASSERT_EQ(parsed, 1U);
     answer(call(), ports::kv_status::compacted);
     pass(1s);
@@ -103,7 +103,7 @@
     auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
     ASSERT_NE(watch, nullptr);
     EXPECT_EQ(watch->wait,
-              core::pool::operators_settings{}.watch_wait_after_change);
+              core::pool::operator_follower_settings{}.watch_wait_after_change);
 }
 
 // Every instance read all that operators set, each time that nothing of it had
