--- a/src/core/pool/claim.cpp
+++ b/src/core/pool/claim.cpp
@@ -14,7 +14,7 @@
 
 claim::claim(claim_settings settings, std::string self, outbox& out)
     : settings_(settings),
-      self_(to_json(holder{std::move(self), settings.size})), out_(out)
+      self_(to_json(claim_holder{std::move(self), settings.size})), out_(out)
 {
 }
 
@@ -94,10 +94,10 @@
     next_step_ = now + settings_.yield;
 }
 
-std::optional<holder> claim::read_holder(ports::kv_item const& item)
+std::optional<claim_holder> claim::read_holder(ports::kv_item const& item)
 {
     common::failure reason;
-    auto read = parse_holder(item.value, reason);
+    auto read = parse_claim_holder(item.value, reason);
     if (!read)
     {
         out_.log(severity::warning,
@@ -123,7 +123,7 @@
 
 // Whoever starts first claims first, large or small. Lost or unanswered, the
 // request is made again at a later look.
-void claim::ask_for_it(common::time_point now, holder const& present)
+void claim::ask_for_it(common::time_point now, claim_holder const& present)
 {
     if (now < next_ask_ || retired_)
     {
@@ -169,7 +169,7 @@
         return;
     }
     auto const lease = lease_;
-    lose(why);
+    mark_lost(why);
     next_step_ = now + settings_.handover_pause;
     end_lease(lease);
 }
@@ -295,7 +295,7 @@
             }
             else if (reply.status == kv_status::missing)
             {
-                lose("lease ended");
+                mark_lost("lease ended");
             }
         });
 }
@@ -319,7 +319,7 @@
     retired_ = true;
 }
 
-void claim::lose(std::string const& why)
+void claim::mark_lost(std::string const& why)
 {
     if (phase_ != phase::held)
     {
@@ -359,12 +359,12 @@
     return {std::string(keys::claim), epoch_};
 }
 
-common::time_point claim::confirmed() const noexcept
+common::time_point claim::confirmed_at() const noexcept
 {
     return confirmed_;
 }
 
-common::time_point claim::since() const noexcept
+common::time_point claim::held_since() const noexcept
 {
     return since_;
 }
@@ -378,7 +378,7 @@
     }
     if (item.key == keys::claim)
     {
-        lose(item.erased ? "key erased" : "key taken by another");
+        mark_lost(item.erased ? "key erased" : "key taken by another");
         return;
     }
     auto const to = item.erased ? std::nullopt : read_holder(item);
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/pool/holder.hpp"
+#include "core/pool/claim_holder.hpp"
 #include "core/pool/outbox.hpp"
 
 #include <cstdint>
@@ -53,15 +53,15 @@
     /// for a while.
     void hand_over(common::time_point now, std::string const& why);
     /// The claim is known to be lost, from elsewhere than the store.
-    void lose(std::string const& why);
+    void mark_lost(std::string const& why);
 
     bool held() const noexcept;
     std::uint64_t epoch() const noexcept;
     /// The claim's condition, for commits that only its holder may make.
     ports::kv_expect condition() const;
     /// When the last answered renewal was sent.
-    common::time_point confirmed() const noexcept;
-    common::time_point since() const noexcept;
+    common::time_point confirmed_at() const noexcept;
+    common::time_point held_since() const noexcept;
 
     /// An event or a page of the store that concerns the claim's key, or that
     /// of a request for it.
@@ -78,10 +78,10 @@
     };
 
     void claim_or_yield(common::time_point now);
-    std::optional<holder> read_holder(ports::kv_item const& item);
+    std::optional<claim_holder> read_holder(ports::kv_item const& item);
     void end_lease(std::uint64_t lease);
     void note_holder(common::time_point now, ports::kv_item const& item);
-    void ask_for_it(common::time_point now, holder const& present);
+    void ask_for_it(common::time_point now, claim_holder const& present);
     void look();
     void on_look(common::time_point now, ports::kv_reply const& reply);
     void watch();
--- a/src/core/pool/holder.cpp
+++ b/src/core/pool/claim_holder.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/holder.hpp"
+#include "core/pool/claim_holder.hpp"
 
 #include "core/common/json.hpp"
 
@@ -14,14 +14,14 @@
 
 } // namespace
 
-std::string to_json(holder const& value)
+std::string to_json(claim_holder const& value)
 {
     return json::serialize(
         json::object{{"instance", value.instance}, {"size", value.size}});
 }
 
-std::optional<holder> parse_holder(std::string_view text,
-                                   common::failure& reason)
+std::optional<claim_holder> parse_claim_holder(std::string_view text,
+                                               common::failure& reason)
 {
     auto const object = common::parse_json_object(text, "holder", reason);
     if (!object)
@@ -29,7 +29,7 @@
         return std::nullopt;
     }
     common::json_reader in(*object, "holder");
-    holder made;
+    claim_holder made;
     made.instance = in.text("instance");
     made.size = in.number_or("size", 0, 0, largest_size);
     if (made.instance.empty() || made.size <= 0)
--- a/src/core/pool/holder.hpp
+++ b/src/core/pool/claim_holder.hpp
@@ -10,7 +10,7 @@
 namespace fuchsia::core::pool
 {
 
-struct holder
+struct claim_holder
 {
     std::string instance; ///< Name and incarnation.
     /// How much of a pool it can schedule, against the others: the scarcer of
@@ -18,8 +18,8 @@
     double size = 1;
 };
 
-std::string to_json(holder const& value);
-std::optional<holder> parse_holder(std::string_view text,
-                                   common::failure& reason);
+std::string to_json(claim_holder const& value);
+std::optional<claim_holder> parse_claim_holder(std::string_view text,
+                                               common::failure& reason);
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -124,7 +124,8 @@
     made.owner = owns();
     made.loaded = owns() && owner_->loaded();
     made.epoch = claim_.held() ? claim_.epoch() : 0;
-    made.owned_for = claim_.held() ? now - claim_.since() : common::duration{};
+    made.owned_for =
+        claim_.held() ? now - claim_.held_since() : common::duration{};
     made.configuration_version = operators_.state().config.version;
     made.store_silence = store_silence(now);
     auto const& out = operators_.state().data_centres_out;
@@ -150,7 +151,7 @@
         claim_.tick(now);
     }
     bool const waits = !owner_ && claim_.held() && !operators_.loaded();
-    if (waits && now - claim_.since() > settings_.owner.load_patience)
+    if (waits && now - claim_.held_since() > settings_.owner.load_patience)
     {
         claim_.hand_over(now, "no configuration was read");
     }
--- a/src/core/pool/ledger.cpp
+++ b/src/core/pool/ledger.cpp
@@ -363,7 +363,7 @@
             if (item.key == claim_.condition().key &&
                 item.revision != claim_.condition().revision)
             {
-                claim_.lose("a commit found another claim");
+                claim_.mark_lost("a commit found another claim");
                 return;
             }
         }
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -127,7 +127,7 @@
 // store is silent altogether, a successor would hear no more.
 void owner::give_up_deaf(common::time_point now)
 {
-    if (now - claim_.confirmed() >= settings_.workers.alone_limit)
+    if (now - claim_.confirmed_at() >= settings_.workers.alone_limit)
     {
         silenced_ = now;
     }
@@ -191,7 +191,7 @@
 bool owner::may_act(common::time_point now) const
 {
     auto const& limits = settings_.workers;
-    auto const unconfirmed = now - claim_.confirmed();
+    auto const unconfirmed = now - claim_.confirmed_at();
     bool const backed = unconfirmed < limits.alone_limit ||
                         (unconfirmed < limits.solo_limit &&
                          fleet_.quorum(now - limits.quorum_window));
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -26,7 +26,7 @@
 bool owner::knowledge_is_fresh(common::time_point now) const
 {
     bool const silent =
-        now - claim_.confirmed() > settings_.workers.alone_limit;
+        now - claim_.confirmed_at() > settings_.workers.alone_limit;
     bool const fresh =
         now - list_.vouched() <= settings_.list_age_limit &&
         now - operators_.vouched <= settings_.configuration_age_limit &&
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -152,7 +152,7 @@
                                      });
     if (!claimed)
     {
-        claim_.lose("key gone from the first page");
+        claim_.mark_lost("key gone from the first page");
     }
     for (auto const& item : items)
     {
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -119,15 +119,16 @@
         return;
     }
     settled_ = true;
-    out_.push(
-        ports::measured{ports::pool_measure::takeover, now - claim_.since()});
-    out_.log(severity::info,
-             "takeover_settled",
-             {{"epoch", std::to_string(claim_.epoch())},
-              {"unreached", std::to_string(missing.size())},
-              {"missing", joined(missing, most_missing_named)},
-              {"after_ms",
-               std::to_string(common::to_milliseconds(now - claim_.since()))}});
+    out_.push(ports::measured{ports::pool_measure::takeover,
+                              now - claim_.held_since()});
+    out_.log(
+        severity::info,
+        "takeover_settled",
+        {{"epoch", std::to_string(claim_.epoch())},
+         {"unreached", std::to_string(missing.size())},
+         {"missing", joined(missing, most_missing_named)},
+         {"after_ms",
+          std::to_string(common::to_milliseconds(now - claim_.held_since()))}});
     std::vector<std::string> ids;
     for (auto const& [id, run] : jobs_)
     {
@@ -179,7 +180,7 @@
     bool const silenced = majority_since_ != common::time_point{} &&
                           now - majority_since_ >
                               limits.quorum_window + lease + limits.lapse_slack;
-    return silenced || now - claim_.since() >
+    return silenced || now - claim_.held_since() >
                            limits.solo_limit + lease + limits.lapse_slack;
 }
 
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -305,7 +305,7 @@
 
 void owner::fenced(std::string const& by)
 {
-    claim_.lose("worker " + by + " has seen a later owner");
+    claim_.mark_lost("worker " + by + " has seen a later owner");
 }
 
 } // namespace fuchsia::core::pool
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -1,8 +1,8 @@
 #include "contract/inputs/sound_inputs.hpp"
 
 #include "core/pool/backlog.hpp"
+#include "core/pool/claim_holder.hpp"
 #include "core/pool/fleet.hpp"
-#include "core/pool/holder.hpp"
 #include "core/pool/interference_estimates.hpp"
 #include "core/pool/job_run.hpp"
 #include "core/pool/progress.hpp"
@@ -361,7 +361,7 @@
 std::string check_holder(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_holder(input, reason);
+    auto const made = pool::parse_claim_holder(input, reason);
     if (!made)
     {
         return told(reason);
--- a/tests/contract/inputs/record_inputs_test.cpp
+++ b/tests/contract/inputs/record_inputs_test.cpp
@@ -1,4 +1,4 @@
-#include "core/pool/holder.hpp"
+#include "core/pool/claim_holder.hpp"
 #include "core/pool/progress.hpp"
 #include "core/pool/roster.hpp"
 
@@ -58,7 +58,7 @@
     for (auto const* bad : {"0", "-1", "1e300", "1e999", "\"1\""})
     {
         failure reason;
-        EXPECT_FALSE(core::pool::parse_holder(
+        EXPECT_FALSE(core::pool::parse_claim_holder(
             R"({"instance":"a","size":)" + std::string(bad) + "}", reason))
             << bad;
     }
--- a/tools/soak/faults.cpp
+++ b/tools/soak/faults.cpp
@@ -1,6 +1,6 @@
 #include "tools/soak/faults.hpp"
 
-#include "core/pool/holder.hpp"
+#include "core/pool/claim_holder.hpp"
 #include "standins/pool/pool_codec.hpp"
 
 #include <algorithm>
@@ -61,7 +61,8 @@
     auto const item = platform_.store().find("pool/claim");
     core::common::failure reason;
     auto const holder =
-        item ? core::pool::parse_holder(item->value, reason) : std::nullopt;
+        item ? core::pool::parse_claim_holder(item->value, reason)
+             : std::nullopt;
     for (std::uint32_t number = 0; holder && number < instances_.size();
          ++number)
     {
