--- a/src/core/pool/backlog.cpp
+++ b/src/core/pool/backlog.cpp
@@ -23,8 +23,8 @@
     {
         waiting[queue] = count;
     }
-    return json::serialize(
-        json::object{{"heard", value.heard}, {"waiting", std::move(waiting)}});
+    return json::serialize(json::object{{"heard", value.synced_revision},
+                                        {"waiting", std::move(waiting)}});
 }
 
 std::optional<backlog> parse_backlog(std::string_view text,
@@ -37,7 +37,8 @@
     }
     common::json_reader in(*object, "backlog");
     backlog made;
-    made.heard = static_cast<std::uint64_t>(in.integer("heard", 0, largest));
+    made.synced_revision =
+        static_cast<std::uint64_t>(in.integer("heard", 0, largest));
     auto const* const waiting = in.object("waiting");
     if (waiting == nullptr)
     {
--- a/src/core/pool/backlog.hpp
+++ b/src/core/pool/backlog.hpp
@@ -15,7 +15,7 @@
 struct backlog
 {
     /// Jobs accepted up to this revision of the store are in the counts.
-    std::uint64_t heard = 0;
+    std::uint64_t synced_revision = 0;
     std::map<std::string, std::uint64_t> waiting; ///< Jobs, by queue.
 };
 
--- a/src/core/pool/configuration.hpp
+++ b/src/core/pool/configuration.hpp
@@ -60,7 +60,7 @@
     configuration config;
     std::set<std::string> data_centres_out;
     /// Every change that was written before then is in it.
-    common::time_point vouched{};
+    common::time_point current_as_of{};
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -87,10 +87,11 @@
     std::vector<task> tasks;
     std::vector<std::uint32_t> ready;      ///< Indexes, the next one last.
     std::map<std::string, ticket> tickets; ///< By worker; kept when over.
-    std::set<std::string> asked; ///< Workers that the policy was asked about.
-    std::uint32_t left = 0;      ///< Tasks that are not done.
-    bool open = false;           ///< Its tasks may start.
-    std::uint16_t image = 0;     ///< Number of the image that its tasks run.
+    std::set<std::string>
+        policy_requested_for; ///< Workers that the policy was asked about.
+    std::uint32_t left = 0;   ///< Tasks that are not done.
+    bool open = false;        ///< Its tasks may start.
+    std::uint16_t image = 0;  ///< Number of the image that its tasks run.
     double isolated_headroom =
         0; ///< Headroom of its serving tasks without neighbours.
     /// Of a lasting step: a worker that can't be used now has room for two of
--- a/src/core/pool/ledger.hpp
+++ b/src/core/pool/ledger.hpp
@@ -41,7 +41,7 @@
 /// its revision.
 struct commit_mark
 {
-    common::time_point asked{};
+    common::time_point sent_at{};
     std::uint64_t revision = 0; ///< 0: there was none.
 };
 
--- a/src/core/pool/operator_follower.cpp
+++ b/src/core/pool/operator_follower.cpp
@@ -96,7 +96,7 @@
         state_.data_centres_out = out_in_pages_;
         ++changes_;
     }
-    state_.vouched = pages_asked_;
+    state_.current_as_of = pages_asked_;
     known_ = known_ || state_.config.version > 0;
     if (known_)
     {
@@ -166,12 +166,12 @@
     if (reply.items.empty())
     {
         // It was given when the wait was over.
-        state_.vouched = std::min(now, asked + wait);
+        state_.current_as_of = std::min(now, asked + wait);
         move_on(now, reply.revision);
         watch(now, settings_.watch_wait);
         return;
     }
-    state_.vouched = std::max(state_.vouched, asked);
+    state_.current_as_of = std::max(state_.current_as_of, asked);
     for (std::size_t number = 0; number < reply.items.size(); ++number)
     {
         auto const& item = reply.items[number];
@@ -253,7 +253,7 @@
     {
         return;
     }
-    auto const age = now - state_.vouched;
+    auto const age = now - state_.current_as_of;
     out_.log(
         severity::warning,
         "configuration_not_heard",
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -58,7 +58,7 @@
     }
     ask_again(now);
     read_twice(now);
-    list_.note(ledger_.last_commit().asked, ledger_.last_commit().revision);
+    list_.note(ledger_.last_commit().sent_at, ledger_.last_commit().revision);
     list_.tick(now);
     if (!loaded_)
     {
@@ -131,7 +131,7 @@
     {
         silenced_ = now;
     }
-    if (now - std::max({answered_, advanced_, silenced_}) >
+    if (now - std::max({watch_answered_at_, advanced_, silenced_}) >
         settings_.deaf_patience)
     {
         claim_.hand_over(now, "no watch for jobs is answered");
@@ -239,7 +239,7 @@
         out_.log(severity::warning,
                  "watch_deaf",
                  {{"after", std::to_string(watched_)},
-                  {"written", std::to_string(marked_)}});
+                  {"written", std::to_string(backlog_revision_)}});
         load_jobs(now);
         return;
     }
@@ -248,9 +248,9 @@
         watched_ = std::max(watched_, item.revision);
         take_item(now, item);
     }
-    heard_revision_ = std::max({heard_revision_, watched_, reply.revision});
-    heard_ = asked;
-    answered_ = now;
+    synced_revision_ = std::max({synced_revision_, watched_, reply.revision});
+    synced_until_ = asked;
+    watch_answered_at_ = now;
     if (!claim_.held())
     {
         return;
@@ -265,8 +265,9 @@
 // What we wrote ourselves below the watched prefix was there to be told.
 bool owner::is_deaf(common::time_point asked, kv_reply const& reply) const
 {
-    bool const there = reply.revision >= marked_ || asked >= marked_at_;
-    return reply.items.empty() && marked_ > watched_ && there;
+    bool const there =
+        reply.revision >= backlog_revision_ || asked >= backlog_current_at_;
+    return reply.items.empty() && backlog_revision_ > watched_ && there;
 }
 
 void owner::take_item(common::time_point now, ports::kv_item const& item)
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -60,7 +60,7 @@
     /// The same, with the revision up to which this owner has heard of jobs.
     backlog waiting_jobs() const;
     /// Every job that was accepted before then is known here.
-    common::time_point heard() const noexcept;
+    common::time_point synced_until() const noexcept;
     owner_counters const& counters() const noexcept;
     /// What it writes.
     ledger const& commits() const noexcept;
@@ -452,12 +452,14 @@
     common::time_point advanced_{};   ///< When the last page came.
     std::uint64_t watched_ = 0;       ///< Of the last event that was taken.
     std::uint64_t page_revision_ = 0; ///< Of the first page of jobs.
-    common::time_point pages_asked_{};
-    std::uint64_t heard_revision_ = 0; ///< All jobs up to it are known.
-    common::time_point heard_{};    ///< When the last answered watch was asked,
-    common::time_point answered_{}; ///< and answered.
-    std::uint64_t marked_ = 0;      ///< Revision of our last written backlog,
-    common::time_point marked_at_{}; ///< and when that was known.
+    common::time_point pages_requested_at_{};
+    std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
+    common::time_point
+        synced_until_{}; ///< When the last answered watch was asked,
+    common::time_point watch_answered_at_{}; ///< and answered.
+    std::uint64_t backlog_revision_ =
+        0; ///< Revision of our last written backlog,
+    common::time_point backlog_current_at_{}; ///< and when that was known.
     common::time_point silenced_{}; ///< The store did not renew the claim then.
     /// What is asked again, and when, the earliest first.
     std::deque<
--- a/src/core/pool/owner_advice.cpp
+++ b/src/core/pool/owner_advice.cpp
@@ -55,7 +55,7 @@
     call.timeout = takes + call_grace;
     for (auto const& id : call.workers)
     {
-        steps.asked.insert(id);
+        steps.policy_requested_for.insert(id);
     }
     out_.advise(life_,
                 std::move(call),
@@ -88,7 +88,7 @@
         {
             known.push_back(id);
         }
-        else if (!steps.asked.contains(id))
+        else if (!steps.policy_requested_for.contains(id))
         {
             fresh.push_back(id);
         }
@@ -115,7 +115,7 @@
     auto& steps = run->occurrences[key.occurrence].steps[key.step];
     if (!reply.answered)
     {
-        steps.asked.clear();
+        steps.policy_requested_for.clear();
         out_.log(ports::severity::warning,
                  "advice_missing",
                  {{"job", key.job},
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -103,7 +103,7 @@
 
 void owner::load_jobs(common::time_point now)
 {
-    pages_asked_ = now;
+    pages_requested_at_ = now;
     load_pages(
         now,
         keys::owned_prefix,
@@ -163,8 +163,8 @@
     }
     // Jobs of the last page count as heard no sooner than they were taken.
     watched_ = page_revision_;
-    heard_revision_ = page_revision_;
-    heard_ = pages_asked_;
+    synced_revision_ = page_revision_;
+    synced_until_ = pages_requested_at_;
     return claim_.held();
 }
 
@@ -273,7 +273,7 @@
         return;
     }
     loaded_ = true;
-    answered_ = now;
+    watch_answered_at_ = now;
     if (!take_pages(now))
     {
         return;
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -38,12 +38,12 @@
 
 backlog owner::waiting_jobs() const
 {
-    return {heard_revision_, pending()};
+    return {synced_revision_, pending()};
 }
 
-common::time_point owner::heard() const noexcept
+common::time_point owner::synced_until() const noexcept
 {
-    return heard_;
+    return synced_until_;
 }
 
 void owner::write_backlog(common::time_point now)
@@ -64,8 +64,8 @@
         [this, now](common::time_point at)
         {
             backlog_writing_ = false;
-            marked_ = ledger_.revision();
-            marked_at_ = at;
+            backlog_revision_ = ledger_.revision();
+            backlog_current_at_ = at;
             log_backlog(at - now);
         });
 }
@@ -211,11 +211,13 @@
          {"commits_waiting", std::to_string(ledger_.waiting())},
          {"commit_lag_ms",
           std::to_string(common::to_milliseconds(ledger_.lag(now)))},
-         {"heard_ms", std::to_string(common::to_milliseconds(now - heard_))},
+         {"heard_ms",
+          std::to_string(common::to_milliseconds(now - synced_until_))},
          {"list_ms",
-          std::to_string(common::to_milliseconds(now - list_.vouched()))},
+          std::to_string(common::to_milliseconds(now - list_.current_as_of()))},
          {"configuration_ms",
-          std::to_string(common::to_milliseconds(now - operators_.vouched))}});
+          std::to_string(
+              common::to_milliseconds(now - operators_.current_as_of))}});
     log_waiting(now);
 }
 
--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -147,7 +147,8 @@
 bool request_handler::configuration_is_old(
     common::time_point now) const noexcept
 {
-    return now - rules_.state().vouched > settings_.configuration_age_limit;
+    return now - rules_.state().current_as_of >
+           settings_.configuration_age_limit;
 }
 
 // An instance that hears late of changes would go on saying that a queue which
@@ -156,12 +157,13 @@
                                                   pool_request const& request)
 {
     auto const& state = rules_.state();
-    out_.log(severity::warning,
-             "configuration_old",
-             {{"path", request.path},
-              {"version", std::to_string(state.config.version)},
-              {"age_ms",
-               std::to_string(common::to_milliseconds(now - state.vouched))}});
+    out_.log(
+        severity::warning,
+        "configuration_old",
+        {{"path", request.path},
+         {"version", std::to_string(state.config.version)},
+         {"age_ms",
+          std::to_string(common::to_milliseconds(now - state.current_as_of))}});
     refuse(request.caller, "what operators set was last heard too long ago");
 }
 
--- a/src/core/pool/request_handler_counts.cpp
+++ b/src/core/pool/request_handler_counts.cpp
@@ -22,7 +22,7 @@
         report_waiting(caller,
                        name,
                        owned->waiting_jobs(),
-                       {"memory", 0, now - owned->heard()});
+                       {"memory", 0, now - owned->synced_until()});
         return;
     }
     if (store_unavailable(now))
@@ -64,7 +64,7 @@
         refuse(caller, "the backlog can't be read");
         return;
     }
-    auto const complete = times_.complete_until(known->heard);
+    auto const complete = times_.complete_until(known->synced_revision);
     auto const age = complete ? std::optional(now - *complete) : std::nullopt;
     report_waiting(caller, name, *known, {"store", reply.revision, age});
 }
@@ -82,7 +82,7 @@
         {"queue", name},
         {"jobs", std::to_string(jobs)},
         {"from", source.from},
-        {"heard", std::to_string(known.heard)},
+        {"heard", std::to_string(known.synced_revision)},
         {"store", std::to_string(source.store)},
         {"age_ms",
          source.age ? std::to_string(common::to_milliseconds(*source.age))
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -24,9 +24,9 @@
     return known_;
 }
 
-common::time_point worker_list::vouched() const noexcept
+common::time_point worker_list::current_as_of() const noexcept
 {
-    return vouched_;
+    return current_as_of_;
 }
 
 void worker_list::note(common::time_point asked, std::uint64_t revision)
@@ -92,7 +92,7 @@
     reading_ = false;
     known_ = true;
     watched_ = page_revision_;
-    vouched_ = pages_asked_;
+    current_as_of_ = pages_asked_;
     next_ = pages_asked_ + settings_.interval;
     handle_(now, std::exchange(pages_, {}));
 }
@@ -129,7 +129,7 @@
     }
     if (reply.items.empty())
     {
-        reading_ = now - vouched_ > settings_.deaf_after;
+        reading_ = now - current_as_of_ > settings_.deaf_after;
         return;
     }
     worker_changes seen;
@@ -140,14 +140,15 @@
     }
     if (reply.items.size() < settings_.full_answer)
     {
-        vouched_ = asked_;
+        current_as_of_ = asked_;
     }
     else
     {
         // Cut short or not, it holds all that was written up to its last
         // revision.
-        vouched_ = std::max(vouched_,
-                            times_.complete_until(watched_).value_or(vouched_));
+        current_as_of_ =
+            std::max(current_as_of_,
+                     times_.complete_until(watched_).value_or(current_as_of_));
         next_ = now;
     }
     handle_(now, seen);
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -54,7 +54,7 @@
     /// It was read whole once.
     bool known() const noexcept;
     /// Every change that was written before then is known.
-    common::time_point vouched() const noexcept;
+    common::time_point current_as_of() const noexcept;
 
 private:
     void read_page();
@@ -77,7 +77,7 @@
     std::uint64_t page_revision_ = 0; ///< Of the first page.
     common::time_point pages_asked_{};
     common::time_point asked_{};
-    common::time_point vouched_{};
+    common::time_point current_as_of_{};
     revision_times times_;
     common::time_point next_{};
 };
--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -88,7 +88,7 @@
     answer(call(), ports::kv_status::compacted);
     pass(1s);
     answer(call(), ports::kv_status::done);
-    EXPECT_EQ(rules.state().vouched, now);
+    EXPECT_EQ(rules.state().current_as_of, now);
     EXPECT_EQ(parsed, 1U);
 }
 
--- a/tests/unit/pool/revision_times_test.cpp
+++ b/tests/unit/pool/revision_times_test.cpp
@@ -60,6 +60,6 @@
     auto const read =
         parse_backlog(to_json(backlog{7, {{"a", 2}, {"b", 0}}}), reason);
     ASSERT_TRUE(read.has_value());
-    EXPECT_EQ(read->heard, 7U);
+    EXPECT_EQ(read->synced_revision, 7U);
     EXPECT_EQ(read->waiting.at("a"), 2U);
 }
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -181,7 +181,7 @@
         ASSERT_TRUE(it.watches());
         it.run(10ms);
         it.answer({entry("a", revision)}, revision);
-        EXPECT_GE(it.list().vouched(), it.now() - 500ms);
+        EXPECT_GE(it.list().current_as_of(), it.now() - 500ms);
     }
     it.run(500ms);
     it.answer({entry("b", 30, "draining")}, 30);
@@ -202,12 +202,12 @@
         many.push_back(entry("b" + std::to_string(number), 10 + number));
     }
     it.answer(many, 600);
-    EXPECT_LE(it.list().vouched(), read);
+    EXPECT_LE(it.list().current_as_of(), read);
     it.run(10ms);
     ASSERT_TRUE(it.watches());
     EXPECT_EQ(std::get<ports::kv_watch>(it.call()->operation).after, 509U);
     it.answer({entry("a", 510, "draining")}, 600);
-    EXPECT_GT(it.list().vouched(), read);
+    EXPECT_GT(it.list().current_as_of(), read);
     EXPECT_TRUE(it.listed().at("a"));
 }
 
@@ -229,7 +229,7 @@
         many.push_back(entry("b" + std::to_string(number), 10 + number));
     }
     it.answer(many, 600);
-    EXPECT_EQ(it.list().vouched(), reached);
+    EXPECT_EQ(it.list().current_as_of(), reached);
 }
 
 // What changed while the pages were read would be missed for good.
@@ -254,13 +254,13 @@
     ASSERT_TRUE(it.watches());
     it.run(490ms);
     it.answer({}, 20);
-    EXPECT_LE(it.list().vouched(), read);
+    EXPECT_LE(it.list().current_as_of(), read);
     it.run(20ms);
     ASSERT_TRUE(it.call().has_value());
     ASSERT_FALSE(it.watches());
     it.answer({entry("a", 15, "draining")}, 21);
     EXPECT_EQ(it.listed(), (listing{{"a", true}}));
-    EXPECT_GT(it.list().vouched(), read);
+    EXPECT_GT(it.list().current_as_of(), read);
 }
 
 // A worker that left while the history was lost would stay listed.
