--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -51,7 +51,7 @@
                  std::max<core::common::duration>(grace - stop_reserve, 100ms));
     auto const kept =
         std::chrono::seconds(bounds.integer_or("states_kept_s", 120, 1, 86400));
-    out.owner.final_kept = kept + final_reserve;
+    out.owner.final_state_retention = kept + final_reserve;
     auto const harm = bounds.duration_or("harm_ms", 4s, 100ms, 600s);
     auto& stop_after = out.owner.colocation.stop_after;
     stop_after = std::min<core::common::duration>(stop_after, harm / 2);
@@ -69,7 +69,7 @@
     auto& overlap = out.operators.watch_overlap;
     overlap = std::min(overlap, history * overlap_parts / history_parts);
     auto const cancel = bounds.duration_or("cancel_ms", 3s, 1200ms, 600s);
-    out.owner.news_age_limit = cancel - order_reserve;
+    out.owner.jobs_age_limit = cancel - order_reserve;
     bounds.refuse_unread();
 }
 
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -151,7 +151,7 @@
         claim_.tick(now);
     }
     bool const waits = !owner_ && claim_.held() && !operators_.loaded();
-    if (waits && now - claim_.held_since() > settings_.owner.load_patience)
+    if (waits && now - claim_.held_since() > settings_.owner.load_timeout)
     {
         claim_.hand_over(now, "no configuration was read");
     }
--- a/src/core/pool/fleet.cpp
+++ b/src/core/pool/fleet.cpp
@@ -28,9 +28,9 @@
 {
     for (auto& [id, known] : workers_)
     {
-        known.listed = known.listed && !seen.whole;
+        known.listed = known.listed && !seen.complete;
     }
-    for (auto const& id : seen.gone)
+    for (auto const& id : seen.removed)
     {
         if (auto* const known = find(id))
         {
--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -36,10 +36,10 @@
     /// old owner that it is replaced. Longer than an idle worker is left alone.
     common::duration quorum_window = std::chrono::milliseconds(2500);
     /// Without such answers it goes on for this long.
-    common::duration alone_limit = std::chrono::milliseconds(1500);
+    common::duration unconfirmed_limit = std::chrono::milliseconds(1500);
     /// And in no case longer than this; a successor that never reaches half of
     /// the workers waits as long.
-    common::duration solo_limit = std::chrono::seconds(60);
+    common::duration quorum_limit = std::chrono::seconds(60);
 };
 
 /// A worker as the owner knows it.
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -65,7 +65,7 @@
         give_up_loading(now);
         return;
     }
-    give_up_deaf(now);
+    give_up_stalled_watch(now);
     check_silent(now);
     settle(now);
     hold_workers(now);
@@ -116,7 +116,7 @@
 // keep the claim, and everybody waiting, for good.
 void owner::give_up_loading(common::time_point now)
 {
-    if (now - std::max(began_, advanced_) > settings_.load_patience)
+    if (now - std::max(began_, advanced_) > settings_.load_timeout)
     {
         claim_.hand_over(now, "the state does not load");
     }
@@ -125,14 +125,14 @@
 // An owner that hears of no job starts none and tells old counts as the present
 // ones, and with a claim that is renewed nobody takes its place. While the
 // store is silent altogether, a successor would hear no more.
-void owner::give_up_deaf(common::time_point now)
+void owner::give_up_stalled_watch(common::time_point now)
 {
-    if (now - claim_.confirmed_at() >= settings_.workers.alone_limit)
+    if (now - claim_.confirmed_at() >= settings_.workers.unconfirmed_limit)
     {
         silenced_ = now;
     }
     if (now - std::max({watch_answered_at_, advanced_, silenced_}) >
-        settings_.deaf_patience)
+        settings_.stalled_watch_timeout)
     {
         claim_.hand_over(now, "no watch for jobs is answered");
     }
@@ -143,7 +143,7 @@
 void owner::again_soon(common::time_point now,
                        std::function<void(common::time_point)> what)
 {
-    again_.emplace_back(now + settings_.refused_pause, std::move(what));
+    again_.emplace_back(now + settings_.retry_pause, std::move(what));
 }
 
 void owner::ask_again(common::time_point now)
@@ -192,8 +192,8 @@
 {
     auto const& limits = settings_.workers;
     auto const unconfirmed = now - claim_.confirmed_at();
-    bool const backed = unconfirmed < limits.alone_limit ||
-                        (unconfirmed < limits.solo_limit &&
+    bool const backed = unconfirmed < limits.unconfirmed_limit ||
+                        (unconfirmed < limits.quorum_limit &&
                          fleet_.quorum(now - limits.quorum_window));
     return !stopped_ && claim_.held() && backed;
 }
@@ -234,7 +234,7 @@
                    });
         return;
     }
-    if (is_deaf(asked, reply))
+    if (is_stalled(asked, reply))
     {
         out_.log(severity::warning,
                  "watch_deaf",
@@ -263,7 +263,7 @@
 }
 
 // What we wrote ourselves below the watched prefix was there to be told.
-bool owner::is_deaf(common::time_point asked, kv_reply const& reply) const
+bool owner::is_stalled(common::time_point asked, kv_reply const& reply) const
 {
     bool const there =
         reply.revision >= backlog_revision_ || asked >= backlog_current_at_;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -81,7 +81,7 @@
 
     // owner.cpp: its clock, and jobs as they come.
     void give_up_loading(common::time_point now);
-    void give_up_deaf(common::time_point now);
+    void give_up_stalled_watch(common::time_point now);
     /// Runs `what` at the first tick after a pause.
     void again_soon(common::time_point now,
                     std::function<void(common::time_point)> what);
@@ -90,7 +90,8 @@
     void on_watch(common::time_point now,
                   common::time_point asked,
                   ports::kv_reply const& reply);
-    bool is_deaf(common::time_point asked, ports::kv_reply const& reply) const;
+    bool is_stalled(common::time_point asked,
+                    ports::kv_reply const& reply) const;
     void take_item(common::time_point now, ports::kv_item const& item);
     void add_job(common::time_point now, ports::kv_item const& item);
     std::int64_t accepted_by_own_clock(common::time_point now,
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -26,11 +26,11 @@
 bool owner::knowledge_is_fresh(common::time_point now) const
 {
     bool const silent =
-        now - claim_.confirmed_at() > settings_.workers.alone_limit;
+        now - claim_.confirmed_at() > settings_.workers.unconfirmed_limit;
     bool const fresh =
         now - list_.current_as_of() <= settings_.list_age_limit &&
         now - operators_.current_as_of <= settings_.configuration_age_limit &&
-        now - synced_until_ <= settings_.news_age_limit;
+        now - synced_until_ <= settings_.jobs_age_limit;
     return list_.known() && (silent || fresh);
 }
 
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -109,11 +109,12 @@
 void owner::drop_old_finals(common::time_point now)
 {
     while (!final_times_.empty() &&
-           now - final_times_.front().first >= settings_.final_kept)
+           now - final_times_.front().first >= settings_.final_state_retention)
     {
         ledger::entry out;
         while (!final_times_.empty() && out.erases.size() < finals_at_once &&
-               now - final_times_.front().first >= settings_.final_kept)
+               now - final_times_.front().first >=
+                   settings_.final_state_retention)
         {
             auto const& id = final_times_.front().second;
             out.erases.push_back(keys::final_state(id));
@@ -132,7 +133,7 @@
     ledger::entry out;
     for (auto each = spare_cancels_.begin(); each != spare_cancels_.end();)
     {
-        if (now - each->second < settings_.cancel_kept)
+        if (now - each->second < settings_.cancel_retention)
         {
             ++each;
             continue;
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -29,10 +29,10 @@
     /// is heard, or renewed, while one that got lost is waited for.
     common::duration second_read_after = std::chrono::seconds(1);
     /// An owner that gets no part of the state for this long gives up.
-    common::duration load_patience = std::chrono::seconds(6);
+    common::duration load_timeout = std::chrono::seconds(6);
     /// An owner whose watches for jobs bring nothing for this long while the
     /// store renews its claim gives up. One watch may get lost.
-    common::duration deaf_patience = std::chrono::seconds(4);
+    common::duration stalled_watch_timeout = std::chrono::seconds(4);
     worker_list_settings list;
     /// On a list that is older nothing starts while the store answers: a worker
     /// in it may be leaving.
@@ -40,12 +40,12 @@
     /// The same of what operators set,
     common::duration configuration_age_limit = std::chrono::milliseconds(1950);
     /// and of news of jobs: one of which something starts may be cancelled.
-    common::duration news_age_limit = std::chrono::milliseconds(2600);
+    common::duration jobs_age_limit = std::chrono::milliseconds(2600);
     /// How long a worker may hold back its answer while nothing ends there:
     /// where serving tasks have neighbours that may disturb them, and
     /// elsewhere.
-    common::duration guarded_wait = std::chrono::milliseconds(350);
-    common::duration calm_wait = std::chrono::milliseconds(700);
+    common::duration guarded_poll_wait = std::chrono::milliseconds(350);
+    common::duration unguarded_poll_wait = std::chrono::milliseconds(700);
     /// An idle worker is asked this often, for its clock.
     common::duration idle_interval = std::chrono::seconds(2);
     /// An order that got no answer after this long is followed up.
@@ -57,7 +57,7 @@
     /// At least so long between two rounds.
     common::duration dispatch_pause = std::chrono::milliseconds(10);
     /// Before what was refused, or got no answer, is asked again.
-    common::duration refused_pause = std::chrono::milliseconds(100);
+    common::duration retry_pause = std::chrono::milliseconds(100);
     /// After a refusal for want of room.
     common::duration full_pause = std::chrono::milliseconds(100);
     /// A worker on which tasks of this many jobs failed in a row is avoided.
@@ -67,10 +67,10 @@
     common::duration stuck_after = std::chrono::milliseconds(2500);
     /// Final states are kept this long: those who ask get an answer for two
     /// minutes at least.
-    common::duration final_kept = std::chrono::minutes(4);
+    common::duration final_state_retention = std::chrono::minutes(4);
     /// So long a cancelling stays that overtook its job. A commit without an
     /// answer may take effect within seconds.
-    common::duration cancel_kept = std::chrono::seconds(60);
+    common::duration cancel_retention = std::chrono::seconds(60);
 };
 
 /// What an owner counts, for metrics.
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -181,7 +181,7 @@
                           now - majority_since_ >
                               limits.quorum_window + lease + limits.lapse_slack;
     return silenced || now - claim_.held_since() >
-                           limits.solo_limit + lease + limits.lapse_slack;
+                           limits.quorum_limit + lease + limits.lapse_slack;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -56,7 +56,8 @@
     if (order.until_ms > 0 && !unwritten)
     {
         bool const guarded = of.serves() && of.best_effort_cores > 0;
-        order.wait = guarded ? settings_.guarded_wait : settings_.calm_wait;
+        order.wait = guarded ? settings_.guarded_poll_wait
+                             : settings_.unguarded_poll_wait;
     }
     of.holding = true;
     auto const wait = order.wait;
@@ -88,7 +89,7 @@
     }
     if (reply.status == order_status::held_back)
     {
-        of->next_hold = now + settings_.refused_pause;
+        of->next_hold = now + settings_.retry_pause;
         return;
     }
     // An answer that does not say whose it is may be of an earlier or a later
@@ -139,7 +140,7 @@
 // ends at once. What it lists again while their record waits is asked for once.
 void owner::acknowledge_ends(common::time_point now, worker& of)
 {
-    of.next_hold = now + settings_.guarded_wait;
+    of.next_hold = now + settings_.guarded_poll_wait;
     if (of.writing == of.listed_end)
     {
         return;
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -129,7 +129,7 @@
     }
     if (reply.items.empty())
     {
-        reading_ = now - current_as_of_ > settings_.deaf_after;
+        reading_ = now - current_as_of_ > settings_.stalled_after;
         return;
     }
     worker_changes seen;
@@ -163,7 +163,7 @@
                             : platform_records_.read_worker(item, reason);
     if (each)
     {
-        std::erase(into.gone, id);
+        std::erase(into.removed, id);
         into.present.push_back(std::move(*each));
         return;
     }
@@ -178,7 +178,7 @@
                   {
                       return other.id == id;
                   });
-    into.gone.push_back(id);
+    into.removed.push_back(id);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -20,7 +20,7 @@
     common::duration interval = std::chrono::milliseconds(500);
     /// Workers write into their entries all the time. A watch that brings
     /// nothing for this long may be deaf, and the whole list is read.
-    common::duration deaf_after = std::chrono::milliseconds(900);
+    common::duration stalled_after = std::chrono::milliseconds(900);
     common::duration call_timeout = std::chrono::milliseconds(900);
     /// An answer with so many changes may have left others out.
     std::size_t full_answer = 500;
@@ -30,9 +30,9 @@
 /// Workers that were read from the platform's list.
 struct worker_changes
 {
-    bool whole = false; ///< Nobody but `present` is in the list.
+    bool complete = false; ///< Nobody but `present` is in the list.
     std::vector<ports::pool_worker> present;
-    std::vector<std::string> gone; ///< Ids.
+    std::vector<std::string> removed; ///< Ids.
 };
 
 /// Follows the platform's list of workers: read whole at first, then by what
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -174,8 +174,8 @@
     bool const sane = pool.claim.ttl.count() > 0 && pool.claim.size > 0 &&
                       pool.owner.workers.lease.count() > 0 &&
                       pool.stop_limit.count() > 0 &&
-                      pool.owner.final_kept.count() > 0 &&
-                      pool.owner.news_age_limit.count() > 0;
+                      pool.owner.final_state_retention.count() > 0 &&
+                      pool.owner.jobs_age_limit.count() > 0;
     return sane ? "" : "a time or a size is not above 0";
 }
 
--- a/tests/contract/platform/settings_test.cpp
+++ b/tests/contract/platform/settings_test.cpp
@@ -65,7 +65,7 @@
     EXPECT_EQ(file->pool.owner.list_age_limit, 1875ms);
     EXPECT_EQ(file->pool.owner.configuration_age_limit, 1950ms);
     EXPECT_EQ(file->pool.request_handler.configuration_age_limit, 1950ms);
-    EXPECT_EQ(file->pool.owner.news_age_limit, 2600ms);
+    EXPECT_EQ(file->pool.owner.jobs_age_limit, 2600ms);
     EXPECT_LE(file->pool.stop_limit, 4500ms);
     // The scarcer of 0.069 of 0.5 cores and 10 of 200 Mbit/s.
     EXPECT_NEAR(file->pool.claim.size, 0.05, 1e-9);
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -298,7 +298,8 @@
     each.stopped = false;
     core::pool::pool_settings settings;
     settings.claim.size = each.size;
-    settings.owner.final_kept = final_kept_.value_or(settings.owner.final_kept);
+    settings.owner.final_state_retention =
+        final_kept_.value_or(settings.owner.final_state_retention);
     each.engine = std::make_unique<core::pool::engine>(
         settings,
         make_words(),
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -140,11 +140,11 @@
 
     void take(worker_changes const& seen)
     {
-        if (seen.whole)
+        if (seen.complete)
         {
             listed_.clear();
         }
-        for (auto const& id : seen.gone)
+        for (auto const& id : seen.removed)
         {
             listed_.erase(id);
         }
