--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -62,8 +62,8 @@
     common::time_point paused_at{};  ///< When it was ordered to stand still.
     serving_reading reading;         ///< Of a serving task; the last one.
     common::time_point started{};
-    common::time_point told{};          ///< When its percent was last told.
-    common::time_point moved{};         ///< Last seen to make progress.
+    common::time_point reported_at{};   ///< When its percent was last told.
+    common::time_point progressed_at{}; ///< Last seen to make progress.
     std::vector<std::string> failed_on; ///< Workers to avoid.
 
     /// Whether it takes room on its worker.
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -230,12 +230,12 @@
                    ports::order_reply const& reply,
                    bool first);
     /// Tasks that a worker named, sorted.
-    using told_names = std::vector<ports::task_name const*>;
-    bool is_odd(worker const& of, told_names const& told);
+    using reported_names = std::vector<ports::task_name const*>;
+    bool is_inconsistent(worker const& of, reported_names const& told);
     void check_missing(common::time_point now,
                        common::time_point sent,
                        worker& of,
-                       told_names const& told);
+                       reported_names const& told);
     void take_running(common::time_point now,
                       worker& of,
                       ports::running_row const& row);
@@ -277,7 +277,7 @@
     // owner_sharing.cpp: tasks that fill beside tasks that serve.
     worker_view const& view_of(worker& of);
     void guard(common::time_point now, worker& of);
-    bool tails_are_odd(worker& of);
+    bool tails_are_outliers(worker& of);
     void read_serving(common::time_point now, worker& of);
     void evict_idle(common::time_point now,
                     worker& of,
@@ -488,7 +488,7 @@
     common::time_point next_load_line_{};
     /// When it was last said why steps of a queue and image wait.
     std::map<std::pair<std::string, std::string>, common::time_point>
-        waiting_told_;
+        waiting_reported_at_;
     common::time_point next_backlog_{};
     common::time_point next_learned_{};
     bool learned_writing_ = false;
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -229,7 +229,7 @@
     each.percent = 0;
     each.speed_limit = 100;
     each.started = now;
-    each.moved = now;
+    each.progressed_at = now;
     if (run.first_start_unix_ms == 0)
     {
         run.first_start_unix_ms = out_.unix_ms(now);
@@ -287,7 +287,7 @@
         run->started = true;
         each->phase = task_phase::running;
         each->started = now;
-        each->moved = now;
+        each->progressed_at = now;
         return;
     }
     out_.log(severity::info,
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -83,7 +83,7 @@
                       order_reply const& reply,
                       bool first)
 {
-    told_names here;
+    reported_names here;
     here.reserve(reply.running.size() + reply.ended.size());
     for (auto const& row : reply.running)
     {
@@ -107,7 +107,7 @@
         }
     }
     sort_names(here);
-    if (is_odd(of, here))
+    if (is_inconsistent(of, here))
     {
         check_missing(now, sent, of, here);
     }
@@ -115,7 +115,7 @@
 
 // Whether the worker does not name a task that is placed there, or one of which
 // it is unclear whether it began. Hardly ever.
-bool owner::is_odd(worker const& of, told_names const& told)
+bool owner::is_inconsistent(worker const& of, reported_names const& told)
 {
     auto here = told.begin();
     for (auto const& name : of.runs)
@@ -140,7 +140,7 @@
 void owner::check_missing(common::time_point now,
                           common::time_point sent,
                           worker& of,
-                          told_names const& told)
+                          reported_names const& told)
 {
     auto const believed = of.runs;
     for (auto const& name : believed)
@@ -148,10 +148,10 @@
         auto const [run, each] = find_task(name);
         bool const untold = each != nullptr && each->unclear &&
                             each->phase == task_phase::stopping &&
-                            now - each->moved > stop_again_after;
+                            now - each->progressed_at > stop_again_after;
         if (untold)
         {
-            each->moved = now;
+            each->progressed_at = now;
             order_stop(now, of.info.id, {name, each->attempt});
         }
         if (contains(told, name) || each == nullptr ||
@@ -212,7 +212,7 @@
     each.phase = task_phase::running;
     each.attempt = what.attempt;
     each.started = now;
-    each.moved = now;
+    each.progressed_at = now;
     run.started = true;
     place(run, what.task, of);
     if (run.phase != job_phase::active)
@@ -233,22 +233,25 @@
         run.started = true;
         each.phase = task_phase::running;
         each.started = now;
-        each.moved = now;
+        each.progressed_at = now;
     }
     if (row.percent != each.percent || each.speed_limit < 100)
     {
-        each.moved = now;
+        each.progressed_at = now;
     }
     // A task at full speed shows how fast its worker is.
     auto const& what = run.step_of(row.what.task);
-    bool const steady = each.speed_limit == 100 && each.told > each.started &&
+    bool const steady = each.speed_limit == 100 &&
+                        each.reported_at > each.started &&
                         row.percent > each.percent;
     if (steady && !what.lasting)
     {
-        of.speed.observe(
-            now, row.percent - each.percent, what.estimate, now - each.told);
+        of.speed.observe(now,
+                         row.percent - each.percent,
+                         what.estimate,
+                         now - each.reported_at);
     }
-    each.told = now;
+    each.reported_at = now;
     each.unclear = false;
     each.percent = row.percent;
     each.level = row.level;
@@ -267,7 +270,7 @@
     auto& each = run.at(what.task);
     bool const stuck = each.phase == task_phase::running &&
                        !run.step_of(what.task).lasting &&
-                       now - each.moved > settings_.stuck_after;
+                       now - each.progressed_at > settings_.stuck_after;
     if (!stuck)
     {
         return;
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -99,7 +99,7 @@
 
 // A worker that turns slow makes all tails on it long at once. Taken for the
 // work of neighbours, that would teach that everything disturbs.
-bool owner::tails_are_odd(worker& of)
+bool owner::tails_are_outliers(worker& of)
 {
     std::vector<double> ratios;
     for (auto const& served : view_of(of).serving)
@@ -126,7 +126,7 @@
 // What the tasks of one step have in common is the load of their users.
 void owner::read_serving(common::time_point now, worker& of)
 {
-    if (of.speed.value(now) < slow_worker && tails_are_odd(of))
+    if (of.speed.value(now) < slow_worker && tails_are_outliers(of))
     {
         return;
     }
--- a/src/core/pool/owner_waiting.cpp
+++ b/src/core/pool/owner_waiting.cpp
@@ -61,7 +61,7 @@
 // What keeps the first task of a kind from each worker stands for the rest.
 void owner::log_waiting(common::time_point now)
 {
-    std::erase_if(waiting_told_,
+    std::erase_if(waiting_reported_at_,
                   [now](auto const& told)
                   {
                       return now - told.second >= told_again_after;
@@ -77,7 +77,7 @@
             continue;
         }
         auto const& image = run.spec.steps[key.step].image;
-        if (!waiting_told_.insert({{run.spec.queue, image}, now}).second)
+        if (!waiting_reported_at_.insert({{run.spec.queue, image}, now}).second)
         {
             continue;
         }
