--- a/src/core/pool/fleet.cpp
+++ b/src/core/pool/fleet.cpp
@@ -88,8 +88,9 @@
     for (auto const& [id, each] : workers_)
     {
         asked += each.rostered ? 1U : 0U;
-        answered +=
-            each.rostered && each.adopted && each.contact >= oldest ? 1U : 0U;
+        answered += each.rostered && each.adopted && each.last_contact >= oldest
+                        ? 1U
+                        : 0U;
     }
     return 2 * answered > asked;
 }
@@ -101,7 +102,7 @@
     {
         return 0;
     }
-    auto const since = common::to_milliseconds(now - of.clock_read);
+    auto const since = common::to_milliseconds(now - of.clock_received_at);
     auto const lease = common::to_milliseconds(settings_.lease);
     return of.clock_ms + static_cast<std::uint64_t>(since + lease);
 }
@@ -109,8 +110,8 @@
 common::duration fleet::lease_left(worker const& of,
                                    common::time_point now) const noexcept
 {
-    auto const since = common::to_milliseconds(now - of.clock_read);
-    auto const left = static_cast<std::int64_t>(of.until_ms) -
+    auto const since = common::to_milliseconds(now - of.clock_received_at);
+    auto const left = static_cast<std::int64_t>(of.lease_until_ms) -
                       static_cast<std::int64_t>(of.clock_ms) - since;
     return std::chrono::milliseconds(std::max<std::int64_t>(left, 0));
 }
@@ -118,12 +119,12 @@
 bool fleet::lapsed(worker const& of, common::time_point now) const noexcept
 {
     auto const slack = common::to_milliseconds(settings_.lapse_slack);
-    auto const since =
-        static_cast<double>(common::to_milliseconds(now - of.clock_read));
+    auto const since = static_cast<double>(
+        common::to_milliseconds(now - of.clock_received_at));
     auto const least =
         static_cast<double>(of.clock_ms) + since * (1 - settings_.clock_drift);
     return least >=
-           static_cast<double>(of.until_ms) + static_cast<double>(slack);
+           static_cast<double>(of.lease_until_ms) + static_cast<double>(slack);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -46,12 +46,12 @@
 struct worker
 {
     ports::pool_worker info;
-    bool listed = false;    ///< The platform's list names it now.
-    bool adopted = false;   ///< It answered this owner in this incarnation.
-    bool rostered = false;  ///< Successors will ask it: tasks may start here.
-    std::uint64_t born = 0; ///< Incarnation that was adopted.
+    bool listed = false;   ///< The platform's list names it now.
+    bool adopted = false;  ///< It answered this owner in this incarnation.
+    bool rostered = false; ///< Successors will ask it: tasks may start here.
+    std::uint64_t incarnation = 0; ///< Incarnation that was adopted.
     /// When it was first heard in place of another that this owner knew.
-    common::time_point reborn{};
+    common::time_point restarted_at{};
 
     ports::resources reserved;      ///< By what is placed; cores not by fills.
     std::int64_t serving_cores = 0; ///< Part of the reserved.
@@ -64,16 +64,17 @@
     /// Filling images that this worker was cleared for, and until when.
     std::map<std::uint16_t, common::time_point> cleared_for;
 
-    std::uint64_t clock_ms = 0;      ///< As it last told,
-    common::time_point clock_read{}; ///< and when that was received.
-    std::uint64_t until_ms = 0;      ///< Latest lease that may have reached it.
+    std::uint64_t clock_ms = 0;             ///< As it last told,
+    common::time_point clock_received_at{}; ///< and when that was received.
+    std::uint64_t lease_until_ms =
+        0; ///< Latest lease that may have reached it.
 
-    std::uint64_t seen = 0;       ///< Ends that are durable.
-    std::uint64_t listed_end = 0; ///< The highest end that was taken in.
-    std::uint64_t writing = 0;    ///< Ends whose record is on its way.
-    bool holding = false;         ///< A hold is on its way.
+    std::uint64_t durable_end = 0; ///< Ends that are durable.
+    std::uint64_t highest_end = 0; ///< The highest end that was taken in.
+    std::uint64_t ends_being_written = 0; ///< Ends whose record is on its way.
+    bool poll_pending = false;            ///< A hold is on its way.
     common::time_point next_hold{};
-    common::time_point contact{}; ///< Last answer to a hold.
+    common::time_point last_contact{}; ///< Last answer to a hold.
     bool silent = false; ///< The last hold got no answer: nothing starts here.
     /// Nor did one that was sent when the lease had run out.
     bool silent_since_lapse = false;
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -47,10 +47,10 @@
 struct task
 {
     task_phase phase = task_phase::blocked;
-    std::uint32_t attempt = 0;           ///< Of the present or last run.
-    std::vector<std::uint32_t> failures; ///< Attempts that failed.
-    std::string worker;                  ///< Of the present run.
-    std::uint64_t born = 0;              ///< Incarnation of that worker.
+    std::uint32_t attempt = 0;            ///< Of the present or last run.
+    std::vector<std::uint32_t> failures;  ///< Attempts that failed.
+    std::string worker;                   ///< Of the present run.
+    std::uint64_t worker_incarnation = 0; ///< Incarnation of that worker.
     /// Its start got no answer and may be carried out seconds late: that a
     /// worker does not show it proves nothing before the worker took a stop.
     bool unclear = false;
@@ -78,7 +78,7 @@
 struct ticket
 {
     std::string text;
-    std::uint64_t born = 0; ///< Incarnation of the worker.
+    std::uint64_t worker_incarnation = 0; ///< Incarnation of the worker.
     common::time_point until{};
 };
 
--- a/src/core/pool/owner_advice.cpp
+++ b/src/core/pool/owner_advice.cpp
@@ -24,7 +24,8 @@
                        worker const& on) const
 {
     auto const found = steps.tickets.find(on.info.id);
-    return found != steps.tickets.end() && found->second.born == on.born &&
+    return found != steps.tickets.end() &&
+           found->second.worker_incarnation == on.incarnation &&
            now < found->second.until;
 }
 
@@ -129,8 +130,9 @@
         auto const* const on = fleet_.find(each.worker);
         if (on != nullptr)
         {
-            steps.tickets[each.worker] = {
-                each.ticket, on->born, now + reply.valid - ticket_reserve};
+            steps.tickets[each.worker] = {each.ticket,
+                                          on->incarnation,
+                                          now + reply.valid - ticket_reserve};
         }
     }
     dispatch(now);
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -251,17 +251,21 @@
     {
         order.ticket = found->second.text;
     }
-    on.until_ms = std::max(on.until_ms, order.until_ms);
+    on.lease_until_ms = std::max(on.lease_until_ms, order.until_ms);
     // A worker that was idle is asked seldom; from now on it is watched.
     on.next_hold = std::min(on.next_hold, now + settings_.full_pause);
-    out_.order(
-        life_,
-        {0, on.info.id, on.info.where, on.born, order, settings_.order_timeout},
-        [this, what = order.what, id = on.info.id](common::time_point at,
-                                                   order_reply const& reply)
-        {
-            on_start(at, what, id, reply);
-        });
+    out_.order(life_,
+               {0,
+                on.info.id,
+                on.info.where,
+                on.incarnation,
+                order,
+                settings_.order_timeout},
+               [this, what = order.what, id = on.info.id](
+                   common::time_point at, order_reply const& reply)
+               {
+                   on_start(at, what, id, reply);
+               });
 }
 
 void owner::on_start(common::time_point now,
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -109,7 +109,7 @@
     auto const& what = run.step_of(name);
     auto& each = run.at(name);
     each.worker = on.info.id;
-    each.born = on.born;
+    each.worker_incarnation = on.incarnation;
     on.runs.insert(name);
     on.view_known = false;
     ++run.placed;
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -58,7 +58,7 @@
 // confirmed since then that there is none.
 bool owner::may_trust(worker const& on) const
 {
-    return claim_.confirmed_at() >= on.reborn;
+    return claim_.confirmed_at() >= on.restarted_at;
 }
 
 // What speaks against the worker for any task.
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -92,13 +92,13 @@
     }
     // Whatever their order: an end that was passed over is acknowledged with a
     // later one, and is lost.
-    auto const known = of.listed_end;
+    auto const known = of.highest_end;
     for (auto const& row : reply.ended)
     {
         here.push_back(&row.what.task);
         if (row.number > known)
         {
-            of.listed_end = std::max(of.listed_end, row.number);
+            of.highest_end = std::max(of.highest_end, row.number);
             take_end(now, of, row);
             if (first)
             {
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -238,7 +238,7 @@
         {0,
          on.info.id,
          on.info.where,
-         on.born,
+         on.incarnation,
          ports::pace_order{claim_.epoch(), {name, each.attempt}, percent},
          settings_.order_timeout},
         [this, id = on.info.id, what = ports::task_run{name, each.attempt}](
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -24,15 +24,15 @@
 {
     bool const known = of.adopted;
     of.adopted = true;
-    of.born = born;
-    of.seen = 0;
-    of.listed_end = 0;
-    of.writing = 0;
-    of.until_ms = 0;
+    of.incarnation = born;
+    of.durable_end = 0;
+    of.highest_end = 0;
+    of.ends_being_written = 0;
+    of.lease_until_ms = 0;
     of.failed_jobs.clear();
     if (known)
     {
-        of.reborn = now;
+        of.restarted_at = now;
         out_.log(severity::info,
                  "worker_restarted",
                  {{"worker", of.info.id}, {"born", std::to_string(born)}});
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -15,7 +15,7 @@
         row.id = id;
         row.data_centre = each.info.data_centre;
         row.rack = each.info.rack;
-        row.incarnation = each.adopted ? each.born : 0;
+        row.incarnation = each.adopted ? each.incarnation : 0;
         row.listed = each.listed;
         row.draining = each.info.draining;
         row.silent = each.silent;
@@ -23,7 +23,8 @@
         row.tasks = each.runs.size();
         row.capacity = each.info.capacity;
         row.reserved = each.reserved;
-        row.silence = each.adopted ? now - each.contact : common::duration{};
+        row.silence =
+            each.adopted ? now - each.last_contact : common::duration{};
         row.lease_left = fleet_.lease_left(each, now);
         row.speed = each.speed.value(now);
         made.push_back(std::move(row));
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -33,7 +33,7 @@
     }
     for (auto& [id, each] : fleet_.all())
     {
-        if (!each.holding && now >= each.next_hold)
+        if (!each.poll_pending && now >= each.next_hold)
         {
             hold(now, each);
         }
@@ -44,22 +44,23 @@
 {
     ports::hold_order order;
     order.fence = claim_.epoch();
-    order.seen = of.seen;
+    order.seen = of.durable_end;
     bool const busy = !of.runs.empty();
     if (of.adopted)
     {
-        bool const answers = now - of.contact < settings_.workers.renew_within;
+        bool const answers =
+            now - of.last_contact < settings_.workers.renew_within;
         order.until_ms = busy && answers ? fleet_.lease_end(of, now) : 0;
-        of.until_ms = std::max(of.until_ms, order.until_ms);
+        of.lease_until_ms = std::max(of.lease_until_ms, order.until_ms);
     }
-    bool const unwritten = of.listed_end > of.seen;
+    bool const unwritten = of.highest_end > of.durable_end;
     if (order.until_ms > 0 && !unwritten)
     {
         bool const guarded = of.serves() && of.best_effort_cores > 0;
         order.wait = guarded ? settings_.guarded_poll_wait
                              : settings_.unguarded_poll_wait;
     }
-    of.holding = true;
+    of.poll_pending = true;
     auto const wait = order.wait;
     out_.order(
         life_,
@@ -81,7 +82,7 @@
     {
         return;
     }
-    of->holding = false;
+    of->poll_pending = false;
     if (reply.status == order_status::stale_fence)
     {
         fenced(id);
@@ -94,7 +95,8 @@
     }
     // An answer that does not say whose it is may be of an earlier or a later
     // incarnation.
-    bool const nameless = of->adopted && of->born != 0 && reply.born == 0;
+    bool const nameless =
+        of->adopted && of->incarnation != 0 && reply.born == 0;
     if (reply.status != order_status::done || nameless)
     {
         of->silent = true;
@@ -104,10 +106,10 @@
     }
     of->silent = false;
     of->silent_since_lapse = false;
-    of->contact = now;
+    of->last_contact = now;
     of->clock_ms = reply.clock_ms;
-    of->clock_read = now;
-    bool const first = !of->adopted || of->born != reply.born;
+    of->clock_received_at = now;
+    bool const first = !of->adopted || of->incarnation != reply.born;
     if (first)
     {
         new_incarnation(now, *of, reply.born);
@@ -115,7 +117,7 @@
     of->view_known = false;
     take_rows(now, sent, *of, reply, first);
     of->next_hold = of->runs.empty() ? now + settings_.idle_interval : now;
-    if (of->listed_end > of->seen)
+    if (of->highest_end > of->durable_end)
     {
         acknowledge_ends(now, *of);
     }
@@ -141,22 +143,25 @@
 void owner::acknowledge_ends(common::time_point now, worker& of)
 {
     of.next_hold = now + settings_.guarded_poll_wait;
-    if (of.writing == of.listed_end)
+    if (of.ends_being_written == of.highest_end)
     {
         return;
     }
-    of.writing = of.listed_end;
+    of.ends_being_written = of.highest_end;
     save_all_progress();
     ledger_.after_all(
-        [this, id = of.info.id, now, born = of.born, number = of.listed_end](
-            common::time_point at)
+        [this,
+         id = of.info.id,
+         now,
+         born = of.incarnation,
+         number = of.highest_end](common::time_point at)
         {
             out_.push(
                 ports::measured{ports::pool_measure::end_to_durable, at - now});
             auto* const told = fleet_.find(id);
-            if (told != nullptr && told->born == born)
+            if (told != nullptr && told->incarnation == born)
             {
-                told->seen = std::max(told->seen, number);
+                told->durable_end = std::max(told->durable_end, number);
                 told->next_hold = at;
             }
         });
@@ -215,7 +220,7 @@
     for (auto& [id, each] : fleet_.all())
     {
         bool const silent = each.adopted && !each.runs.empty() &&
-                            now - each.contact > settings_.workers.lease;
+                            now - each.last_contact > settings_.workers.lease;
         if (silent && each.silent_since_lapse)
         {
             forget_runs(now, each, "lease lapsed in silence");
@@ -225,7 +230,7 @@
             each.next_hold = now;
         }
         bool const absent = !each.listed && list_.known() &&
-                            each.runs.empty() && !each.holding &&
+                            each.runs.empty() && !each.poll_pending &&
                             fleet_.lapsed(each, now);
         // One that was never reached may run what its last owner gave it.
         if (absent && (each.adopted || settled_))
