--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -60,7 +60,7 @@
     std::int64_t best_effort_cores = 0; ///< Declared by tasks that fill.
     std::set<ports::task_name> runs;    ///< Tasks placed here.
     /// Serving tasks that are being moved here: their room is reserved.
-    std::set<ports::task_name> promised;
+    std::set<ports::task_name> reservations;
     /// Filling images that this worker was cleared for, and until when.
     std::map<std::uint16_t, common::time_point> cleared_for;
 
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -296,11 +296,12 @@
                   job_run const& run,
                   ports::task_name const& name) const;
     void carry_out(common::time_point now, rebalance_plan const& plan);
-    worker* take_promise(common::time_point now,
-                         job_run& run,
-                         ports::task_name const& name);
+    worker* take_reservation(common::time_point now,
+                             job_run& run,
+                             ports::task_name const& name);
     /// The worker that room was kept at, if any; that room is free again.
-    worker* drop_promise(job_run const& run, ports::task_name const& name);
+    worker* release_reservation(job_run const& run,
+                                ports::task_name const& name);
     bool cleared_against(common::time_point now,
                          worker const& on,
                          std::uint16_t image) const;
@@ -444,7 +445,8 @@
     std::optional<capacity_index>
         capacity_index_; ///< Of a round of placing, while it lasts.
     std::set<std::string> dirty_;
-    std::map<ports::task_name, std::string> promises_; ///< Where tasks move.
+    std::map<ports::task_name, std::string>
+        reservations_; ///< Where tasks move.
     /// Filling images whose tasks wait, and since when.
     std::map<std::uint16_t, common::time_point> waiting_since_;
     std::vector<std::string> timed_; ///< Jobs with occurrences to come.
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -180,7 +180,7 @@
         }
         bool const alike = run.at(name).failed_on.empty() &&
                            run.spec.steps[key.step].max_per_worker == 0;
-        auto* on = take_promise(now, run, name);
+        auto* on = take_reservation(now, run, name);
         if (on == nullptr && alike)
         {
             if (!ranked)
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -309,7 +309,7 @@
                 {
                     each.phase = task_phase::blocked;
                 }
-                drop_promise(run, name);
+                release_reservation(run, name);
                 stop_run(now, run, name);
             }
         }
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -99,7 +99,7 @@
         row.free -= each.reserved;
         row.best_effort = declared_shares_of(view_of(each).best_effort);
         row.idle = each.idle_cores();
-        row.may_be_cleared = each.promised.empty();
+        row.may_be_cleared = each.reservations.empty();
         for (auto const& [image, until] : each.cleared_for)
         {
             if (now < until)
@@ -170,8 +170,8 @@
             continue;
         }
         ++counters_.rebalanced;
-        promises_[move.name] = move.to;
-        to->promised.insert(move.name);
+        reservations_[move.name] = move.to;
+        to->reservations.insert(move.name);
         to->reserved += run->step_of(move.name).declared;
         to->view_known = false;
         told.push_back(move.name.job + "." + text_of(move.name) + ">" +
@@ -191,25 +191,26 @@
 }
 
 // Where the task was to move, if it may still start there.
-worker* owner::take_promise(common::time_point now,
-                            job_run& run,
-                            ports::task_name const& name)
+worker* owner::take_reservation(common::time_point now,
+                                job_run& run,
+                                ports::task_name const& name)
 {
-    auto* const to = drop_promise(run, name);
+    auto* const to = release_reservation(run, name);
     bool const usable = to != nullptr && !obstacle_to(now, *to, run, name);
     return usable ? to : nullptr;
 }
 
-worker* owner::drop_promise(job_run const& run, ports::task_name const& name)
+worker* owner::release_reservation(job_run const& run,
+                                   ports::task_name const& name)
 {
-    auto const found = promises_.find(name);
-    if (found == promises_.end())
+    auto const found = reservations_.find(name);
+    if (found == reservations_.end())
     {
         return nullptr;
     }
     auto* const to = fleet_.find(found->second);
-    promises_.erase(found);
-    if (to == nullptr || to->promised.erase(name) == 0)
+    reservations_.erase(found);
+    if (to == nullptr || to->reservations.erase(name) == 0)
     {
         return nullptr;
     }
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -81,7 +81,7 @@
         }
     }
     // What is on its way here must find its headroom when it comes.
-    for (auto const& name : of.promised)
+    for (auto const& name : of.reservations)
     {
         auto const [run, each] = find_task(name);
         if (each != nullptr)
