--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -17,10 +17,10 @@
 
 enum class task_phase : std::uint8_t
 {
-    blocked,  ///< Earlier steps are not done, or its time has not come.
-    unsure,   ///< A previous owner may have started it; not yet known where.
-    ready,    ///< Waits for a worker.
-    starting, ///< The order is on its way.
+    blocked,    ///< Earlier steps are not done, or its time has not come.
+    unresolved, ///< A previous owner may have started it; not yet known where.
+    ready,      ///< Waits for a worker.
+    starting,   ///< The order is on its way.
     running,
     stopping, ///< Ordered to stop; may run until its end is known.
     done,
@@ -53,8 +53,8 @@
     std::uint64_t worker_incarnation = 0; ///< Incarnation of that worker.
     /// Its start got no answer and may be carried out seconds late: that a
     /// worker does not show it proves nothing before the worker took a stop.
-    bool unclear = false;
-    bool returns = false; ///< It waits after a run that is over.
+    bool start_unanswered = false;
+    bool ran_before = false; ///< It waits after a run that is over.
     std::string checkpoint;
     std::uint32_t percent = 0;
     std::int64_t level = 0;
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -67,7 +67,7 @@
     }
     give_up_stalled_watch(now);
     check_silent(now);
-    settle(now);
+    complete_takeover(now);
     hold_workers(now);
     for (auto const& id : timed_)
     {
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -269,8 +269,8 @@
     void take_inherited_failure(common::time_point now,
                                 ports::ended_row const& row);
     void end_failed(common::time_point now, job_run& run);
-    void settle(common::time_point now);
-    void resolve_unsure(common::time_point now, job_run& run);
+    void complete_takeover(common::time_point now);
+    void resolve_unresolved(common::time_point now, job_run& run);
     bool waited_for_silence(common::time_point now);
     bool may_be_foreign(job_run const& run, task const& each) const;
 
@@ -481,7 +481,8 @@
     common::time_point last_dispatch_{};
     /// When more than half of the workers had answered; 0: not yet.
     common::time_point majority_since_{};
-    bool settled_ = false; ///< No earlier owner's start is unknown any more.
+    bool takeover_complete_ =
+        false; ///< No earlier owner's start is unknown any more.
     bool stopped_ = false;
     std::set<std::string> roster_; ///< As it lies in the store.
     bool roster_writing_ = false;
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -54,7 +54,7 @@
     auto const& steps = run.occurrences[occurrence].steps[number];
     bool const lasting = run.spec.steps[number].lasting;
     bool const returns =
-        !steps.ready.empty() && steps.tasks[steps.ready.back()].returns;
+        !steps.ready.empty() && steps.tasks[steps.ready.back()].ran_before;
     auto const behind = lasting && !returns ? never_due : 0;
     return {
         run.rank, behind + run.due_unix_ms, run.spec.id, occurrence, number};
@@ -224,8 +224,8 @@
     auto& each = run.at(name);
     ++each.attempt;
     each.phase = task_phase::starting;
-    each.unclear = false;
-    each.returns = false;
+    each.start_unanswered = false;
+    each.ran_before = false;
     each.percent = 0;
     each.speed_limit = 100;
     each.started = now;
@@ -307,7 +307,7 @@
         // It may run, or be carried out in seconds: it must be stopped for good
         // before another attempt may start anywhere.
         ++counters_.starts_unclear;
-        each->unclear = true;
+        each->start_unanswered = true;
         each->phase = task_phase::stopping;
         order_stop(now, id, what);
         return;
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -62,7 +62,8 @@
     }
     // A job that is older than our claim may have been started by somebody
     // else on a worker that has not told us yet.
-    bool const maybe_started = !settled_ && run.revision < claim_.epoch();
+    bool const maybe_started =
+        !takeover_complete_ && run.revision < claim_.epoch();
     auto const now_ms = out_.unix_ms(now);
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
@@ -84,7 +85,7 @@
                 }
                 if (maybe_started)
                 {
-                    each.phase = task_phase::unsure;
+                    each.phase = task_phase::unresolved;
                 }
                 else
                 {
@@ -257,15 +258,16 @@
     {
         // Before all workers were asked, one of them may know of failures that
         // leave the task no further attempt.
-        bool const may_be_spent = !settled_ && !run.step_of(name).lasting &&
+        bool const may_be_spent = !takeover_complete_ &&
+                                  !run.step_of(name).lasting &&
                                   run.revision < claim_.epoch();
         if (may_be_spent)
         {
-            each.phase = task_phase::unsure;
+            each.phase = task_phase::unresolved;
         }
         else if (each.phase != task_phase::ready)
         {
-            each.returns = true;
+            each.ran_before = true;
             make_ready(run, name);
         }
         if (run.step_of(name).gang)
@@ -328,7 +330,7 @@
     {
         return;
     }
-    each.unclear = each.phase == task_phase::starting;
+    each.start_unanswered = each.phase == task_phase::starting;
     each.phase = task_phase::stopping;
     order_stop(now, each.worker, {name, each.attempt});
 }
@@ -346,12 +348,13 @@
         {
             for (auto const& each : steps.tasks)
             {
-                unsure = unsure || each.phase == task_phase::unsure;
+                unsure = unsure || each.phase == task_phase::unresolved;
             }
         }
     }
     // Before all workers were asked, one of them may still run a part of it.
-    bool const maybe_elsewhere = !settled_ && run.revision < claim_.epoch() &&
+    bool const maybe_elsewhere = !takeover_complete_ &&
+                                 run.revision < claim_.epoch() &&
                                  run.phase != job_phase::finished;
     if (!ending || run.placed > 0 || unsure || maybe_elsewhere)
     {
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -21,7 +21,8 @@
 void owner::rebalance(common::time_point now)
 {
     auto const& limits = settings_.rebalance;
-    if (!limits.enabled || now < next_rebalance_ || !settled_ || !may_act(now))
+    if (!limits.enabled || now < next_rebalance_ || !takeover_complete_ ||
+        !may_act(now))
     {
         return;
     }
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -110,7 +110,7 @@
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
     bool const may_have_to = what.lasting && !what.best_effort &&
                              !steps.capacity_elsewhere &&
-                             !steps.tasks[name.index].returns &&
+                             !steps.tasks[name.index].ran_before &&
                              !short_job_reserve_of(run.rules.service)
                                   .leaves_enough(what.declared.millicores);
     return may_have_to && std::any_of(steps.tasks.begin(),
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -126,7 +126,7 @@
         }
         auto const* const each = find_task(name).each;
         bool const plain = here != told.end() && **here == name &&
-                           each != nullptr && !each->unclear;
+                           each != nullptr && !each->start_unanswered;
         if (!plain)
         {
             return true;
@@ -146,7 +146,7 @@
     for (auto const& name : believed)
     {
         auto const [run, each] = find_task(name);
-        bool const untold = each != nullptr && each->unclear &&
+        bool const untold = each != nullptr && each->start_unanswered &&
                             each->phase == task_phase::stopping &&
                             now - each->progressed_at > stop_again_after;
         if (untold)
@@ -155,7 +155,7 @@
             order_stop(now, of.info.id, {name, each->attempt});
         }
         if (contains(told, name) || each == nullptr ||
-            each->phase == task_phase::starting || each->unclear ||
+            each->phase == task_phase::starting || each->start_unanswered ||
             each->started >= sent)
         {
             continue;
@@ -252,7 +252,7 @@
                          now - each.reported_at);
     }
     each.reported_at = now;
-    each.unclear = false;
+    each.start_unanswered = false;
     each.percent = row.percent;
     each.level = row.level;
     if (!row.checkpoint.empty())
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -47,9 +47,9 @@
 // order.
 bool owner::may_be_foreign(job_run const& run, task const& each) const
 {
-    bool const blocked = each.phase == task_phase::blocked && !settled_ &&
-                         run.revision < claim_.epoch();
-    return each.phase == task_phase::unsure || blocked;
+    bool const blocked = each.phase == task_phase::blocked &&
+                         !takeover_complete_ && run.revision < claim_.epoch();
+    return each.phase == task_phase::unresolved || blocked;
 }
 
 // An end that an earlier owner saw, or nobody: its worker tells it to whoever
@@ -100,9 +100,9 @@
 
 // Whether every worker that an earlier owner may have used has told what it
 // runs, or can't run any of it any more.
-void owner::settle(common::time_point now)
+void owner::complete_takeover(common::time_point now)
 {
-    if (settled_ || !loaded_ || !list_.known())
+    if (takeover_complete_ || !loaded_ || !list_.known())
     {
         return;
     }
@@ -118,7 +118,7 @@
     {
         return;
     }
-    settled_ = true;
+    takeover_complete_ = true;
     out_.push(ports::measured{ports::pool_measure::takeover,
                               now - claim_.held_since()});
     out_.log(
@@ -136,12 +136,12 @@
     }
     for (auto const& id : ids)
     {
-        resolve_unsure(now, *find_job(id));
+        resolve_unresolved(now, *find_job(id));
     }
 }
 
 // What no worker told of does not run anywhere.
-void owner::resolve_unsure(common::time_point now, job_run& run)
+void owner::resolve_unresolved(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
@@ -151,7 +151,7 @@
             auto& tasks = steps[number].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
-                if (tasks[index].phase == task_phase::unsure)
+                if (tasks[index].phase == task_phase::unresolved)
                 {
                     task_over(now, run, {run.spec.id, k, number, index});
                 }
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -124,7 +124,7 @@
     if (first)
     {
         of->next_hold = now;
-        settle(now);
+        complete_takeover(now);
     }
     guard(now, *of);
     if (now >= of->next_hold && may_act(now))
@@ -233,7 +233,7 @@
                             each.runs.empty() && !each.poll_pending &&
                             fleet_.lapsed(each, now);
         // One that was never reached may run what its last owner gave it.
-        if (absent && (each.adopted || settled_))
+        if (absent && (each.adopted || takeover_complete_))
         {
             gone.push_back(id);
         }
@@ -284,7 +284,7 @@
                    if (reply.status == order_status::done)
                    {
                        // A hold sent from now on tells the truth about it.
-                       each->unclear = false;
+                       each->start_unanswered = false;
                        each->started = at;
                        return;
                    }
