--- a/src/core/pool/configuration.hpp
+++ b/src/core/pool/configuration.hpp
@@ -28,10 +28,10 @@
     std::string host;
     std::string prefix;  ///< Of the path; what follows it is the job's id.
     std::string service; ///< Whose workers run its tasks.
-    std::uint32_t priority = 0; ///< 0 comes first.
-    std::uint32_t attempts = 1; ///< Failed runs that end a job.
-    double stretch = 1;         ///< Of the longest chain, for its deadline.
-    common::duration target{};  ///< Added to the stretched chain.
+    std::uint32_t priority = 0;  ///< 0 comes first.
+    std::uint32_t attempts = 1;  ///< Failed runs that end a job.
+    double deadline_stretch = 1; ///< Of the longest chain, for its deadline.
+    common::duration deadline_slack{}; ///< Added to the stretched chain.
     std::optional<advice_rules> advice;
 };
 
--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -55,10 +55,10 @@
 
     ports::resources reserved;      ///< By what is placed; cores not by fills.
     std::int64_t serving_cores = 0; ///< Part of the reserved.
-    std::int64_t lasting_cores = 0; ///< Of the reserved, by lasting tasks.
-    std::int64_t serving_used = 0;  ///< Of those, what is in use now.
-    std::int64_t best_effort_cores = 0; ///< Declared by tasks that fill.
-    std::set<ports::task_name> runs;    ///< Tasks placed here.
+    std::int64_t long_running_cores = 0; ///< Of the reserved, by lasting tasks.
+    std::int64_t serving_used = 0;       ///< Of those, what is in use now.
+    std::int64_t best_effort_cores = 0;  ///< Declared by tasks that fill.
+    std::set<ports::task_name> runs;     ///< Tasks placed here.
     /// Serving tasks that are being moved here: their room is reserved.
     std::set<ports::task_name> reservations;
     /// Filling images that this worker was cleared for, and until when.
--- a/src/core/pool/job.cpp
+++ b/src/core/pool/job.cpp
@@ -44,13 +44,13 @@
     flag("gang", value.gang);
     flag("same_rack", value.same_rack);
     flag("speculative", value.speculative);
-    flag("lasting", value.lasting);
+    flag("lasting", value.long_running);
     flag("fills", value.best_effort);
     text("label", value.required_label);
     text("near_rack", value.near_rack);
     text("image", value.image);
     out["max_per_worker"] = value.max_per_worker;
-    out["may_miss"] = value.may_miss;
+    out["may_miss"] = value.max_unavailable;
     out["tail_target_ms"] = common::to_milliseconds(value.tail_target);
     return out;
 }
@@ -71,14 +71,14 @@
     value.gang = in.flag_or("gang", false);
     value.same_rack = in.flag_or("same_rack", false);
     value.speculative = in.flag_or("speculative", false);
-    value.lasting = in.flag_or("lasting", false);
+    value.long_running = in.flag_or("lasting", false);
     value.best_effort = in.flag_or("fills", false);
     value.required_label = in.text_or("label", "");
     value.near_rack = in.text_or("near_rack", "");
     value.image = in.text_or("image", "");
     value.max_per_worker = static_cast<std::uint32_t>(
         in.integer_or("max_per_worker", 0, 0, max_limit));
-    value.may_miss =
+    value.max_unavailable =
         static_cast<std::uint32_t>(in.integer_or("may_miss", 0, 0, max_limit));
     value.tail_target = std::chrono::milliseconds(number("tail_target_ms"));
     value.after = earlier_steps(in, "after");
@@ -93,7 +93,7 @@
 
 bool within(std::int64_t size)
 {
-    return 0 <= size && size <= max_size;
+    return 0 <= size && size <= max_resource_value;
 }
 
 std::optional<common::failure>
@@ -109,12 +109,13 @@
     {
         return wrong(where, "a task is larger than any worker");
     }
-    if (value.estimate > max_time || value.tail_target > max_time)
+    if (value.estimate > max_duration || value.tail_target > max_duration)
     {
         return wrong(where, "a time is longer than a year");
     }
-    if (value.required_label.size() > max_name ||
-        value.near_rack.size() > max_name || value.image.size() > max_name)
+    if (value.required_label.size() > max_name_bytes ||
+        value.near_rack.size() > max_name_bytes ||
+        value.image.size() > max_name_bytes)
     {
         return wrong(where, "a name is longer than 256 bytes");
     }
@@ -130,7 +131,7 @@
 
 } // namespace
 
-common::duration job::chain() const
+common::duration job::longest_chain() const
 {
     std::vector<common::duration> ends;
     common::duration longest{};
@@ -211,7 +212,7 @@
         reason = wrong("job.id", "1 to 64 letters, digits, - and _");
         return std::nullopt;
     }
-    if (auto problem = check(value))
+    if (auto problem = validate_job(value))
     {
         reason = std::move(*problem);
         return std::nullopt;
@@ -255,13 +256,13 @@
     return made;
 }
 
-std::optional<common::failure> check(job const& value)
+std::optional<common::failure> validate_job(job const& value)
 {
     if (value.steps.empty() || value.steps.size() > max_steps)
     {
         return wrong("job.steps", "1 to 256 steps are needed");
     }
-    if (value.spec.size() > max_spec)
+    if (value.spec.size() > max_spec_bytes)
     {
         return wrong("job.spec", "longer than 16 KiB");
     }
@@ -269,7 +270,7 @@
     {
         return wrong("job.occurrences", "more than 10000");
     }
-    if (std::chrono::milliseconds(value.interval_ms) > max_time)
+    if (std::chrono::milliseconds(value.interval_ms) > max_duration)
     {
         return wrong("job.interval", "longer than a year");
     }
--- a/src/core/pool/job.hpp
+++ b/src/core/pool/job.hpp
@@ -21,11 +21,11 @@
 constexpr std::uint32_t max_tasks_per_step = 10'000;
 constexpr std::uint32_t max_occurrences = 10'000;
 constexpr std::uint64_t max_tasks = 20'000; ///< Of all occurrences together.
-constexpr std::size_t max_spec = 16 * 1024; ///< Bytes.
-constexpr std::size_t max_name = 256;       ///< Bytes of a label or an image.
+constexpr std::size_t max_spec_bytes = 16 * 1024; ///< Bytes.
+constexpr std::size_t max_name_bytes = 256; ///< Bytes of a label or an image.
 /// Of each part of a task's resources: sums of them stay exact.
-constexpr std::int64_t max_size = 1'000'000'000;
-constexpr common::duration max_time = std::chrono::hours(24 * 366);
+constexpr std::int64_t max_resource_value = 1'000'000'000;
+constexpr common::duration max_duration = std::chrono::hours(24 * 366);
 
 /// `count` equal tasks that may run once all tasks of the steps in `after`
 /// are done.
@@ -42,11 +42,12 @@
     std::string near_rack;            ///< Where its data lies.
     std::uint32_t max_per_worker = 0; ///< 0: no limit.
     bool speculative = false;         ///< Copies may run; the first counts.
-    bool lasting = false;             ///< Runs until the job is cancelled.
+    bool long_running = false;        ///< Runs until the job is cancelled.
     std::string image;                ///< Tasks of one image behave alike.
     common::duration tail_target{};   ///< Of a serving task; 0: serves nobody.
-    bool best_effort = false;   ///< Uses what others leave; takes no capacity.
-    std::uint32_t may_miss = 0; ///< Tasks that may be away by our own orders.
+    bool best_effort = false; ///< Uses what others leave; takes no capacity.
+    std::uint32_t max_unavailable =
+        0; ///< Tasks that may be away by our own orders.
 };
 
 struct job
@@ -61,7 +62,7 @@
     std::int64_t accepted_unix_ms = 0;
 
     /// Length of the longest chain of dependent steps, by their estimates.
-    common::duration chain() const;
+    common::duration longest_chain() const;
 };
 
 /// The form in which jobs lie in the store.
@@ -79,6 +80,6 @@
 
 /// Empty where the job keeps the bounds above and its steps refer to earlier
 /// ones only; else what does not. Says nothing of its id and queue.
-std::optional<common::failure> check(job const& value);
+std::optional<common::failure> validate_job(job const& value);
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/job_run.cpp
+++ b/src/core/pool/job_run.cpp
@@ -41,7 +41,7 @@
     {
         step_run steps;
         steps.tasks.resize(each.count);
-        steps.left = each.count;
+        steps.tasks_left = each.count;
         made.steps.push_back(std::move(steps));
     }
     return made;
@@ -76,11 +76,11 @@
     made.revision = revision;
     made.rules = rules;
     made.rank = rules.priority;
-    auto const chain = common::to_milliseconds(spec.chain());
-    auto const stretched =
-        std::min(static_cast<double>(chain) * rules.stretch, longest_limit_ms);
+    auto const chain = common::to_milliseconds(spec.longest_chain());
+    auto const stretched = std::min(
+        static_cast<double>(chain) * rules.deadline_stretch, longest_limit_ms);
     auto const limit = static_cast<std::int64_t>(stretched) +
-                       common::to_milliseconds(rules.target);
+                       common::to_milliseconds(rules.deadline_slack);
     auto const first =
         spec.first_unix_ms > 0 ? spec.first_unix_ms : spec.accepted_unix_ms;
     made.due_unix_ms = first + limit;
@@ -93,7 +93,7 @@
             spec.first_unix_ms > 0 ? first + number * spec.interval_ms : 0;
         for (auto const& each : occurrence.steps)
         {
-            made.left += each.left;
+            made.tasks_left += each.tasks_left;
         }
         made.occurrences.push_back(std::move(occurrence));
     }
@@ -114,7 +114,7 @@
         of_gang.insert(each.failures.begin(), each.failures.end());
     }
     auto const failures = what.gang ? of_gang.size() : most;
-    return !what.lasting && failures >= run.rules.attempts;
+    return !what.long_running && failures >= run.rules.attempts;
 }
 
 bool out_of_attempts(job_run const& run)
@@ -153,8 +153,8 @@
         if (each.done && found->phase != task_phase::done)
         {
             found->phase = task_phase::done;
-            --to.occurrences[each.occurrence].steps[each.step].left;
-            --to.left;
+            --to.occurrences[each.occurrence].steps[each.step].tasks_left;
+            --to.tasks_left;
         }
     }
 }
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -88,10 +88,10 @@
     std::vector<std::uint32_t> ready;      ///< Indexes, the next one last.
     std::map<std::string, ticket> tickets; ///< By worker; kept when over.
     std::set<std::string>
-        policy_requested_for; ///< Workers that the policy was asked about.
-    std::uint32_t left = 0;   ///< Tasks that are not done.
-    bool open = false;        ///< Its tasks may start.
-    std::uint16_t image = 0;  ///< Number of the image that its tasks run.
+        policy_requested_for;     ///< Workers that the policy was asked about.
+    std::uint32_t tasks_left = 0; ///< Tasks that are not done.
+    bool open = false;            ///< Its tasks may start.
+    std::uint16_t image = 0;      ///< Number of the image that its tasks run.
     double isolated_headroom =
         0; ///< Headroom of its serving tasks without neighbours.
     /// Of a lasting step: a worker that can't be used now has room for two of
@@ -122,12 +122,12 @@
     job_phase phase = job_phase::active;
     ports::job_state outcome = ports::job_state::completed;
     std::vector<occurrence_run> occurrences;
-    std::uint64_t left = 0;    ///< Tasks that are not done.
-    std::uint32_t placed = 0;  ///< Tasks that take room somewhere.
-    bool started = false;      ///< Some task has ever been started.
-    bool dirty = false;        ///< Has progress that is not in the store.
-    bool has_progress = false; ///< A progress record may lie in the store.
-    bool cancel_key = false;   ///< A cancel record lies in the store.
+    std::uint64_t tasks_left = 0; ///< Tasks that are not done.
+    std::uint32_t placed = 0;     ///< Tasks that take room somewhere.
+    bool started = false;         ///< Some task has ever been started.
+    bool dirty = false;           ///< Has progress that is not in the store.
+    bool has_progress = false;    ///< A progress record may lie in the store.
+    bool cancel_key = false;      ///< A cancel record lies in the store.
     std::int64_t first_start_unix_ms = 0; ///< 0: not by this owner.
     std::uint32_t rank = 0; ///< Its place among the waiting: lower is first.
     std::int64_t due_unix_ms = 0;  ///< Where it earns all of its worth.
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -52,7 +52,7 @@
                                std::uint32_t number) const
 {
     auto const& steps = run.occurrences[occurrence].steps[number];
-    bool const lasting = run.spec.steps[number].lasting;
+    bool const lasting = run.spec.steps[number].long_running;
     bool const returns =
         !steps.ready.empty() && steps.tasks[steps.ready.back()].ran_before;
     auto const behind = lasting && !returns ? never_due : 0;
@@ -71,7 +71,7 @@
         {
             continue;
         }
-        bool const lasting = run.spec.steps.front().lasting;
+        bool const lasting = run.spec.steps.front().long_running;
         run.rank = run.rules.priority;
         if (!lasting && run.spec.occurrences == 1)
         {
@@ -124,7 +124,7 @@
             continue;
         }
         // Lasting steps that wait are looked at in no time, and may be many.
-        looked_at += what->lasting ? 0U : 1U;
+        looked_at += what->long_running ? 0U : 1U;
         if (looked_at > steps_per_round)
         {
             return;
@@ -143,7 +143,8 @@
         }
         // A gang that finds no place says nothing of its tasks one by one, and
         // a lasting task may be kept from room that others may take.
-        bool const tells = !what->gang && !run->rules.advice && !what->lasting;
+        bool const tells =
+            !what->gang && !run->rules.advice && !what->long_running;
         if (!dispatch_step(now, key) && tells)
         {
             failed.push_back(wanted);
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -46,7 +46,7 @@
     }
     for (auto const earlier : run.spec.steps[number].after)
     {
-        if (made.steps[earlier].left > 0)
+        if (made.steps[earlier].tasks_left > 0)
         {
             return false;
         }
@@ -122,7 +122,7 @@
         return;
     }
     on.reserved.millicores += what.declared.millicores;
-    on.lasting_cores += what.lasting ? what.declared.millicores : 0;
+    on.long_running_cores += what.long_running ? what.declared.millicores : 0;
     if (what.tail_target.count() > 0)
     {
         on.serving_cores += what.declared.millicores;
@@ -148,7 +148,7 @@
         return;
     }
     on->reserved.millicores -= what.declared.millicores;
-    on->lasting_cores -= what.lasting ? what.declared.millicores : 0;
+    on->long_running_cores -= what.long_running ? what.declared.millicores : 0;
     if (what.tail_target.count() > 0)
     {
         on->serving_cores -= what.declared.millicores;
@@ -161,7 +161,7 @@
 {
     auto& each = run.at(name);
     unplace(run, name);
-    if (run.step_of(name).lasting)
+    if (run.step_of(name).long_running)
     {
         task_over(now, run, name);
         return;
@@ -191,14 +191,14 @@
     ++counters_.tasks_done;
     each.phase = task_phase::done;
     each.checkpoint.clear();
-    --run.occurrences[name.occurrence].steps[name.step].left;
-    --run.left;
+    --run.occurrences[name.occurrence].steps[name.step].tasks_left;
+    --run.tasks_left;
     mark_dirty(run);
 }
 
 void owner::after_done(common::time_point now, job_run& run)
 {
-    if (run.left == 0 && run.phase == job_phase::active)
+    if (run.tasks_left == 0 && run.phase == job_phase::active)
     {
         end_job(now, run, job_phase::finished);
         return;
@@ -236,7 +236,7 @@
                           ports::task_name const& name,
                           std::uint32_t attempt)
 {
-    if (run.step_of(name).lasting)
+    if (run.step_of(name).long_running)
     {
         return;
     }
@@ -259,7 +259,7 @@
         // Before all workers were asked, one of them may know of failures that
         // leave the task no further attempt.
         bool const may_be_spent = !takeover_complete_ &&
-                                  !run.step_of(name).lasting &&
+                                  !run.step_of(name).long_running &&
                                   run.revision < claim_.epoch();
         if (may_be_spent)
         {
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -305,7 +305,7 @@
         {
             finish_if_over(run);
         }
-        else if (run.left == 0)
+        else if (run.tasks_left == 0)
         {
             end_job(now, run, job_phase::finished);
         }
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -145,7 +145,8 @@
         away += at_work ? 0U : 1U;
     }
     auto const half = static_cast<std::uint32_t>(steps.tasks.size() / 2);
-    auto const allowed = what.may_miss > 0 ? what.may_miss : std::max(half, 1U);
+    auto const allowed =
+        what.max_unavailable > 0 ? what.max_unavailable : std::max(half, 1U);
     return run.phase == job_phase::active && !what.gang &&
            what.max_per_worker == 0 && what.required_label.empty() &&
            what.near_rack.empty() && !run.rules.advice &&
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -31,7 +31,7 @@
             left[each.info.service] +=
                 short_job_reserve_of(each.info.service)
                     .usable_millicores(each.info.capacity.millicores -
-                                       each.lasting_cores);
+                                       each.long_running_cores);
         }
     }
     for (auto const& [service, demand] : demands)
@@ -54,7 +54,7 @@
         for (std::size_t number = 0; number < occurrence.steps.size(); ++number)
         {
             auto const& what = run.spec.steps[number];
-            if (what.best_effort || what.lasting)
+            if (what.best_effort || what.long_running)
             {
                 continue;
             }
@@ -86,7 +86,7 @@
     for (auto const& key : ready_)
     {
         auto* const run = find_job(key.job);
-        if (run == nullptr || !run->spec.steps[key.step].lasting)
+        if (run == nullptr || !run->spec.steps[key.step].long_running)
         {
             continue;
         }
@@ -108,7 +108,7 @@
 {
     auto const& what = run.step_of(name);
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    bool const may_have_to = what.lasting && !what.best_effort &&
+    bool const may_have_to = what.long_running && !what.best_effort &&
                              !steps.capacity_elsewhere &&
                              !steps.tasks[name.index].ran_before &&
                              !short_job_reserve_of(run.rules.service)
@@ -124,7 +124,7 @@
 void owner::note_placement(job_run const& run, ports::task_name const& name)
 {
     auto const& what = run.step_of(name);
-    if (what.lasting && !what.best_effort)
+    if (what.long_running && !what.best_effort)
     {
         short_job_reserve_of(run.rules.service)
             .consume(what.declared.millicores);
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -244,7 +244,7 @@
     bool const steady = each.speed_limit == 100 &&
                         each.reported_at > each.started &&
                         row.percent > each.percent;
-    if (steady && !what.lasting)
+    if (steady && !what.long_running)
     {
         of.speed.observe(now,
                          row.percent - each.percent,
@@ -269,7 +269,7 @@
 {
     auto& each = run.at(what.task);
     bool const stuck = each.phase == task_phase::running &&
-                       !run.step_of(what.task).lasting &&
+                       !run.step_of(what.task).long_running &&
                        now - each.progressed_at > settings_.stuck_after;
     if (!stuck)
     {
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -38,7 +38,7 @@
     row.id = run.spec.id;
     row.queue = run.spec.queue;
     row.phase = run.phase;
-    row.tasks_left = run.left;
+    row.tasks_left = run.tasks_left;
     row.tasks_placed = run.placed;
     row.started = run.started;
     row.rank = run.rank;
--- a/tests/contract/inputs/job_inputs_test.cpp
+++ b/tests/contract/inputs/job_inputs_test.cpp
@@ -66,7 +66,7 @@
         }
     }
     core::pool::queue rules;
-    rules.stretch = 1e6;
+    rules.deadline_stretch = 1e6;
     auto const run = core::pool::make_job_run(longest, 1, rules);
     EXPECT_GT(run.due_unix_ms, longest.first_unix_ms);
     EXPECT_GT(run.late_unix_ms, run.due_unix_ms);
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -112,9 +112,10 @@
     for (auto const& each : config.queues)
     {
         fault += if_not(each.attempts > 0, "no attempts");
-        fault += if_not(sound(each.target), "target out of bounds");
-        fault += if_not(within(std::lround(each.stretch), 0, 1'000'000),
-                        "stretch out of bounds");
+        fault += if_not(sound(each.deadline_slack), "target out of bounds");
+        fault +=
+            if_not(within(std::lround(each.deadline_stretch), 0, 1'000'000),
+                   "stretch out of bounds");
         fault += if_not(!each.advice || (sound(each.advice->decision) &&
                                          sound(each.advice->per_worker)),
                         "times of advice out of bounds");
@@ -148,7 +149,7 @@
             return "a step's size or time is out of bounds";
         }
     }
-    if (auto const problem = pool::check(made))
+    if (auto const problem = pool::validate_job(made))
     {
         return "taken against its own check: " + to_string(*problem);
     }
@@ -156,13 +157,13 @@
     {
         return "too many tasks: " + std::to_string(tasks);
     }
-    if (made.chain() < core::common::duration{})
+    if (made.longest_chain() < core::common::duration{})
     {
         return "a chain of negative length";
     }
     pool::queue rules;
-    rules.stretch = 1e6;
-    rules.target = longest;
+    rules.deadline_stretch = 1e6;
+    rules.deadline_slack = longest;
     return check_times(pool::make_job_run(made, 1, rules));
 }
 
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -82,7 +82,7 @@
     auto const* queue = config.find("h.example", "/p/123");
     ASSERT_NE(queue, nullptr);
     EXPECT_EQ(queue->attempts, 3U);
-    EXPECT_DOUBLE_EQ(queue->stretch, 1.5);
+    EXPECT_DOUBLE_EQ(queue->deadline_stretch, 1.5);
     EXPECT_EQ(config.find("other.example", "/p/123"), nullptr);
 }
 
@@ -112,7 +112,7 @@
     ASSERT_EQ(job->steps.size(), 2U);
     EXPECT_EQ(job->steps[0].near_rack, "r1-3");
     EXPECT_EQ(job->steps[1].after, std::vector<std::uint32_t>{0});
-    EXPECT_TRUE(job->steps[1].lasting);
+    EXPECT_TRUE(job->steps[1].long_running);
     EXPECT_EQ(job->steps[1].tail_target, std::chrono::milliseconds(150));
     EXPECT_EQ(job->occurrences, 1U);
 }
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -127,7 +127,7 @@
     auto const other = other_than(*world.owner());
     world.run(1s);
     auto serving = simple_job(2, 1s);
-    serving.steps.front().lasting = true;
+    serving.steps.front().long_running = true;
     serving.steps.front().image = "serves";
     serving.steps.front().tail_target = 100ms;
     serving.spec = "lasts tail=20";
--- a/tests/unit/pool/cancel_test.cpp
+++ b/tests/unit/pool/cancel_test.cpp
@@ -19,7 +19,7 @@
 fuchsia::core::pool::job lasting_job(std::uint32_t count)
 {
     auto made = simple_job(count, 1s);
-    made.steps.front().lasting = true;
+    made.steps.front().long_running = true;
     made.spec = "lasts";
     return made;
 }
--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -159,7 +159,7 @@
         if (job.lasts)
         {
             what = simple_job(job.tasks, 1s);
-            what.steps.front().lasting = true;
+            what.steps.front().long_running = true;
             what.spec = "lasts";
         }
         job.submits.push_back(world_.submit(
--- a/tests/unit/pool/faults_test.cpp
+++ b/tests/unit/pool/faults_test.cpp
@@ -275,7 +275,7 @@
     pool_world world;
     settle(world);
     auto what = simple_job(6, 1s);
-    what.steps.front().lasting = true;
+    what.steps.front().long_running = true;
     what.spec = "lasts";
     world.submit(1, "a", what);
     world.run(500ms);
--- a/tests/unit/pool/guaranteed_room_test.cpp
+++ b/tests/unit/pool/guaranteed_room_test.cpp
@@ -23,7 +23,7 @@
 fuchsia::core::pool::job lasting_job(std::uint32_t tasks, std::int64_t cores)
 {
     auto made = sized_job(tasks, cores);
-    made.steps.front().lasting = true;
+    made.steps.front().long_running = true;
     made.spec = "lasts";
     return made;
 }
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -110,7 +110,7 @@
     ASSERT_TRUE(fuchsia::tests::unit::pool::settled(world));
     auto const first = *world.owner();
     auto serving = fuchsia::tests::unit::pool::simple_job(24, 1s);
-    serving.steps.front().lasting = true;
+    serving.steps.front().long_running = true;
     serving.steps.front().image = "serves";
     serving.steps.front().tail_target = 100ms;
     serving.spec = "lasts tail=20";
--- a/tests/unit/pool/regroup_test.cpp
+++ b/tests/unit/pool/regroup_test.cpp
@@ -288,7 +288,7 @@
     made.spec = "lasts tail=20";
     auto& what = made.steps.front();
     what.declared = {2000, 100, 0};
-    what.lasting = true;
+    what.long_running = true;
     what.image = "delicate";
     what.tail_target = 100ms;
     return made;
@@ -319,7 +319,7 @@
         auto block = simple_job(4, 1s);
         block.spec = "lasts";
         block.steps.front().declared = {5000, 100, 0};
-        block.steps.front().lasting = true;
+        block.steps.front().long_running = true;
         world.submit(0, "block", block);
         world.run(1s);
         world.submit(0, "serving", serving_job(4));
--- a/tests/unit/pool/takeover_test.cpp
+++ b/tests/unit/pool/takeover_test.cpp
@@ -163,7 +163,7 @@
     pool_world world;
     ASSERT_TRUE(settled(world));
     auto what = simple_job(6, 1s);
-    what.steps.front().lasting = true;
+    what.steps.front().long_running = true;
     what.spec = "lasts";
     world.submit(1, "a", what);
     world.run(500ms);
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -97,8 +97,8 @@
         queue.prefix = "/" + std::string(name) + "/";
         queue.service = "s";
         queue.attempts = 3;
-        queue.stretch = 2;
-        queue.target = 1s;
+        queue.deadline_stretch = 2;
+        queue.deadline_slack = 1s;
         queue.priority = name == filling_queue ? 2 : 0;
         made.queues.push_back(queue);
     }
@@ -491,7 +491,7 @@
     core::pool::job made;
     made.steps.push_back(make_step(
         width, serving_millicores, 1'000, "serving-" + std::to_string(image)));
-    made.steps.back().lasting = true;
+    made.steps.back().long_running = true;
     made.steps.back().tail_target = serving_target;
     made.spec = "lasts" + text("tail", serving_tail_ms + world_.below(10));
     submit(serving_queue, std::move(made));
