--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -99,7 +99,7 @@
     bool yielded_ = false; ///< The free claim was left to others once.
     common::time_point next_ask_{};
     outbox& out_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     phase phase_ = phase::looking;
     bool retired_ = false;
     bool busy_ = false; ///< A call of the present phase waits for its answer.
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -93,9 +93,9 @@
     out_.set_unix_offset(offset_ms);
 }
 
-ports::pool_actions engine::take()
+ports::pool_actions engine::take_actions()
 {
-    return out_.take();
+    return out_.take_actions();
 }
 
 common::duration engine::tick_interval() const noexcept
@@ -108,12 +108,12 @@
     return owner_ != nullptr;
 }
 
-owner const* engine::owned() const noexcept
+owner const* engine::active_owner() const noexcept
 {
     return owner_.get();
 }
 
-owner* engine::owned() noexcept
+owner* engine::active_owner() noexcept
 {
     return owner_.get();
 }
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -49,13 +49,13 @@
     void begin_stop(common::time_point now);
     void set_unix_offset(std::int64_t offset_ms) noexcept;
 
-    ports::pool_actions take();
+    ports::pool_actions take_actions();
     /// How long nothing needs to be done unless something happens.
     common::duration tick_interval() const noexcept;
     bool owns() const noexcept;
-    owner const* owned() const noexcept;
+    owner const* active_owner() const noexcept;
     /// For questions that the owner answers; null where this is none.
-    owner* owned() noexcept;
+    owner* active_owner() noexcept;
     instance_status status(common::time_point now) const;
     claim const& claimed() const noexcept;
 
--- a/src/core/pool/ledger.hpp
+++ b/src/core/pool/ledger.hpp
@@ -141,7 +141,7 @@
     ledger_settings settings_;
     claim& claim_;
     outbox& out_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     std::deque<queued> results_;
     std::deque<queued> records_;
     std::vector<queued> in_flight_;
--- a/src/core/pool/operator_follower.hpp
+++ b/src/core/pool/operator_follower.hpp
@@ -74,7 +74,7 @@
     platform_records const& platform_records_;
     outbox& out_;
     revision_times& times_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     operator_state state_;
     std::set<std::string> out_in_pages_; ///< Of the range being read.
     std::string config_key_;             ///< Of the last that could be read.
--- a/src/core/pool/outbox.cpp
+++ b/src/core/pool/outbox.cpp
@@ -5,7 +5,7 @@
 namespace fuchsia::core::pool
 {
 
-void outbox::store(scope const& asker,
+void outbox::store(lifetime_token const& asker,
                    ports::kv_operation operation,
                    common::duration timeout,
                    kv_handler handle)
@@ -15,7 +15,7 @@
     actions_.emplace_back(ports::kv_call{id, std::move(operation), timeout});
 }
 
-void outbox::order(scope const& asker,
+void outbox::order(lifetime_token const& asker,
                    ports::pool_order order,
                    order_handler handle)
 {
@@ -24,7 +24,7 @@
     actions_.emplace_back(std::move(order));
 }
 
-void outbox::advise(scope const& asker,
+void outbox::advise(lifetime_token const& asker,
                     ports::advice_call call,
                     advice_handler handle)
 {
@@ -98,7 +98,7 @@
     hand_over(advice_calls_, now, reply);
 }
 
-ports::pool_actions outbox::take()
+ports::pool_actions outbox::take_actions()
 {
     return std::exchange(actions_, {});
 }
--- a/src/core/pool/outbox.hpp
+++ b/src/core/pool/outbox.hpp
@@ -14,7 +14,7 @@
 {
 
 /// Ends with the object that asked; answers that come later go nowhere.
-using scope = std::shared_ptr<void>;
+using lifetime_token = std::shared_ptr<void>;
 
 /// Collects what the parts of an instance ask for, and hands each answer back
 /// to the part that waits for it.
@@ -29,14 +29,16 @@
     using advice_handler =
         std::function<void(common::time_point, ports::advice_reply const&)>;
 
-    void store(scope const& asker,
+    void store(lifetime_token const& asker,
                ports::kv_operation operation,
                common::duration timeout,
                kv_handler handle);
-    void
-    order(scope const& asker, ports::pool_order order, order_handler handle);
-    void
-    advise(scope const& asker, ports::advice_call call, advice_handler handle);
+    void order(lifetime_token const& asker,
+               ports::pool_order order,
+               order_handler handle);
+    void advise(lifetime_token const& asker,
+                ports::advice_call call,
+                advice_handler handle);
     void reply(std::uint64_t caller, ports::job_answer answer);
     void log(ports::severity level,
              std::string event,
@@ -52,7 +54,7 @@
                          ports::advice_reply const& reply);
 
     /// Takes everything that was asked for since the last call.
-    ports::pool_actions take();
+    ports::pool_actions take_actions();
 
     /// Unix milliseconds at `now`, by this machine's clock.
     std::int64_t unix_ms(common::time_point now) const noexcept;
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -36,9 +36,10 @@
             out,
             [this](common::time_point at, worker_changes const& seen)
             {
-                take_list(at, seen);
+                apply_worker_list(at, seen);
             }),
-      colocation_(settings.colocation), began_(now), parts_(parts_to_load)
+      colocation_(settings.colocation), created_at_(now),
+      loading_parts_(parts_to_load)
 {
     load_roster(now);
     load_jobs(now);
@@ -56,8 +57,8 @@
         ledger_.tick(now);
         return;
     }
-    ask_again(now);
-    read_twice(now);
+    run_retries(now);
+    resend_reads(now);
     list_.note(ledger_.last_commit().sent_at, ledger_.last_commit().revision);
     list_.tick(now);
     if (!loaded_)
@@ -69,7 +70,7 @@
     check_silent(now);
     complete_takeover(now);
     hold_workers(now);
-    for (auto const& id : timed_)
+    for (auto const& id : scheduled_jobs_)
     {
         if (auto* const run = find_job(id))
         {
@@ -81,11 +82,11 @@
         rank_again(now);
         observe_short_job_demand(now);
         drop_old_finals(now);
-        drop_spare_cancels(now);
+        drop_unmatched_cancels(now);
         next_rank_ = now + rank_interval;
     }
-    wants_dispatch_ = wants_dispatch_ || now >= next_dispatch_;
-    dispatch_if_wanted(now);
+    dispatch_requested_ = dispatch_requested_ || now >= next_dispatch_;
+    dispatch_if_requested(now);
     rebalance(now);
     save_all_progress();
     log_load(now);
@@ -99,13 +100,13 @@
 // that waits: that was most of the processor time of the owner, whose orders
 // then went out seconds late. Rounds a few milliseconds apart serve all of
 // them.
-void owner::dispatch_if_wanted(common::time_point now)
+void owner::dispatch_if_requested(common::time_point now)
 {
-    if (!wants_dispatch_ || now < last_dispatch_ + settings_.dispatch_pause)
+    if (!dispatch_requested_ || now < last_dispatch_ + settings_.dispatch_pause)
     {
         return;
     }
-    wants_dispatch_ = false;
+    dispatch_requested_ = false;
     last_dispatch_ = now;
     ++counters_.rounds;
     next_dispatch_ = now + settings_.dispatch_interval;
@@ -116,7 +117,7 @@
 // keep the claim, and everybody waiting, for good.
 void owner::give_up_loading(common::time_point now)
 {
-    if (now - std::max(began_, advanced_) > settings_.load_timeout)
+    if (now - std::max(created_at_, load_advanced_at_) > settings_.load_timeout)
     {
         claim_.hand_over(now, "the state does not load");
     }
@@ -129,9 +130,10 @@
 {
     if (now - claim_.confirmed_at() >= settings_.workers.unconfirmed_limit)
     {
-        silenced_ = now;
+        store_silent_at_ = now;
     }
-    if (now - std::max({watch_answered_at_, advanced_, silenced_}) >
+    if (now - std::max(
+                  {watch_answered_at_, load_advanced_at_, store_silent_at_}) >
         settings_.stalled_watch_timeout)
     {
         claim_.hand_over(now, "no watch for jobs is answered");
@@ -140,18 +142,18 @@
 
 // Who refuses answers within milliseconds. Asked at once, and again, it would
 // take the processor and the calls that everything else needs.
-void owner::again_soon(common::time_point now,
-                       std::function<void(common::time_point)> what)
+void owner::retry_later(common::time_point now,
+                        std::function<void(common::time_point)> what)
 {
-    again_.emplace_back(now + settings_.retry_pause, std::move(what));
+    retries_.emplace_back(now + settings_.retry_pause, std::move(what));
 }
 
-void owner::ask_again(common::time_point now)
+void owner::run_retries(common::time_point now)
 {
-    while (!again_.empty() && again_.front().first <= now)
+    while (!retries_.empty() && retries_.front().first <= now)
     {
-        auto const what = std::move(again_.front().second);
-        again_.pop_front();
+        auto const what = std::move(retries_.front().second);
+        retries_.pop_front();
         what(now);
     }
 }
@@ -200,14 +202,15 @@
 
 void owner::watch(common::time_point now)
 {
-    out_.store(
-        life_,
-        ports::kv_watch{std::string(keys::owned_prefix), watched_, watch_wait},
-        watch_wait + settings_.call_timeout,
-        [this, asked = now](common::time_point at, kv_reply const& reply)
-        {
-            on_watch(at, asked, reply);
-        });
+    out_.store(life_,
+               ports::kv_watch{std::string(keys::owned_prefix),
+                               watched_revision_,
+                               watch_wait},
+               watch_wait + settings_.call_timeout,
+               [this, asked = now](common::time_point at, kv_reply const& reply)
+               {
+                   on_watch(at, asked, reply);
+               });
 }
 
 // An answer without events does not move the place from which the next watch
@@ -221,34 +224,35 @@
     {
         out_.log(severity::warning,
                  "history_lost",
-                 {{"after", std::to_string(watched_)}});
+                 {{"after", std::to_string(watched_revision_)}});
         load_jobs(now);
         return;
     }
     if (reply.status != kv_status::done)
     {
-        again_soon(now,
-                   [this](common::time_point then)
-                   {
-                       watch(then);
-                   });
+        retry_later(now,
+                    [this](common::time_point then)
+                    {
+                        watch(then);
+                    });
         return;
     }
     if (is_stalled(asked, reply))
     {
         out_.log(severity::warning,
                  "watch_deaf",
-                 {{"after", std::to_string(watched_)},
+                 {{"after", std::to_string(watched_revision_)},
                   {"written", std::to_string(backlog_revision_)}});
         load_jobs(now);
         return;
     }
     for (auto const& item : reply.items)
     {
-        watched_ = std::max(watched_, item.revision);
-        take_item(now, item);
+        watched_revision_ = std::max(watched_revision_, item.revision);
+        apply_item(now, item);
     }
-    synced_revision_ = std::max({synced_revision_, watched_, reply.revision});
+    synced_revision_ =
+        std::max({synced_revision_, watched_revision_, reply.revision});
     synced_until_ = asked;
     watch_answered_at_ = now;
     if (!claim_.held())
@@ -267,10 +271,11 @@
 {
     bool const there =
         reply.revision >= backlog_revision_ || asked >= backlog_current_at_;
-    return reply.items.empty() && backlog_revision_ > watched_ && there;
+    return reply.items.empty() && backlog_revision_ > watched_revision_ &&
+           there;
 }
 
-void owner::take_item(common::time_point now, ports::kv_item const& item)
+void owner::apply_item(common::time_point now, ports::kv_item const& item)
 {
     if (item.key == keys::claim || item.key == keys::handover)
     {
@@ -299,14 +304,14 @@
     bool const goes_with_job = run != nullptr && run->cancel_key;
     if (!goes_with_job)
     {
-        spare_cancels_[item.key] = now;
+        unmatched_cancels_[item.key] = now;
     }
 }
 
 void owner::add_job(common::time_point now, ports::kv_item const& item)
 {
     auto const id = item.key.substr(keys::job_prefix.size());
-    if (jobs_.contains(id) || finals_.contains(id))
+    if (jobs_.contains(id) || final_states_.contains(id))
     {
         return;
     }
@@ -321,7 +326,7 @@
                  {{"key", item.key}, {"why", common::to_string(reason)}});
         return;
     }
-    bool const just_accepted = loaded_ && parts_ == 0;
+    bool const just_accepted = loaded_ && loading_parts_ == 0;
     spec->accepted_unix_ms = accepted_by_own_clock(now, *spec, just_accepted);
     queue fallback;
     fallback.name = spec->queue;
@@ -332,7 +337,7 @@
     bool const timed = run.spec.occurrences > 1 || run.spec.first_unix_ms > 0;
     if (timed)
     {
-        timed_.push_back(id);
+        scheduled_jobs_.push_back(id);
     }
     for (auto& occurrence : run.occurrences)
     {
@@ -363,8 +368,8 @@
 
 std::optional<ports::job_state> owner::state_of(std::string const& id) const
 {
-    auto const final_state = finals_.find(id);
-    if (final_state != finals_.end())
+    auto const final_state = final_states_.find(id);
+    if (final_state != final_states_.end())
     {
         return final_state->second;
     }
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -83,16 +83,16 @@
     void give_up_loading(common::time_point now);
     void give_up_stalled_watch(common::time_point now);
     /// Runs `what` at the first tick after a pause.
-    void again_soon(common::time_point now,
-                    std::function<void(common::time_point)> what);
-    void ask_again(common::time_point now);
+    void retry_later(common::time_point now,
+                     std::function<void(common::time_point)> what);
+    void run_retries(common::time_point now);
     void watch(common::time_point now);
     void on_watch(common::time_point now,
                   common::time_point asked,
                   ports::kv_reply const& reply);
     bool is_stalled(common::time_point asked,
                     ports::kv_reply const& reply) const;
-    void take_item(common::time_point now, ports::kv_item const& item);
+    void apply_item(common::time_point now, ports::kv_item const& item);
     void add_job(common::time_point now, ports::kv_item const& item);
     std::int64_t accepted_by_own_clock(common::time_point now,
                                        job const& spec,
@@ -117,7 +117,7 @@
     void on_read(common::time_point now,
                  std::shared_ptr<state_read> const& each,
                  ports::kv_reply const& reply);
-    void read_twice(common::time_point now);
+    void resend_reads(common::time_point now);
     using page_taker =
         std::function<void(common::time_point, ports::kv_reply const&)>;
     using load_end = std::function<void(common::time_point)>;
@@ -140,8 +140,8 @@
     void parts_loaded(common::time_point now);
 
     // owner_list.cpp: which workers there are.
-    void take_list(common::time_point now, worker_changes const& seen);
-    bool knowledge_is_fresh(common::time_point now) const;
+    void apply_worker_list(common::time_point now, worker_changes const& seen);
+    bool state_is_current(common::time_point now) const;
     void complete_roster();
     void write_roster();
 
@@ -151,7 +151,7 @@
     void log_backlog(common::duration took);
     void log_load(common::time_point now);
     void drop_old_finals(common::time_point now);
-    void drop_spare_cancels(common::time_point now);
+    void drop_unmatched_cancels(common::time_point now);
 
     // owner_jobs.cpp: the life of jobs and tasks.
     void open_steps(common::time_point now, job_run& run);
@@ -214,21 +214,23 @@
                  std::string const& id,
                  ports::order_reply const& reply);
     void acknowledge_ends(common::time_point now, worker& of);
-    void blame(common::time_point now, worker& of, std::string const& job);
+    void note_worker_failure(common::time_point now,
+                             worker& of,
+                             std::string const& job);
     void forget_runs(common::time_point now, worker& of, char const* why);
     void check_silent(common::time_point now);
     void order_stop(common::time_point now,
                     std::string const& id,
                     ports::task_run const& what);
     task* find_stopping(std::string const& id, ports::task_run const& what);
-    void fenced(std::string const& by);
+    void on_fenced(std::string const& by);
 
     // owner_rows.cpp: what a worker tells of its runs and of their ends.
-    void take_rows(common::time_point now,
-                   common::time_point sent,
-                   worker& of,
-                   ports::order_reply const& reply,
-                   bool first);
+    void apply_rows(common::time_point now,
+                    common::time_point sent,
+                    worker& of,
+                    ports::order_reply const& reply,
+                    bool first);
     /// Tasks that a worker named, sorted.
     using reported_names = std::vector<ports::task_name const*>;
     bool is_inconsistent(worker const& of, reported_names const& told);
@@ -268,15 +270,16 @@
     new_incarnation(common::time_point now, worker& of, std::uint64_t born);
     void take_inherited_failure(common::time_point now,
                                 ports::ended_row const& row);
-    void end_failed(common::time_point now, job_run& run);
+    void fail_exhausted_job(common::time_point now, job_run& run);
     void complete_takeover(common::time_point now);
     void resolve_unresolved(common::time_point now, job_run& run);
     bool waited_for_silence(common::time_point now);
-    bool may_be_foreign(job_run const& run, task const& each) const;
+    bool may_belong_to_earlier_owner(job_run const& run,
+                                     task const& each) const;
 
     // owner_sharing.cpp: tasks that fill beside tasks that serve.
     worker_view const& view_of(worker& of);
-    void guard(common::time_point now, worker& of);
+    void protect_serving(common::time_point now, worker& of);
     bool tails_are_outliers(worker& of);
     void read_serving(common::time_point now, worker& of);
     void evict_idle(common::time_point now,
@@ -295,7 +298,7 @@
     bool may_move(common::time_point now,
                   job_run const& run,
                   ports::task_name const& name) const;
-    void carry_out(common::time_point now, rebalance_plan const& plan);
+    void execute_plan(common::time_point now, rebalance_plan const& plan);
     worker* take_reservation(common::time_point now,
                              job_run& run,
                              ports::task_name const& name);
@@ -347,7 +350,7 @@
     void rank_again(common::time_point now);
     void dispatch(common::time_point now);
     void dispatch_steps(common::time_point now);
-    void dispatch_if_wanted(common::time_point now);
+    void dispatch_if_requested(common::time_point now);
     bool dispatch_step(common::time_point now, ready_key const& key);
     bool
     dispatch_gang(common::time_point now, ready_key const& key, job_run& run);
@@ -426,7 +429,7 @@
     operator_state const& operators_;
     claim& claim_;
     outbox& out_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     log_digest digest_;
     ledger ledger_;
     fleet fleet_;
@@ -437,24 +440,25 @@
     owner_counters counters_;
 
     std::unordered_map<std::string, job_run> jobs_;
-    std::unordered_map<std::string, ports::job_state> finals_;
+    std::unordered_map<std::string, ports::job_state> final_states_;
     std::deque<std::pair<common::time_point, std::string>> final_times_;
     /// Keys of cancellings whose jobs are over or never came, since when.
-    std::map<std::string, common::time_point> spare_cancels_;
+    std::map<std::string, common::time_point> unmatched_cancels_;
     std::set<ready_key> ready_;
     std::optional<capacity_index>
         capacity_index_; ///< Of a round of placing, while it lasts.
-    std::set<std::string> dirty_;
+    std::set<std::string> unsaved_jobs_;
     std::map<ports::task_name, std::string>
         reservations_; ///< Where tasks move.
     /// Filling images whose tasks wait, and since when.
     std::map<std::uint16_t, common::time_point> waiting_since_;
-    std::vector<std::string> timed_; ///< Jobs with occurrences to come.
+    std::vector<std::string>
+        scheduled_jobs_; ///< Jobs with occurrences to come.
 
-    common::time_point began_{};
-    common::time_point advanced_{};   ///< When the last page came.
-    std::uint64_t watched_ = 0;       ///< Of the last event that was taken.
-    std::uint64_t page_revision_ = 0; ///< Of the first page of jobs.
+    common::time_point created_at_{};
+    common::time_point load_advanced_at_{}; ///< When the last page came.
+    std::uint64_t watched_revision_ = 0; ///< Of the last event that was taken.
+    std::uint64_t page_revision_ = 0;    ///< Of the first page of jobs.
     common::time_point pages_requested_at_{};
     std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
     common::time_point
@@ -463,20 +467,22 @@
     std::uint64_t backlog_revision_ =
         0; ///< Revision of our last written backlog,
     common::time_point backlog_current_at_{}; ///< and when that was known.
-    common::time_point silenced_{}; ///< The store did not renew the claim then.
+    common::time_point
+        store_silent_at_{}; ///< The store did not renew the claim then.
     /// What is asked again, and when, the earliest first.
     std::deque<
         std::pair<common::time_point, std::function<void(common::time_point)>>>
-        again_;
+        retries_;
     /// What is asked once more, and when, the earliest first.
     std::deque<std::pair<common::time_point, std::shared_ptr<state_read>>>
         second_reads_;
     std::vector<ports::kv_item> progress_items_;
     std::vector<ports::kv_item> job_items_;
-    std::uint32_t parts_ = 0; ///< Parts of the state that are still loading.
+    std::uint32_t loading_parts_ =
+        0; ///< Parts of the state that are still loading.
     bool loaded_ = false;
-    bool advice_busy_ = false;    ///< A call of the policy is on its way.
-    bool wants_dispatch_ = false; ///< Something may have found a place.
+    bool advice_busy_ = false;        ///< A call of the policy is on its way.
+    bool dispatch_requested_ = false; ///< Something may have found a place.
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
     /// When more than half of the workers had answered; 0: not yet.
--- a/src/core/pool/owner_advice.cpp
+++ b/src/core/pool/owner_advice.cpp
@@ -107,7 +107,7 @@
                       ports::advice_reply const& reply)
 {
     advice_busy_ = false;
-    wants_dispatch_ = true;
+    dispatch_requested_ = true;
     auto* const run = find_job(key.job);
     if (run == nullptr)
     {
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -99,7 +99,7 @@
 
 void owner::dispatch(common::time_point now)
 {
-    if (may_act(now) && knowledge_is_fresh(now))
+    if (may_act(now) && state_is_current(now))
     {
         dispatch_steps(now);
     }
@@ -276,7 +276,7 @@
 {
     if (reply.status == order_status::stale_fence)
     {
-        fenced(id);
+        on_fenced(id);
         return;
     }
     auto const [run, each] = find_task(what.task);
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -101,7 +101,7 @@
     auto& steps = run.occurrences[name.occurrence].steps[name.step];
     steps.tasks[name.index].phase = task_phase::ready;
     steps.ready.push_back(name.index);
-    wants_dispatch_ = true;
+    dispatch_requested_ = true;
     ready_.insert(key_of(run, name.occurrence, name.step));
 }
 
@@ -138,7 +138,7 @@
         return;
     }
     on->view_known = false;
-    wants_dispatch_ = true;
+    dispatch_requested_ = true;
     --run.placed;
     on->reserved.memory_mb -= what.declared.memory_mb;
     on->reserved.accelerators -= what.declared.accelerators;
@@ -389,10 +389,10 @@
         out_.push(ports::measured{
             ports::pool_measure::job,
             std::chrono::milliseconds(out_.unix_ms(at) - accepted)});
-        finals_[id] = outcome;
+        final_states_[id] = outcome;
         final_times_.emplace_back(at, id);
         jobs_.erase(id);
-        std::erase(timed_, id);
+        std::erase(scheduled_jobs_, id);
         out_.log(
             severity::info,
             "job_ended",
@@ -403,7 +403,7 @@
              {"took_ms", std::to_string(out_.unix_ms(at) - accepted)},
              {"limit_ms", std::to_string(limit - accepted)}});
     };
-    dirty_.erase(id);
+    unsaved_jobs_.erase(id);
     ledger_.write(write_rank::result, std::move(entry), keys::progress(id));
 }
 
@@ -411,13 +411,13 @@
 {
     if (run.phase != job_phase::recorded)
     {
-        dirty_.insert(run.spec.id);
+        unsaved_jobs_.insert(run.spec.id);
     }
 }
 
 void owner::save_all_progress()
 {
-    for (auto const& id : std::exchange(dirty_, {}))
+    for (auto const& id : std::exchange(unsaved_jobs_, {}))
     {
         if (auto* const run = find_job(id))
         {
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -9,7 +9,8 @@
 namespace fuchsia::core::pool
 {
 
-void owner::take_list(common::time_point now, worker_changes const& seen)
+void owner::apply_worker_list(common::time_point now,
+                              worker_changes const& seen)
 {
     fleet_.take_list(seen);
     complete_roster();
@@ -23,7 +24,7 @@
 // workers that said long ago that they leave, in data centres that are out, of
 // jobs that were cancelled. While the store is silent what was heard last has
 // to do.
-bool owner::knowledge_is_fresh(common::time_point now) const
+bool owner::state_is_current(common::time_point now) const
 {
     bool const silent =
         now - claim_.confirmed_at() > settings_.workers.unconfirmed_limit;
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -57,15 +57,15 @@
     }
     if (each->open == 0)
     {
-        again_soon(now,
-                   [this, each](common::time_point)
-                   {
-                       send_read(each);
-                   });
+        retry_later(now,
+                    [this, each](common::time_point)
+                    {
+                        send_read(each);
+                    });
     }
 }
 
-void owner::read_twice(common::time_point now)
+void owner::resend_reads(common::time_point now)
 {
     while (!second_reads_.empty() && second_reads_.front().first <= now)
     {
@@ -90,7 +90,7 @@
         ports::kv_range{std::string(prefix), after},
         [this, prefix, take, done](common::time_point at, kv_reply const& reply)
         {
-            advanced_ = at;
+            load_advanced_at_ = at;
             take(at, reply);
             if (reply.more && !reply.items.empty())
             {
@@ -158,11 +158,11 @@
     {
         if (claim_.held() && item.revision <= page_revision_)
         {
-            take_item(now, item);
+            apply_item(now, item);
         }
     }
     // Jobs of the last page count as heard no sooner than they were taken.
-    watched_ = page_revision_;
+    watched_revision_ = page_revision_;
     synced_revision_ = page_revision_;
     synced_until_ = pages_requested_at_;
     return claim_.held();
@@ -268,7 +268,7 @@
 
 void owner::parts_loaded(common::time_point now)
 {
-    if (--parts_ > 0)
+    if (--loading_parts_ > 0)
     {
         return;
     }
@@ -298,7 +298,7 @@
     {
         if (run.phase == job_phase::active && out_of_attempts(run))
         {
-            end_failed(now, run);
+            fail_exhausted_job(now, run);
         }
         open_steps(now, run);
         if (run.phase != job_phase::active)
@@ -310,13 +310,13 @@
             end_job(now, run, job_phase::finished);
         }
     }
-    out_.log(
-        severity::info,
-        "state_loaded",
-        {{"epoch", std::to_string(claim_.epoch())},
-         {"jobs", std::to_string(jobs_.size())},
-         {"roster", std::to_string(roster_.size())},
-         {"took_ms", std::to_string(common::to_milliseconds(now - began_))}});
+    out_.log(severity::info,
+             "state_loaded",
+             {{"epoch", std::to_string(claim_.epoch())},
+              {"jobs", std::to_string(jobs_.size())},
+              {"roster", std::to_string(roster_.size())},
+              {"took_ms",
+               std::to_string(common::to_milliseconds(now - created_at_))}});
     complete_roster();
     watch(now);
     tick(now);
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -36,7 +36,7 @@
         plan_rebalance(limits, colocation_, rebalance_workers(now), waiting);
     if (plan)
     {
-        carry_out(now, *plan);
+        execute_plan(now, *plan);
     }
 }
 
@@ -154,7 +154,7 @@
            now - each.started >= settings_.rebalance.min_stay && away < allowed;
 }
 
-void owner::carry_out(common::time_point now, rebalance_plan const& plan)
+void owner::execute_plan(common::time_point now, rebalance_plan const& plan)
 {
     auto* const from = fleet_.find(plan.from);
     if (from == nullptr)
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -118,7 +118,7 @@
         {
             auto const& id = final_times_.front().second;
             out.erases.push_back(keys::final_state(id));
-            finals_.erase(id);
+            final_states_.erase(id);
             final_times_.pop_front();
         }
         ledger_.write(write_rank::record, std::move(out));
@@ -128,10 +128,11 @@
 // A cancelling may have overtaken its job, which finds it here and does not
 // come to be. Where the job has ended, the key goes behind that end, in the
 // same queue: a successor that found the job without it would run it again.
-void owner::drop_spare_cancels(common::time_point now)
+void owner::drop_unmatched_cancels(common::time_point now)
 {
     ledger::entry out;
-    for (auto each = spare_cancels_.begin(); each != spare_cancels_.end();)
+    for (auto each = unmatched_cancels_.begin();
+         each != unmatched_cancels_.end();)
     {
         if (now - each->second < settings_.cancel_retention)
         {
@@ -139,7 +140,7 @@
             continue;
         }
         out.erases.push_back(each->first);
-        each = spare_cancels_.erase(each);
+        each = unmatched_cancels_.erase(each);
         if (out.erases.size() == cancels_at_once)
         {
             ledger_.write(write_rank::result, std::exchange(out, {}));
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -77,11 +77,11 @@
 
 } // namespace
 
-void owner::take_rows(common::time_point now,
-                      common::time_point sent,
-                      worker& of,
-                      order_reply const& reply,
-                      bool first)
+void owner::apply_rows(common::time_point now,
+                       common::time_point sent,
+                       worker& of,
+                       order_reply const& reply,
+                       bool first)
 {
     reported_names here;
     here.reserve(reply.running.size() + reply.ended.size());
@@ -180,7 +180,7 @@
         order_stop(now, of.info.id, row.what);
         return;
     }
-    if (may_be_foreign(*run, *each))
+    if (may_belong_to_earlier_owner(*run, *each))
     {
         adopt_run(now, of, *run, row.what);
     }
@@ -282,7 +282,7 @@
              {{"percent", std::to_string(each.percent)}});
     each.phase = task_phase::stopping;
     each.failed_on.push_back(of.info.id);
-    blame(now, of, what.task.job);
+    note_worker_failure(now, of, what.task.job);
     order_stop(now, of.info.id, what);
 }
 
@@ -298,7 +298,7 @@
     }
     bool const current = each->placed() && each->worker == of.info.id &&
                          each->attempt == row.what.attempt;
-    bool const unsure = may_be_foreign(*run, *each);
+    bool const unsure = may_belong_to_earlier_owner(*run, *each);
     // The end of a run that was taken for lost: no other was started since.
     bool const late = each->phase == task_phase::ready &&
                       each->worker == of.info.id &&
@@ -382,7 +382,7 @@
     }
     log_failure(now, of, run, what);
     each.worker = of.info.id;
-    blame(now, of, what.task.job);
+    note_worker_failure(now, of, what.task.job);
     if (current)
     {
         task_failed(now, run, what.task);
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -175,7 +175,7 @@
 
 // A successor knows workers by the roster before the list tells what they have:
 // shares of cores that are not known yet would teach nonsense.
-void owner::guard(common::time_point now, worker& of)
+void owner::protect_serving(common::time_point now, worker& of)
 {
     if (of.info.capacity.millicores == 0)
     {
@@ -246,7 +246,7 @@
         {
             if (reply.status == order_status::stale_fence)
             {
-                fenced(id);
+                on_fenced(id);
             }
             else if (reply.status != order_status::done)
             {
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -45,7 +45,8 @@
 // An earlier owner may have started it and seen it end: of a step, too, that is
 // not known to be open yet, since workers tell of its predecessors in any
 // order.
-bool owner::may_be_foreign(job_run const& run, task const& each) const
+bool owner::may_belong_to_earlier_owner(job_run const& run,
+                                        task const& each) const
 {
     bool const blocked = each.phase == task_phase::blocked &&
                          !takeover_complete_ && run.revision < claim_.epoch();
@@ -72,12 +73,12 @@
     if (run->phase == job_phase::active &&
         out_of_attempts(*run, name.occurrence, name.step))
     {
-        end_failed(now, *run);
+        fail_exhausted_job(now, *run);
     }
 }
 
 // Attempts that earlier owners saw fail used up what the job has.
-void owner::end_failed(common::time_point now, job_run& run)
+void owner::fail_exhausted_job(common::time_point now, job_run& run)
 {
     std::size_t failures = 0;
     for (auto const& occurrence : run.occurrences)
@@ -160,7 +161,7 @@
     }
     if (run.phase == job_phase::active && out_of_attempts(run))
     {
-        end_failed(now, run);
+        fail_exhausted_job(now, run);
     }
     finish_if_over(run);
 }
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -85,7 +85,7 @@
     of->poll_pending = false;
     if (reply.status == order_status::stale_fence)
     {
-        fenced(id);
+        on_fenced(id);
         return;
     }
     if (reply.status == order_status::held_back)
@@ -115,7 +115,7 @@
         new_incarnation(now, *of, reply.born);
     }
     of->view_known = false;
-    take_rows(now, sent, *of, reply, first);
+    apply_rows(now, sent, *of, reply, first);
     of->next_hold = of->runs.empty() ? now + settings_.idle_interval : now;
     if (of->highest_end > of->durable_end)
     {
@@ -126,14 +126,14 @@
         of->next_hold = now;
         complete_takeover(now);
     }
-    guard(now, *of);
+    protect_serving(now, *of);
     if (now >= of->next_hold && may_act(now))
     {
         hold(now, *of);
     }
     save_all_progress();
     ledger_.tick(now);
-    dispatch_if_wanted(now);
+    dispatch_if_requested(now);
 }
 
 // What was just learned is written before the end is acknowledged: an end that
@@ -169,7 +169,9 @@
 
 // A worker that fails tasks of several jobs in a row, with no success between,
 // is to blame itself; a job that fails on several workers is not its doing.
-void owner::blame(common::time_point now, worker& of, std::string const& job)
+void owner::note_worker_failure(common::time_point now,
+                                worker& of,
+                                std::string const& job)
 {
     auto& jobs = of.failed_jobs;
     if (std::find(jobs.begin(), jobs.end(), job) == jobs.end())
@@ -273,7 +275,7 @@
                {
                    if (reply.status == order_status::stale_fence)
                    {
-                       fenced(id);
+                       on_fenced(id);
                        return;
                    }
                    auto* const each = find_stopping(id, what);
@@ -288,14 +290,14 @@
                        each->started = at;
                        return;
                    }
-                   again_soon(at,
-                              [this, id, what](common::time_point then)
-                              {
-                                  if (find_stopping(id, what) != nullptr)
-                                  {
-                                      order_stop(then, id, what);
-                                  }
-                              });
+                   retry_later(at,
+                               [this, id, what](common::time_point then)
+                               {
+                                   if (find_stopping(id, what) != nullptr)
+                                   {
+                                       order_stop(then, id, what);
+                                   }
+                               });
                });
 }
 
@@ -309,7 +311,7 @@
     return stopping ? each : nullptr;
 }
 
-void owner::fenced(std::string const& by)
+void owner::on_fenced(std::string const& by)
 {
     claim_.mark_lost("worker " + by + " has seen a later owner");
 }
--- a/src/core/pool/request_handler.hpp
+++ b/src/core/pool/request_handler.hpp
@@ -138,7 +138,7 @@
     operator_follower const& rules_;
     outbox& out_;
     revision_times& times_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     std::size_t open_ = 0;
     std::uint32_t failures_ = 0; ///< Failed commits in a row.
     std::unordered_map<std::string, ports::job_state> finals_;
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -67,7 +67,7 @@
     platform_records const& platform_records_;
     outbox& out_;
     handler handle_;
-    scope life_ = std::make_shared<char>();
+    lifetime_token life_ = std::make_shared<char>();
     worker_changes pages_; ///< Read so far.
     std::string after_;    ///< Key behind which the next page begins.
     bool reading_ = true;  ///< Pages are still to come.
--- a/src/programs/pool/pool_administration.cpp
+++ b/src/programs/pool/pool_administration.cpp
@@ -176,7 +176,7 @@
         return refuse(
             result_code::unknown_path, target, "nothing is served there");
     }
-    auto* const of = engine.owned();
+    auto* const of = engine.active_owner();
     if (of == nullptr || !of->loaded())
     {
         return refuse(result_code::owner_unreachable,
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -298,7 +298,7 @@
 
 void pool_program::perform()
 {
-    auto actions = engine_.take();
+    auto actions = engine_.take_actions();
     for (auto& action : actions)
     {
         perform(action);
@@ -362,7 +362,7 @@
 // The owner's counts, and whether this instance is the owner.
 void pool_program::sample()
 {
-    measures_.sample(clock::now(), engine_.owned());
+    measures_.sample(clock::now(), engine_.active_owner());
     sampler_.expires_after(sample_interval);
     sampler_.async_wait(
         [this](boost::system::error_code error)
--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -31,7 +31,7 @@
     ports::kv_call call()
     {
         ports::kv_call found;
-        for (auto const& each : out_.take())
+        for (auto const& each : out_.take_actions())
         {
             if (auto const* const made = std::get_if<ports::kv_call>(&each))
             {
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -330,8 +330,9 @@
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
         auto const& each = instances_[number];
-        if (each.engine && each.engine->owned() != nullptr &&
-            each.engine->owned()->loaded() && store_.find("pool/claim") &&
+        if (each.engine && each.engine->active_owner() != nullptr &&
+            each.engine->active_owner()->loaded() &&
+            store_.find("pool/claim") &&
             store_.find("pool/claim")->created ==
                 each.engine->claimed().epoch())
         {
@@ -348,7 +349,7 @@
 
 core::pool::owner& pool_world::scheduler(std::size_t instance)
 {
-    return *instances_.at(instance).engine->owned();
+    return *instances_.at(instance).engine->active_owner();
 }
 
 standins::pool::kv_state& pool_world::store() noexcept
@@ -443,7 +444,7 @@
 
 void pool_world::perform(std::size_t number)
 {
-    auto const actions = instances_[number].engine->take();
+    auto const actions = instances_[number].engine->take_actions();
     for (auto const& action : actions)
     {
         if (auto const* const call = std::get_if<ports::kv_call>(&action))
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -129,7 +129,7 @@
 private:
     void look_for_call()
     {
-        for (auto& action : out_.take())
+        for (auto& action : out_.take_actions())
         {
             if (auto* const made = std::get_if<ports::kv_call>(&action))
             {
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -182,17 +182,17 @@
     submit_filling();
     submit_short();
     world_.run_until(world_.now() + filling_time);
-    auto const before = engine_->owned()->counters();
+    auto const before = engine_->active_owner()->counters();
     measuring_ = true;
     world_.run_until(world_.now() + std::chrono::seconds(settings_.seconds));
     measuring_ = false;
-    auto const& after = engine_->owned()->counters();
+    auto const& after = engine_->active_owner()->counters();
     result_.starts = after.starts - before.starts;
     result_.scored = after.scored - before.scored;
     result_.rounds = after.rounds - before.rounds;
     result_.jobs_finished = after.jobs_finished - before.jobs_finished;
     std::int64_t reserved = 0;
-    for (auto const& each : engine_->owned()->workers(world_.now()))
+    for (auto const& each : engine_->active_owner()->workers(world_.now()))
     {
         reserved += each.reserved.millicores;
     }
@@ -222,7 +222,7 @@
 
 void bench_pool_world::measure(pool_duty duty, event const& what)
 {
-    auto const& counters = engine_->owned()->counters();
+    auto const& counters = engine_->active_owner()->counters();
     auto const rounds = counters.rounds;
     auto const from = processor_seconds();
     what(*engine_);
@@ -240,7 +240,7 @@
 
 void bench_pool_world::perform()
 {
-    auto const actions = engine_->take();
+    auto const actions = engine_->take_actions();
     for (auto const& action : actions)
     {
         if (auto const* const call = std::get_if<ports::kv_call>(&action))
