--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -96,7 +96,7 @@
     // An answer that does not say whose it is may be of an earlier or a later
     // incarnation.
     bool const nameless =
-        of->adopted && of->incarnation != 0 && reply.born == 0;
+        of->adopted && of->incarnation != 0 && reply.incarnation == 0;
     if (reply.status != order_status::done || nameless)
     {
         of->silent = true;
@@ -109,10 +109,10 @@
     of->last_contact = now;
     of->clock_ms = reply.clock_ms;
     of->clock_received_at = now;
-    bool const first = !of->adopted || of->incarnation != reply.born;
+    bool const first = !of->adopted || of->incarnation != reply.incarnation;
     if (first)
     {
-        new_incarnation(now, *of, reply.born);
+        new_incarnation(now, *of, reply.incarnation);
     }
     of->view_known = false;
     apply_rows(now, sent, *of, reply, first);
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -46,7 +46,7 @@
     resources capacity;
     bool draining = false;
     /// Unix millisecond of its start: names the incarnation of `id`.
-    std::uint64_t born = 0;
+    std::uint64_t incarnation = 0;
 };
 
 /// Asks what runs and what ended, and renews the lease of all that runs.
@@ -90,7 +90,7 @@
     std::uint64_t id = 0;
     std::string worker;
     endpoint where;
-    std::uint64_t born = 0; ///< For this incarnation only; 0: for any.
+    std::uint64_t incarnation = 0; ///< For this incarnation only; 0: for any.
     pool_operation operation;
     core::common::duration timeout{};
 };
@@ -105,10 +105,10 @@
     no_ticket,   ///< The policy's permission is missing or too old.
     invalid,     ///< The worker can't read the order.
     unhealthy,   ///< It does nothing for now.
-    other_instance, ///< Another incarnation lives at the address.
-    not_sent,       ///< No connection; no byte went out.
-    held_back,      ///< Nor was one tried: this instance was too busy.
-    unclear,        ///< No answer: carried out, or still to be.
+    wrong_incarnation, ///< Another incarnation lives at the address.
+    not_sent,          ///< No connection; no byte went out.
+    held_back,         ///< Nor was one tried: this instance was too busy.
+    unclear,           ///< No answer: carried out, or still to be.
 };
 
 /// One run at work. `level` is a rough reading over the last half second: of
@@ -144,8 +144,8 @@
 {
     std::uint64_t id = 0;
     order_status status = order_status::unclear;
-    std::uint64_t clock_ms = 0; ///< The worker's clock; 0: not said.
-    std::uint64_t born = 0;     ///< Of who answered; 0: not said.
+    std::uint64_t clock_ms = 0;    ///< The worker's clock; 0: not said.
+    std::uint64_t incarnation = 0; ///< Of who answered; 0: not said.
     std::vector<running_row> running;
     std::vector<ended_row> ended;
 };
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -230,7 +230,7 @@
 adapters::http::response encode(ports::order_reply const& reply)
 {
     using ports::order_status;
-    json::object body{{"clockMs", reply.clock_ms}, {"born", reply.born}};
+    json::object body{{"clockMs", reply.clock_ms}, {"born", reply.incarnation}};
     if (reply.status != order_status::done)
     {
         body["reason"] = reply.status == order_status::stale_fence  ? "fence"
@@ -280,7 +280,7 @@
                       {"memMb", worker.capacity.memory_mb},
                       {"gpu", worker.capacity.accelerators}}},
         {"labels", json::array{"a", worker.rack}},
-        {"born", worker.born}};
+        {"born", worker.incarnation}};
     return json::serialize(made);
 }
 
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -52,7 +52,7 @@
     entry.data_centre = number % 2 == 0 ? "a" : "b";
     entry.rack = "r" + entry.data_centre;
     entry.capacity = settings_.capacity;
-    entry.born = first_born + number + made.lives * life_step;
+    entry.incarnation = first_born + number + made.lives * life_step;
     made.state = std::make_unique<worker_state>(entry, clock::now(), 1.0);
     made.listed_until.reset();
     ++made.lives;
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -93,7 +93,7 @@
     advance(now);
     order_reply made;
     made.clock_ms = clock_ms(now);
-    made.born = info_.born;
+    made.incarnation = info_.incarnation;
     if (fence_of(order) < fence_)
     {
         made.status = order_status::stale_fence;
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -95,7 +95,7 @@
     return if_not(named, "no service or zone") +
            if_not(made->where.port > 0, "no port") +
            if_not(sound(made->capacity), "capacity out of bounds") +
-           if_not(made->born <= largest_integer, "born out of bounds");
+           if_not(made->incarnation <= largest_integer, "born out of bounds");
 }
 
 std::string check_operator(std::string const& input)
@@ -230,7 +230,7 @@
     }
     return fault +
            if_not(made.clock_ms <= largest_integer, "clock out of bounds") +
-           if_not(made.born <= largest_integer, "born out of bounds") +
+           if_not(made.incarnation <= largest_integer, "born out of bounds") +
            if_not(made.running.size() + made.ended.size() <= input.size(),
                   "more rows than bytes");
 }
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_EQ(worker->rack, "r1-3");
     EXPECT_EQ(worker->capacity.millicores, 16000);
     EXPECT_EQ(worker->capacity.accelerators, 0);
-    EXPECT_EQ(worker->born, 1791417529292U);
+    EXPECT_EQ(worker->incarnation, 1791417529292U);
     EXPECT_FALSE(worker->draining);
 }
 
@@ -146,7 +146,7 @@
              answer_case{409, R"({"reason":"room"})", order_status::no_room},
              answer_case{
                  409, R"({"reason":"ticket"})", order_status::no_ticket},
-             answer_case{421, "", order_status::other_instance},
+             answer_case{421, "", order_status::wrong_incarnation},
              answer_case{400, "", order_status::invalid},
              answer_case{503, "", order_status::unhealthy},
              answer_case{500, "", order_status::unclear},
--- a/tests/unit/pool/odd_inputs_test.cpp
+++ b/tests/unit/pool/odd_inputs_test.cpp
@@ -193,7 +193,7 @@
                 row.how = ports::end_kind::failed;
                 reply.ended.push_back(row);
             }
-            reply.born = one_in(8) ? 0 : reply.born;
+            reply.incarnation = one_in(8) ? 0 : reply.incarnation;
             return one_in(4);
         };
         for (std::size_t number = 0; number < 6; ++number)
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -25,7 +25,7 @@
     made.data_centre = number % 2 == 0 ? "even" : "odd";
     made.rack = made.data_centre;
     made.capacity = {8000, 8000, 0};
-    made.born = born;
+    made.incarnation = born;
     return made;
 }
 
@@ -370,7 +370,7 @@
     workers_[number] = std::make_unique<standins::pool::worker_state>(
         info, now() - std::chrono::seconds(number), speed);
     store_.put("workers/" + info.id,
-               std::to_string(number) + " " + std::to_string(info.born));
+               std::to_string(number) + " " + std::to_string(info.incarnation));
 }
 
 std::size_t pool_world::worker_count() const noexcept
@@ -747,9 +747,10 @@
                            ? 1U
                            : 0U;
     auto const begun = target.begun().size();
-    bool const meant = order.born == 0 || order.born == target.info().born;
+    bool const meant = order.incarnation == 0 ||
+                       order.incarnation == target.info().incarnation;
     ports::order_reply reply;
-    reply.status = ports::order_status::other_instance;
+    reply.status = ports::order_status::wrong_incarnation;
     if (meant)
     {
         reply = target.apply(now(), order.operation);
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -81,7 +81,7 @@
     made.data_centre = "dc-" + std::to_string(number % data_centres);
     made.rack = "rack-" + std::to_string(number / per_rack);
     made.capacity = {worker_millicores, worker_memory_mb, 0};
-    made.born = number + 1;
+    made.incarnation = number + 1;
     return made;
 }
 
