--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -241,7 +241,7 @@
     }
     ++counters_.starts;
     ports::start_order order;
-    order.fence = claim_.epoch();
+    order.fencing_token = claim_.epoch();
     order.what = {name, each.attempt};
     order.spec = run.spec.spec;
     order.until_ms = fleet_.lease_end(on, now);
@@ -274,7 +274,7 @@
                      std::string const& id,
                      order_reply const& reply)
 {
-    if (reply.status == order_status::stale_fence)
+    if (reply.status == order_status::stale_fencing_token)
     {
         on_fenced(id);
         return;
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -244,7 +244,7 @@
         [this, id = on.info.id, what = ports::task_run{name, each.attempt}](
             common::time_point, order_reply const& reply)
         {
-            if (reply.status == order_status::stale_fence)
+            if (reply.status == order_status::stale_fencing_token)
             {
                 on_fenced(id);
             }
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -43,7 +43,7 @@
 void owner::hold(common::time_point now, worker& of)
 {
     ports::hold_order order;
-    order.fence = claim_.epoch();
+    order.fencing_token = claim_.epoch();
     order.seen = of.durable_end;
     bool const busy = !of.runs.empty();
     if (of.adopted)
@@ -83,7 +83,7 @@
         return;
     }
     of->poll_pending = false;
-    if (reply.status == order_status::stale_fence)
+    if (reply.status == order_status::stale_fencing_token)
     {
         on_fenced(id);
         return;
@@ -273,7 +273,7 @@
                 settings_.order_timeout},
                [this, id, what](common::time_point at, order_reply const& reply)
                {
-                   if (reply.status == order_status::stale_fence)
+                   if (reply.status == order_status::stale_fencing_token)
                    {
                        on_fenced(id);
                        return;
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -52,7 +52,7 @@
 /// Asks what runs and what ended, and renews the lease of all that runs.
 struct hold_order
 {
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     std::uint64_t seen = 0;        ///< Ends up to here are durable elsewhere.
     std::uint64_t until_ms = 0;    ///< On the worker's clock; 0: renew nothing.
     core::common::duration wait{}; ///< For an end, before it answers.
@@ -60,7 +60,7 @@
 
 struct start_order
 {
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     task_run what;
     std::string spec;
     std::uint64_t until_ms = 0;
@@ -70,14 +70,14 @@
 
 struct stop_order
 {
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     task_run what;
 };
 
 /// Lets a task work at this share of its speed.
 struct pace_order
 {
-    std::uint64_t fence = 0;
+    std::uint64_t fencing_token = 0;
     task_run what;
     std::uint32_t percent = 100;
 };
@@ -98,13 +98,13 @@
 enum class order_status : std::uint8_t
 {
     done,
-    stale_fence, ///< It has seen a higher token.
-    superseded,  ///< A later attempt, or the end of this one, is known there.
-    late,        ///< The lease would have been over on arrival.
-    no_room,     ///< It does not fit now.
-    no_ticket,   ///< The policy's permission is missing or too old.
-    invalid,     ///< The worker can't read the order.
-    unhealthy,   ///< It does nothing for now.
+    stale_fencing_token, ///< It has seen a higher token.
+    superseded, ///< A later attempt, or the end of this one, is known there.
+    late,       ///< The lease would have been over on arrival.
+    no_room,    ///< It does not fit now.
+    no_ticket,  ///< The policy's permission is missing or too old.
+    invalid,    ///< The worker can't read the order.
+    unhealthy,  ///< It does nothing for now.
     wrong_incarnation, ///< Another incarnation lives at the address.
     not_sent,          ///< No connection; no byte went out.
     held_back,         ///< Nor was one tried: this instance was too busy.
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -233,7 +233,8 @@
     json::object body{{"clockMs", reply.clock_ms}, {"born", reply.incarnation}};
     if (reply.status != order_status::done)
     {
-        body["reason"] = reply.status == order_status::stale_fence  ? "fence"
+        body["reason"] = reply.status == order_status::stale_fencing_token
+                             ? "fence"
                          : reply.status == order_status::superseded ? "old"
                          : reply.status == order_status::late       ? "late"
                                                                     : "room";
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -340,7 +340,7 @@
     if (begun == nullptr && planted_ == planted::ended_twice)
     {
         ports::start_order again;
-        again.fence = std::get<ports::hold_order>(order).fence;
+        again.fencing_token = std::get<ports::hold_order>(order).fencing_token;
         again.what = by.acknowledged().back().what;
         ++again.what.attempt;
         again.spec = "work=200";
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -96,7 +96,7 @@
     made.incarnation = info_.incarnation;
     if (fence_of(order) < fence_)
     {
-        made.status = order_status::stale_fence;
+        made.status = order_status::stale_fencing_token;
         return made;
     }
     fence_ = fence_of(order);
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -139,8 +139,9 @@
     };
     for (auto const& each : {
              answer_case{200, R"({"clockMs":5})", order_status::done},
-             answer_case{
-                 409, R"({"reason":"fence"})", order_status::stale_fence},
+             answer_case{409,
+                         R"({"reason":"fence"})",
+                         order_status::stale_fencing_token},
              answer_case{409, R"({"reason":"old"})", order_status::superseded},
              answer_case{409, R"({"reason":"late"})", order_status::late},
              answer_case{409, R"({"reason":"room"})", order_status::no_room},
