--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -321,7 +321,7 @@
             .tickets.erase(id);
     }
     auto* const on = fleet_.find(id);
-    if (on != nullptr && reply.status != order_status::held_back)
+    if (on != nullptr && reply.status != order_status::not_attempted)
     {
         on->full_until = now + settings_.full_pause;
     }
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -88,7 +88,7 @@
         on_fenced(id);
         return;
     }
-    if (reply.status == order_status::held_back)
+    if (reply.status == order_status::not_attempted)
     {
         of->next_hold = now + settings_.retry_pause;
         return;
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -99,15 +99,15 @@
 {
     done,
     stale_fencing_token, ///< It has seen a higher token.
-    superseded, ///< A later attempt, or the end of this one, is known there.
-    late,       ///< The lease would have been over on arrival.
-    no_room,    ///< It does not fit now.
-    no_ticket,  ///< The policy's permission is missing or too old.
-    invalid,    ///< The worker can't read the order.
-    unhealthy,  ///< It does nothing for now.
+    superseded,    ///< A later attempt, or the end of this one, is known there.
+    lease_expired, ///< The lease would have been over on arrival.
+    no_capacity,   ///< It does not fit now.
+    no_ticket,     ///< The policy's permission is missing or too old.
+    invalid,       ///< The worker can't read the order.
+    unhealthy,     ///< It does nothing for now.
     wrong_incarnation, ///< Another incarnation lives at the address.
     not_sent,          ///< No connection; no byte went out.
-    held_back,         ///< Nor was one tried: this instance was too busy.
+    not_attempted,     ///< Nor was one tried: this instance was too busy.
     unclear,           ///< No answer: carried out, or still to be.
 };
 
--- a/src/programs/pool/pool_outside.cpp
+++ b/src/programs/pool/pool_outside.cpp
@@ -17,7 +17,7 @@
 {
     ports::order_reply made;
     made.id = order.id;
-    made.status = ports::order_status::held_back;
+    made.status = ports::order_status::not_attempted;
     return made;
 }
 
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -235,9 +235,9 @@
     {
         body["reason"] = reply.status == order_status::stale_fencing_token
                              ? "fence"
-                         : reply.status == order_status::superseded ? "old"
-                         : reply.status == order_status::late       ? "late"
-                                                                    : "room";
+                         : reply.status == order_status::superseded    ? "old"
+                         : reply.status == order_status::lease_expired ? "late"
+                                                                       : "room";
         return adapters::http::json_response(409, json::serialize(body));
     }
     constexpr std::array<char const*, 6> kinds{
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -164,7 +164,7 @@
     }
     if (order.until_ms <= clock_ms(now))
     {
-        return order_status::late;
+        return order_status::lease_expired;
     }
     extend(order.until_ms);
     running_[task] = {order.what.attempt, now, parse_script(order.spec)};
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -143,8 +143,10 @@
                          R"({"reason":"fence"})",
                          order_status::stale_fencing_token},
              answer_case{409, R"({"reason":"old"})", order_status::superseded},
-             answer_case{409, R"({"reason":"late"})", order_status::late},
-             answer_case{409, R"({"reason":"room"})", order_status::no_room},
+             answer_case{
+                 409, R"({"reason":"late"})", order_status::lease_expired},
+             answer_case{
+                 409, R"({"reason":"room"})", order_status::no_capacity},
              answer_case{
                  409, R"({"reason":"ticket"})", order_status::no_ticket},
              answer_case{421, "", order_status::wrong_incarnation},
