--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -202,7 +202,7 @@
     known_task find_task(ports::task_name const& name);
     void log_task(ports::severity level,
                   char const* event,
-                  ports::task_run const& what,
+                  ports::pool_attempt const& what,
                   std::string const& on,
                   std::vector<ports::header> more = {});
 
@@ -221,8 +221,8 @@
     void check_silent(common::time_point now);
     void order_stop(common::time_point now,
                     std::string const& id,
-                    ports::task_run const& what);
-    task* find_stopping(std::string const& id, ports::task_run const& what);
+                    ports::pool_attempt const& what);
+    task* find_stopping(std::string const& id, ports::pool_attempt const& what);
     void on_fenced(std::string const& by);
 
     // owner_rows.cpp: what a worker tells of its runs and of their ends.
@@ -240,36 +240,37 @@
                        reported_names const& told);
     void take_running(common::time_point now,
                       worker& of,
-                      ports::running_row const& row);
+                      ports::running_attempt const& row);
     void adopt_run(common::time_point now,
                    worker& of,
                    job_run& run,
-                   ports::task_run const& what);
+                   ports::pool_attempt const& what);
     void note_progress(common::time_point now,
                        worker& of,
                        job_run& run,
-                       ports::running_row const& row);
+                       ports::running_attempt const& row);
     void stop_if_stuck(common::time_point now,
                        worker& of,
                        job_run& run,
-                       ports::task_run const& what);
-    void
-    take_end(common::time_point now, worker& of, ports::ended_row const& row);
+                       ports::pool_attempt const& what);
+    void take_end(common::time_point now,
+                  worker& of,
+                  ports::ended_attempt const& row);
     void log_failure(common::time_point now,
                      worker const& of,
                      job_run const& run,
-                     ports::task_run const& what);
+                     ports::pool_attempt const& what);
     void take_failure(common::time_point now,
                       worker& of,
                       job_run& run,
-                      ports::task_run const& what,
+                      ports::pool_attempt const& what,
                       bool current);
 
     // owner_takeover.cpp: what earlier owners may have started.
     void
     new_incarnation(common::time_point now, worker& of, std::uint64_t born);
     void take_inherited_failure(common::time_point now,
-                                ports::ended_row const& row);
+                                ports::ended_attempt const& row);
     void fail_exhausted_job(common::time_point now, job_run& run);
     void complete_takeover(common::time_point now);
     void resolve_unresolved(common::time_point now, job_run& run);
@@ -289,7 +290,8 @@
                          worker& on,
                          ports::task_name const& name,
                          std::uint32_t percent);
-    void speed_limit_failed(std::string const& id, ports::task_run const& what);
+    void speed_limit_failed(std::string const& id,
+                            ports::pool_attempt const& what);
 
     // owner_regroup.cpp: serving tasks move to where they bind least.
     void rebalance(common::time_point now);
@@ -364,7 +366,7 @@
                ports::task_name const& name,
                worker& on);
     void on_start(common::time_point now,
-                  ports::task_run const& what,
+                  ports::pool_attempt const& what,
                   std::string const& id,
                   ports::order_reply const& reply);
 
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -242,7 +242,7 @@
     ++counters_.starts;
     ports::start_order order;
     order.fencing_token = claim_.epoch();
-    order.what = {name, each.attempt};
+    order.attempt_id = {name, each.attempt};
     order.spec = run.spec.spec;
     order.until_ms = fleet_.lease_end(on, now);
     order.checkpoint = each.checkpoint;
@@ -262,7 +262,7 @@
                 on.incarnation,
                 order,
                 settings_.order_timeout},
-               [this, what = order.what, id = on.info.id](
+               [this, what = order.attempt_id, id = on.info.id](
                    common::time_point at, order_reply const& reply)
                {
                    on_start(at, what, id, reply);
@@ -270,7 +270,7 @@
 }
 
 void owner::on_start(common::time_point now,
-                     ports::task_run const& what,
+                     ports::pool_attempt const& what,
                      std::string const& id,
                      order_reply const& reply)
 {
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -87,7 +87,7 @@
     here.reserve(reply.running.size() + reply.ended.size());
     for (auto const& row : reply.running)
     {
-        here.push_back(&row.what.task);
+        here.push_back(&row.attempt_id.task);
         take_running(now, of, row);
     }
     // Whatever their order: an end that was passed over is acknowledged with a
@@ -95,10 +95,10 @@
     auto const known = of.highest_end;
     for (auto const& row : reply.ended)
     {
-        here.push_back(&row.what.task);
-        if (row.number > known)
+        here.push_back(&row.attempt_id.task);
+        if (row.sequence > known)
         {
-            of.highest_end = std::max(of.highest_end, row.number);
+            of.highest_end = std::max(of.highest_end, row.sequence);
             take_end(now, of, row);
             if (first)
             {
@@ -172,24 +172,24 @@
 
 void owner::take_running(common::time_point now,
                          worker& of,
-                         ports::running_row const& row)
+                         ports::running_attempt const& row)
 {
-    auto const [run, each] = find_task(row.what.task);
+    auto const [run, each] = find_task(row.attempt_id.task);
     if (each == nullptr)
     {
-        order_stop(now, of.info.id, row.what);
+        order_stop(now, of.info.id, row.attempt_id);
         return;
     }
     if (may_belong_to_earlier_owner(*run, *each))
     {
-        adopt_run(now, of, *run, row.what);
+        adopt_run(now, of, *run, row.attempt_id);
     }
     bool const ours = each->placed() && each->worker == of.info.id &&
-                      each->attempt == row.what.attempt;
+                      each->attempt == row.attempt_id.attempt;
     if (!ours)
     {
         // A start that was given up, carried out late.
-        order_stop(now, of.info.id, row.what);
+        order_stop(now, of.info.id, row.attempt_id);
         return;
     }
     note_progress(now, of, *run, row);
@@ -197,16 +197,16 @@
                          now - each->started > stop_again_after;
     if (overdue)
     {
-        order_stop(now, of.info.id, row.what);
+        order_stop(now, of.info.id, row.attempt_id);
     }
-    stop_if_stuck(now, of, *run, row.what);
+    stop_if_stuck(now, of, *run, row.attempt_id);
 }
 
 // A run that an earlier owner began.
 void owner::adopt_run(common::time_point now,
                       worker& of,
                       job_run& run,
-                      ports::task_run const& what)
+                      ports::pool_attempt const& what)
 {
     auto& each = run.at(what.task);
     each.phase = task_phase::running;
@@ -225,9 +225,9 @@
 void owner::note_progress(common::time_point now,
                           worker& of,
                           job_run& run,
-                          ports::running_row const& row)
+                          ports::running_attempt const& row)
 {
-    auto& each = run.at(row.what.task);
+    auto& each = run.at(row.attempt_id.task);
     if (each.phase == task_phase::starting)
     {
         run.started = true;
@@ -235,26 +235,26 @@
         each.started = now;
         each.progressed_at = now;
     }
-    if (row.percent != each.percent || each.speed_limit < 100)
+    if (row.progress_percent != each.percent || each.speed_limit < 100)
     {
         each.progressed_at = now;
     }
     // A task at full speed shows how fast its worker is.
-    auto const& what = run.step_of(row.what.task);
+    auto const& what = run.step_of(row.attempt_id.task);
     bool const steady = each.speed_limit == 100 &&
                         each.reported_at > each.started &&
-                        row.percent > each.percent;
+                        row.progress_percent > each.percent;
     if (steady && !what.long_running)
     {
         of.speed.observe(now,
-                         row.percent - each.percent,
+                         row.progress_percent - each.percent,
                          what.estimate,
                          now - each.reported_at);
     }
     each.reported_at = now;
     each.start_unanswered = false;
-    each.percent = row.percent;
-    each.level = row.level;
+    each.percent = row.progress_percent;
+    each.level = row.measurement;
     if (!row.checkpoint.empty())
     {
         each.checkpoint = row.checkpoint;
@@ -265,7 +265,7 @@
 void owner::stop_if_stuck(common::time_point now,
                           worker& of,
                           job_run& run,
-                          ports::task_run const& what)
+                          ports::pool_attempt const& what)
 {
     auto& each = run.at(what.task);
     bool const stuck = each.phase == task_phase::running &&
@@ -288,21 +288,21 @@
 
 void owner::take_end(common::time_point now,
                      worker& of,
-                     ports::ended_row const& row)
+                     ports::ended_attempt const& row)
 {
-    auto const& name = row.what.task;
+    auto const& name = row.attempt_id.task;
     auto const [run, each] = find_task(name);
     if (each == nullptr || each->phase == task_phase::done)
     {
         return;
     }
     bool const current = each->placed() && each->worker == of.info.id &&
-                         each->attempt == row.what.attempt;
+                         each->attempt == row.attempt_id.attempt;
     bool const unsure = may_belong_to_earlier_owner(*run, *each);
     // The end of a run that was taken for lost: no other was started since.
     bool const late = each->phase == task_phase::ready &&
                       each->worker == of.info.id &&
-                      each->attempt == row.what.attempt;
+                      each->attempt == row.attempt_id.attempt;
     if (!row.checkpoint.empty() && (current || unsure || late))
     {
         each->checkpoint = row.checkpoint;
@@ -310,32 +310,32 @@
     if (unsure)
     {
         // Another worker may still run a later attempt of it.
-        each->attempt = std::max(each->attempt, row.what.attempt);
+        each->attempt = std::max(each->attempt, row.attempt_id.attempt);
         run->started = true;
     }
-    if (row.how == end_kind::done && (current || unsure || late))
+    if (row.kind == end_kind::done && (current || unsure || late))
     {
         of.failed_jobs.clear();
         task_done(now, *run, name);
         return;
     }
-    if (row.how == end_kind::failed && (current || unsure))
+    if (row.kind == end_kind::failed && (current || unsure))
     {
-        take_failure(now, of, *run, row.what, current);
+        take_failure(now, of, *run, row.attempt_id, current);
         return;
     }
     if (!current)
     {
         return;
     }
-    if (row.how != end_kind::stopped)
+    if (row.kind != end_kind::stopped)
     {
         ++counters_.tasks_lost;
         log_task(severity::warning,
                  "task_ended",
-                 {name, row.what.attempt},
+                 {name, row.attempt_id.attempt},
                  of.info.id,
-                 {{"how", std::string(name_of(row.how))}});
+                 {{"how", std::string(name_of(row.kind))}});
     }
     task_over(now, *run, name);
 }
@@ -345,7 +345,7 @@
 void owner::log_failure(common::time_point now,
                         worker const& of,
                         job_run const& run,
-                        ports::task_run const& what)
+                        ports::pool_attempt const& what)
 {
     digest_.task_failed(now, of.info.id);
     auto const before = failed_before(run, what.task);
@@ -364,7 +364,7 @@
 void owner::take_failure(common::time_point now,
                          worker& of,
                          job_run& run,
-                         ports::task_run const& what,
+                         ports::pool_attempt const& what,
                          bool current)
 {
     auto& each = run.at(what.task);
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -241,7 +241,7 @@
          on.incarnation,
          ports::pace_order{claim_.epoch(), {name, each.attempt}, percent},
          settings_.order_timeout},
-        [this, id = on.info.id, what = ports::task_run{name, each.attempt}](
+        [this, id = on.info.id, what = ports::pool_attempt{name, each.attempt}](
             common::time_point, order_reply const& reply)
         {
             if (reply.status == order_status::stale_fencing_token)
@@ -258,7 +258,7 @@
 // Believed, a task that was to stand still would go on beside one that it slows
 // down. The next look at its worker finds it at another speed than wanted.
 void owner::speed_limit_failed(std::string const& id,
-                               ports::task_run const& what)
+                               ports::pool_attempt const& what)
 {
     auto const [run, each] = find_task(what.task);
     if (each == nullptr || each->worker != id || each->attempt != what.attempt)
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -57,19 +57,19 @@
 // adopts the worker. The task may run again elsewhere by now; its failure still
 // counts.
 void owner::take_inherited_failure(common::time_point now,
-                                   ports::ended_row const& row)
+                                   ports::ended_attempt const& row)
 {
-    auto const& name = row.what.task;
+    auto const& name = row.attempt_id.task;
     auto const [run, each] = find_task(name);
-    if (each == nullptr || row.how != end_kind::failed ||
+    if (each == nullptr || row.kind != end_kind::failed ||
         each->phase == task_phase::done ||
         std::find(each->failures.begin(),
                   each->failures.end(),
-                  row.what.attempt) != each->failures.end())
+                  row.attempt_id.attempt) != each->failures.end())
     {
         return;
     }
-    count_failure(*run, name, row.what.attempt);
+    count_failure(*run, name, row.attempt_id.attempt);
     if (run->phase == job_phase::active &&
         out_of_attempts(*run, name.occurrence, name.step))
     {
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -13,7 +13,7 @@
 
 void owner::log_task(severity level,
                      char const* event,
-                     ports::task_run const& what,
+                     ports::pool_attempt const& what,
                      std::string const& on,
                      std::vector<ports::header> more)
 {
@@ -257,7 +257,7 @@
 // does not show it.
 void owner::order_stop(common::time_point now,
                        std::string const& id,
-                       ports::task_run const& what)
+                       ports::pool_attempt const& what)
 {
     auto* const on = fleet_.find(id);
     if (on == nullptr || !may_act(now))
@@ -302,7 +302,8 @@
 }
 
 // Null where its worker has told its end, or was given up.
-task* owner::find_stopping(std::string const& id, ports::task_run const& what)
+task* owner::find_stopping(std::string const& id,
+                           ports::pool_attempt const& what)
 {
     auto const [run, each] = find_task(what.task);
     bool const stopping = each != nullptr &&
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -26,12 +26,12 @@
     auto operator<=>(task_name const&) const = default;
 };
 
-struct task_run
+struct pool_attempt
 {
     task_name task;
     std::uint32_t attempt = 0;
 
-    auto operator<=>(task_run const&) const = default;
+    auto operator<=>(pool_attempt const&) const = default;
 };
 
 /// What a worker says of itself in the platform's list.
@@ -61,7 +61,7 @@
 struct start_order
 {
     std::uint64_t fencing_token = 0;
-    task_run what;
+    pool_attempt attempt_id;
     std::string spec;
     std::uint64_t until_ms = 0;
     std::string checkpoint; ///< Where to resume; empty: from the start.
@@ -71,14 +71,14 @@
 struct stop_order
 {
     std::uint64_t fencing_token = 0;
-    task_run what;
+    pool_attempt attempt_id;
 };
 
 /// Lets a task work at this share of its speed.
 struct pace_order
 {
     std::uint64_t fencing_token = 0;
-    task_run what;
+    pool_attempt attempt_id;
     std::uint32_t percent = 100;
 };
 
@@ -114,12 +114,13 @@
 /// One run at work. `level` is a rough reading over the last half second: of
 /// a serving task the tail of its latency in milliseconds, of any other the
 /// millicores in use.
-struct running_row
+struct running_attempt
 {
-    task_run what;
+    pool_attempt attempt_id;
     std::string checkpoint;
-    std::uint32_t percent = 0; ///< Of a serving task: 100 once it serves.
-    std::int64_t level = 0;
+    std::uint32_t progress_percent =
+        0; ///< Of a serving task: 100 once it serves.
+    std::int64_t measurement = 0;
 };
 
 enum class end_kind : std::uint8_t
@@ -127,16 +128,16 @@
     done,
     failed,
     stopped,
-    lapsed, ///< Its lease ran out.
-    broken, ///< Another member of its gang ended.
-    alone,  ///< It waited in vain for the rest of its gang.
+    lease_expired,     ///< Its lease ran out.
+    gang_member_ended, ///< Another member of its gang ended.
+    gang_timeout,      ///< It waited in vain for the rest of its gang.
 };
 
-struct ended_row
+struct ended_attempt
 {
-    std::uint64_t number = 0; ///< Rises from 1 within an incarnation.
-    task_run what;
-    end_kind how = end_kind::failed;
+    std::uint64_t sequence = 0; ///< Rises from 1 within an incarnation.
+    pool_attempt attempt_id;
+    end_kind kind = end_kind::failed;
     std::string checkpoint;
 };
 
@@ -146,8 +147,8 @@
     order_status status = order_status::unclear;
     std::uint64_t clock_ms = 0;    ///< The worker's clock; 0: not said.
     std::uint64_t incarnation = 0; ///< Of who answered; 0: not said.
-    std::vector<running_row> running;
-    std::vector<ended_row> ended;
+    std::vector<running_attempt> running;
+    std::vector<ended_attempt> ended;
 };
 
 } // namespace fuchsia::ports
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -204,7 +204,7 @@
     {
         return std::nullopt;
     }
-    ports::task_run const what{
+    ports::pool_attempt const what{
         *name, static_cast<std::uint32_t>(number(*body, "attempt"))};
     if (request.target == "/v1/run-start")
     {
@@ -245,19 +245,19 @@
     json::array running;
     for (auto const& row : reply.running)
     {
-        running.push_back(json::array{platform::encode(row.what.task),
-                                      row.what.attempt,
+        running.push_back(json::array{platform::encode(row.attempt_id.task),
+                                      row.attempt_id.attempt,
                                       row.checkpoint,
-                                      row.percent,
-                                      row.level});
+                                      row.progress_percent,
+                                      row.measurement});
     }
     json::array ended;
     for (auto const& row : reply.ended)
     {
-        ended.push_back(json::array{row.number,
-                                    platform::encode(row.what.task),
-                                    row.what.attempt,
-                                    kinds[static_cast<std::size_t>(row.how)],
+        ended.push_back(json::array{row.sequence,
+                                    platform::encode(row.attempt_id.task),
+                                    row.attempt_id.attempt,
+                                    kinds[static_cast<std::size_t>(row.kind)],
                                     row.checkpoint});
     }
     body["running"] = std::move(running);
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -334,15 +334,15 @@
     if (begun != nullptr && planted_ == planted::early_step)
     {
         auto next = *begun;
-        ++next.what.task.step;
+        ++next.attempt_id.task.step;
         by.apply(now, next);
     }
     if (begun == nullptr && planted_ == planted::ended_twice)
     {
         ports::start_order again;
         again.fencing_token = std::get<ports::hold_order>(order).fencing_token;
-        again.what = by.acknowledged().back().what;
-        ++again.what.attempt;
+        again.attempt_id = by.acknowledged().back().attempt_id;
+        ++again.attempt_id.attempt;
         again.spec = "work=200";
         again.until_ms = by.apply(now, order).clock_ms + again_ms;
         by.apply(now, again);
@@ -367,10 +367,10 @@
         after_done_ += static_cast<std::uint64_t>(
             std::count_if(ends.begin(),
                           ends.end(),
-                          [&task](ports::ended_row const& row)
+                          [&task](ports::ended_attempt const& row)
                           {
-                              return row.what.task == task &&
-                                     row.how == ports::end_kind::done;
+                              return row.attempt_id.task == task &&
+                                     row.kind == ports::end_kind::done;
                           }));
     }
     two_places_ += places > 1 ? 1U : 0U;
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -72,7 +72,7 @@
 }
 
 void worker_state::tell(worker_moment when,
-                        ports::task_run const& what,
+                        ports::pool_attempt const& what,
                         end_kind how) const
 {
     if (observer_)
@@ -134,7 +134,7 @@
         }
         else if (lapsed)
         {
-            over.emplace_back(task, end_kind::lapsed);
+            over.emplace_back(task, end_kind::lease_expired);
         }
     }
     for (auto const& [task, how] : over)
@@ -147,17 +147,17 @@
 order_status worker_state::start(time_point now,
                                  ports::start_order const& order)
 {
-    auto const& task = order.what.task;
+    auto const& task = order.attempt_id.task;
     auto const present = running_.find(task);
     if (present != running_.end() &&
-        present->second.attempt == order.what.attempt)
+        present->second.attempt == order.attempt_id.attempt)
     {
         return order_status::done;
     }
     auto const settled = settled_.find(task);
-    bool const old =
-        present != running_.end() ||
-        (settled != settled_.end() && settled->second >= order.what.attempt);
+    bool const old = present != running_.end() ||
+                     (settled != settled_.end() &&
+                      settled->second >= order.attempt_id.attempt);
     if (old)
     {
         return order_status::superseded;
@@ -167,20 +167,20 @@
         return order_status::lease_expired;
     }
     extend(order.until_ms);
-    running_[task] = {order.what.attempt, now, parse_script(order.spec)};
-    begun_.push_back(order.what);
-    tell(worker_moment::started, order.what);
+    running_[task] = {order.attempt_id.attempt, now, parse_script(order.spec)};
+    begun_.push_back(order.attempt_id);
+    tell(worker_moment::started, order.attempt_id);
     return order_status::done;
 }
 
 void worker_state::stop(ports::stop_order const& order)
 {
-    auto const& task = order.what.task;
+    auto const& task = order.attempt_id.task;
     auto& settled = settled_[task];
-    settled = std::max(settled, order.what.attempt);
+    settled = std::max(settled, order.attempt_id.attempt);
     auto const present = running_.find(task);
     if (present != running_.end() &&
-        present->second.attempt <= order.what.attempt)
+        present->second.attempt <= order.attempt_id.attempt)
     {
         end(task, end_kind::stopped);
     }
@@ -202,18 +202,18 @@
                         ports::hold_order const& order,
                         order_reply& out)
 {
-    auto const known = [&order](ports::ended_row const& row)
+    auto const known = [&order](ports::ended_attempt const& row)
     {
-        return row.number <= order.seen;
+        return row.sequence <= order.seen;
     };
     for (auto const& row : ended_)
     {
         if (known(row))
         {
             acknowledged_.push_back(row);
-            if (row.number > outlived_end_)
+            if (row.sequence > outlived_end_)
             {
-                tell(worker_moment::acknowledged, row.what, row.how);
+                tell(worker_moment::acknowledged, row.attempt_id, row.kind);
             }
         }
     }
@@ -272,12 +272,13 @@
     return running_.size();
 }
 
-std::vector<ports::ended_row> const& worker_state::acknowledged() const noexcept
+std::vector<ports::ended_attempt> const&
+worker_state::acknowledged() const noexcept
 {
     return acknowledged_;
 }
 
-std::vector<ports::task_run> const& worker_state::begun() const noexcept
+std::vector<ports::pool_attempt> const& worker_state::begun() const noexcept
 {
     return begun_;
 }
--- a/standins/pool/worker_state.hpp
+++ b/standins/pool/worker_state.hpp
@@ -43,7 +43,7 @@
 struct worker_event
 {
     worker_moment when = worker_moment::started;
-    ports::task_run what;
+    ports::pool_attempt what;
     ports::end_kind how = ports::end_kind::done;
     std::uint64_t fence = 0;
 };
@@ -69,9 +69,9 @@
     bool runs(ports::task_name const& task) const;
     std::size_t running() const noexcept;
     /// Ends that were acknowledged, in order.
-    std::vector<ports::ended_row> const& acknowledged() const noexcept;
+    std::vector<ports::ended_attempt> const& acknowledged() const noexcept;
     /// Runs that were begun, in order.
-    std::vector<ports::task_run> const& begun() const noexcept;
+    std::vector<ports::pool_attempt> const& begun() const noexcept;
     void drain() noexcept;
 
 private:
@@ -96,7 +96,7 @@
     void extend(std::uint64_t until_ms) noexcept;
 
     void tell(worker_moment when,
-              ports::task_run const& what,
+              ports::pool_attempt const& what,
               ports::end_kind how = ports::end_kind::done) const;
 
     ports::pool_worker info_;
@@ -110,9 +110,9 @@
     std::map<ports::task_name, run> running_;
     std::map<ports::task_name, std::uint32_t>
         settled_; ///< No lower run starts.
-    std::vector<ports::ended_row> ended_;
-    std::vector<ports::ended_row> acknowledged_;
-    std::vector<ports::task_run> begun_;
+    std::vector<ports::ended_attempt> ended_;
+    std::vector<ports::ended_attempt> acknowledged_;
+    std::vector<ports::pool_attempt> begun_;
 };
 
 } // namespace fuchsia::standins::pool
--- a/tests/contract/inputs/order_inputs_test.cpp
+++ b/tests/contract/inputs/order_inputs_test.cpp
@@ -59,13 +59,13 @@
         R"({"running":[["a.0.0.0",1,"",1e300,-1e300],["a.0.0.1",1,"",-5,1e999],)"
         R"(["a.0.0.2",1,"",99.5,7.9],["a.0.0.3",1]],"ended":[]})");
     ASSERT_EQ(made.running.size(), 4U);
-    EXPECT_EQ(made.running[0].percent, 100U);
-    EXPECT_EQ(made.running[0].level, 0);
-    EXPECT_EQ(made.running[1].percent, 0U);
-    EXPECT_LE(made.running[1].level, 1'000'000'000);
-    EXPECT_EQ(made.running[2].percent, 99U);
-    EXPECT_EQ(made.running[2].level, 7);
-    EXPECT_EQ(made.running[3].percent, 0U);
+    EXPECT_EQ(made.running[0].progress_percent, 100U);
+    EXPECT_EQ(made.running[0].measurement, 0);
+    EXPECT_EQ(made.running[1].progress_percent, 0U);
+    EXPECT_LE(made.running[1].measurement, 1'000'000'000);
+    EXPECT_EQ(made.running[2].progress_percent, 99U);
+    EXPECT_EQ(made.running[2].measurement, 7);
+    EXPECT_EQ(made.running[3].progress_percent, 0U);
 }
 
 // A worker whose list did not come whole was taken for one that runs nothing,
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -66,7 +66,7 @@
     return value.count() >= 0 && value <= longest;
 }
 
-bool sound(ports::task_run const& value)
+bool sound(ports::pool_attempt const& value)
 {
     return value.attempt >= 1 && value.attempt <= largest_attempt &&
            platform::decode_task_name(platform::encode(value.task)) ==
@@ -217,15 +217,15 @@
     std::string fault;
     for (auto const& row : made.running)
     {
-        fault +=
-            if_not(sound(row.what), "a run out of bounds") +
-            if_not(row.percent <= 100, "over 100 percent") +
-            if_not(within(row.level, 0, largest_size), "a level out of bounds");
+        fault += if_not(sound(row.attempt_id), "a run out of bounds") +
+                 if_not(row.progress_percent <= 100, "over 100 percent") +
+                 if_not(within(row.measurement, 0, largest_size),
+                        "a level out of bounds");
     }
     for (auto const& row : made.ended)
     {
-        fault += if_not(sound(row.what), "an end out of bounds") +
-                 if_not(row.number >= 1 && row.number <= largest_integer,
+        fault += if_not(sound(row.attempt_id), "an end out of bounds") +
+                 if_not(row.sequence >= 1 && row.sequence <= largest_integer,
                         "the number of an end is out of bounds");
     }
     return fault +
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -170,10 +170,10 @@
         R"("ended":[[58,"a.0.1.9",1,"done",""],[59,"?",1,"done",""]]})",
         reason);
     ASSERT_EQ(held.running.size(), 1U);
-    EXPECT_EQ(held.running.front().level, 77);
-    EXPECT_EQ(held.running.front().percent, 41U);
+    EXPECT_EQ(held.running.front().measurement, 77);
+    EXPECT_EQ(held.running.front().progress_percent, 41U);
     ASSERT_EQ(held.ended.size(), 1U);
-    EXPECT_EQ(held.ended.front().how, ports::end_kind::done);
+    EXPECT_EQ(held.ended.front().kind, ports::end_kind::done);
     // The row that can't be read is told, not swallowed.
     EXPECT_EQ(reason.code, result_code::wrong_type);
 }
--- a/tests/unit/pool/odd_inputs_test.cpp
+++ b/tests/unit/pool/odd_inputs_test.cpp
@@ -189,8 +189,8 @@
             if (one_in(4) && !reply.ended.empty())
             {
                 auto row = reply.ended.back();
-                row.what = {{"job0", 0, 9, 9}, 3};
-                row.how = ports::end_kind::failed;
+                row.attempt_id = {{"job0", 0, 9, 9}, 3};
+                row.kind = ports::end_kind::failed;
                 reply.ended.push_back(row);
             }
             reply.incarnation = one_in(8) ? 0 : reply.incarnation;
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -805,7 +805,7 @@
                     });
 }
 
-void pool_world::check_start(std::size_t where, ports::task_run const& what)
+void pool_world::check_start(std::size_t where, ports::pool_attempt const& what)
 {
     if (!violation_.empty())
     {
@@ -837,13 +837,13 @@
     {
         for (auto const& row : each->acknowledged())
         {
-            if (row.how == ports::end_kind::done)
+            if (row.kind == ports::end_kind::done)
             {
-                done_.insert(row.what.task);
+                done_.insert(row.attempt_id.task);
             }
-            else if (row.how == ports::end_kind::failed)
+            else if (row.kind == ports::end_kind::failed)
             {
-                ++failed_[row.what.task];
+                ++failed_[row.attempt_id.task];
             }
         }
     }
--- a/tests/unit/pool/pool_world.hpp
+++ b/tests/unit/pool/pool_world.hpp
@@ -156,7 +156,7 @@
     void hand_back(std::size_t number, ports::kv_reply reply);
     void hand_back(std::size_t number, ports::order_reply reply);
     void tick_all();
-    void check_start(std::size_t where, ports::task_run const& what);
+    void check_start(std::size_t where, ports::pool_attempt const& what);
     void check_ends();
     std::uint64_t ask(std::size_t instance, core::pool::pool_request request);
 
--- a/tests/unit/pool/takeover_test.cpp
+++ b/tests/unit/pool/takeover_test.cpp
@@ -346,7 +346,7 @@
                              ports::pool_operation const& call)
     {
         auto const* const start = std::get_if<ports::start_order>(&call);
-        if (start != nullptr && start->what.task.job == "a" && !restarted)
+        if (start != nullptr && start->attempt_id.task.job == "a" && !restarted)
         {
             return fate::refused;
         }
--- a/tests/unit/soak/checker_test.cpp
+++ b/tests/unit/soak/checker_test.cpp
@@ -281,7 +281,8 @@
 {
     story seen;
     seen.submit("a", single()).start(task("a")).see(worker_crashed{"w1"});
-    seen.start(task("a"), 2, "w2").end(task("a"), end_kind::lapsed, 2, "w2");
+    seen.start(task("a"), 2, "w2")
+        .end(task("a"), end_kind::lease_expired, 2, "w2");
     seen.start(task("a"), 3, "w1");
     EXPECT_EQ(seen.broken(), none);
 }
@@ -749,7 +750,7 @@
     story seen;
     seen.submit("a", single(2)).start(task("a"));
     seen.end(task("a"), end_kind::failed);
-    seen.start(task("a"), 2).end(task("a"), end_kind::lapsed, 2);
+    seen.start(task("a"), 2).end(task("a"), end_kind::lease_expired, 2);
     EXPECT_EQ(seen.status("a", job_state::failed).broken(), only(rule::state));
 }
 
--- a/tests/unit/soak/model.cpp
+++ b/tests/unit/soak/model.cpp
@@ -104,7 +104,7 @@
         }
         return started ? job_state::active : job_state::queued;
     }
-    ports::task_run run(task_model const& task) const
+    ports::pool_attempt run(task_model const& task) const
     {
         return {{name, 0, task.step, task.index}, task.attempt};
     }
@@ -452,7 +452,7 @@
         task.ends = now_ + 100ms + up_to(2s);
         std::uint64_t const chance = below(20);
         task.how = chance < 3    ? end_kind::failed
-                   : chance == 3 ? end_kind::lapsed
+                   : chance == 3 ? end_kind::lease_expired
                                  : end_kind::done;
         job.started = true;
         ++result_.starts;
@@ -658,7 +658,7 @@
     bool invent(job_model const& job, task_model const& task)
     {
         worker_model const& worker = any(workers_);
-        ports::task_run run = job.run(task);
+        ports::pool_attempt run = job.run(task);
         run.attempt = invented_attempt;
         if (!worker.up)
         {
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -442,7 +442,7 @@
 
 void bench_pool_world::note(ports::pool_order const& order)
 {
-    auto const add = [&](char const* kind, ports::task_run const& what)
+    auto const add = [&](char const* kind, ports::pool_attempt const& what)
     {
         orders_.add(kind + order.worker + ' ' + what.task.job + ' ' +
                     std::to_string(what.task.step) + ' ' +
@@ -452,17 +452,17 @@
     if (auto const* const start =
             std::get_if<ports::start_order>(&order.operation))
     {
-        add("start ", start->what);
+        add("start ", start->attempt_id);
     }
     else if (auto const* const stop =
                  std::get_if<ports::stop_order>(&order.operation))
     {
-        add("stop ", stop->what);
+        add("stop ", stop->attempt_id);
     }
     else if (auto const* const pace =
                  std::get_if<ports::pace_order>(&order.operation))
     {
-        add("pace ", pace->what);
+        add("pace ", pace->attempt_id);
     }
 }
 
--- a/tools/soak/observation.hpp
+++ b/tools/soak/observation.hpp
@@ -83,14 +83,14 @@
 {
     std::string worker;
     std::string data_centre;
-    ports::task_run what;
+    ports::pool_attempt what;
     std::uint64_t fence = 0;
 };
 
 struct run_ended
 {
     std::string worker;
-    ports::task_run what;
+    ports::pool_attempt what;
     ports::end_kind how = ports::end_kind::done;
 };
 
@@ -99,7 +99,7 @@
 struct end_acknowledged
 {
     std::string worker;
-    ports::task_run what;
+    ports::pool_attempt what;
     ports::end_kind how = ports::end_kind::done;
 };
 
--- a/tools/soak/record.cpp
+++ b/tools/soak/record.cpp
@@ -35,7 +35,7 @@
     return names[static_cast<std::size_t>(how)];
 }
 
-std::string word(ports::task_run const& what)
+std::string word(ports::pool_attempt const& what)
 {
     return platform::encode(what.task) + " #" + std::to_string(what.attempt);
 }
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -256,7 +256,7 @@
 {
     draining_.erase(crash.worker);
     lose_ends(seen, crash.worker);
-    auto entry = running_.lower_bound({crash.worker, ports::task_run{}});
+    auto entry = running_.lower_bound({crash.worker, ports::pool_attempt{}});
     while (entry != running_.end() && entry->first.first == crash.worker)
     {
         ports::task_name const& task = entry->first.second.task;
--- a/tools/soak/runs_check.hpp
+++ b/tools/soak/runs_check.hpp
@@ -41,7 +41,7 @@
     std::map<std::string, core::common::time_point> draining_;
     std::map<std::string, core::common::time_point> out_;
     /// What runs, by worker and run: the place in the task's book.
-    std::map<std::pair<std::string, ports::task_run>, std::size_t> running_;
+    std::map<std::pair<std::string, ports::pool_attempt>, std::size_t> running_;
 };
 
 } // namespace fuchsia::tools::soak
