--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -239,7 +239,8 @@
          on.info.id,
          on.info.where,
          on.incarnation,
-         ports::pace_order{claim_.epoch(), {name, each.attempt}, percent},
+         ports::speed_limit_order{
+             claim_.epoch(), {name, each.attempt}, percent},
          settings_.order_timeout},
         [this, id = on.info.id, what = ports::pool_attempt{name, each.attempt}](
             common::time_point, order_reply const& reply)
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -75,7 +75,7 @@
 };
 
 /// Lets a task work at this share of its speed.
-struct pace_order
+struct speed_limit_order
 {
     std::uint64_t fencing_token = 0;
     pool_attempt attempt_id;
@@ -83,7 +83,7 @@
 };
 
 using pool_operation =
-    std::variant<hold_order, start_order, stop_order, pace_order>;
+    std::variant<hold_order, start_order, stop_order, speed_limit_order>;
 
 struct pool_order
 {
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -221,7 +221,7 @@
     }
     if (request.target == "/v1/pace")
     {
-        return ports::pace_order{
+        return ports::speed_limit_order{
             fence, what, static_cast<std::uint32_t>(number(*body, "percent"))};
     }
     return std::nullopt;
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -137,7 +137,8 @@
     world.worker_fault =
         [&orders](std::size_t, std::size_t, ports::pool_operation const& call)
     {
-        bool const paces = std::holds_alternative<ports::pace_order>(call);
+        bool const paces =
+            std::holds_alternative<ports::speed_limit_order>(call);
         orders += paces ? 1U : 0U;
         return paces ? fate::refused : fate::carried_out;
     };
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -460,7 +460,7 @@
         add("stop ", stop->attempt_id);
     }
     else if (auto const* const pace =
-                 std::get_if<ports::pace_order>(&order.operation))
+                 std::get_if<ports::speed_limit_order>(&order.operation))
     {
         add("pace ", pace->attempt_id);
     }
