--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -244,7 +244,7 @@
     order.fencing_token = claim_.epoch();
     order.attempt_id = {name, each.attempt};
     order.spec = run.spec.spec;
-    order.until_ms = fleet_.lease_end(on, now);
+    order.lease_until_ms = fleet_.lease_end(on, now);
     order.checkpoint = each.checkpoint;
     auto const& tickets =
         run.occurrences[name.occurrence].steps[name.step].tickets;
@@ -252,7 +252,7 @@
     {
         order.ticket = found->second.text;
     }
-    on.lease_until_ms = std::max(on.lease_until_ms, order.until_ms);
+    on.lease_until_ms = std::max(on.lease_until_ms, order.lease_until_ms);
     // A worker that was idle is asked seldom; from now on it is watched.
     on.next_hold = std::min(on.next_hold, now + settings_.full_pause);
     out_.order(life_,
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -42,19 +42,19 @@
 
 void owner::hold(common::time_point now, worker& of)
 {
-    ports::hold_order order;
+    ports::poll_order order;
     order.fencing_token = claim_.epoch();
-    order.seen = of.durable_end;
+    order.acknowledged_end = of.durable_end;
     bool const busy = !of.runs.empty();
     if (of.adopted)
     {
         bool const answers =
             now - of.last_contact < settings_.workers.renew_within;
-        order.until_ms = busy && answers ? fleet_.lease_end(of, now) : 0;
-        of.lease_until_ms = std::max(of.lease_until_ms, order.until_ms);
+        order.lease_until_ms = busy && answers ? fleet_.lease_end(of, now) : 0;
+        of.lease_until_ms = std::max(of.lease_until_ms, order.lease_until_ms);
     }
     bool const unwritten = of.highest_end > of.durable_end;
-    if (order.until_ms > 0 && !unwritten)
+    if (order.lease_until_ms > 0 && !unwritten)
     {
         bool const guarded = of.serves() && of.best_effort_cores > 0;
         order.wait = guarded ? settings_.guarded_poll_wait
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -50,11 +50,13 @@
 };
 
 /// Asks what runs and what ended, and renews the lease of all that runs.
-struct hold_order
+struct poll_order
 {
     std::uint64_t fencing_token = 0;
-    std::uint64_t seen = 0;        ///< Ends up to here are durable elsewhere.
-    std::uint64_t until_ms = 0;    ///< On the worker's clock; 0: renew nothing.
+    std::uint64_t acknowledged_end =
+        0; ///< Ends up to here are durable elsewhere.
+    std::uint64_t lease_until_ms =
+        0;                         ///< On the worker's clock; 0: renew nothing.
     core::common::duration wait{}; ///< For an end, before it answers.
 };
 
@@ -63,7 +65,7 @@
     std::uint64_t fencing_token = 0;
     pool_attempt attempt_id;
     std::string spec;
-    std::uint64_t until_ms = 0;
+    std::uint64_t lease_until_ms = 0;
     std::string checkpoint; ///< Where to resume; empty: from the start.
     std::string ticket;     ///< Of a policy; empty where none applies.
 };
@@ -83,7 +85,7 @@
 };
 
 using pool_operation =
-    std::variant<hold_order, start_order, stop_order, speed_limit_order>;
+    std::variant<poll_order, start_order, stop_order, speed_limit_order>;
 
 struct pool_order
 {
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -193,7 +193,7 @@
     auto const fence = number(*body, "fenceToken");
     if (request.target == "/v1/hold")
     {
-        return ports::hold_order{
+        return ports::poll_order{
             fence,
             number(*body, "lastSeen"),
             number(*body, "untilMs"),
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -340,11 +340,11 @@
     if (begun == nullptr && planted_ == planted::ended_twice)
     {
         ports::start_order again;
-        again.fencing_token = std::get<ports::hold_order>(order).fencing_token;
+        again.fencing_token = std::get<ports::poll_order>(order).fencing_token;
         again.attempt_id = by.acknowledged().back().attempt_id;
         ++again.attempt_id.attempt;
         again.spec = "work=200";
-        again.until_ms = by.apply(now, order).clock_ms + again_ms;
+        again.lease_until_ms = by.apply(now, order).clock_ms + again_ms;
         by.apply(now, again);
     }
 }
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -101,9 +101,9 @@
     }
     fence_ = fence_of(order);
     made.status = order_status::done;
-    if (auto const* const hold = std::get_if<ports::hold_order>(&order))
+    if (auto const* const hold = std::get_if<ports::poll_order>(&order))
     {
-        extend(hold->until_ms);
+        extend(hold->lease_until_ms);
         list(now, *hold, made);
     }
     else if (auto const* const begin = std::get_if<ports::start_order>(&order))
@@ -162,11 +162,11 @@
     {
         return order_status::superseded;
     }
-    if (order.until_ms <= clock_ms(now))
+    if (order.lease_until_ms <= clock_ms(now))
     {
         return order_status::lease_expired;
     }
-    extend(order.until_ms);
+    extend(order.lease_until_ms);
     running_[task] = {order.attempt_id.attempt, now, parse_script(order.spec)};
     begun_.push_back(order.attempt_id);
     tell(worker_moment::started, order.attempt_id);
@@ -199,12 +199,12 @@
 }
 
 void worker_state::list(time_point now,
-                        ports::hold_order const& order,
+                        ports::poll_order const& order,
                         order_reply& out)
 {
     auto const known = [&order](ports::ended_attempt const& row)
     {
-        return row.sequence <= order.seen;
+        return row.sequence <= order.acknowledged_end;
     };
     for (auto const& row : ended_)
     {
--- a/standins/pool/worker_state.hpp
+++ b/standins/pool/worker_state.hpp
@@ -90,7 +90,7 @@
                                     core::common::time_point now);
     std::int64_t level_of(run const& of) const;
     void list(core::common::time_point now,
-              ports::hold_order const& order,
+              ports::poll_order const& order,
               ports::order_reply& out);
     void end(ports::task_name const& task, ports::end_kind how);
     void extend(std::uint64_t until_ms) noexcept;
--- a/tests/contract/inputs/order_inputs_test.cpp
+++ b/tests/contract/inputs/order_inputs_test.cpp
@@ -15,7 +15,7 @@
 ports::order_reply told_by_hold(std::string const& body)
 {
     failure reason;
-    return platform::decode_order_reply(ports::hold_order{}, 200, body, reason);
+    return platform::decode_order_reply(ports::poll_order{}, 200, body, reason);
 }
 
 } // namespace
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -208,7 +208,7 @@
 {
     failure reason;
     auto const made =
-        platform::decode_order_reply(ports::hold_order{}, 200, input, reason);
+        platform::decode_order_reply(ports::poll_order{}, 200, input, reason);
     if (made.status != ports::order_status::done)
     {
         return told(reason) + if_not(made.running.empty() && made.ended.empty(),
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -164,7 +164,7 @@
     }
     failure reason;
     auto const held = platform::decode_order_reply(
-        ports::hold_order{},
+        ports::poll_order{},
         200,
         R"({"clockMs":482113,"born":9,"running":[["a.0.1.17",2,"c",41,77]],)"
         R"("ended":[[58,"a.0.1.9",1,"done",""],[59,"?",1,"done",""]]})",
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -86,7 +86,7 @@
         auto const seen = world.scheduler(owner).workers(world.now());
         bool const hit = worker == unheard &&
                          seen[unheard].lease_left > duration{} &&
-                         std::holds_alternative<ports::hold_order>(call);
+                         std::holds_alternative<ports::poll_order>(call);
         return hit ? fate::answer_lost : fate::carried_out;
     };
     EXPECT_TRUE(world.run_until(
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -766,7 +766,7 @@
     }
     reply.id = order.id;
     // A hold waits for an end; the stand-in answers after a tenth of that.
-    auto const* const hold = std::get_if<ports::hold_order>(&order.operation);
+    auto const* const hold = std::get_if<ports::poll_order>(&order.operation);
     auto const wait = hold != nullptr ? hold->wait / 10 : duration{};
     timeline_.after(wait + worker_delay,
                     [this, number, life, reply]
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -371,7 +371,7 @@
 void bench_pool_world::apply_order(ports::pool_order const& order)
 {
     auto& at = workers_.at(order.worker);
-    if (std::holds_alternative<ports::hold_order>(order.operation))
+    if (std::holds_alternative<ports::poll_order>(order.operation))
     {
         hold(at, order);
         return;
@@ -397,7 +397,7 @@
 
 void bench_pool_world::hold(pool_worker& at, ports::pool_order const& order)
 {
-    auto const& wanted = std::get<ports::hold_order>(order.operation);
+    auto const& wanted = std::get<ports::poll_order>(order.operation);
     auto reply = at.state->apply(world_.now(), wanted);
     if (!reply.ended.empty() || wanted.wait <= duration{})
     {
--- a/tools/load/bench_pool_world.hpp
+++ b/tools/load/bench_pool_world.hpp
@@ -36,7 +36,7 @@
     struct parked_hold
     {
         std::uint64_t call = 0; ///< 0: none.
-        ports::hold_order order;
+        ports::poll_order order;
     };
     struct pool_worker
     {
