--- a/src/adapters/platform/worker_client.cpp
+++ b/src/adapters/platform/worker_client.cpp
@@ -99,7 +99,7 @@
 ports::attempt_report read_attempt_report(json_reader& reader)
 {
     ports::attempt_report result;
-    result.what = read_attempt(reader);
+    result.attempt_id = read_attempt(reader);
     auto const state = attempt_state_from(reader.text("state"));
     if (!state)
     {
@@ -157,7 +157,7 @@
 {
     call_body operator()(ports::worker_start const& start) const
     {
-        auto body = attempt_json(start.what);
+        auto body = attempt_json(start.attempt_id);
         body["millicores"] = start.declared.millicores;
         body["memory_mb"] = start.declared.memory_mb;
         body["accelerators"] = start.declared.accelerators;
@@ -172,7 +172,7 @@
     call_body operator()(ports::worker_renew const& renew) const
     {
         json::array attempts;
-        for (auto const& what : renew.what)
+        for (auto const& what : renew.attempts)
         {
             attempts.push_back(attempt_json(what));
         }
@@ -182,17 +182,17 @@
     }
     call_body operator()(ports::worker_throttle const& throttle) const
     {
-        auto body = attempt_json(throttle.what);
+        auto body = attempt_json(throttle.attempt_id);
         body["permille"] = throttle.permille;
         return {"throttle", std::move(body)};
     }
     call_body operator()(ports::worker_checkpoint const& checkpoint) const
     {
-        return {"checkpoint", attempt_json(checkpoint.what)};
+        return {"checkpoint", attempt_json(checkpoint.attempt_id)};
     }
     call_body operator()(ports::worker_stop const& stop) const
     {
-        return {"stop", attempt_json(stop.what)};
+        return {"stop", attempt_json(stop.attempt_id)};
     }
 };
 
@@ -224,8 +224,9 @@
     reply.why = reader.text_or("why", "");
     if (auto const* const gone = reader.array("gone"))
     {
-        reply.gone = read_all<ports::task_attempt>(*gone, read_attempt)
-                         .value_or(std::vector<ports::task_attempt>());
+        reply.unknown_attempts =
+            read_all<ports::task_attempt>(*gone, read_attempt)
+                .value_or(std::vector<ports::task_attempt>());
     }
     return reply;
 }
--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -205,7 +205,7 @@
                static_cast<std::uint64_t>(common::to_milliseconds(length));
     };
     ports::worker_start start;
-    start.what = attempt_of(key, run);
+    start.attempt_id = attempt_of(key, run);
     start.declared = part.what.declared;
     start.task_class = part.what.task_class;
     start.service = part.what.kind == job_kind::service;
@@ -311,7 +311,7 @@
             {
                 continue; // Never shorten a lease.
             }
-            call.what.push_back(attempt_of(key, run));
+            call.attempts.push_back(attempt_of(key, run));
             if (longer)
             {
                 run.lease_until_ms =
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -162,7 +162,7 @@
         return;
     }
     found->second.acknowledged = true;
-    for (auto const& gone : reply.gone)
+    for (auto const& gone : reply.unknown_attempts)
     {
         auto const key = parse_task_name(gone.task);
         auto const run = key ? runs_.find(*key) : runs_.end();
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -48,29 +48,31 @@
                                     ports::worker_report const& report,
                                     ports::attempt_report const& said)
 {
-    auto const key = parse_task_name(said.what.task);
+    auto const key = parse_task_name(said.attempt_id.task);
     if (!key)
     {
         return;
     }
     auto const found = runs_.find(*key);
     bool const running = said.state == ports::attempt_state::running;
-    if (found == runs_.end() || found->second.attempt != said.what.attempt ||
+    if (found == runs_.end() ||
+        found->second.attempt != said.attempt_id.attempt ||
         found->second.worker != report.worker)
     {
         auto const* task = log_.state().find(*key);
         // Over by the log, and running by a report: an attempt whose lease
         // counted as run out on a worker that could not be reached.
-        bool const over = task == nullptr || said.what.attempt <= task->attempt;
+        bool const over =
+            task == nullptr || said.attempt_id.attempt <= task->attempt;
         if (running && over && with.may_act)
         {
             with.worker_traffic.send({worker_call_kind::stray_stop,
                                       cell_,
                                       report.worker,
                                       *key,
-                                      said.what.attempt,
+                                      said.attempt_id.attempt,
                                       0},
-                                     ports::worker_stop{said.what},
+                                     ports::worker_stop{said.attempt_id},
                                      with.out);
         }
         return;
@@ -126,7 +128,7 @@
                         report.attempts.end(),
                         [&what](ports::attempt_report const& said)
                         {
-                            return said.what == what;
+                            return said.attempt_id == what;
                         });
         if (!listed)
         {
--- a/src/ports/workers.hpp
+++ b/src/ports/workers.hpp
@@ -62,7 +62,7 @@
 /// comes in after `start_before_ms` is refused for the same reason.
 struct worker_start
 {
-    task_attempt what;
+    task_attempt attempt_id;
     resources declared;
     std::string task_class; ///< Name of its interference class.
     bool service = false; ///< Runs until stopped; else until its work is done.
@@ -76,27 +76,27 @@
 /// back as `gone`.
 struct worker_renew
 {
-    std::vector<task_attempt> what;
+    std::vector<task_attempt> attempts;
     std::uint64_t lease_until_ms = 0; ///< On the worker's clock.
 };
 
 /// Sets the share of its declared cores an attempt may use, 1 to 1000.
 struct worker_throttle
 {
-    task_attempt what;
+    task_attempt attempt_id;
     std::uint32_t permille = 1000;
 };
 
 /// Asks for a checkpoint; the reply names it.
 struct worker_checkpoint
 {
-    task_attempt what;
+    task_attempt attempt_id;
 };
 
 /// Ends an attempt; done when the worker says that it does not run.
 struct worker_stop
 {
-    task_attempt what;
+    task_attempt attempt_id;
 };
 
 using worker_operation = std::variant<worker_start,
@@ -124,9 +124,9 @@
 {
     std::uint64_t id = 0;
     worker_status status = worker_status::unclear;
-    std::string checkpoint;         ///< Of `worker_checkpoint`.
-    std::vector<task_attempt> gone; ///< Of `worker_renew`.
-    std::string why;                ///< Of a refusal.
+    std::string checkpoint;                     ///< Of `worker_checkpoint`.
+    std::vector<task_attempt> unknown_attempts; ///< Of `worker_renew`.
+    std::string why;                            ///< Of a refusal.
 };
 
 enum class attempt_state : std::uint8_t
@@ -141,7 +141,7 @@
 /// What a worker said of one attempt, some seconds ago.
 struct attempt_report
 {
-    task_attempt what;
+    task_attempt attempt_id;
     attempt_state state = attempt_state::running;
     resources used;
     /// Services: the 99th percentile of its latency, in microseconds.
--- a/standins/workers/worker_calls.cpp
+++ b/standins/workers/worker_calls.cpp
@@ -44,7 +44,7 @@
 ports::worker_start read_start(json_reader& reader)
 {
     ports::worker_start start;
-    start.what = read_attempt(reader);
+    start.attempt_id = read_attempt(reader);
     start.declared.millicores = reader.integer("millicores", 0, largest);
     start.declared.memory_mb = reader.integer("memory_mb", 0, largest);
     start.declared.accelerators = reader.integer("accelerators", 0, largest);
@@ -79,7 +79,7 @@
             return renew;
         }
         json_reader one(each.as_object(), "attempt");
-        renew.what.push_back(read_attempt(one));
+        renew.attempts.push_back(read_attempt(one));
         if (!one.ok())
         {
             reader.fail(one.reason().code, "attempts", one.reason().why);
@@ -168,7 +168,7 @@
     json::array attempts;
     for (auto const& each : report.attempts)
     {
-        auto object = attempt_json(each.what);
+        auto object = attempt_json(each.attempt_id);
         object["state"] = name_of(each.state);
         object["millicores"] = each.used.millicores;
         object["memory_mb"] = each.used.memory_mb;
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -137,7 +137,7 @@
 {
     advance(worker, now);
     auto& at = workers_[worker];
-    if (at.attempts.contains(call.what))
+    if (at.attempts.contains(call.attempt_id))
     {
         return {};
     }
@@ -147,11 +147,11 @@
         ++books_.refused;
         return {false, *refused, {}, {}};
     }
-    settle(now, call.what.task);
+    settle(now, call.attempt_id.task);
     note_violations(now, at, call);
     ++books_.starts;
     ++books_.running;
-    running_[call.what.task].push_back({worker, call.what});
+    running_[call.attempt_id.task].push_back({worker, call.attempt_id});
     attempt_record attempt;
     attempt.call = call;
     attempt.lease_until_ms = call.lease_until_ms;
@@ -164,7 +164,7 @@
     attempt.why = at.fail_starts ? "the worker fails every start"
                   : is_broken    ? "the task's program fails"
                                  : "";
-    at.attempts.emplace(call.what, std::move(attempt));
+    at.attempts.emplace(call.attempt_id, std::move(attempt));
     measure(at, now);
     return {};
 }
@@ -174,7 +174,7 @@
                         std::uint64_t clock,
                         ports::worker_start const& call) const
 {
-    if (worker.barred.contains(call.what))
+    if (worker.barred.contains(call.attempt_id))
     {
         return "the attempt was stopped before it came";
     }
@@ -201,7 +201,7 @@
                                   worker_record const& worker,
                                   ports::worker_start const& call)
 {
-    auto const elsewhere = running_.find(call.what.task);
+    auto const elsewhere = running_.find(call.attempt_id.task);
     if (elsewhere != running_.end() && !elsewhere->second.empty())
     {
         ++books_.two_places;
@@ -237,12 +237,12 @@
     }
     auto& kept = found->second;
     ++books_.resumed;
-    bool const again = kept.resumed_by && *kept.resumed_by != call.what;
+    bool const again = kept.resumed_by && *kept.resumed_by != call.attempt_id;
     if (again && (kept.resumer_finished || is_running(*kept.resumed_by)))
     {
         ++books_.resumed_twice;
     }
-    kept.resumed_by = call.what;
+    kept.resumed_by = call.attempt_id;
     return kept.work_done_ms;
 }
 
@@ -288,7 +288,7 @@
                                ports::worker_renew const& call)
 {
     call_result result;
-    for (auto const& what : call.what)
+    for (auto const& what : call.attempts)
     {
         auto* attempt = running_attempt(now, worker, what);
         if (attempt == nullptr)
@@ -306,7 +306,7 @@
                                   std::size_t worker,
                                   ports::worker_throttle const& call)
 {
-    auto* attempt = running_attempt(now, worker, call.what);
+    auto* attempt = running_attempt(now, worker, call.attempt_id);
     if (attempt == nullptr)
     {
         return {false, "it does not run here", {}, {}};
@@ -320,13 +320,14 @@
                                     std::size_t worker,
                                     ports::worker_checkpoint const& call)
 {
-    auto* attempt = running_attempt(now, worker, call.what);
+    auto* attempt = running_attempt(now, worker, call.attempt_id);
     if (attempt == nullptr)
     {
         return {false, "it does not run here", {}, {}};
     }
     auto id = "checkpoint-" + std::to_string(++checkpoint_number_);
-    checkpoints_[id] = {call.what, attempt->work_done_ms, std::nullopt, false};
+    checkpoints_[id] = {
+        call.attempt_id, attempt->work_done_ms, std::nullopt, false};
     checkpoint_order_.push_back(id);
     if (checkpoint_order_.size() > settings_.checkpoints)
     {
@@ -341,16 +342,16 @@
                               std::size_t worker,
                               ports::worker_stop const& call)
 {
-    auto* attempt = running_attempt(now, worker, call.what);
+    auto* attempt = running_attempt(now, worker, call.attempt_id);
     auto& at = workers_[worker];
     if (attempt != nullptr)
     {
         end_attempt(*attempt, attempt_state::stopped, now, {});
         measure(at, now);
     }
-    else if (!at.attempts.contains(call.what))
+    else if (!at.attempts.contains(call.attempt_id))
     {
-        bar(at, call.what);
+        bar(at, call.attempt_id);
     }
     return {};
 }
--- a/standins/workers/worker_progress.cpp
+++ b/standins/workers/worker_progress.cpp
@@ -148,7 +148,7 @@
     attempt.ended = now;
     attempt.why = std::move(why);
     attempt.used = {};
-    forget_running(attempt.call.what);
+    forget_running(attempt.call.attempt_id);
     count_end(attempt);
 }
 
@@ -161,7 +161,7 @@
     books_.expired += attempt.state == attempt_state::lease_expired ? 1 : 0;
     auto const resumed = checkpoints_.find(attempt.call.checkpoint);
     if (resumed != checkpoints_.end() &&
-        resumed->second.resumed_by == attempt.call.what)
+        resumed->second.resumed_by == attempt.call.attempt_id)
     {
         resumed->second.resumer_finished =
             attempt.state == attempt_state::finished;
--- a/tests/contract/standins/worker_pool_test.cpp
+++ b/tests/contract/standins/worker_pool_test.cpp
@@ -36,7 +36,7 @@
                              core::common::time_point now = start)
     {
         ports::worker_start what;
-        what.what = {std::move(task), attempt};
+        what.attempt_id = {std::move(task), attempt};
         what.declared = {1'000, 1'000, 0};
         what.task_class = "valuation";
         what.work_ms = 10'000;
@@ -53,7 +53,7 @@
         {
             for (auto const& each : report.attempts)
             {
-                if (each.what == ports::task_attempt{task, attempt})
+                if (each.attempt_id == ports::task_attempt{task, attempt})
                 {
                     return each.state;
                 }
@@ -107,7 +107,7 @@
         {"its stop came first",
          [](worker_pool& workers, ports::worker_start& start_call)
          {
-             workers.stop(start, 0, {start_call.what});
+             workers.stop(start, 0, {start_call.attempt_id});
          }},
         {"its checkpoint is unknown",
          [](worker_pool&, ports::worker_start& start_call)
--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -133,12 +133,12 @@
 {
     ports::worker_reply reply;
     reply.status = worker_status::done;
-    if (at.attempts.count(call.what) != 0)
+    if (at.attempts.count(call.attempt_id) != 0)
     {
         return reply;
     }
     auto const clock = clock_ms(at);
-    if (at.barred.count(call.what) != 0 || clock > call.start_before_ms ||
+    if (at.barred.count(call.attempt_id) != 0 || clock > call.start_before_ms ||
         clock >= call.lease_until_ms)
     {
         reply.status = worker_status::refused;
@@ -153,9 +153,9 @@
     {
         advance(other);
     }
-    if (!places_of(call.what.task).empty())
+    if (!places_of(call.attempt_id.task).empty())
     {
-        note(call.what.task + " runs in two places");
+        note(call.attempt_id.task + " runs in two places");
     }
     ports::resources use = call.declared;
     for (auto const& [what, which] : at.attempts)
@@ -172,7 +172,7 @@
     auto const out = out_since.find(at.info.data_centre);
     if (out != out_since.end() && time_.now() - out->second > grace)
     {
-        note(call.what.task + " started in a data centre that is out");
+        note(call.attempt_id.task + " started in a data centre that is out");
     }
     attempt next;
     next.call = call;
@@ -183,18 +183,18 @@
     {
         ++resumed;
         auto& point = kept->second;
-        if (point.resumer && *point.resumer != call.what &&
+        if (point.resumer && *point.resumer != call.attempt_id &&
             point.resumer_finished)
         {
-            note(call.what.task + " resumed twice from one checkpoint");
+            note(call.attempt_id.task + " resumed twice from one checkpoint");
         }
-        point.resumer = call.what;
+        point.resumer = call.attempt_id;
         point.resumer_finished = false;
         point.resumer_worker = at.info.id;
         next.base_work_ms = point.work_ms;
     }
     ++starts;
-    auto& stored = at.attempts[call.what] = next;
+    auto& stored = at.attempts[call.attempt_id] = next;
     if (at.faults.fail_starts || broken_classes.count(call.task_class) != 0)
     {
         end(at, stored, attempt_state::failed);
@@ -222,7 +222,7 @@
     }
     if (auto const* call = std::get_if<ports::worker_renew>(&what))
     {
-        for (auto const& which : call->what)
+        for (auto const& which : call->attempts)
         {
             if (auto* found = running(which))
             {
@@ -231,21 +231,21 @@
             }
             else
             {
-                reply.gone.push_back(which);
+                reply.unknown_attempts.push_back(which);
             }
         }
         return reply;
     }
     if (auto const* call = std::get_if<ports::worker_throttle>(&what))
     {
-        auto* found = running(call->what);
+        auto* found = running(call->attempt_id);
         reply.status =
             found == nullptr ? worker_status::refused : worker_status::done;
         return reply;
     }
     if (auto const* call = std::get_if<ports::worker_checkpoint>(&what))
     {
-        auto* found = running(call->what);
+        auto* found = running(call->attempt_id);
         if (found == nullptr)
         {
             reply.status = worker_status::refused;
@@ -256,13 +256,13 @@
         return reply;
     }
     auto const& call = std::get<ports::worker_stop>(what);
-    if (auto* found = running(call.what))
+    if (auto* found = running(call.attempt_id))
     {
         end(at, *found, attempt_state::stopped);
     }
-    else if (at.attempts.count(call.what) == 0)
+    else if (at.attempts.count(call.attempt_id) == 0)
     {
-        at.barred.insert(call.what);
+        at.barred.insert(call.attempt_id);
     }
     return reply;
 }
@@ -280,7 +280,7 @@
     auto const kept = checkpoints_.find(which.call.checkpoint);
     if (state == attempt_state::finished)
     {
-        note_finished(at, which.call.what.task);
+        note_finished(at, which.call.attempt_id.task);
         if (kept != checkpoints_.end() && !at.faults.cut)
         {
             kept->second.resumer_finished = true;
@@ -334,7 +334,7 @@
     for (auto const& [what, which] : at.attempts)
     {
         ports::attempt_report said;
-        said.what = what;
+        said.attempt_id = what;
         said.state = which.state;
         said.used = which.call.declared;
         said.work_done_ms = work_of(at, which);
--- a/tools/load/bench_tasks.cpp
+++ b/tools/load/bench_tasks.cpp
@@ -182,7 +182,7 @@
             for (auto const& [what, one] : workers_[made.worker])
             {
                 ports::attempt_report each;
-                each.what = what;
+                each.attempt_id = what;
                 each.state = one.state;
                 each.used = one.declared;
                 each.latency_p99_us =
@@ -277,24 +277,24 @@
         else if (auto const* renew =
                      std::get_if<ports::worker_renew>(&call.operation))
         {
-            for (auto const& what : renew->what)
+            for (auto const& what : renew->attempts)
             {
                 if (!running.contains(what))
                 {
-                    reply.gone.push_back(what);
+                    reply.unknown_attempts.push_back(what);
                 }
             }
         }
         else if (auto const* stop =
                      std::get_if<ports::worker_stop>(&call.operation))
         {
-            running.erase(stop->what);
-            note(call.worker, "stop", stop->what);
+            running.erase(stop->attempt_id);
+            note(call.worker, "stop", stop->attempt_id);
         }
         else if (auto const* checkpoint =
                      std::get_if<ports::worker_checkpoint>(&call.operation))
         {
-            reply.checkpoint = checkpoint->what.task + "-checkpoint";
+            reply.checkpoint = checkpoint->attempt_id.task + "-checkpoint";
         }
         world_.after(worker_delay,
                      [this, reply]
@@ -309,17 +309,17 @@
 
     void begin(std::string const& worker, ports::worker_start const& start)
     {
-        note(worker, "start", start.what);
-        workers_[worker][start.what] = {attempt_state::running,
-                                        start.declared,
-                                        start.work_ms,
-                                        world_.now()};
+        note(worker, "start", start.attempt_id);
+        workers_[worker][start.attempt_id] = {attempt_state::running,
+                                              start.declared,
+                                              start.work_ms,
+                                              world_.now()};
         if (start.service)
         {
             return;
         }
         world_.after(std::chrono::milliseconds(start.work_ms),
-                     [this, worker, what = start.what]
+                     [this, worker, what = start.attempt_id]
                      {
                          auto const found = workers_[worker].find(what);
                          if (found != workers_[worker].end())
