--- a/src/adapters/daemon/shell.cpp
+++ b/src/adapters/daemon/shell.cpp
@@ -258,7 +258,7 @@
     }
     else if (auto* const over = std::get_if<ports::rejoin>(&action))
     {
-        rejoin(over->why);
+        rejoin(over->reason);
     }
     else if (std::holds_alternative<ports::stop_complete>(action))
     {
--- a/src/adapters/platform/worker_client.cpp
+++ b/src/adapters/platform/worker_client.cpp
@@ -113,7 +113,7 @@
         reader.integer_or("latency_p99_us", 0, 0, any));
     result.work_done_ms = static_cast<std::uint64_t>(
         reader.integer_or("work_done_ms", 0, 0, any));
-    result.why = reader.text_or("why", "");
+    result.reason = reader.text_or("why", "");
     return result;
 }
 
@@ -221,7 +221,7 @@
     reply.status =
         answer.status == 200 ? worker_status::done : worker_status::refused;
     reply.checkpoint = reader.text_or("checkpoint", "");
-    reply.why = reader.text_or("why", "");
+    reply.reason = reader.text_or("why", "");
     if (auto const* const gone = reader.array("gone"))
     {
         reply.unknown_attempts =
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -79,7 +79,7 @@
             return;
         }
         with.workers.note_refusal(with.now, run.worker);
-        end(with, key, attempt_end::refused, reply.why);
+        end(with, key, attempt_end::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
         if (run.tries == 1)
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -94,10 +94,10 @@
         }
         break;
     case ports::attempt_state::finished:
-        end(with, *key, attempt_end::finished, said.why);
+        end(with, *key, attempt_end::finished, said.reason);
         break;
     case ports::attempt_state::failed:
-        end(with, *key, attempt_end::failed, said.why);
+        end(with, *key, attempt_end::failed, said.reason);
         break;
     case ports::attempt_state::stopped:
         end(with, *key, attempt_end::stopped, run.evicted_for);
--- a/src/ports/actions.hpp
+++ b/src/ports/actions.hpp
@@ -47,7 +47,7 @@
 /// This incarnation may not go on: drop what is left and join as a new one.
 struct rejoin
 {
-    std::string why;
+    std::string reason;
 };
 
 /// A planned stop is complete: the process may exit with status 0.
--- a/src/ports/workers.hpp
+++ b/src/ports/workers.hpp
@@ -126,7 +126,7 @@
     worker_status status = worker_status::unclear;
     std::string checkpoint;                     ///< Of `worker_checkpoint`.
     std::vector<task_attempt> unknown_attempts; ///< Of `worker_renew`.
-    std::string why;                            ///< Of a refusal.
+    std::string reason;                         ///< Of a refusal.
 };
 
 enum class attempt_state : std::uint8_t
@@ -148,7 +148,7 @@
     std::uint64_t latency_p99_us = 0;
     /// Batch: work done so far, in milliseconds at full speed.
     std::uint64_t work_done_ms = 0;
-    std::string why; ///< Of a failure.
+    std::string reason; ///< Of a failure.
 };
 
 /// All attempts that run on one worker, and those that ended there within the
--- a/standins/workers/worker_calls.cpp
+++ b/standins/workers/worker_calls.cpp
@@ -175,7 +175,7 @@
         object["accelerators"] = each.used.accelerators;
         object["latency_p99_us"] = each.latency_p99_us;
         object["work_done_ms"] = each.work_done_ms;
-        object["why"] = each.why;
+        object["why"] = each.reason;
         attempts.push_back(std::move(object));
     }
     return {{"worker", report.worker},
--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -142,7 +142,7 @@
         clock >= call.lease_until_ms)
     {
         reply.status = worker_status::refused;
-        reply.why = "too late, or stopped before";
+        reply.reason = "too late, or stopped before";
         return reply;
     }
     if (on_start)
