--- a/src/core/placement/policy.cpp
+++ b/src/core/placement/policy.cpp
@@ -98,7 +98,7 @@
     auto room = on.capacity;
     room -= on.committed;
     room.memory_mb -= std::max<std::int64_t>(0, on.memory_over_declared);
-    if (!room.holds(task.declared))
+    if (!room.covers(task.declared))
     {
         return false;
     }
--- a/src/core/pool/fleet.cpp
+++ b/src/core/pool/fleet.cpp
@@ -17,7 +17,7 @@
     auto used = reserved;
     used += declared;
     used += declared;
-    return info.capacity.holds(used);
+    return info.capacity.covers(used);
 }
 
 fleet::fleet(fleet_settings settings) : settings_(settings)
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -39,7 +39,7 @@
            failed.what->required_label == wanted.what->required_label &&
            failed.what->max_per_worker == 0 &&
            failed.what->image == wanted.what->image &&
-           wanted.what->declared.holds(failed.what->declared);
+           wanted.what->declared.covers(failed.what->declared);
 }
 
 } // namespace
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -150,7 +150,7 @@
     {
         used.millicores = 0;
     }
-    return on.info.capacity.holds(used);
+    return on.info.capacity.covers(used);
 }
 
 // Which workers may be used at all does not change within a round.
--- a/src/core/pool/rebalance.cpp
+++ b/src/core/pool/rebalance.cpp
@@ -228,7 +228,7 @@
                 wanted += found->second;
             }
             bool const fits = to.id != from.id && to.service == from.service &&
-                              to.free.holds(wanted);
+                              to.free.covers(wanted);
             bool const opens =
                 !to.serving.empty() && !disturbed(pairs_, to, work.image);
             if (!fits || opens ||
--- a/src/core/tasks/allowance.cpp
+++ b/src/core/tasks/allowance.cpp
@@ -29,7 +29,7 @@
 
 bool holds(allowance const& room, allowance const& wanted)
 {
-    return room.all.holds(wanted.all) && room.batch.holds(wanted.batch);
+    return room.all.covers(wanted.all) && room.batch.covers(wanted.batch);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -24,7 +24,7 @@
                      workers.end(),
                      [&](std::string const& id)
                      {
-                         return with.workers.find(id)->info.capacity.holds(
+                         return with.workers.find(id)->info.capacity.covers(
                              part.what.declared);
                      });
     bool const elsewhere =
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -128,7 +128,7 @@
     for (auto const& task : queue_)
     {
         auto const& what = log_.state().jobs.at(task.key.job).what;
-        if (!open || !free.holds(what.declared))
+        if (!open || !free.covers(what.declared))
         {
             continue;
         }
@@ -407,7 +407,7 @@
             return;
         }
         bool const helps =
-            !allowed.all.holds(staying.all) || what->kind == job_kind::batch;
+            !allowed.all.covers(staying.all) || what->kind == job_kind::batch;
         if (helps)
         {
             take_off(staying, *what);
--- a/src/core/tasks/job_desk.cpp
+++ b/src/core/tasks/job_desk.cpp
@@ -145,7 +145,7 @@
         return common::failure{
             result_code::unknown_customer, "job.customer", wanted.customer};
     }
-    if (!contract->second.capacity.holds(wanted.declared))
+    if (!contract->second.capacity.covers(wanted.declared))
     {
         return common::failure{result_code::over_contract_resources,
                                "job",
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -118,7 +118,7 @@
     auto const use = in_use.find(view.what.customer);
     auto next = use == in_use.end() ? ports::resources{} : use->second;
     next += view.what.declared;
-    if (!contract->second.capacity.holds(next))
+    if (!contract->second.capacity.covers(next))
     {
         return "the contract is used up";
     }
--- a/src/core/tasks/load_board.cpp
+++ b/src/core/tasks/load_board.cpp
@@ -92,7 +92,7 @@
                        [&](std::string const& id)
                        {
                            auto const* view = workers.find(id);
-                           return view->info.capacity.holds(declared);
+                           return view->info.capacity.covers(declared);
                        });
 }
 
@@ -221,7 +221,7 @@
         auto const found = cells_.find(cell);
         auto const load = found == cells_.end() ? empty_cell(cell, workers)
                                                 : found->second.load;
-        auto& list = load.largest.holds(want.declared) ? roomy : rest;
+        auto& list = load.largest.covers(want.declared) ? roomy : rest;
         list.emplace_back(cell, load);
     }
     auto const& list = roomy.empty() ? rest : roomy;
--- a/src/ports/workers.cpp
+++ b/src/ports/workers.cpp
@@ -19,7 +19,7 @@
     return *this;
 }
 
-bool resources::holds(resources const& wanted) const noexcept
+bool resources::covers(resources const& wanted) const noexcept
 {
     return wanted.millicores <= millicores && wanted.memory_mb <= memory_mb &&
            wanted.accelerators <= accelerators;
--- a/src/ports/workers.hpp
+++ b/src/ports/workers.hpp
@@ -24,7 +24,7 @@
     resources& operator+=(resources const& other) noexcept;
     resources& operator-=(resources const& other) noexcept;
     /// True where no part of `wanted` exceeds the same part of this.
-    bool holds(resources const& wanted) const noexcept;
+    bool covers(resources const& wanted) const noexcept;
 };
 
 /// One worker as the platform lists it.
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -214,7 +214,7 @@
             wanted += attempt.call.declared;
         }
     }
-    if (!worker.listed.capacity.holds(wanted))
+    if (!worker.listed.capacity.covers(wanted))
     {
         ++books_.overfilled;
     }
--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -165,7 +165,7 @@
             use += which.call.declared;
         }
     }
-    if (!at.info.capacity.holds(use))
+    if (!at.info.capacity.covers(use))
     {
         note(at.info.id + " over its capacity");
     }
--- a/tests/unit/tasks/planner_system.cpp
+++ b/tests/unit/tasks/planner_system.cpp
@@ -117,7 +117,7 @@
     for (auto const& [customer, sum] : use)
     {
         bool const settled = time.now() - changed_[customer] > contract_grace;
-        if (settled && !contracts_[customer].capacity.holds(sum) &&
+        if (settled && !contracts_[customer].capacity.covers(sum) &&
             violation.empty())
         {
             violation = customer + " over its contract";
