--- a/src/adapters/http/client.cpp
+++ b/src/adapters/http/client.cpp
@@ -397,7 +397,7 @@
 
 void client::pool::send(client_call call, handler handle)
 {
-    while (auto const reused = take_idle(call.where))
+    while (auto const reused = take_idle(call.remote_endpoint))
     {
         if (reused->wake())
         {
@@ -406,7 +406,7 @@
         }
         reused->close();
     }
-    auto& endpoint = endpoints_[call.where];
+    auto& endpoint = endpoints_[call.remote_endpoint];
     if (endpoint.all.size() >= settings_.connections_per_endpoint)
     {
         asio::post(io_,
@@ -417,7 +417,7 @@
         return;
     }
     auto const made =
-        std::make_shared<connection>(shared_from_this(), call.where);
+        std::make_shared<connection>(shared_from_this(), call.remote_endpoint);
     endpoint.all.insert(made);
     made->begin(std::move(call), std::move(handle));
 }
--- a/src/adapters/http/client.hpp
+++ b/src/adapters/http/client.hpp
@@ -30,7 +30,7 @@
 
 struct client_call
 {
-    ports::endpoint where;
+    ports::endpoint remote_endpoint;
     request message;
     core::common::duration timeout = std::chrono::seconds(5);
     /// After a time-out: keep the connection until the late answer was drained
--- a/src/adapters/peer/transport.cpp
+++ b/src/adapters/peer/transport.cpp
@@ -463,7 +463,7 @@
     {
         return;
     }
-    auto& connection = outbound_[message.where];
+    auto& connection = outbound_[message.remote_endpoint];
     if (connection && connection->to() != message.to)
     {
         connection->close();
@@ -472,7 +472,7 @@
     if (!connection)
     {
         connection = std::make_shared<outbound>(
-            shared_from_this(), message.where, message.to);
+            shared_from_this(), message.remote_endpoint, message.to);
         connection->start();
     }
     connection->send(std::move(message.message));
--- a/src/adapters/platform/catalog_client.cpp
+++ b/src/adapters/platform/catalog_client.cpp
@@ -40,14 +40,16 @@
     ports::upstream_instance result;
     result.id = text_in(*object, "ServiceID");
     result.data_centre = text_in(*object, "Datacenter");
-    result.where.address = text_in(*object, "ServiceAddress");
+    result.remote_endpoint.address = text_in(*object, "ServiceAddress");
     auto const* const port = object->if_contains("ServicePort");
     json::error_code error;
-    result.where.port = port == nullptr ? std::uint16_t{0}
-                                        : port->to_number<std::uint16_t>(error);
+    result.remote_endpoint.port = port == nullptr
+                                      ? std::uint16_t{0}
+                                      : port->to_number<std::uint16_t>(error);
     auto const* const meta = object->if_contains("ServiceMeta");
     if (meta == nullptr || !meta->is_object() || result.id.empty() ||
-        result.where.address.empty() || result.where.port == 0)
+        result.remote_endpoint.address.empty() ||
+        result.remote_endpoint.port == 0)
     {
         return std::nullopt;
     }
@@ -192,7 +194,7 @@
                            std::function<void(http::response const&)> on_answer)
 {
     http::client_call call;
-    call.where = where_;
+    call.remote_endpoint = where_;
     call.message.method = "GET";
     call.message.target = "/v1/catalog/service/" + service;
     call.timeout = call_timeout;
--- a/src/adapters/platform/store_client.cpp
+++ b/src/adapters/platform/store_client.cpp
@@ -285,7 +285,7 @@
     }
     ++counts_.calls[call.operation.index()];
     http::client_call message;
-    message.where = settings_.where;
+    message.remote_endpoint = settings_.where;
     message.message = std::visit(request_writer{}, call.operation);
     message.timeout = settings_.timeout;
     message.reading_limit = reading_limit;
--- a/src/adapters/platform/worker_client.cpp
+++ b/src/adapters/platform/worker_client.cpp
@@ -268,7 +268,7 @@
 {
     auto written = std::visit(call_writer{}, call.operation);
     http::client_call message;
-    message.where = where_;
+    message.remote_endpoint = where_;
     message.message.method = "POST";
     message.message.target = "/v1/workers/" + call.worker + "/" + written.path;
     message.message.body = json::serialize(written.body);
@@ -293,7 +293,7 @@
             }
         });
     http::client_call call;
-    call.where = where_;
+    call.remote_endpoint = where_;
     call.message.method = "GET";
     call.message.target = "/v1/workers";
     call.timeout = call_timeout;
@@ -320,7 +320,7 @@
 void worker_client::poll_reports(std::string const& rack)
 {
     http::client_call call;
-    call.where = where_;
+    call.remote_endpoint = where_;
     call.message.method = "GET";
     call.message.target = "/v1/reports?rack=" + rack;
     call.timeout = call_timeout;
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -237,7 +237,7 @@
         life_,
         {0,
          on.info.id,
-         on.info.where,
+         on.info.remote_endpoint,
          on.incarnation,
          ports::speed_limit_order{
              claim_.epoch(), {name, each.attempt}, percent},
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -62,14 +62,18 @@
     }
     of.poll_pending = true;
     auto const wait = order.wait;
-    out_.order(
-        life_,
-        {0, of.info.id, of.info.where, 0, order, wait + settings_.hold_grace},
-        [this, now, id = of.info.id](common::time_point at,
-                                     order_reply const& reply)
-        {
-            on_hold(at, now, id, reply);
-        });
+    out_.order(life_,
+               {0,
+                of.info.id,
+                of.info.remote_endpoint,
+                0,
+                order,
+                wait + settings_.hold_grace},
+               [this, now, id = of.info.id](common::time_point at,
+                                            order_reply const& reply)
+               {
+                   on_hold(at, now, id, reply);
+               });
 }
 
 void owner::on_hold(common::time_point now,
@@ -267,7 +271,7 @@
     out_.order(life_,
                {0,
                 id,
-                on->info.where,
+                on->info.remote_endpoint,
                 0,
                 ports::stop_order{claim_.epoch(), what},
                 settings_.order_timeout},
--- a/src/core/pool/roster.cpp
+++ b/src/core/pool/roster.cpp
@@ -17,8 +17,8 @@
     {
         rows.push_back(json::array{id,
                                    each.info.service,
-                                   each.info.where.address,
-                                   each.info.where.port});
+                                   each.info.remote_endpoint.address,
+                                   each.info.remote_endpoint.port});
     }
     return json::serialize(json::object{{"workers", std::move(rows)}});
 }
@@ -44,15 +44,15 @@
     ports::pool_worker made;
     made.id = text_in((*cells)[0]);
     made.service = text_in((*cells)[1]);
-    made.where.address = text_in((*cells)[2]);
+    made.remote_endpoint.address = text_in((*cells)[2]);
     auto const* const port = (*cells)[3].if_int64();
     bool const good = port != nullptr && *port > 0 &&
                       *port <= std::numeric_limits<std::uint16_t>::max();
-    if (!good || made.id.empty() || made.where.address.empty())
+    if (!good || made.id.empty() || made.remote_endpoint.address.empty())
     {
         return std::nullopt;
     }
-    made.where.port = static_cast<std::uint16_t>(*port);
+    made.remote_endpoint.port = static_cast<std::uint16_t>(*port);
     return made;
 }
 
--- a/src/core/upstreams/slot_table.cpp
+++ b/src/core/upstreams/slot_table.cpp
@@ -150,7 +150,7 @@
 
 void slot_table::update(upstream& known, ports::upstream_instance const& listed)
 {
-    known.where = listed.where;
+    known.where = listed.remote_endpoint;
     known.data_centre = listed.data_centre;
     known.slots = listed.connections == 0
                       ? listed.slots
--- a/src/ports/instances.hpp
+++ b/src/ports/instances.hpp
@@ -21,7 +21,7 @@
 struct upstream_instance
 {
     std::string id;
-    endpoint where;
+    endpoint remote_endpoint;
     std::string data_centre;
     instance_state state = instance_state::live;
     std::uint32_t slots = 0;
--- a/src/ports/peer.hpp
+++ b/src/ports/peer.hpp
@@ -159,7 +159,7 @@
 struct peer_send
 {
     member_identity to;
-    endpoint where;
+    endpoint remote_endpoint;
     peer_message message;
 };
 
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -39,7 +39,7 @@
 {
     std::string id;
     std::string service;
-    endpoint where;
+    endpoint remote_endpoint;
     std::string data_centre;
     std::string rack;
     std::vector<std::string> labels;
@@ -91,7 +91,7 @@
 {
     std::uint64_t id = 0;
     std::string worker;
-    endpoint where;
+    endpoint remote_endpoint;
     std::uint64_t incarnation = 0; ///< For this incarnation only; 0: for any.
     pool_operation operation;
     core::common::duration timeout{};
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -63,7 +63,7 @@
 {
     std::uint64_t exchange = 0;
     std::string upstream;
-    endpoint where;
+    endpoint remote_endpoint;
     caller_request request;
     /// How long the adapter waits before it says `timed_out`; it then keeps
     /// the connection and drains the late answer.
--- a/src/programs/ctl/planner_client.cpp
+++ b/src/programs/ctl/planner_client.cpp
@@ -159,7 +159,7 @@
                                              std::string const& body)
 {
     adapters::http::client_call call;
-    call.where = where;
+    call.remote_endpoint = where;
     call.timeout = settings_.timeout;
     call.message.method = method;
     call.message.target = target;
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -284,7 +284,7 @@
 void entry_program::call_upstream(ports::upstream_send& send)
 {
     http::client_call call;
-    call.where = std::move(send.where);
+    call.remote_endpoint = std::move(send.remote_endpoint);
     call.message.method = std::move(send.request.method);
     call.message.target = std::move(send.request.target);
     call.message.headers = std::move(send.request.headers);
--- a/standins/common/registrar.cpp
+++ b/standins/common/registrar.cpp
@@ -48,7 +48,7 @@
         meta[name] = value;
     }
     adapters::http::client_call call;
-    call.where = platform_;
+    call.remote_endpoint = platform_;
     call.timeout = call_timeout;
     call.message.method = "PUT";
     call.message.target = "/v1/agent/service/register";
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -269,7 +269,7 @@
 {
     json::object const made{
         {"service", worker.service},
-        {"address", adapters::http::to_string(worker.where)},
+        {"address", adapters::http::to_string(worker.remote_endpoint)},
         {"zone", worker.data_centre},
         {"version", "v1"},
         {"slots", 1},
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -47,8 +47,8 @@
     ports::pool_worker entry;
     entry.id = id;
     entry.service = "pool";
-    entry.where = {settings_.store.address,
-                   static_cast<std::uint16_t>(first + number)};
+    entry.remote_endpoint = {settings_.store.address,
+                             static_cast<std::uint16_t>(first + number)};
     entry.data_centre = number % 2 == 0 ? "a" : "b";
     entry.rack = "r" + entry.data_centre;
     entry.capacity = settings_.capacity;
--- a/tests/contract/adapters/client_end_test.cpp
+++ b/tests/contract/adapters/client_end_test.cpp
@@ -28,7 +28,7 @@
     void send_and_wait(client& caller)
     {
         client_call call;
-        call.where = silent_server();
+        call.remote_endpoint = silent_server();
         call.message.method = "GET";
         call.message.target = "/";
         call.timeout = 60s;
--- a/tests/contract/adapters/flowing_answer_test.cpp
+++ b/tests/contract/adapters/flowing_answer_test.cpp
@@ -63,7 +63,7 @@
               adapters::http::client::handler handle)
     {
         adapters::http::client_call made;
-        made.where = where_;
+        made.remote_endpoint = where_;
         made.message = {"GET", "/x", {}, "", {}};
         made.timeout = limit;
         made.reading_limit = reading_limit;
--- a/tests/contract/adapters/http_test.cpp
+++ b/tests/contract/adapters/http_test.cpp
@@ -60,7 +60,7 @@
     {
         auto& result = results.emplace_back();
         adapters::http::client_call call;
-        call.where = std::move(where);
+        call.remote_endpoint = std::move(where);
         call.message = {"POST", "/x", {}, std::move(body), {}};
         call.timeout = timeout;
         call.drain = drain;
--- a/tests/contract/adapters/late_reader_test.cpp
+++ b/tests/contract/adapters/late_reader_test.cpp
@@ -35,7 +35,7 @@
     void send(core::common::duration timeout)
     {
         adapters::http::client_call call;
-        call.where = where_;
+        call.remote_endpoint = where_;
         call.message = {"GET", "/x", {}, "", {}};
         call.timeout = timeout;
         client_.send(std::move(call),
--- a/tests/contract/adapters/silent_connections_test.cpp
+++ b/tests/contract/adapters/silent_connections_test.cpp
@@ -108,7 +108,7 @@
     for (std::size_t number = 0; number < count; ++number)
     {
         adapters::http::client_call call;
-        call.where = where;
+        call.remote_endpoint = where;
         call.message = {"GET", "/x", {}, "", {}};
         call.timeout = 100ms;
         from.send(
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -93,7 +93,7 @@
     }
     bool const named = !made->service.empty() && !made->data_centre.empty();
     return if_not(named, "no service or zone") +
-           if_not(made->where.port > 0, "no port") +
+           if_not(made->remote_endpoint.port > 0, "no port") +
            if_not(sound(made->capacity), "capacity out of bounds") +
            if_not(made->incarnation <= largest_integer, "born out of bounds");
 }
@@ -316,9 +316,10 @@
     std::string fault;
     for (auto const& each : pool::parse_roster(input, reason))
     {
-        fault += if_not(!each.id.empty() && !each.where.address.empty() &&
-                            each.where.port > 0,
-                        "a worker that can't be asked");
+        fault +=
+            if_not(!each.id.empty() && !each.remote_endpoint.address.empty() &&
+                       each.remote_endpoint.port > 0,
+                   "a worker that can't be asked");
     }
     return fault +
            (reason.code == result_code::ok ? std::string() : told(reason));
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -198,7 +198,7 @@
     for (std::size_t index = 0; made && index < made->size(); ++index)
     {
         auto const& each = (*made)[index];
-        if (each.id.empty() || each.where.port == 0 ||
+        if (each.id.empty() || each.remote_endpoint.port == 0 ||
             each.report_age.count() < 0)
         {
             return "an upstream that can't be called";
--- a/tests/contract/load/service_sampler_test.cpp
+++ b/tests/contract/load/service_sampler_test.cpp
@@ -30,7 +30,7 @@
           R"("start_before_ms":9000000000,"lease_until_ms":9000000000})"})
     {
         adapters::http::client_call call;
-        call.where = *where;
+        call.remote_endpoint = *where;
         call.message.method = "POST";
         call.message.target = "/v1/workers/worker-1/start";
         call.message.body = body;
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -36,7 +36,7 @@
         words.read_worker(item("servers/i-1", good_worker), reason);
     ASSERT_TRUE(worker) << to_string(reason);
     EXPECT_EQ(worker->id, "i-1");
-    EXPECT_EQ(worker->where.port, 8080);
+    EXPECT_EQ(worker->remote_endpoint.port, 8080);
     EXPECT_EQ(worker->rack, "r1-3");
     EXPECT_EQ(worker->capacity.millicores, 16000);
     EXPECT_EQ(worker->capacity.accelerators, 0);
--- a/tests/contract/standins/servers_test.cpp
+++ b/tests/contract/standins/servers_test.cpp
@@ -37,7 +37,7 @@
                                    std::vector<ports::header> headers = {})
     {
         client_call call;
-        call.where = where;
+        call.remote_endpoint = where;
         call.message = {std::move(method),
                         std::move(target),
                         std::move(headers),
--- a/tests/process/operators_test.cpp
+++ b/tests/process/operators_test.cpp
@@ -41,7 +41,7 @@
     boost::asio::io_context io;
     adapters::http::client client(io, {});
     adapters::http::client_call call;
-    call.where = {tests::process::own_address(), port};
+    call.remote_endpoint = {tests::process::own_address(), port};
     call.message.method = method;
     call.message.target = target;
     call.message.body = body;
--- a/tests/process/pool_test.cpp
+++ b/tests/process/pool_test.cpp
@@ -143,7 +143,7 @@
         boost::asio::io_context io;
         adapters::http::client client(io, {});
         adapters::http::client_call call;
-        call.where = {tests::process::own_address(), port};
+        call.remote_endpoint = {tests::process::own_address(), port};
         call.message = {method, target, {{"Host", "jobs.example"}}, body, ""};
         adapters::http::response answer;
         answer.status = 0;
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -21,7 +21,7 @@
     ports::pool_worker made;
     made.id = "w" + std::to_string(number);
     made.service = "s";
-    made.where = {"10.0.0." + std::to_string(number + 1), 80};
+    made.remote_endpoint = {"10.0.0." + std::to_string(number + 1), 80};
     made.data_centre = number % 2 == 0 ? "even" : "odd";
     made.rack = made.data_centre;
     made.capacity = {8000, 8000, 0};
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_world.cpp
@@ -665,7 +665,7 @@
     {
         ports::upstream_instance listed;
         listed.id = id;
-        listed.where = {"10.1.0.1", 80};
+        listed.remote_endpoint = {"10.1.0.1", 80};
         listed.data_centre = "dc-0";
         listed.slots = options_.slots;
         listed.connections = 60;
--- a/tests/unit/walks/fake_link.hpp
+++ b/tests/unit/walks/fake_link.hpp
@@ -81,16 +81,18 @@
                ports::member_identity const& from,
                ports::peer_send const& what)
     {
-        time_.after(
-            way(),
-            [this, from_address, from, what]
-            {
-                auto const way = std::pair(from_address, what.where.address);
-                if (faults.cut.count(way) == 0)
-                {
-                    deliver_(what.where.address, what.to, {from, what.message});
-                }
-            });
+        time_.after(way(),
+                    [this, from_address, from, what]
+                    {
+                        auto const way = std::pair(
+                            from_address, what.remote_endpoint.address);
+                        if (faults.cut.count(way) == 0)
+                        {
+                            deliver_(what.remote_endpoint.address,
+                                     what.to,
+                                     {from, what.message});
+                        }
+                    });
     }
 
     timeline& time_;
--- a/tools/load/balancer.cpp
+++ b/tools/load/balancer.cpp
@@ -41,7 +41,7 @@
     for (std::size_t number = 0; number < targets_.size(); ++number)
     {
         adapters::http::client_call call;
-        call.where = targets_[number].where;
+        call.remote_endpoint = targets_[number].where;
         call.message.method = "GET";
         call.message.target = "/readyz";
         call.timeout = check_timeout;
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -77,7 +77,7 @@
     ports::pool_worker made;
     made.id = worker_id(number);
     made.service = "s";
-    made.where = {"10.0.0.1", static_cast<std::uint16_t>(number + 1)};
+    made.remote_endpoint = {"10.0.0.1", static_cast<std::uint16_t>(number + 1)};
     made.data_centre = "dc-" + std::to_string(number % data_centres);
     made.rack = "rack-" + std::to_string(number / per_rack);
     made.capacity = {worker_millicores, worker_memory_mb, 0};
--- a/tools/load/bench_requests.cpp
+++ b/tools/load/bench_requests.cpp
@@ -153,8 +153,8 @@
         {
             ports::upstream_instance upstream;
             upstream.id = "upstream-" + std::to_string(number);
-            upstream.where = {"10.0.1.1",
-                              static_cast<std::uint16_t>(9000 + number)};
+            upstream.remote_endpoint = {
+                "10.0.1.1", static_cast<std::uint16_t>(9000 + number)};
             upstream.data_centre =
                 "dc-" + std::to_string(number % entry_count + 1);
             upstream.slots = slots_each;
--- a/tools/load/caller.cpp
+++ b/tools/load/caller.cpp
@@ -135,7 +135,7 @@
     auto const left = std::max(
         least_deadline, request->due + request->stream.deadline - clock::now());
     adapters::http::client_call call;
-    call.where = choose(*request);
+    call.remote_endpoint = choose(*request);
     call.message = message_of(*request, left);
     call.timeout = left + what_.answer_bound;
     client_.send(std::move(call),
--- a/tools/load/run.cpp
+++ b/tools/load/run.cpp
@@ -55,7 +55,7 @@
     adapters::http::client client(io, {});
     std::optional<adapters::http::response> got;
     adapters::http::client_call call;
-    call.where = where;
+    call.remote_endpoint = where;
     call.message.method = "GET";
     call.message.target = std::move(target);
     bool ended = false;
@@ -165,7 +165,7 @@
     std::vector<ports::endpoint> targets;
     for (auto const& each : listed.value_or(decltype(listed)::value_type()))
     {
-        targets.push_back(each.where);
+        targets.push_back(each.remote_endpoint);
     }
     if (targets.empty())
     {
@@ -284,11 +284,11 @@
 void load_run::send_event(timed_event const& event, std::size_t tries)
 {
     adapters::http::client_call call;
-    call.where = event.where;
+    call.remote_endpoint = event.where;
     if (event.planner)
     {
         auto const& planners = what_.targets.planners;
-        call.where = planners[tries % planners.size()];
+        call.remote_endpoint = planners[tries % planners.size()];
     }
     call.message.method = event.method;
     call.message.target = event.path;
--- a/tools/load/service_sampler.cpp
+++ b/tools/load/service_sampler.cpp
@@ -32,7 +32,7 @@
 void service_sampler::start()
 {
     adapters::http::client_call call;
-    call.where = workers_;
+    call.remote_endpoint = workers_;
     call.message.method = "GET";
     call.message.target = "/v1/reports";
     client_.send(std::move(call),
--- a/tools/load/standin_books.cpp
+++ b/tools/load/standin_books.cpp
@@ -41,7 +41,7 @@
     std::optional<counts> read;
     bool ended = false;
     adapters::http::client_call call;
-    call.where = where;
+    call.remote_endpoint = where;
     call.message.method = "GET";
     call.message.target = "/control/counts";
     client.send(std::move(call),
--- a/tools/load/submitter.cpp
+++ b/tools/load/submitter.cpp
@@ -41,7 +41,7 @@
     ++job->tries;
     turn_ = (turn_ + 1) % what_.targets.planners.size();
     adapters::http::client_call call;
-    call.where = what_.targets.planners[turn_];
+    call.remote_endpoint = what_.targets.planners[turn_];
     call.timeout = call_timeout;
     call.message.method = "POST";
     call.message.target = "/v1/jobs";
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -181,7 +181,7 @@
             return;
         }
         adapters::http::client_call call;
-        call.where = instances_.readiness(ready_);
+        call.remote_endpoint = instances_.readiness(ready_);
         call.message = {"GET", "/readyz", {}, "", ""};
         probe_.send(std::move(call),
                     [this](ports::exchange_status status, auto const& answer)
--- a/tools/soak/traffic.cpp
+++ b/tools/soak/traffic.cpp
@@ -155,7 +155,7 @@
                   after then)
 {
     adapters::http::client_call call;
-    call.where = to_.submissions(instance % to_.size());
+    call.remote_endpoint = to_.submissions(instance % to_.size());
     call.message = {method,
                     "/" + queue + "/" + id,
                     {{"Host", queue + ".example"}},
