--- a/src/core/pool/claim.cpp
+++ b/src/core/pool/claim.cpp
@@ -68,7 +68,7 @@
     // Our own claim, whose answer was lost.
     if (item.value == self_ && lease_ != 0 && item.lease == lease_)
     {
-        take(now, item.created);
+        take(now, item.create_revision);
         return;
     }
     seen_revision_ = reply.revision;
@@ -157,7 +157,7 @@
 void claim::end_lease(std::uint64_t lease)
 {
     out_.store(life_,
-               ports::kv_lease_end{lease},
+               ports::kv_lease_revoke{lease},
                settings_.call_timeout,
                [](common::time_point, kv_reply const&) {});
 }
@@ -236,7 +236,7 @@
     lease_ = lease;
     busy_ = true;
     ports::kv_commit commit;
-    commit.expected.push_back({std::string(keys::claim), 0});
+    commit.preconditions.push_back({std::string(keys::claim), 0});
     commit.puts.push_back({std::string(keys::claim), self_, lease});
     out_.store(life_,
                std::move(commit),
@@ -354,7 +354,7 @@
     return epoch_;
 }
 
-ports::kv_expect claim::condition() const
+ports::kv_precondition claim::condition() const
 {
     return {std::string(keys::claim), epoch_};
 }
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -58,7 +58,7 @@
     bool held() const noexcept;
     std::uint64_t epoch() const noexcept;
     /// The claim's condition, for commits that only its holder may make.
-    ports::kv_expect condition() const;
+    ports::kv_precondition condition() const;
     /// When the last answered renewal was sent.
     common::time_point confirmed_at() const noexcept;
     common::time_point held_since() const noexcept;
--- a/src/core/pool/ledger.cpp
+++ b/src/core/pool/ledger.cpp
@@ -293,8 +293,8 @@
     }
     ++number_;
     sent_ = now;
-    commit.expected.push_back(claim_.condition());
-    commit.expected.push_back({ledger_key, revision_});
+    commit.preconditions.push_back(claim_.condition());
+    commit.preconditions.push_back({ledger_key, revision_});
     commit.puts.push_back({ledger_key, mark_of(number_), 0});
     busy_ = true;
     next_step_ = now + settings_.interval;
--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -192,9 +192,9 @@
     what.queue = into.name;
     what.accepted_unix_ms = out_.unix_ms(now);
     ports::kv_commit commit;
-    commit.expected.push_back({keys::job(id), 0});
-    commit.expected.push_back({keys::final_state(id), 0});
-    commit.expected.push_back({keys::cancel(id), 0});
+    commit.preconditions.push_back({keys::job(id), 0});
+    commit.preconditions.push_back({keys::final_state(id), 0});
+    commit.preconditions.push_back({keys::cancel(id), 0});
     commit.puts.push_back({keys::job(id), to_json(what), 0});
     out_.store(
         life_,
--- a/src/core/pool/request_handler_cancel.cpp
+++ b/src/core/pool/request_handler_cancel.cpp
@@ -66,8 +66,8 @@
                                      job_question const& asked)
 {
     ports::kv_commit commit;
-    commit.expected.push_back({keys::job(asked.id), 0});
-    commit.expected.push_back({keys::final_state(asked.id), 0});
+    commit.preconditions.push_back({keys::job(asked.id), 0});
+    commit.preconditions.push_back({keys::final_state(asked.id), 0});
     commit.puts.push_back({keys::cancel(asked.id), "cancelled", 0});
     out_.store(
         life_,
@@ -100,7 +100,7 @@
                                    std::uint64_t revision)
 {
     ports::kv_commit commit;
-    commit.expected.push_back({keys::job(asked.id), revision});
+    commit.preconditions.push_back({keys::job(asked.id), revision});
     commit.puts.push_back({keys::cancel(asked.id), "cancelled", 0});
     out_.store(
         life_,
--- a/src/ports/kv.hpp
+++ b/src/ports/kv.hpp
@@ -17,17 +17,17 @@
 {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0; ///< Of its last change.
-    std::uint64_t created = 0;  ///< Revision at which it came to be.
-    std::uint64_t lease = 0;    ///< 0: the key outlives every lease.
-    bool erased = false;        ///< In the answer to a watch.
+    std::uint64_t revision = 0;        ///< Of its last change.
+    std::uint64_t create_revision = 0; ///< Revision at which it came to be.
+    std::uint64_t lease = 0;           ///< 0: the key outlives every lease.
+    bool erased = false;               ///< In the answer to a watch.
 };
 
 /// One key; `missing` where it does not exist.
 struct kv_read
 {
     std::string key;
-    bool may_be_old = false; ///< A tenth of the price; may be seconds behind.
+    bool allow_stale = false; ///< A tenth of the price; may be seconds behind.
 };
 
 /// One page of the keys that begin with `prefix` and come behind `after`.
@@ -47,7 +47,7 @@
     core::common::duration wait{};
 };
 
-struct kv_expect
+struct kv_precondition
 {
     std::string key;
     std::uint64_t revision = 0;
@@ -63,7 +63,7 @@
 /// All or nothing, where every key of `expected` has just that revision.
 struct kv_commit
 {
-    std::vector<kv_expect> expected;
+    std::vector<kv_precondition> preconditions;
     std::vector<kv_put> puts;
     std::vector<std::string> erases;
 };
@@ -78,7 +78,7 @@
     std::uint64_t lease = 0;
 };
 
-struct kv_lease_end
+struct kv_lease_revoke
 {
     std::uint64_t lease = 0;
 };
@@ -89,7 +89,7 @@
                                   kv_commit,
                                   kv_lease_grant,
                                   kv_lease_renew,
-                                  kv_lease_end>;
+                                  kv_lease_revoke>;
 
 struct kv_call
 {
--- a/standins/pool/kv_state.cpp
+++ b/standins/pool/kv_state.cpp
@@ -63,7 +63,7 @@
         found->second.until = now + found->second.ttl;
         return reply_of(kv_status::done, revision_);
     }
-    end_lease(std::get<ports::kv_lease_end>(operation).lease);
+    end_lease(std::get<ports::kv_lease_revoke>(operation).lease);
     return reply_of(kv_status::done, revision_);
 }
 
@@ -168,7 +168,7 @@
 
 kv_reply kv_state::read(ports::kv_read const& call) const
 {
-    auto const& from = call.may_be_old && old_items_ ? *old_items_ : items_;
+    auto const& from = call.allow_stale && old_items_ ? *old_items_ : items_;
     auto const found = from.find(call.key);
     if (found == from.end())
     {
@@ -205,7 +205,7 @@
 {
     bool holds = true;
     auto refused = reply_of(kv_status::conflict, revision_);
-    for (auto const& each : call.expected)
+    for (auto const& each : call.preconditions)
     {
         auto const found = find(each.key);
         holds = holds && (found ? found->revision : 0) == each.revision;
@@ -247,7 +247,8 @@
     item.value = put.value;
     item.lease = put.lease;
     item.revision = revision_;
-    item.created = item.created == 0 ? revision_ : item.created;
+    item.create_revision =
+        item.create_revision == 0 ? revision_ : item.create_revision;
     history_.push_back(item);
 }
 
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -50,7 +50,7 @@
         return made;
     }
     made["value"] = to_base64(item.value);
-    made["created"] = item.created;
+    made["created"] = item.create_revision;
     made["leaseId"] = item.lease;
     return made;
 }
@@ -70,8 +70,8 @@
     ports::kv_commit made;
     for (auto const& each : body.at("expectedRev").as_array())
     {
-        made.expected.push_back({text(each.as_object(), "key"),
-                                 number(each.as_object(), "revision")});
+        made.preconditions.push_back({text(each.as_object(), "key"),
+                                      number(each.as_object(), "revision")});
     }
     for (auto const& each : body.at("puts").as_array())
     {
@@ -149,7 +149,7 @@
     }
     if (auto const lease = target->after("/v1/kv-lease-end/"))
     {
-        return ports::kv_lease_end{parse_number(*lease).value_or(0)};
+        return ports::kv_lease_revoke{parse_number(*lease).value_or(0)};
     }
     return std::nullopt;
 }
--- a/tests/unit/pool/faults_test.cpp
+++ b/tests/unit/pool/faults_test.cpp
@@ -359,7 +359,7 @@
     {
         auto const* const read = std::get_if<ports::kv_read>(&operation);
         linearizable +=
-            read != nullptr && !read->may_be_old && read->key == "final/early"
+            read != nullptr && !read->allow_stale && read->key == "final/early"
                 ? 1U
                 : 0U;
         return fate::carried_out;
@@ -436,7 +436,7 @@
     {
         auto const* const commit = std::get_if<ports::kv_commit>(&operation);
         bool const hit = instance == owner && commit != nullptr && hits < 2 &&
-                         commit->expected.size() == 2 &&
+                         commit->preconditions.size() == 2 &&
                          !commit->puts.empty() &&
                          commit->puts.front().key.starts_with("progress/");
         hits += hit ? 1 : 0;
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -333,7 +333,7 @@
         if (each.engine && each.engine->active_owner() != nullptr &&
             each.engine->active_owner()->loaded() &&
             store_.find("pool/claim") &&
-            store_.find("pool/claim")->created ==
+            store_.find("pool/claim")->create_revision ==
                 each.engine->claimed().epoch())
         {
             return number;
--- a/tests/unit/pool/staleness_test.cpp
+++ b/tests/unit/pool/staleness_test.cpp
@@ -73,7 +73,7 @@
     pool_world world(instances);
     ASSERT_TRUE(settled(world));
     auto const owner = *world.owner();
-    auto const epoch = world.store().find("pool/claim")->created;
+    auto const epoch = world.store().find("pool/claim")->create_revision;
     std::size_t watches = 0;
     world.store_fault =
         [owner, &watches](std::size_t instance, ports::kv_operation const& call)
@@ -85,7 +85,7 @@
     world.run(20s);
     EXPECT_GT(watches, 10U);
     ASSERT_EQ(world.owner(), owner);
-    EXPECT_EQ(world.store().find("pool/claim")->created, epoch);
+    EXPECT_EQ(world.store().find("pool/claim")->create_revision, epoch);
 }
 
 // An owner that took long to read the state gave up before its first watch.
@@ -105,12 +105,12 @@
         {
             return world.store().find("pool/claim").has_value();
         }));
-    auto const epoch = world.store().find("pool/claim")->created;
+    auto const epoch = world.store().find("pool/claim")->create_revision;
     world.run(10s);
     EXPECT_TRUE(lost);
     EXPECT_TRUE(world.owner().has_value());
     ASSERT_TRUE(world.store().find("pool/claim").has_value());
-    EXPECT_EQ(world.store().find("pool/claim")->created, epoch);
+    EXPECT_EQ(world.store().find("pool/claim")->create_revision, epoch);
 }
 
 // Each look at a worker queued one more acknowledgement of the same ends.
--- a/tests/unit/pool/writes_test.cpp
+++ b/tests/unit/pool/writes_test.cpp
@@ -53,8 +53,8 @@
     {
         auto const* const commit = std::get_if<ports::kv_commit>(&call);
         bool const hit = at == owner && commit != nullptr &&
-                         commit->expected.size() == 2 &&
-                         commit->expected.back().key == "ledger";
+                         commit->preconditions.size() == 2 &&
+                         commit->preconditions.back().key == "ledger";
         return hit ? fate::refused : fate::carried_out;
     };
     world.run(3s);
@@ -77,8 +77,8 @@
     {
         auto const* const commit = std::get_if<ports::kv_commit>(&call);
         bool const hit = at == owner && commit != nullptr &&
-                         commit->expected.size() == 2 &&
-                         commit->expected.back().key == "ledger";
+                         commit->preconditions.size() == 2 &&
+                         commit->preconditions.back().key == "ledger";
         return hit ? fate::late : fate::carried_out;
     };
     submit_many(world, other, "a", 8, simple_job(4, 100ms));
@@ -110,8 +110,8 @@
             [&random, &broken](std::size_t, ports::kv_operation const& call)
         {
             auto const* const commit = std::get_if<ports::kv_commit>(&call);
-            if (commit == nullptr || commit->expected.size() != 2 ||
-                commit->expected.back().key != "ledger")
+            if (commit == nullptr || commit->preconditions.size() != 2 ||
+                commit->preconditions.back().key != "ledger")
             {
                 return fate::carried_out;
             }
@@ -124,8 +124,8 @@
             {
                 broken += keys.insert(key).second ? "" : key + " ";
             }
-            auto const entries = commit->expected.size() + commit->puts.size() +
-                                 commit->erases.size();
+            auto const entries = commit->preconditions.size() +
+                                 commit->puts.size() + commit->erases.size();
             broken +=
                 entries <= 32 ? "" : std::to_string(entries) + " entries ";
             constexpr std::array<fate, 5> fates{fate::answer_lost,
@@ -168,8 +168,8 @@
         {
             auto const* const commit = std::get_if<ports::kv_commit>(&call);
             if (at != owner || commit == nullptr ||
-                commit->expected.size() != 2 ||
-                commit->expected.back().key != "ledger")
+                commit->preconditions.size() != 2 ||
+                commit->preconditions.back().key != "ledger")
             {
                 return fate::carried_out;
             }
