--- a/src/adapters/platform/store_client.cpp
+++ b/src/adapters/platform/store_client.cpp
@@ -84,7 +84,7 @@
                 transaction({{"Verb", "cas"},
                              {"Key", write.key},
                              {"Value", to_base64(write.value)},
-                             {"Index", write.expected}}),
+                             {"Index", write.expected_version}}),
                 {}};
     }
     http::request operator()(ports::store_erase const& erase) const
@@ -94,7 +94,7 @@
                 {},
                 transaction({{"Verb", "delete-cas"},
                              {"Key", erase.key},
-                             {"Index", erase.expected}}),
+                             {"Index", erase.expected_version}}),
                 {}};
     }
     http::request operator()(ports::store_watch const& watch) const
--- a/src/core/claims/claim_calls.cpp
+++ b/src/core/claims/claim_calls.cpp
@@ -157,8 +157,8 @@
         ++writes_;
     }
     calls_.emplace(++last_call_, std::move(what));
-    out.emplace_back(ports::store_call{{ports::store_user::claims, last_call_},
-                                       std::move(operation)});
+    out.emplace_back(ports::store_call{
+        {ports::store_requester::claims, last_call_}, std::move(operation)});
 }
 
 } // namespace fuchsia::core::claims
--- a/src/core/config/follower.cpp
+++ b/src/core/config/follower.cpp
@@ -177,7 +177,7 @@
     auto const number = next_call_++;
     calls_.emplace(number, std::move(call));
     out.emplace_back(ports::store_call{
-        {ports::store_user::configuration, number}, std::move(operation)});
+        {ports::store_requester::configuration, number}, std::move(operation)});
 }
 
 void follower::send_confirm(common::time_point now, ports::actions& out)
--- a/src/core/config/writer.cpp
+++ b/src/core/config/writer.cpp
@@ -114,7 +114,7 @@
     }
     waiting_for_ = next_call++;
     out.emplace_back(ports::store_call{
-        {ports::store_user::administration, *waiting_for_}, operation()});
+        {ports::store_requester::administration, *waiting_for_}, operation()});
 }
 
 ports::store_operation writer::operation() const
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -355,8 +355,9 @@
                   ports::member_identity const& subject)
 {
     calls_.emplace(++last_call_, pending_call{kind, now, subject});
-    out.emplace_back(ports::store_call{
-        {ports::store_user::membership, last_call_}, std::move(operation)});
+    out.emplace_back(
+        ports::store_call{{ports::store_requester::membership, last_call_},
+                          std::move(operation)});
 }
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -50,7 +50,7 @@
             {{"member", self().id.name},
              {"subject", write.subject.name},
              {"incarnation", to_hexadecimal(write.subject.incarnation)},
-             {"version", std::to_string(write.operation.expected)}}});
+             {"version", std::to_string(write.operation.expected_version)}}});
         call(now,
              call_kind::burial,
              std::move(write.operation),
--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -81,15 +81,15 @@
     {
         return;
     }
-    switch (reply.id.user)
+    switch (reply.id.requester)
     {
-    case ports::store_user::membership:
+    case ports::store_requester::membership:
         members_.on_store_reply(now, reply, out);
         break;
-    case ports::store_user::claims:
+    case ports::store_requester::claims:
         claims_.on_store_reply(now, reply, members_, out);
         break;
-    case ports::store_user::configuration:
+    case ports::store_requester::configuration:
         follower_.on_store_reply(now, reply, out);
         break;
     default:
--- a/src/core/tasks/planner_events.cpp
+++ b/src/core/tasks/planner_events.cpp
@@ -30,24 +30,24 @@
                                     ports::store_reply const& reply,
                                     ports::actions& out)
 {
-    switch (reply.id.user)
+    switch (reply.id.requester)
     {
-    case ports::store_user::membership:
+    case ports::store_requester::membership:
         member_.on_store_reply(now, reply, out);
         break;
-    case ports::store_user::claims:
+    case ports::store_requester::claims:
         claims_.on_store_reply(now, reply, member_, out);
         break;
-    case ports::store_user::configuration:
+    case ports::store_requester::configuration:
         follower_.on_store_reply(now, reply, out);
         break;
-    case ports::store_user::tasks:
+    case ports::store_requester::tasks:
         break;
-    case ports::store_user::requests:
-    case ports::store_user::administration:
+    case ports::store_requester::requests:
+    case ports::store_requester::administration:
         return false;
     }
-    auto const tag = reply.id.user == ports::store_user::tasks
+    auto const tag = reply.id.requester == ports::store_requester::tasks
                          ? calls_.take(reply.id)
                          : std::nullopt;
     if (!tag)
--- a/src/core/tasks/store_calls.cpp
+++ b/src/core/tasks/store_calls.cpp
@@ -53,7 +53,7 @@
     std::uint64_t const number = ++last_number_;
     waiting_[number] = {owner, std::move(name), number};
     ++counts_[static_cast<std::size_t>(owner)];
-    out.push_back(ports::store_call{{ports::store_user::tasks, number},
+    out.push_back(ports::store_call{{ports::store_requester::tasks, number},
                                     std::move(operation)});
     return number;
 }
--- a/src/ports/store.hpp
+++ b/src/ports/store.hpp
@@ -13,7 +13,7 @@
 {
 
 /// Which part of the core asked; answers are handed back to that part.
-enum class store_user : std::uint8_t
+enum class store_requester : std::uint8_t
 {
     membership,
     claims,
@@ -26,7 +26,7 @@
 /// Names one call; unique within one process.
 struct call_id
 {
-    store_user user = store_user::membership;
+    store_requester requester = store_requester::membership;
     std::uint64_t number = 0;
 
     auto operator<=>(call_id const&) const = default;
@@ -48,14 +48,14 @@
 {
     std::string key;
     std::string value;
-    std::uint64_t expected = 0;
+    std::uint64_t expected_version = 0;
 };
 
 /// Deletes only where the key's version is `expected`.
 struct store_erase
 {
     std::string key;
-    std::uint64_t expected = 0;
+    std::uint64_t expected_version = 0;
 };
 
 /// Waits until a key below `prefix` is newer than `index`, or `wait` is over;
--- a/src/programs/planner/administration_lists.cpp
+++ b/src/programs/planner/administration_lists.cpp
@@ -48,9 +48,9 @@
     failed_ = false;
     sent_ = now;
     waiting_for_ = next_call++;
-    out.emplace_back(
-        ports::store_call{{ports::store_user::administration, *waiting_for_},
-                          ports::store_list{prefix_}});
+    out.emplace_back(ports::store_call{
+        {ports::store_requester::administration, *waiting_for_},
+        ports::store_list{prefix_}});
 }
 
 bool cached_list::on_store_reply(ports::store_reply const& reply)
--- a/src/programs/planner/administration_removal.cpp
+++ b/src/programs/planner/administration_removal.cpp
@@ -58,9 +58,9 @@
         operation = ports::store_write{key_, to_json(buried), version_};
     }
     waiting_for_ = next_call++;
-    out.emplace_back(
-        ports::store_call{{ports::store_user::administration, *waiting_for_},
-                          std::move(operation)});
+    out.emplace_back(ports::store_call{
+        {ports::store_requester::administration, *waiting_for_},
+        std::move(operation)});
 }
 
 bool member_removal::on_store_reply(core::common::time_point now,
--- a/tests/contract/config/memory_store.hpp
+++ b/tests/contract/config/memory_store.hpp
@@ -116,12 +116,12 @@
         else if (auto const* write =
                      std::get_if<ports::store_write>(&call.operation))
         {
-            change(write->key, &write->value, write->expected, reply);
+            change(write->key, &write->value, write->expected_version, reply);
         }
         else if (auto const* gone =
                      std::get_if<ports::store_erase>(&call.operation))
         {
-            change(gone->key, nullptr, gone->expected, reply);
+            change(gone->key, nullptr, gone->expected_version, reply);
         }
         if (how == fault::malformed_value)
         {
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -150,7 +150,8 @@
         {
             if (auto const* call = std::get_if<ports::store_call>(&action))
             {
-                EXPECT_EQ(call->id.user, ports::store_user::administration);
+                EXPECT_EQ(call->id.requester,
+                          ports::store_requester::administration);
                 calls.push_back(*call);
             }
             else if (auto const* event = std::get_if<ports::log_event>(&action))
--- a/tests/unit/walks/small_system.cpp
+++ b/tests/unit/walks/small_system.cpp
@@ -397,8 +397,8 @@
                                              time_point local,
                                              ports::actions& out)
                                     {
-                                        if (reply.id.user ==
-                                            ports::store_user::claims)
+                                        if (reply.id.requester ==
+                                            ports::store_requester::claims)
                                         {
                                             self.claims.on_store_reply(
                                                 local, reply, self.member, out);
--- a/tools/load/bench_world.cpp
+++ b/tools/load/bench_world.cpp
@@ -48,13 +48,13 @@
     else if (auto const* write =
                  std::get_if<ports::store_write>(&call.operation))
     {
-        reply.status = swap(write->key, write->expected, &write->value);
+        reply.status = swap(write->key, write->expected_version, &write->value);
         reply.index = index_;
     }
     else if (auto const* erase =
                  std::get_if<ports::store_erase>(&call.operation))
     {
-        reply.status = swap(erase->key, erase->expected, nullptr);
+        reply.status = swap(erase->key, erase->expected_version, nullptr);
         reply.index = index_;
     }
     return reply;
