--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -101,7 +101,7 @@
     }
     if (into == nullptr)
     {
-        answer(request.caller, ports::queue_absent{});
+        answer(request.caller, ports::queue_not_found{});
         return;
     }
     auto id = request.path.substr(into->prefix.size());
@@ -135,7 +135,7 @@
 {
     if (!submits)
     {
-        answer(caller, ports::job_absent{});
+        answer(caller, ports::job_not_found{});
         return;
     }
     answer(caller,
@@ -342,7 +342,7 @@
                    }
                    else if (reply.status == kv_status::missing)
                    {
-                       answer(asked.caller, ports::job_absent{});
+                       answer(asked.caller, ports::job_not_found{});
                    }
                    else
                    {
@@ -382,7 +382,7 @@
 void request_handler::unknown(std::uint64_t caller, std::string why)
 {
     answer(caller,
-           ports::job_unknown{
+           ports::job_outcome_unknown{
                {result_code::store_unclear, "store", std::move(why)}});
 }
 
--- a/src/core/pool/request_handler_cancel.cpp
+++ b/src/core/pool/request_handler_cancel.cpp
@@ -79,7 +79,7 @@
             {
             case kv_status::done:
                 out_.log(severity::info, "cancel_ahead", {{"job", asked.id}});
-                answer(asked.caller, ports::job_absent{});
+                answer(asked.caller, ports::job_not_found{});
                 return;
             case kv_status::conflict:
                 // The job came just now.
--- a/src/ports/pool_actions.hpp
+++ b/src/ports/pool_actions.hpp
@@ -37,7 +37,7 @@
 };
 
 /// It may have been done: the same request again finds out.
-struct job_unknown
+struct job_outcome_unknown
 {
     core::common::failure reason;
 };
@@ -49,12 +49,12 @@
 };
 
 /// No job of this name was ever accepted, as far back as states are kept.
-struct job_absent
+struct job_not_found
 {
 };
 
 /// No queue belongs to this host and path.
-struct queue_absent
+struct queue_not_found
 {
 };
 
@@ -70,10 +70,10 @@
 
 using job_answer = std::variant<job_accepted,
                                 job_refused,
-                                job_unknown,
+                                job_outcome_unknown,
                                 job_invalid,
-                                job_absent,
-                                queue_absent,
+                                job_not_found,
+                                queue_not_found,
                                 job_status,
                                 queue_status>;
 
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -186,12 +186,12 @@
                            std::chrono::milliseconds(500)});
     EXPECT_EQ(refused.status, 503);
     EXPECT_EQ(refused.header("Retry-After"), "1");
-    EXPECT_EQ(platform::encode(
-                  ports::job_unknown{{result_code::store_unclear, "", ""}})
+    EXPECT_EQ(platform::encode(ports::job_outcome_unknown{
+                                   {result_code::store_unclear, "", ""}})
                   .status,
               504);
-    EXPECT_EQ(platform::encode(ports::job_absent{}).status, 410);
-    EXPECT_EQ(platform::encode(ports::queue_absent{}).status, 404);
+    EXPECT_EQ(platform::encode(ports::job_not_found{}).status, 410);
+    EXPECT_EQ(platform::encode(ports::queue_not_found{}).status, 404);
     EXPECT_EQ(
         platform::encode(ports::job_status{ports::job_state::failed}).body,
         R"({"state":"failed"})");
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -227,7 +227,7 @@
     };
     auto const before = told();
     ASSERT_TRUE(before.has_value());
-    EXPECT_TRUE(std::holds_alternative<ports::queue_absent>(*before));
+    EXPECT_TRUE(std::holds_alternative<ports::queue_not_found>(*before));
     world.store_fault =
         [late](std::size_t instance, ports::kv_operation const& call)
     {
--- a/tests/unit/pool/cancel_test.cpp
+++ b/tests/unit/pool/cancel_test.cpp
@@ -64,7 +64,7 @@
         });
     auto const got = world.answer(request);
     return got && (std::holds_alternative<ports::job_accepted>(*got) ||
-                   std::holds_alternative<ports::job_absent>(*got));
+                   std::holds_alternative<ports::job_not_found>(*got));
 }
 
 // From now on the owner's watches for jobs are answered with nothing.
@@ -160,7 +160,7 @@
     auto const request = world.cancel(2, "a");
     EXPECT_TRUE(acknowledged(world, request));
     EXPECT_TRUE(
-        std::holds_alternative<ports::job_absent>(*world.answer(request)));
+        std::holds_alternative<ports::job_not_found>(*world.answer(request)));
     for (std::size_t number = 0; number < 3; ++number)
     {
         EXPECT_EQ(world.state(number, "a"), std::nullopt);
--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -243,7 +243,7 @@
         for (auto const& [id, job] : jobs_)
         {
             if (any_got<ports::job_accepted>(job.cancels) ||
-                any_got<ports::job_absent>(job.cancels))
+                any_got<ports::job_not_found>(job.cancels))
             {
                 made.insert(id);
             }
--- a/tests/unit/pool/faults_test.cpp
+++ b/tests/unit/pool/faults_test.cpp
@@ -63,7 +63,7 @@
     settle(world);
     fail_commits(world, 1, fate::answer_lost);
     auto const first = world.submit(1, "a", simple_job(2, 100ms));
-    EXPECT_TRUE(got<ports::job_unknown>(world, first));
+    EXPECT_TRUE(got<ports::job_outcome_unknown>(world, first));
     auto const again = world.submit(2, "a", simple_job(2, 100ms));
     EXPECT_TRUE(got<ports::job_accepted>(world, again));
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
@@ -295,7 +295,7 @@
     pool_world world;
     settle(world);
     auto const first = world.query(1, "a");
-    EXPECT_TRUE(got<ports::job_absent>(world, first));
+    EXPECT_TRUE(got<ports::job_not_found>(world, first));
     world.store_fault = [](std::size_t, ports::kv_operation const&)
     {
         return fate::lost;
--- a/tests/unit/pool/odd_inputs_test.cpp
+++ b/tests/unit/pool/odd_inputs_test.cpp
@@ -43,9 +43,10 @@
     {
         EXPECT_TRUE(got<ports::job_invalid>(world, world.submit(0, odd, job)))
             << odd;
-        EXPECT_TRUE(got<ports::job_absent>(world, world.cancel(0, odd))) << odd;
+        EXPECT_TRUE(got<ports::job_not_found>(world, world.cancel(0, odd)))
+            << odd;
     }
-    EXPECT_TRUE(got<ports::job_absent>(world, world.query(0, "a/cancel")));
+    EXPECT_TRUE(got<ports::job_not_found>(world, world.query(0, "a/cancel")));
     EXPECT_TRUE(got<ports::job_accepted>(
         world, world.submit(0, std::string(64, 'a'), job)));
 }
--- a/tests/unit/pool/operators_unheard_test.cpp
+++ b/tests/unit/pool/operators_unheard_test.cpp
@@ -182,5 +182,5 @@
     auto const request = world.cancel(asked, "a");
     world.run(answers_by);
     EXPECT_TRUE(commits);
-    EXPECT_TRUE(told<ports::job_unknown>(world, request));
+    EXPECT_TRUE(told<ports::job_outcome_unknown>(world, request));
 }
