--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -234,8 +234,8 @@
     if (run.first_start_unix_ms == 0)
     {
         run.first_start_unix_ms = out_.unix_ms(now);
-        out_.push(ports::measured{
-            ports::pool_measure::wait_to_start,
+        out_.push(ports::duration_sample{
+            ports::duration_metric::wait_to_start,
             std::chrono::milliseconds(run.first_start_unix_ms -
                                       run.spec.accepted_unix_ms)});
     }
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -386,8 +386,8 @@
                         limit,
                         first](common::time_point at)
     {
-        out_.push(ports::measured{
-            ports::pool_measure::job,
+        out_.push(ports::duration_sample{
+            ports::duration_metric::job,
             std::chrono::milliseconds(out_.unix_ms(at) - accepted)});
         final_states_[id] = outcome;
         final_times_.emplace_back(at, id);
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -120,8 +120,8 @@
         return;
     }
     takeover_complete_ = true;
-    out_.push(ports::measured{ports::pool_measure::takeover,
-                              now - claim_.held_since()});
+    out_.push(ports::duration_sample{ports::duration_metric::takeover,
+                                     now - claim_.held_since()});
     out_.log(
         severity::info,
         "takeover_settled",
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -160,8 +160,8 @@
          born = of.incarnation,
          number = of.highest_end](common::time_point at)
         {
-            out_.push(
-                ports::measured{ports::pool_measure::end_to_durable, at - now});
+            out_.push(ports::duration_sample{
+                ports::duration_metric::end_to_durable, at - now});
             auto* const told = fleet_.find(id);
             if (told != nullptr && told->incarnation == born)
             {
--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -205,7 +205,8 @@
             auto const took = std::to_string(common::to_milliseconds(at - now));
             note(reply);
             times_.note(now, reply.revision);
-            out_.push(ports::measured{ports::pool_measure::accept, at - now});
+            out_.push(ports::duration_sample{ports::duration_metric::accept,
+                                             at - now});
             auto const silent =
                 std::to_string(common::to_milliseconds(store_silence(at)));
             switch (reply.status)
--- a/src/ports/pool_actions.hpp
+++ b/src/ports/pool_actions.hpp
@@ -89,7 +89,7 @@
     bool ready = false;
 };
 
-enum class pool_measure : std::uint8_t
+enum class duration_metric : std::uint8_t
 {
     accept,         ///< From a submission to its answer.
     wait_to_start,  ///< From the acceptance of a job to its first start.
@@ -99,10 +99,10 @@
 };
 
 /// One length of time for the histograms.
-struct measured
+struct duration_sample
 {
-    pool_measure what = pool_measure::accept;
-    core::common::duration took{};
+    duration_metric metric = duration_metric::accept;
+    core::common::duration elapsed{};
 };
 
 using pool_action = std::variant<kv_call,
@@ -110,7 +110,7 @@
                                  advice_call,
                                  job_reply,
                                  log_event,
-                                 measured,
+                                 duration_sample,
                                  readiness,
                                  stop_complete>;
 
--- a/src/programs/pool/pool_metrics.cpp
+++ b/src/programs/pool/pool_metrics.cpp
@@ -111,10 +111,10 @@
     open_.erase(found);
 }
 
-void pool_metrics::observe(ports::measured const& length)
+void pool_metrics::observe(ports::duration_sample const& length)
 {
-    lengths_[static_cast<std::size_t>(length.what)]->Observe(
-        seconds(length.took));
+    lengths_[static_cast<std::size_t>(length.metric)]->Observe(
+        seconds(length.elapsed));
 }
 
 void pool_metrics::sample(core::common::time_point now,
--- a/src/programs/pool/pool_metrics.hpp
+++ b/src/programs/pool/pool_metrics.hpp
@@ -23,7 +23,7 @@
     void began(core::common::time_point now, ports::pool_order const& order);
     void ended(core::common::time_point now, ports::kv_reply const& reply);
     void ended(core::common::time_point now, ports::order_reply const& reply);
-    void observe(ports::measured const& length);
+    void observe(ports::duration_sample const& length);
     /// Copies the owner's counts; null while another instance owns.
     void sample(core::common::time_point now, core::pool::owner const* owned);
     /// Calls without an answer.
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -328,7 +328,7 @@
         finish();
         return;
     }
-    if (auto const* const length = std::get_if<ports::measured>(&action))
+    if (auto const* const length = std::get_if<ports::duration_sample>(&action))
     {
         measures_.observe(*length);
         return;
