--- a/src/adapters/callers/caller_headers.cpp
+++ b/src/adapters/callers/caller_headers.cpp
@@ -194,8 +194,9 @@
         }
     }
     response.headers.push_back(
-        {"Fuchsia-Outcome", std::string(core::common::name_of(answer.says))});
-    if (answer.says != core::common::outcome::ran)
+        {"Fuchsia-Outcome",
+         std::string(core::common::name_of(answer.outcome))});
+    if (answer.outcome != core::common::outcome::ran)
     {
         response.headers.push_back({"Fuchsia-Code", code_text(answer.code)});
     }
--- a/src/adapters/peer/codec.cpp
+++ b/src/adapters/peer/codec.cpp
@@ -135,7 +135,7 @@
                                        headers,
                                        body,
                                        static_cast<std::uint16_t>(value.code),
-                                       static_cast<std::uint8_t>(value.says),
+                                       static_cast<std::uint8_t>(value.outcome),
                                        value.retry_after.count());
 }
 
@@ -151,7 +151,7 @@
     result.headers = read(value->headers());
     result.body = text_of(value->body());
     result.code = static_cast<result_code>(value->code());
-    result.says = static_cast<outcome>(value->says());
+    result.outcome = static_cast<outcome>(value->says());
     result.retry_after = duration(value->retry_after_us());
     return result;
 }
--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -59,9 +59,9 @@
         wait = std::clamp<common::duration>(predicted(), 50ms, 5s);
     }
     auto answer = make_refusal(code, wait, random_);
-    if (answer.says == common::outcome::not_run && !unheard)
+    if (answer.outcome == common::outcome::not_run && !unheard)
     {
-        answer.says = common::outcome::unknown;
+        answer.outcome = common::outcome::unknown;
     }
     return answer;
 }
@@ -118,9 +118,9 @@
     }
     one.answered = true;
     --unanswered_;
-    if (one.maybe_ran && answer.says == common::outcome::not_run)
+    if (one.maybe_ran && answer.outcome == common::outcome::not_run)
     {
-        answer.says = common::outcome::unknown;
+        answer.outcome = common::outcome::unknown;
     }
     if (one.is_local())
     {
@@ -145,7 +145,7 @@
         return;
     }
     one.begun = false;
-    auto const waiters = answer.says == common::outcome::not_run
+    auto const waiters = answer.outcome == common::outcome::not_run
                              ? keys_.forget(one.key)
                              : keys_.finish(now, one.key, answer);
     for (std::uint64_t const waiter : waiters)
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -300,7 +300,7 @@
     }
     by_sending_.erase(message.id);
     loads_.on_report(now, from, {message.free_slots, message.queued});
-    bool const not_run = message.answer.says == common::outcome::not_run;
+    bool const not_run = message.answer.outcome == common::outcome::not_run;
     bool const handed_over =
         message.answer.code == result_code::owner_unreachable;
     if (not_run && handed_over && one->keyed && !one->spilled &&
--- a/src/core/requests/key_memory.cpp
+++ b/src/core/requests/key_memory.cpp
@@ -28,7 +28,7 @@
     ports::caller_answer answer;
     answer.code = result_code::key_memory_lost;
     answer.status = common::row_of(answer.code).http_status;
-    answer.says = common::outcome::unknown;
+    answer.outcome = common::outcome::unknown;
     return answer;
 }
 
--- a/src/core/tasks/job_desk.cpp
+++ b/src/core/tasks/job_desk.cpp
@@ -32,7 +32,7 @@
     out.caller = caller;
     out.answer.status = row.http_status;
     out.answer.code = reason.code;
-    out.answer.says = common::outcome::not_run;
+    out.answer.outcome = common::outcome::not_run;
     out.answer.headers.push_back({"Content-Type", "application/json"});
     out.answer.body = json::serialize(
         json::object{{"code", static_cast<std::uint16_t>(reason.code)},
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -53,7 +53,7 @@
     std::vector<header> headers;
     std::string body;
     core::common::result_code code = core::common::result_code::ok;
-    core::common::outcome says = core::common::outcome::ran;
+    core::common::outcome outcome = core::common::outcome::ran;
     /// When to come back; only on refusals.
     core::common::duration retry_after{};
 };
--- a/src/programs/entry/entry_metrics.cpp
+++ b/src/programs/entry/entry_metrics.cpp
@@ -30,14 +30,14 @@
                                {{"customer", name}, {"class", class_name}});
     }
     latency->Observe(adapters::metrics::seconds(took));
-    auto& count = answers_[{kind, answer.says, answer.code}];
+    auto& count = answers_[{kind, answer.outcome, answer.code}];
     if (count == nullptr)
     {
         count = &registry_.counter(
             "fuchsia_answers_total",
             "Answers to callers by class, outcome and code",
             {{"class", class_name},
-             {"outcome", std::string(core::common::name_of(answer.says))},
+             {"outcome", std::string(core::common::name_of(answer.outcome))},
              {"code", std::string(core::common::name_of(answer.code))}});
     }
     count->Increment();
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -23,7 +23,8 @@
 response to_response(ports::caller_answer answer)
 {
     answer.headers.push_back(
-        {"Fuchsia-Outcome", std::string(core::common::name_of(answer.says))});
+        {"Fuchsia-Outcome",
+         std::string(core::common::name_of(answer.outcome))});
     return {answer.status, std::move(answer.headers), std::move(answer.body)};
 }
 
--- a/tests/contract/callers/caller_headers_test.cpp
+++ b/tests/contract/callers/caller_headers_test.cpp
@@ -127,7 +127,7 @@
     ports::caller_answer answer;
     answer.status = 503;
     answer.code = result_code::no_free_slot;
-    answer.says = outcome::not_run;
+    answer.outcome = outcome::not_run;
     answer.retry_after = 1200ms;
     auto const shown = to_response(answer);
     EXPECT_EQ(shown.status, 503);
--- a/tests/unit/requests/entry_cases_test.cpp
+++ b/tests/unit/requests/entry_cases_test.cpp
@@ -76,8 +76,8 @@
     auto const second = world().send(far_from("a"), bid("a", 2), 100ms);
     wait_for(first);
     wait_for(second);
-    EXPECT_EQ(world().at(first).answer.says, outcome::ran);
-    EXPECT_EQ(world().at(second).answer.says, outcome::ran);
+    EXPECT_EQ(world().at(first).answer.outcome, outcome::ran);
+    EXPECT_EQ(world().at(second).answer.outcome, outcome::ran);
     EXPECT_EQ(world().runs("body of a"), 1U);
 }
 
@@ -92,7 +92,7 @@
     {
         auto const again = world().send(entry, bid("a", 2));
         wait_for(again);
-        EXPECT_EQ(world().at(again).answer.says, outcome::ran);
+        EXPECT_EQ(world().at(again).answer.outcome, outcome::ran);
         EXPECT_EQ(world().at(again).answer.body, "body of a");
     }
     EXPECT_EQ(world().runs("body of a"), 1U);
@@ -111,8 +111,8 @@
     wait_for(again);
     wait_for(through);
     EXPECT_EQ(world().at(again).answer.code, result_code::key_memory_lost);
-    EXPECT_EQ(world().at(again).answer.says, outcome::unknown);
-    EXPECT_EQ(world().at(through).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(again).answer.outcome, outcome::unknown);
+    EXPECT_EQ(world().at(through).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().runs("body of a"), 1U);
 }
 
@@ -131,7 +131,7 @@
     world().kill(owner);
     wait_for(sent);
     EXPECT_EQ(world().at(sent).answer.code, result_code::owner_lost);
-    EXPECT_EQ(world().at(sent).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(sent).answer.outcome, outcome::unknown);
 }
 
 // The first sending is held up in the network; the second overtakes it and
@@ -143,7 +143,7 @@
     auto const second = world().send(world().owner_of("a"), bid("a", 2));
     wait_for(second);
     wait_for(first);
-    EXPECT_EQ(world().at(first).answer.says, outcome::ran);
+    EXPECT_EQ(world().at(first).answer.outcome, outcome::ran);
     EXPECT_EQ(world().runs("body of a"), 1U);
 }
 
@@ -161,8 +161,8 @@
     auto const through = world().send(world().other_than(owner), bid("a", 1));
     wait_for(first);
     wait_for(through);
-    EXPECT_EQ(world().at(first).answer.says, outcome::unknown);
-    EXPECT_EQ(world().at(through).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(first).answer.outcome, outcome::unknown);
+    EXPECT_EQ(world().at(through).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().runs("body of a"), 1U);
 }
 
@@ -177,8 +177,8 @@
     auto const through = world().send(far_from("b"), bid("b", 1));
     wait_for(sent);
     wait_for(through);
-    EXPECT_EQ(world().at(sent).answer.says, outcome::ran);
-    EXPECT_EQ(world().at(through).answer.says, outcome::ran);
+    EXPECT_EQ(world().at(sent).answer.outcome, outcome::ran);
+    EXPECT_EQ(world().at(through).answer.outcome, outcome::ran);
 }
 
 // An entry is frozen with a first sending in its buffers; the caller's second
@@ -198,7 +198,7 @@
     world().wake(frozen);
     world().run(15s);
     EXPECT_EQ(world().runs("body of a"), 1U);
-    EXPECT_NE(world().at(first).answer.says, outcome::ran);
+    EXPECT_NE(world().at(first).answer.outcome, outcome::ran);
 }
 
 // The same key comes with another body. Nobody gets an answer to what another
@@ -236,7 +236,7 @@
     for (auto const id : late)
     {
         EXPECT_TRUE(world().answered(id));
-        EXPECT_NE(world().at(id).answer.says, outcome::ran);
+        EXPECT_NE(world().at(id).answer.outcome, outcome::ran);
     }
     EXPECT_GT(world().running(), 0U);
     world().faults.fastest = world().faults.slowest = 20ms;
@@ -341,14 +341,14 @@
     for (auto const id : during)
     {
         ASSERT_TRUE(world().answered(id));
-        EXPECT_EQ(world().at(id).answer.says, outcome::ran)
+        EXPECT_EQ(world().at(id).answer.outcome, outcome::ran)
             << static_cast<unsigned>(world().at(id).answer.code);
     }
     for (auto const& key : keys)
     {
         auto const again = world().send(key.size() % 2, bid(key, 2));
         wait_for(again);
-        EXPECT_EQ(world().at(again).answer.says, outcome::ran) << key;
+        EXPECT_EQ(world().at(again).answer.outcome, outcome::ran) << key;
     }
 }
 
@@ -381,7 +381,7 @@
         {
             continue;
         }
-        EXPECT_EQ(world().at(id).answer.says, outcome::not_run);
+        EXPECT_EQ(world().at(id).answer.outcome, outcome::not_run);
         waits.insert(world().at(id).answer.retry_after.count());
     }
     EXPECT_GT(waits.size(), 20U);
@@ -404,7 +404,7 @@
     world().run(1ms);
     ASSERT_TRUE(world().answered(refused));
     EXPECT_EQ(world().at(refused).answer.code, result_code::no_proof);
-    EXPECT_EQ(world().at(refused).answer.says, outcome::not_run);
+    EXPECT_EQ(world().at(refused).answer.outcome, outcome::not_run);
 }
 
 // The platform's store is down for a minute. Requests go on being answered on
@@ -422,8 +422,8 @@
             world().send(at % 3, bid("down " + std::to_string(at), 1));
         wait_for(plain);
         wait_for(keyed);
-        ran += world().at(plain).answer.says == outcome::ran ? 1 : 0;
-        ran += world().at(keyed).answer.says == outcome::ran ? 1 : 0;
+        ran += world().at(plain).answer.outcome == outcome::ran ? 1 : 0;
+        ran += world().at(keyed).answer.outcome == outcome::ran ? 1 : 0;
     }
     EXPECT_EQ(ran, 120U);
 }
@@ -436,16 +436,16 @@
     world().faults.lost_permille = 1000;
     auto const lost_bid = world().send(0, bid("a", 1));
     wait_for(lost_bid);
-    EXPECT_EQ(world().at(lost_bid).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(lost_bid).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().runs("body of a"), 1U);
     auto const lost_query = world().send(0, query("q"));
     wait_for(lost_query);
-    EXPECT_EQ(world().at(lost_query).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(lost_query).answer.outcome, outcome::unknown);
     EXPECT_GT(world().runs("q"), 1U);
     world().faults.lost_permille = 0;
     auto const again = world().send(1, bid("a", 2));
     wait_for(again);
-    EXPECT_EQ(world().at(again).answer.says, outcome::unknown);
+    EXPECT_EQ(world().at(again).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().runs("body of a"), 1U);
 }
 
@@ -461,13 +461,13 @@
     {
         auto const id = world().send(0, bid("r" + std::to_string(at), 1));
         wait_for(id);
-        ran += world().at(id).answer.says == outcome::ran ? 1 : 0;
+        ran += world().at(id).answer.outcome == outcome::ran ? 1 : 0;
     }
     EXPECT_GE(ran, 30U);
     world().faults.refused_permille = 1000;
     auto const refused = world().send(0, bid("never", 1));
     wait_for(refused);
-    EXPECT_EQ(world().at(refused).answer.says, outcome::not_run);
+    EXPECT_EQ(world().at(refused).answer.outcome, outcome::not_run);
     EXPECT_EQ(world().runs("body of never"), 0U);
 }
 
@@ -494,7 +494,7 @@
     std::uint32_t unknown = 0;
     for (auto const id : sent)
     {
-        unknown += world().at(id).answer.says == outcome::unknown ? 1 : 0;
+        unknown += world().at(id).answer.outcome == outcome::unknown ? 1 : 0;
     }
     EXPECT_LE(unknown, sent.size() / 20);
 }
@@ -515,7 +515,7 @@
     {
         auto const id = world().send(reader, bid("u" + std::to_string(at), 2));
         wait_for(id);
-        unknown += world().at(id).answer.says == outcome::unknown ? 1 : 0;
+        unknown += world().at(id).answer.outcome == outcome::unknown ? 1 : 0;
     }
     EXPECT_GT(unknown, 10U);
     EXPECT_EQ(world().in_flight(), 0U);
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_world.cpp
@@ -582,7 +582,7 @@
     }
     std::uint64_t const id = std::stoull(sending_of(request));
     auto const& from = sendings_.at(id);
-    if (from.answers > 0 && from.answer.says == outcome::not_run)
+    if (from.answers > 0 && from.answer.outcome == outcome::not_run)
     {
         fail("sending " + std::to_string(id) + " ran after it was refused");
     }
@@ -624,12 +624,12 @@
         fail(name + " was answered twice");
     }
     one.answer = reply.answer;
-    if (reply.answer.says == outcome::ran &&
+    if (reply.answer.outcome == outcome::ran &&
         reply.answer.body != one.request.body)
     {
         fail(name + " got another's answer");
     }
-    if (reply.answer.says == outcome::not_run)
+    if (reply.answer.outcome == outcome::not_run)
     {
         check_not_run(one);
     }
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -97,7 +97,7 @@
     memory.finish(at(0s), "c/k", answer(std::string(5'000, 'a')));
     auto const found = memory.look_up(at(1s), partition, "c/k", 5, true);
     ASSERT_EQ(found.verdict, key_verdict::ended);
-    EXPECT_EQ(found.answer->says, core::common::outcome::unknown);
+    EXPECT_EQ(found.answer->outcome, core::common::outcome::unknown);
     EXPECT_LT(memory.bytes(), 2'000U);
 }
 
@@ -146,7 +146,7 @@
     EXPECT_EQ(ended.answer->body, "a");
     auto const running = next.look_up(at(3s), partition, "c/0", 5, false);
     ASSERT_EQ(running.verdict, key_verdict::ended);
-    EXPECT_EQ(running.answer->says, core::common::outcome::unknown);
+    EXPECT_EQ(running.answer->outcome, core::common::outcome::unknown);
     EXPECT_EQ(next.look_up(at(3s), partition, "c/new", 5, false).verdict,
               key_verdict::fresh);
 }
