--- a/src/adapters/peer/codec.cpp
+++ b/src/adapters/peer/codec.cpp
@@ -243,7 +243,7 @@
             keys.push_back(schema::Createremembered_key(out,
                                                         customer,
                                                         name,
-                                                        key.ended,
+                                                        key.finished,
                                                         answer,
                                                         key.age_us,
                                                         key.fingerprint));
@@ -252,7 +252,7 @@
         return schema::Createkey_handover(out,
                                           m.partition,
                                           m.epoch,
-                                          m.memory_us,
+                                          m.retention_us,
                                           written,
                                           m.last,
                                           m.slots_idle,
@@ -278,7 +278,7 @@
     ports::key_handover result;
     result.partition = value.partition();
     result.epoch = value.epoch();
-    result.memory_us = value.memory_us();
+    result.retention_us = value.memory_us();
     result.last = value.last();
     result.slots_idle = value.slots_idle();
     result.total_keys = value.total_keys();
--- a/src/core/requests/handover.cpp
+++ b/src/core/requests/handover.cpp
@@ -32,7 +32,7 @@
     ports::key_handover empty;
     empty.partition = partition;
     empty.epoch = from.epoch;
-    empty.memory_us = static_cast<std::uint64_t>(reach.count());
+    empty.retention_us = static_cast<std::uint64_t>(reach.count());
     empty.slots_idle = from.slots_idle;
     empty.total_keys = static_cast<std::uint32_t>(keys.size());
     empty.last = false;
@@ -73,7 +73,7 @@
         return false;
     }
     auto const reaches_from =
-        now - common::duration(static_cast<std::int64_t>(message.memory_us));
+        now - common::duration(static_cast<std::int64_t>(message.retention_us));
     if (message.epoch > known.epoch || known.from != from)
     {
         known = {};
--- a/src/core/requests/key_memory.cpp
+++ b/src/core/requests/key_memory.cpp
@@ -217,7 +217,7 @@
         ports::remembered_key key;
         key.customer = name.substr(0, slash);
         key.key = name.substr(slash + 1);
-        key.ended = known.ended;
+        key.finished = known.ended;
         key.answer = known.answer;
         key.fingerprint = known.fingerprint;
         auto const left = known.ended ? known.forget_at - now : settings_.keep;
@@ -257,7 +257,7 @@
         --partitions_[partition].running;
         end_with(now + settings_.keep - age,
                  found,
-                 key.ended ? key.answer : memory_lost());
+                 key.finished ? key.answer : memory_lost());
     }
     // Their ages differ, and forgetting goes from the front.
     std::sort(ended_.begin(), ended_.end());
--- a/src/ports/peer.hpp
+++ b/src/ports/peer.hpp
@@ -112,7 +112,7 @@
 {
     std::string customer;
     std::string key;
-    bool ended = false; ///< False: it was running when handed over.
+    bool finished = false; ///< False: it was running when handed over.
     caller_answer answer;
     std::uint64_t age_us = 0;
     /// Hash of method, target and body: another request under the same key
@@ -125,7 +125,7 @@
     std::uint32_t partition = 0;
     std::uint64_t epoch = 0;
     /// How far back the sender's memory reaches.
-    std::uint64_t memory_us = 0;
+    std::uint64_t retention_us = 0;
     std::vector<remembered_key> keys;
     bool last = true;
     /// Nothing of the sender runs on the partition's upstreams any more.
