--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -147,7 +147,7 @@
     made.store = root.endpoint("store");
     if (!root.text_or("advice", "").empty())
     {
-        made.advice = root.endpoint("advice");
+        made.policy = root.endpoint("advice");
     }
     made.log_level = static_cast<ports::severity>(
         root.choice_or("log_level", 1, {"debug", "info", "warning", "error"}));
--- a/src/adapters/settings/pool_settings.hpp
+++ b/src/adapters/settings/pool_settings.hpp
@@ -22,7 +22,7 @@
     std::string readiness_path;
     ports::endpoint metrics;
     ports::endpoint store;
-    std::optional<ports::endpoint> advice; ///< Of a policy service, if any.
+    std::optional<ports::endpoint> policy; ///< Of a policy service, if any.
     ports::severity log_level = ports::severity::info;
     core::pool::pool_settings pool;
 };
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -63,7 +63,7 @@
 }
 
 void engine::on_advice_reply(common::time_point now,
-                             ports::advice_reply const& reply)
+                             ports::policy_reply const& reply)
 {
     out_.on_advice_reply(now, reply);
     follow(now);
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -43,7 +43,7 @@
     void on_order_reply(common::time_point now,
                         ports::order_reply const& reply);
     void on_advice_reply(common::time_point now,
-                         ports::advice_reply const& reply);
+                         ports::policy_reply const& reply);
     /// A planned stop: the claim is given back, what is open is answered.
     /// Ends in `stop_complete`.
     void begin_stop(common::time_point now);
--- a/src/core/pool/outbox.cpp
+++ b/src/core/pool/outbox.cpp
@@ -25,7 +25,7 @@
 }
 
 void outbox::advise(lifetime_token const& asker,
-                    ports::advice_call call,
+                    ports::policy_request call,
                     advice_handler handle)
 {
     call.id = ++next_id_;
@@ -93,7 +93,7 @@
 }
 
 void outbox::on_advice_reply(common::time_point now,
-                             ports::advice_reply const& reply)
+                             ports::policy_reply const& reply)
 {
     hand_over(advice_calls_, now, reply);
 }
--- a/src/core/pool/outbox.hpp
+++ b/src/core/pool/outbox.hpp
@@ -27,7 +27,7 @@
         std::function<void(common::time_point, ports::order_reply const&)>;
 
     using advice_handler =
-        std::function<void(common::time_point, ports::advice_reply const&)>;
+        std::function<void(common::time_point, ports::policy_reply const&)>;
 
     void store(lifetime_token const& asker,
                ports::kv_operation operation,
@@ -37,7 +37,7 @@
                ports::pool_order order,
                order_handler handle);
     void advise(lifetime_token const& asker,
-                ports::advice_call call,
+                ports::policy_request call,
                 advice_handler handle);
     void reply(std::uint64_t caller, ports::job_answer answer);
     void log(ports::severity level,
@@ -51,7 +51,7 @@
     void on_order_reply(common::time_point now,
                         ports::order_reply const& reply);
     void on_advice_reply(common::time_point now,
-                         ports::advice_reply const& reply);
+                         ports::policy_reply const& reply);
 
     /// Takes everything that was asked for since the last call.
     ports::pool_actions take_actions();
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -333,7 +333,7 @@
     void on_advice(common::time_point now,
                    common::time_point asked,
                    ready_key const& key,
-                   ports::advice_reply const& reply);
+                   ports::policy_reply const& reply);
 
     // owner_dispatch.cpp: which task starts next.
     struct ready_key
--- a/src/core/pool/owner_advice.cpp
+++ b/src/core/pool/owner_advice.cpp
@@ -50,7 +50,7 @@
     auto const& rules = *run.rules.advice;
     auto const takes =
         rules.decision + rules.per_worker * static_cast<int>(workers.size());
-    ports::advice_call call;
+    ports::policy_request call;
     call.step = {key.job, key.occurrence, key.step, 0};
     call.workers = std::move(workers);
     call.timeout = takes + call_grace;
@@ -61,7 +61,7 @@
     out_.advise(life_,
                 std::move(call),
                 [this, key, now](common::time_point at,
-                                 ports::advice_reply const& reply)
+                                 ports::policy_reply const& reply)
                 {
                     on_advice(at, now, key, reply);
                 });
@@ -104,7 +104,7 @@
 void owner::on_advice(common::time_point now,
                       common::time_point asked,
                       ready_key const& key,
-                      ports::advice_reply const& reply)
+                      ports::policy_reply const& reply)
 {
     advice_busy_ = false;
     dispatch_requested_ = true;
--- a/src/ports/pool_actions.hpp
+++ b/src/ports/pool_actions.hpp
@@ -3,7 +3,7 @@
 #include "core/common/result_code.hpp"
 #include "ports/actions.hpp"
 #include "ports/kv.hpp"
-#include "ports/pool_advice.hpp"
+#include "ports/pool_policy.hpp"
 #include "ports/pool_workers.hpp"
 
 #include <cstdint>
@@ -107,7 +107,7 @@
 
 using pool_action = std::variant<kv_call,
                                  pool_order,
-                                 advice_call,
+                                 policy_request,
                                  job_reply,
                                  log_event,
                                  duration_sample,
--- a/src/ports/pool_advice.hpp
+++ b/src/ports/pool_policy.hpp
@@ -12,7 +12,7 @@
 namespace fuchsia::ports
 {
 
-struct advice_call
+struct policy_request
 {
     std::uint64_t id = 0;
     task_name step; ///< Its index means nothing.
@@ -21,17 +21,17 @@
 };
 
 /// Permission to start tasks of the step on one worker.
-struct advice_ticket
+struct policy_ticket
 {
     std::string worker;
     std::string ticket;
 };
 
-struct advice_reply
+struct policy_reply
 {
     std::uint64_t id = 0;
     bool answered = false;
-    std::vector<advice_ticket> allowed;
+    std::vector<policy_ticket> allowed;
     core::common::duration valid{};
 };
 
--- a/src/programs/pool/pool_outside.cpp
+++ b/src/programs/pool/pool_outside.cpp
@@ -37,7 +37,7 @@
         }
         workers_->send(std::move(*order));
     }
-    else if (auto* const ask = std::get_if<ports::advice_call>(&call.what))
+    else if (auto* const ask = std::get_if<ports::policy_request>(&call.what))
     {
         advice_->send(*ask);
     }
@@ -52,7 +52,7 @@
         engine_.on_order_reply(now, *order);
     }
     else if (auto const* const advice =
-                 std::get_if<ports::advice_reply>(&reply))
+                 std::get_if<ports::policy_reply>(&reply))
     {
         engine_.on_advice_reply(now, *advice);
     }
@@ -93,9 +93,9 @@
     {
         reply = held_back(*order);
     }
-    else if (auto const* const ask = std::get_if<ports::advice_call>(&call))
+    else if (auto const* const ask = std::get_if<ports::policy_request>(&call))
     {
-        ports::advice_reply made;
+        ports::policy_reply made;
         made.id = ask->id;
         reply = std::move(made);
     }
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -98,10 +98,10 @@
         {
             replies_.try_push(outside_reply{std::move(reply)});
         });
-    advice_ = std::make_unique<platform::advice>(
+    advice_ = std::make_unique<platform::policy_client>(
         outside_.io(),
-        settings_.advice,
-        [this](ports::advice_reply reply)
+        settings_.policy,
+        [this](ports::policy_reply reply)
         {
             replies_.try_push(outside_reply{std::move(reply)});
         });
@@ -349,7 +349,7 @@
         measures_.began(clock::now(), *order);
         call.what = std::move(*order);
     }
-    else if (auto* const ask = std::get_if<ports::advice_call>(&action))
+    else if (auto* const ask = std::get_if<ports::policy_request>(&action))
     {
         call.what = std::move(*ask);
     }
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -8,7 +8,7 @@
 #include "adapters/runtime/timer.hpp"
 #include "adapters/settings/pool_settings.hpp"
 #include "core/pool/engine.hpp"
-#include "platform/advice.hpp"
+#include "platform/policy_client.hpp"
 #include "platform/store.hpp"
 #include "platform/workers.hpp"
 #include "programs/pool/pool_metrics.hpp"
@@ -44,14 +44,14 @@
         adapters::http::response message;
     };
     using outside_operation =
-        std::variant<std::monostate, ports::pool_order, ports::advice_call>;
+        std::variant<std::monostate, ports::pool_order, ports::policy_request>;
     struct outside_call
     {
         outside_operation what;
         core::common::time_point asked{};
     };
     using outside_reply =
-        std::variant<std::monostate, ports::order_reply, ports::advice_reply>;
+        std::variant<std::monostate, ports::order_reply, ports::policy_reply>;
 
     // pool_program.cpp: duties, time and callers.
     bool listen(core::common::failure& reason);
@@ -106,7 +106,7 @@
 
     std::unique_ptr<platform::store> store_;
     std::unique_ptr<platform::workers> workers_;
-    std::unique_ptr<platform::advice> advice_;
+    std::unique_ptr<platform::policy_client> advice_;
     std::unique_ptr<adapters::http::server> submissions_;
     std::unique_ptr<adapters::http::server> readiness_;
     std::unique_ptr<adapters::http::server> exposition_;
--- a/tests/contract/inputs/advice_inputs_test.cpp
+++ b/tests/contract/inputs/advice_inputs_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/advice_codec.hpp"
+#include "platform/policy_codec.hpp"
 
 #include <gtest/gtest.h>
 #include <string>
@@ -26,12 +26,13 @@
                             "null"})
     {
         failure reason;
-        EXPECT_FALSE(platform::decode_advice({200,
-                                              {},
-                                              R"({"allowed":[],"validMs":)" +
-                                                  std::string(bad) + "}"},
-                                             reason)
-                         .answered)
+        EXPECT_FALSE(
+            platform::decode_policy_reply(
+                {200,
+                 {},
+                 R"({"allowed":[],"validMs":)" + std::string(bad) + "}"},
+                reason)
+                .answered)
             << bad;
         EXPECT_FALSE(reason.where.empty()) << bad;
     }
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -7,10 +7,10 @@
 #include "core/pool/job_run.hpp"
 #include "core/pool/progress.hpp"
 #include "core/pool/roster.hpp"
-#include "platform/advice_codec.hpp"
 #include "platform/directory.hpp"
 #include "platform/job_codec.hpp"
 #include "platform/order_codec.hpp"
+#include "platform/policy_codec.hpp"
 #include "platform/store_codec.hpp"
 #include "platform/submissions.hpp"
 
@@ -274,7 +274,7 @@
 std::string check_advice(std::string const& input)
 {
     failure reason;
-    auto const made = platform::decode_advice({200, {}, input}, reason);
+    auto const made = platform::decode_policy_reply({200, {}, input}, reason);
     if (!made.answered)
     {
         return told(reason);
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -457,7 +457,7 @@
             call_worker(number, *order);
         }
         else if (auto const* const ask =
-                     std::get_if<ports::advice_call>(&action))
+                     std::get_if<ports::policy_request>(&action))
         {
             call_policy(number, *ask);
         }
@@ -631,14 +631,15 @@
     return without_ticket_;
 }
 
-void pool_world::call_policy(std::size_t number, ports::advice_call const& call)
+void pool_world::call_policy(std::size_t number,
+                             ports::policy_request const& call)
 {
     if (policy_busy_ && violation_.empty())
     {
         violation_ = "a second call of the policy at a time";
     }
     policy_busy_ = true;
-    ports::advice_reply reply;
+    ports::policy_reply reply;
     reply.id = call.id;
     reply.answered = true;
     reply.valid = 3s;
--- a/tests/unit/pool/pool_world.hpp
+++ b/tests/unit/pool/pool_world.hpp
@@ -150,7 +150,7 @@
                       std::uint64_t life,
                       ports::pool_order const& order,
                       bool answered);
-    void call_policy(std::size_t number, ports::advice_call const& call);
+    void call_policy(std::size_t number, ports::policy_request const& call);
     void wake_watches();
     /// By way of `store_answer` and `worker_answer`.
     void hand_back(std::size_t number, ports::kv_reply reply);
