--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -2,7 +2,7 @@
 
 #include "adapters/daemon/shell.hpp"
 #include "adapters/runtime/signals.hpp"
-#include "platform/directory.hpp"
+#include "platform/platform_records.hpp"
 #include "platform/submissions.hpp"
 #include "programs/pool/pool_administration.hpp"
 
@@ -39,7 +39,7 @@
                            std::string path)
     : settings_(std::move(settings)), path_(std::move(path)),
       engine_(settings_.pool,
-              platform::make_directory(),
+              platform::make_platform_records(),
               incarnation_of(settings_.name)),
       log_(log_lines_per_second), measures_(metrics_),
       requests_(decisions_,
--- a/tests/contract/inputs/directory_inputs_test.cpp
+++ b/tests/contract/inputs/directory_inputs_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/directory.hpp"
+#include "platform/platform_records.hpp"
 
 #include <array>
 #include <gtest/gtest.h>
@@ -47,7 +47,7 @@
     item.key = key;
     item.value = value;
     bool const taken =
-        platform::make_directory().read_worker(item, reason).has_value();
+        platform::make_platform_records().read_worker(item, reason).has_value();
     EXPECT_TRUE(taken || !reason.where.empty()) << value;
     return taken;
 }
@@ -58,7 +58,9 @@
     ports::kv_item item;
     item.key = "op/config";
     item.value = value;
-    return platform::make_directory().read_operator(item, reason).has_value();
+    return platform::make_platform_records()
+        .read_operator(item, reason)
+        .has_value();
 }
 
 } // namespace
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -7,9 +7,9 @@
 #include "core/pool/job_run.hpp"
 #include "core/pool/progress.hpp"
 #include "core/pool/roster.hpp"
-#include "platform/directory.hpp"
 #include "platform/job_codec.hpp"
 #include "platform/order_codec.hpp"
+#include "platform/platform_records.hpp"
 #include "platform/policy_codec.hpp"
 #include "platform/store_codec.hpp"
 #include "platform/submissions.hpp"
@@ -85,7 +85,7 @@
 std::string check_worker(std::string const& input)
 {
     failure reason;
-    auto const made = platform::make_directory().read_worker(
+    auto const made = platform::make_platform_records().read_worker(
         item("servers/i-1", input), reason);
     if (!made)
     {
@@ -101,7 +101,7 @@
 std::string check_operator(std::string const& input)
 {
     failure reason;
-    auto const made = platform::make_directory().read_operator(
+    auto const made = platform::make_platform_records().read_operator(
         item("op/config", input), reason);
     if (!made)
     {
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -1,6 +1,6 @@
-#include "platform/directory.hpp"
 #include "platform/job_codec.hpp"
 #include "platform/order_codec.hpp"
+#include "platform/platform_records.hpp"
 #include "platform/submissions.hpp"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
 TEST(platform_codec, reads_a_worker)
 {
     failure reason;
-    auto const words = platform::make_directory();
+    auto const words = platform::make_platform_records();
     auto const worker =
         words.read_worker(item("servers/i-1", good_worker), reason);
     ASSERT_TRUE(worker) << to_string(reason);
@@ -48,7 +48,7 @@
 // sent nowhere; taken for the end of the list, the good ones would be lost.
 TEST(platform_codec, refuses_entries_that_name_no_worker)
 {
-    auto const words = platform::make_directory();
+    auto const words = platform::make_platform_records();
     for (auto const* bad :
          {"",
           "not json",
@@ -68,7 +68,7 @@
 TEST(platform_codec, reads_the_configuration)
 {
     failure reason;
-    auto const words = platform::make_directory();
+    auto const words = platform::make_platform_records();
     auto const change = words.read_operator(
         item("op/config",
              R"({"version":7,"routes":[{"name":"r","host":"h.example",)"
@@ -89,7 +89,7 @@
 TEST(platform_codec, reads_a_data_centre_taken_out_and_back)
 {
     failure reason;
-    auto const words = platform::make_directory();
+    auto const words = platform::make_platform_records();
     auto gone = item("op/evacuate/a", "e30=");
     auto const out = words.read_operator(gone, reason);
     ASSERT_TRUE(out);
