--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -3,7 +3,7 @@
 #include "adapters/daemon/shell.hpp"
 #include "adapters/runtime/signals.hpp"
 #include "platform/platform_records.hpp"
-#include "platform/submissions.hpp"
+#include "platform/submission_codec.hpp"
 #include "programs/pool/pool_administration.hpp"
 
 #include <boost/asio/post.hpp>
@@ -82,17 +82,17 @@
       ticker_(decisions_.io()), sampler_(decisions_.io()),
       finisher_(callers_.io())
 {
-    store_ = std::make_unique<platform::store>(store_duty_.io(),
-                                               settings_.store,
-                                               [this](ports::kv_reply reply)
-                                               {
-                                                   // Never full: no more calls
-                                                   // are open than the ring has
-                                                   // places.
-                                                   store_replies_.try_push(
-                                                       std::move(reply));
-                                               });
-    workers_ = std::make_unique<platform::workers>(
+    store_ = std::make_unique<platform::kv_client>(store_duty_.io(),
+                                                   settings_.store,
+                                                   [this](ports::kv_reply reply)
+                                                   {
+                                                       // Never full: no more
+                                                       // calls are open than
+                                                       // the ring has places.
+                                                       store_replies_.try_push(
+                                                           std::move(reply));
+                                                   });
+    workers_ = std::make_unique<platform::order_client>(
         outside_.io(),
         [this](ports::order_reply reply)
         {
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -8,9 +8,9 @@
 #include "adapters/runtime/timer.hpp"
 #include "adapters/settings/pool_settings.hpp"
 #include "core/pool/engine.hpp"
+#include "platform/kv_client.hpp"
+#include "platform/order_client.hpp"
 #include "platform/policy_client.hpp"
-#include "platform/store.hpp"
-#include "platform/workers.hpp"
 #include "programs/pool/pool_metrics.hpp"
 
 #include <atomic>
@@ -104,8 +104,8 @@
     adapters::runtime::ring<ports::kv_call> store_calls_;
     adapters::runtime::ring<ports::kv_reply> store_replies_;
 
-    std::unique_ptr<platform::store> store_;
-    std::unique_ptr<platform::workers> workers_;
+    std::unique_ptr<platform::kv_client> store_;
+    std::unique_ptr<platform::order_client> workers_;
     std::unique_ptr<platform::policy_client> advice_;
     std::unique_ptr<adapters::http::server> submissions_;
     std::unique_ptr<adapters::http::server> readiness_;
--- a/tests/contract/inputs/http_inputs_test.cpp
+++ b/tests/contract/inputs/http_inputs_test.cpp
@@ -2,8 +2,8 @@
 
 #include "adapters/callers/caller_headers.hpp"
 #include "adapters/http/server.hpp"
-#include "platform/store.hpp"
-#include "platform/submissions.hpp"
+#include "platform/kv_client.hpp"
+#include "platform/submission_codec.hpp"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -185,12 +185,12 @@
     tcp::acceptor accepting(io, {asio::ip::make_address("127.0.0.1"), 0});
     ports::endpoint const where{"127.0.0.1", accepting.local_endpoint().port()};
     std::size_t ended = 0;
-    platform::store asked(io,
-                          where,
-                          [&ended](ports::kv_reply const&)
-                          {
-                              ++ended;
-                          });
+    platform::kv_client asked(io,
+                              where,
+                              [&ended](ports::kv_reply const&)
+                              {
+                                  ++ended;
+                              });
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -8,11 +8,11 @@
 #include "core/pool/progress.hpp"
 #include "core/pool/roster.hpp"
 #include "platform/job_codec.hpp"
+#include "platform/kv_codec.hpp"
 #include "platform/order_codec.hpp"
 #include "platform/platform_records.hpp"
 #include "platform/policy_codec.hpp"
-#include "platform/store_codec.hpp"
-#include "platform/submissions.hpp"
+#include "platform/submission_codec.hpp"
 
 #include <cmath>
 #include <gtest/gtest.h>
--- a/tests/contract/inputs/store_inputs_test.cpp
+++ b/tests/contract/inputs/store_inputs_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/store_codec.hpp"
+#include "platform/kv_codec.hpp"
 
 #include <gtest/gtest.h>
 #include <string>
--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -1,7 +1,7 @@
 #include "platform/job_codec.hpp"
 #include "platform/order_codec.hpp"
 #include "platform/platform_records.hpp"
-#include "platform/submissions.hpp"
+#include "platform/submission_codec.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/contract/platform/store_test.cpp
+++ b/tests/contract/platform/store_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/store.hpp"
+#include "platform/kv_client.hpp"
 
 #include "adapters/http/server.hpp"
 
@@ -32,12 +32,12 @@
     auto const where = served.listen({"127.0.0.1", 0}, reason);
     EXPECT_TRUE(where) << to_string(reason);
     std::optional<ports::kv_status> told;
-    platform::store asked(io,
-                          where.value_or(ports::endpoint{}),
-                          [&told](ports::kv_reply const& reply)
-                          {
-                              told = reply.status;
-                          });
+    platform::kv_client asked(io,
+                              where.value_or(ports::endpoint{}),
+                              [&told](ports::kv_reply const& reply)
+                              {
+                                  told = reply.status;
+                              });
     asked.send({1, std::move(operation), 10s});
     auto const end = std::chrono::steady_clock::now() + patience;
     while (!told && std::chrono::steady_clock::now() < end)
