--- a/src/adapters/daemon/shell.cpp
+++ b/src/adapters/daemon/shell.cpp
@@ -223,7 +223,7 @@
     return peer_address_;
 }
 
-runtime::duty& shell::decisions() noexcept
+runtime::io_thread& shell::decisions() noexcept
 {
     return decisions_;
 }
--- a/src/adapters/daemon/shell.hpp
+++ b/src/adapters/daemon/shell.hpp
@@ -6,7 +6,7 @@
 #include "adapters/peer/transport.hpp"
 #include "adapters/platform/catalog_client.hpp"
 #include "adapters/platform/store_client.hpp"
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 #include "adapters/runtime/ring.hpp"
 #include "adapters/runtime/timer.hpp"
 #include "adapters/settings/daemon_settings.hpp"
@@ -86,7 +86,7 @@
     void answer(std::uint64_t request, http::response response);
     void set_ready(bool ready) noexcept;
 
-    runtime::duty& decisions() noexcept;
+    runtime::io_thread& decisions() noexcept;
     metrics::registry& metrics() noexcept;
 
 private:
@@ -148,11 +148,11 @@
     metrics::registry metrics_;
     logging::rate_limit log_;
 
-    runtime::duty main_{"main"};
-    runtime::duty decisions_{"decisions"};
-    runtime::duty platform_{"platform"};
-    runtime::duty peers_{"peers"};
-    runtime::duty http_{"http"};
+    runtime::io_thread main_{"main"};
+    runtime::io_thread decisions_{"decisions"};
+    runtime::io_thread platform_{"platform"};
+    runtime::io_thread peers_{"peers"};
+    runtime::io_thread http_{"http"};
 
     runtime::ring<request_in> requests_;
     runtime::ring<answer_out> answers_;
--- a/src/adapters/runtime/duty.cpp
+++ b/src/adapters/runtime/io_thread.cpp
@@ -1,4 +1,4 @@
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 
 #include <pthread.h>
 #include <utility>
@@ -12,22 +12,22 @@
 constexpr std::size_t max_thread_name = 15;
 } // namespace
 
-duty::duty(std::string name)
+io_thread::io_thread(std::string name)
     : name_(std::move(name)), io_(1), work_(io_.get_executor())
 {
 }
 
-duty::~duty()
+io_thread::~io_thread()
 {
     stop();
 }
 
-boost::asio::io_context& duty::io() noexcept
+boost::asio::io_context& io_thread::io() noexcept
 {
     return io_;
 }
 
-void duty::start()
+void io_thread::start()
 {
     thread_ = std::thread(
         [this]
@@ -36,7 +36,7 @@
         });
 }
 
-void duty::stop()
+void io_thread::stop()
 {
     io_.stop();
     if (thread_.joinable())
@@ -45,7 +45,7 @@
     }
 }
 
-void duty::run()
+void io_thread::run()
 {
     pthread_setname_np(pthread_self(),
                        name_.substr(0, max_thread_name).c_str());
--- a/src/adapters/runtime/duty.hpp
+++ b/src/adapters/runtime/io_thread.hpp
@@ -10,14 +10,14 @@
 
 /// One thread with one job: it runs the handlers of its own `io` and touches
 /// no other duty's state. Duties talk through rings.
-class duty
+class io_thread
 {
 public:
-    explicit duty(std::string name);
+    explicit io_thread(std::string name);
     /// Stops and joins.
-    ~duty();
-    duty(duty const&) = delete;
-    duty& operator=(duty const&) = delete;
+    ~io_thread();
+    io_thread(io_thread const&) = delete;
+    io_thread& operator=(io_thread const&) = delete;
 
     boost::asio::io_context& io() noexcept;
     void start();
--- a/src/adapters/runtime/ring.hpp
+++ b/src/adapters/runtime/ring.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 
 #include <atomic>
 #include <boost/asio/post.hpp>
@@ -21,7 +21,7 @@
 public:
     using handler = std::function<void(T&)>;
 
-    ring(duty& consumer, std::size_t capacity, handler handle)
+    ring(io_thread& consumer, std::size_t capacity, handler handle)
         : consumer_(consumer), queue_(capacity), handle_(std::move(handle))
     {
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    duty& consumer_;
+    io_thread& consumer_;
     boost::lockfree::spsc_queue<T> queue_;
     handler handle_;
     std::atomic<bool> scheduled_{false};
--- a/src/programs/entry/entry_program.hpp
+++ b/src/programs/entry/entry_program.hpp
@@ -2,7 +2,7 @@
 
 #include "adapters/daemon/shell.hpp"
 #include "adapters/http/client.hpp"
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 #include "adapters/runtime/ring.hpp"
 #include "adapters/settings/entry_options.hpp"
 #include "core/requests/entry_engine.hpp"
@@ -73,7 +73,7 @@
     std::optional<time_point> timer_due_;
     time_point next_sample_{};
 
-    adapters::runtime::duty upstreams_{"upstreams"};
+    adapters::runtime::io_thread upstreams_{"upstreams"};
     adapters::runtime::ring<ports::upstream_send> sends_;
     adapters::runtime::ring<ports::upstream_end> ends_;
     std::unique_ptr<adapters::http::client> client_;
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -70,7 +70,7 @@
 
     adapters::settings::planner_file settings_;
     adapters::daemon::shell shell_;
-    adapters::runtime::duty workers_duty_{"workers"};
+    adapters::runtime::io_thread workers_duty_{"workers"};
     adapters::runtime::ring<call_out> calls_;
     adapters::runtime::ring<reply_in> replies_;
     adapters::runtime::ring<ports::worker_report> reports_;
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -3,7 +3,7 @@
 #include "adapters/http/server.hpp"
 #include "adapters/logging/logger.hpp"
 #include "adapters/metrics/registry.hpp"
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 #include "adapters/runtime/ring.hpp"
 #include "adapters/runtime/timer.hpp"
 #include "adapters/settings/pool_settings.hpp"
@@ -89,11 +89,11 @@
     std::atomic<bool> ready_{false};
     std::atomic<bool> closing_{false};
 
-    adapters::runtime::duty main_{"main"};
-    adapters::runtime::duty decisions_{"decisions"};
-    adapters::runtime::duty outside_{"outside"};
-    adapters::runtime::duty store_duty_{"store"};
-    adapters::runtime::duty callers_{"callers"};
+    adapters::runtime::io_thread main_{"main"};
+    adapters::runtime::io_thread decisions_{"decisions"};
+    adapters::runtime::io_thread outside_{"outside"};
+    adapters::runtime::io_thread store_duty_{"store"};
+    adapters::runtime::io_thread callers_{"callers"};
 
     adapters::runtime::ring<request> requests_;
     adapters::runtime::ring<answer_out> answers_;
--- a/tests/contract/ctl/ctl_test.cpp
+++ b/tests/contract/ctl/ctl_test.cpp
@@ -1,5 +1,5 @@
 #include "adapters/http/server.hpp"
-#include "adapters/runtime/duty.hpp"
+#include "adapters/runtime/io_thread.hpp"
 #include "programs/ctl/command_line.hpp"
 #include "programs/ctl/runner.hpp"
 
@@ -76,7 +76,7 @@
     }
 
 private:
-    adapters::runtime::duty duty_{"planner"};
+    adapters::runtime::io_thread duty_{"planner"};
     std::mutex mutex_;
     std::vector<request> seen_;
     adapters::http::server server_;
@@ -129,7 +129,7 @@
             });
     }
 
-    adapters::runtime::duty duty_{"closing"};
+    adapters::runtime::io_thread duty_{"closing"};
     tcp::acceptor acceptor_;
 };
 
