--- a/src/adapters/http/server.cpp
+++ b/src/adapters/http/server.cpp
@@ -1,6 +1,6 @@
 #include "adapters/http/server.hpp"
 
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 #include "adapters/runtime/timer.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
@@ -264,7 +264,7 @@
 
 void server::listener::accept()
 {
-    acceptor_.next(
+    acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
             if (self->open_ < self->limits_.connections)
--- a/src/adapters/peer/transport.cpp
+++ b/src/adapters/peer/transport.cpp
@@ -1,7 +1,7 @@
 #include "adapters/peer/transport.hpp"
 
 #include "adapters/http/message.hpp"
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 #include "adapters/runtime/timer.hpp"
 
 #include <array>
@@ -416,7 +416,7 @@
 
 void transport::state::accept()
 {
-    acceptor_.next(
+    acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
             self->take(std::move(socket));
--- a/src/adapters/runtime/listen.cpp
+++ b/src/adapters/runtime/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 
 #include <utility>
 
@@ -54,7 +54,7 @@
     return ports::endpoint{where.address, socket_.local_endpoint().port()};
 }
 
-void acceptor::next(taker take)
+void acceptor::accept_next(handler take)
 {
     socket_.async_accept(
         [this, take = std::move(take)](error_code error, tcp::socket socket)
@@ -74,7 +74,7 @@
                 {
                     if (!stopped)
                     {
-                        next(take);
+                        accept_next(take);
                     }
                 });
         });
--- a/src/adapters/runtime/listen.hpp
+++ b/src/adapters/runtime/acceptor.hpp
@@ -16,7 +16,7 @@
 class acceptor
 {
 public:
-    using taker = std::function<void(boost::asio::ip::tcp::socket)>;
+    using handler = std::function<void(boost::asio::ip::tcp::socket)>;
 
     explicit acceptor(boost::asio::io_context& io);
 
@@ -26,7 +26,7 @@
                                           core::common::failure& reason);
     /// Calls `take` with the next connection; not after `close`. `take` keeps
     /// this object alive.
-    void next(taker take);
+    void accept_next(handler take);
     void close();
 
 private:
--- a/standins/links/relay.cpp
+++ b/standins/links/relay.cpp
@@ -288,7 +288,7 @@
 
 void relay::accept()
 {
-    acceptor_.next(
+    acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
             if (self->open_ < self->settings_.connections)
--- a/standins/links/relay.hpp
+++ b/standins/links/relay.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 #include "core/common/result_code.hpp"
 #include "core/common/time.hpp"
 #include "ports/identity.hpp"
--- a/standins/upstreams/executor.cpp
+++ b/standins/upstreams/executor.cpp
@@ -199,7 +199,7 @@
 
 void executor::accept()
 {
-    acceptor_.next(
+    acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
             if (self->open_ < self->settings_.connections)
--- a/standins/upstreams/executor.hpp
+++ b/standins/upstreams/executor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 #include "core/common/result_code.hpp"
 #include "ports/identity.hpp"
 #include "standins/upstreams/upstream_pool.hpp"
--- a/tests/contract/adapters/flowing_answer_test.cpp
+++ b/tests/contract/adapters/flowing_answer_test.cpp
@@ -1,5 +1,5 @@
 #include "adapters/http/client.hpp"
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -37,7 +37,7 @@
         core::common::failure reason;
         auto const where = acceptor_.listen({"127.0.0.1", 0}, reason);
         ASSERT_TRUE(where) << to_string(reason);
-        acceptor_.next(
+        acceptor_.accept_next(
             [this](tcp::socket socket)
             {
                 peer_.emplace(std::move(socket));
--- a/tests/contract/adapters/silent_connections_test.cpp
+++ b/tests/contract/adapters/silent_connections_test.cpp
@@ -1,5 +1,5 @@
 #include "adapters/http/client.hpp"
-#include "adapters/runtime/listen.hpp"
+#include "adapters/runtime/acceptor.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -55,7 +55,7 @@
 
     void accept()
     {
-        acceptor_.next(
+        acceptor_.accept_next(
             [this](tcp::socket socket)
             {
                 open_.push_back(std::make_unique<connection>(
