--- a/src/adapters/daemon/shell.cpp
+++ b/src/adapters/daemon/daemon_runtime.cpp
@@ -1,4 +1,4 @@
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 
 #include "adapters/runtime/signals.hpp"
 
@@ -39,20 +39,20 @@
     return (high << 32U) | (source() | 1U);
 }
 
-shell::shell(settings::daemon_settings settings,
-             shell_options options,
-             shell_events events)
+daemon_runtime::daemon_runtime(settings::daemon_settings settings,
+                               daemon_options options,
+                               daemon_handlers events)
     : settings_(std::move(settings)), options_(std::move(options)),
       events_(std::move(events)), self_{settings_.name, draw_incarnation()},
       log_(log_lines_per_second),
       requests_(decisions_,
-                options_.waiting_requests,
+                options_.max_waiting_requests,
                 [this](request_in& in)
                 {
                     events_.on_request(enter(), in.id, in.message);
                 }),
       answers_(http_,
-               options_.waiting_requests,
+               options_.max_waiting_requests,
                [this](answer_out& out)
                {
                    respond(out);
@@ -133,7 +133,7 @@
 // destructors, whose handlers use the rings and tables of this object. Left to
 // the members' own order they would run after those are gone, and the process
 // would abort in the last step of a planned stop.
-shell::~shell()
+daemon_runtime::~daemon_runtime()
 {
     decisions_.stop();
     http_.stop();
@@ -145,7 +145,7 @@
     server_.reset();
 }
 
-bool shell::listen(core::common::failure& reason)
+bool daemon_runtime::listen(core::common::failure& reason)
 {
     auto const http = server_->listen(settings_.http_listen, reason);
     auto const peer =
@@ -159,7 +159,7 @@
     return true;
 }
 
-int shell::run()
+int daemon_runtime::run()
 {
     logging::write(severity::info,
                    "started",
@@ -208,37 +208,37 @@
     return status_;
 }
 
-ports::member_identity const& shell::self() const noexcept
+ports::member_identity const& daemon_runtime::self() const noexcept
 {
     return self_;
 }
 
-ports::endpoint const& shell::http_address() const noexcept
+ports::endpoint const& daemon_runtime::http_address() const noexcept
 {
     return http_address_;
 }
 
-ports::endpoint const& shell::peer_address() const noexcept
+ports::endpoint const& daemon_runtime::peer_address() const noexcept
 {
     return peer_address_;
 }
 
-runtime::io_thread& shell::decisions() noexcept
+runtime::io_thread& daemon_runtime::decisions() noexcept
 {
     return decisions_;
 }
 
-metrics::registry& shell::metrics() noexcept
+metrics::registry& daemon_runtime::metrics() noexcept
 {
     return metrics_;
 }
 
-void shell::set_ready(bool ready) noexcept
+void daemon_runtime::set_ready(bool ready) noexcept
 {
     ready_ = ready;
 }
 
-bool shell::perform(ports::action& action)
+bool daemon_runtime::perform(ports::action& action)
 {
     if (auto* const call = std::get_if<ports::store_call>(&action))
     {
@@ -276,7 +276,7 @@
     return true;
 }
 
-void shell::tick()
+void daemon_runtime::tick()
 {
     auto const now = clock::now();
     last_tick_ = now;
@@ -292,7 +292,7 @@
         });
 }
 
-void shell::take_store_reply(store_in& in)
+void daemon_runtime::take_store_reply(store_in& in)
 {
     --open_store_calls_;
     if (in.generation == generation_)
@@ -302,7 +302,7 @@
 }
 
 // On the peers' thread.
-void shell::hand_to_transport(peer_out& out)
+void daemon_runtime::hand_to_transport(peer_out& out)
 {
     if (auto* const send = std::get_if<ports::peer_send>(&out))
     {
@@ -323,7 +323,7 @@
 // A process that was frozen wakes with frames and answers in its rings. The
 // engine must learn of the gap before it sees any of them, or it would act on
 // proofs that are over.
-core::common::time_point shell::enter()
+core::common::time_point daemon_runtime::enter()
 {
     auto const now = clock::now();
     if (now - last_tick_ >= 2 * tick_interval)
@@ -334,7 +334,7 @@
     return now;
 }
 
-void shell::send_store(ports::store_call call)
+void daemon_runtime::send_store(ports::store_call call)
 {
     auto const id = call.id;
     bool const fits = open_store_calls_ < store_ring;
@@ -347,7 +347,7 @@
     ++open_store_calls_;
 }
 
-void shell::refuse_store(ports::call_id id)
+void daemon_runtime::refuse_store(ports::call_id id)
 {
     boost::asio::post(
         decisions_.io(),
@@ -362,7 +362,7 @@
         });
 }
 
-void shell::send_peer(peer_out out)
+void daemon_runtime::send_peer(peer_out out)
 {
     if (!peer_sends_.try_push(std::move(out)))
     {
@@ -370,7 +370,7 @@
     }
 }
 
-void shell::rejoin(std::string const& why)
+void daemon_runtime::rejoin(std::string const& why)
 {
     self_.incarnation = draw_incarnation();
     ++generation_;
--- a/src/adapters/daemon/shell.hpp
+++ b/src/adapters/daemon/daemon_runtime.hpp
@@ -23,7 +23,7 @@
 
 /// What a daemon's engine is told; every function but `screen` runs on the
 /// decision thread.
-struct shell_events
+struct daemon_handlers
 {
     std::function<void(core::common::time_point)> on_start;
     /// At least every `tick_interval`, and first of all after any pause.
@@ -43,31 +43,32 @@
         on_rejoin;
     /// On the HTTP thread, before the request is handed over: an answer given
     /// here is final. May be empty.
-    std::function<std::optional<http::response>(http::request const&)> screen;
+    std::function<std::optional<http::response>(http::request const&)>
+        pre_check;
 };
 
-struct shell_options
+struct daemon_options
 {
     std::string service; ///< Name of our own instances in the catalog.
     bool with_upstreams = false;
     http::server_limits http;
     /// Requests that wait for an answer at once; one more is refused.
-    std::uint32_t waiting_requests = 4096;
+    std::uint32_t max_waiting_requests = 4096;
 };
 
 /// Threads, rings and sockets that both daemons have: platform, peers, HTTP
 /// and decisions, each a duty of its own. The engine lives on the decision
 /// thread; its actions go through `perform`.
-class shell
+class daemon_runtime
 {
 public:
     static constexpr core::common::duration tick_interval =
         std::chrono::milliseconds(50);
 
-    shell(settings::daemon_settings settings,
-          shell_options options,
-          shell_events events);
-    ~shell();
+    daemon_runtime(settings::daemon_settings settings,
+                   daemon_options options,
+                   daemon_handlers events);
+    ~daemon_runtime();
 
     /// Binds the addresses; false, with the reason, where one can't be had.
     bool listen(core::common::failure& reason);
@@ -138,8 +139,8 @@
     void sample_peers();
 
     settings::daemon_settings settings_;
-    shell_options options_;
-    shell_events events_;
+    daemon_options options_;
+    daemon_handlers events_;
     ports::member_identity self_;
     std::uint64_t generation_ = 0;
     core::common::time_point last_tick_{};
--- a/src/adapters/daemon/shell_callers.cpp
+++ b/src/adapters/daemon/daemon_runtime_callers.cpp
@@ -1,4 +1,4 @@
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 
 #include <utility>
 
@@ -30,14 +30,14 @@
 
 } // namespace
 
-void shell::answer(std::uint64_t request, http::response response)
+void daemon_runtime::answer(std::uint64_t request, http::response response)
 {
     // Never full: each waiting request holds one place, and no more wait than
     // the ring has places.
     answers_.try_push(answer_out{request, std::move(response)});
 }
 
-void shell::handle_http(http::request request, http::responder respond)
+void daemon_runtime::handle_http(http::request request, http::responder respond)
 {
     if (request.target == "/healthz")
     {
@@ -59,15 +59,15 @@
                  metrics_.text()});
         return;
     }
-    if (events_.screen)
+    if (events_.pre_check)
     {
-        if (auto final_answer = events_.screen(request))
+        if (auto final_answer = events_.pre_check(request))
         {
             respond(std::move(*final_answer));
             return;
         }
     }
-    if (waiting_.size() >= options_.waiting_requests)
+    if (waiting_.size() >= options_.max_waiting_requests)
     {
         respond(queue_full());
         return;
@@ -83,7 +83,7 @@
 }
 
 // On the HTTP thread.
-void shell::respond(answer_out& out)
+void daemon_runtime::respond(answer_out& out)
 {
     auto const found = waiting_.find(out.id);
     if (found == waiting_.end())
@@ -97,7 +97,7 @@
 
 // The engine is done, but its last answers may still be on their way out: the
 // process ends when each has been written.
-void shell::finish()
+void daemon_runtime::finish()
 {
     auto const now = clock::now();
     if (!finishing_)
--- a/src/adapters/daemon/shell_samples.cpp
+++ b/src/adapters/daemon/daemon_runtime_samples.cpp
@@ -1,4 +1,4 @@
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 
 #include <array>
 
@@ -20,7 +20,7 @@
 } // namespace
 
 // The platform thread's counts.
-void shell::sample_store()
+void daemon_runtime::sample_store()
 {
     constexpr std::array<char const*, 5> kinds{
         "read", "list", "write", "erase", "watch"};
@@ -47,7 +47,7 @@
 }
 
 // The peer thread's counts.
-void shell::sample_peers()
+void daemon_runtime::sample_peers()
 {
     auto const& counts = transport_->counts();
     raise(metrics_.counter("fuchsia_peer_sent_bytes_total",
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -20,14 +20,14 @@
 constexpr std::size_t ends_ring = 32'768;
 constexpr core::common::duration sample_interval = std::chrono::seconds(1);
 
-adapters::daemon::shell_options
+adapters::daemon::daemon_options
 shell_options_of(adapters::settings::entry_options const& options)
 {
-    adapters::daemon::shell_options shell;
+    adapters::daemon::daemon_options shell;
     shell.service = "fuchsia-entry";
     shell.with_upstreams = true;
     shell.http = options.http;
-    shell.waiting_requests = options.waiting_requests;
+    shell.max_waiting_requests = options.waiting_requests;
     return shell;
 }
 
@@ -73,9 +73,9 @@
     return shell_.run();
 }
 
-adapters::daemon::shell_events entry_program::events()
+adapters::daemon::daemon_handlers entry_program::events()
 {
-    adapters::daemon::shell_events events;
+    adapters::daemon::daemon_handlers events;
     events.on_start = [this](time_point now)
     {
         engine_ = make_engine();
@@ -118,7 +118,7 @@
     {
         on_rejoin(now, self);
     };
-    events.screen =
+    events.pre_check =
         [](http::request const& message) -> std::optional<http::response>
     {
         if (auto const fault = callers::find_fault(message))
--- a/src/programs/entry/entry_program.hpp
+++ b/src/programs/entry/entry_program.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 #include "adapters/http/client.hpp"
 #include "adapters/runtime/io_thread.hpp"
 #include "adapters/runtime/ring.hpp"
@@ -41,7 +41,7 @@
         time_point received;
     };
 
-    adapters::daemon::shell_events events();
+    adapters::daemon::daemon_handlers events();
     std::unique_ptr<engine> make_engine() const;
 
     // Of the decision thread.
@@ -60,7 +60,7 @@
     void call_upstream(ports::upstream_send& send);
 
     adapters::settings::entry_options options_;
-    adapters::daemon::shell shell_;
+    adapters::daemon::daemon_runtime shell_;
     entry_metrics metrics_;
     ports::member_identity self_;
     std::unique_ptr<engine> engine_;
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -28,12 +28,12 @@
     return {answer.status, std::move(answer.headers), std::move(answer.body)};
 }
 
-adapters::daemon::shell_options options()
+adapters::daemon::daemon_options options()
 {
-    adapters::daemon::shell_options out;
+    adapters::daemon::daemon_options out;
     out.service = "fuchsia-planner";
     out.http.connections = 256;
-    out.waiting_requests = 1024;
+    out.max_waiting_requests = 1024;
     return out;
 }
 
@@ -124,9 +124,9 @@
     workers_duty_.stop();
 }
 
-adapters::daemon::shell_events planner_program::events()
+adapters::daemon::daemon_handlers planner_program::events()
 {
-    adapters::daemon::shell_events out;
+    adapters::daemon::daemon_handlers out;
     // The workers are asked only from here on. Asked earlier, the first list
     // could arrive before there is an engine to take it, and the process died
     // at its start, now and then, without a line in the log.
@@ -173,7 +173,7 @@
         abandon_requests();
         begin(now);
     };
-    out.screen = [this](request const& asked)
+    out.pre_check = [this](request const& asked)
     {
         return screen(asked);
     };
@@ -227,7 +227,7 @@
 // engine that knows of the gap.
 void planner_program::catch_up(time_point now)
 {
-    if (now - last_tick_ >= 2 * adapters::daemon::shell::tick_interval)
+    if (now - last_tick_ >= 2 * adapters::daemon::daemon_runtime::tick_interval)
     {
         tick(now);
     }
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 #include "adapters/platform/worker_client.hpp"
 #include "adapters/settings/planner_settings.hpp"
 #include "core/tasks/planner_engine.hpp"
@@ -42,7 +42,7 @@
     };
 
     // planner_program.cpp: duties, time, the store and workers.
-    adapters::daemon::shell_events events();
+    adapters::daemon::daemon_handlers events();
     void begin(core::common::time_point now);
     void make_engine();
     void tick(core::common::time_point now);
@@ -69,7 +69,7 @@
     void sample(core::common::time_point now);
 
     adapters::settings::planner_file settings_;
-    adapters::daemon::shell shell_;
+    adapters::daemon::daemon_runtime shell_;
     adapters::runtime::io_thread workers_duty_{"workers"};
     adapters::runtime::ring<call_out> calls_;
     adapters::runtime::ring<reply_in> replies_;
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -1,6 +1,6 @@
 #include "programs/pool/pool_program.hpp"
 
-#include "adapters/daemon/shell.hpp"
+#include "adapters/daemon/daemon_runtime.hpp"
 #include "adapters/runtime/signals.hpp"
 #include "platform/platform_records.hpp"
 #include "platform/submission_codec.hpp"
