--- a/src/adapters/http/client.cpp
+++ b/src/adapters/http/client.cpp
@@ -198,7 +198,7 @@
         }
         if (answer_keeps_coming())
         {
-            arm(std::min(longest_gap, call_.reading_limit));
+            arm(std::min(longest_gap, call_.late_read_limit));
             return;
         }
         timed_out_ = true;
@@ -224,7 +224,7 @@
         {
             return false;
         }
-        reading_until_ = reading_until_.value_or(now + call_.reading_limit);
+        reading_until_ = reading_until_.value_or(now + call_.late_read_limit);
         // This process may have stood still when the limit passed.
         return now < *reading_until_ || !std::exchange(last_look_, true);
     }
@@ -461,7 +461,7 @@
 void client::pool::doubt_unused(connection const& silent)
 {
     auto const found = endpoints_.find(silent.where());
-    if (!settings_.doubt_unused || found == endpoints_.end())
+    if (!settings_.close_idle_on_timeout || found == endpoints_.end())
     {
         return;
     }
--- a/src/adapters/http/client.hpp
+++ b/src/adapters/http/client.hpp
@@ -23,7 +23,7 @@
     std::uint64_t body_bytes = 4 * 1024 * 1024;
     /// A call that times out closes the unused connections to its endpoint that
     /// have brought nothing since it began: they may be as silent as its own.
-    bool doubt_unused = false;
+    bool close_idle_on_timeout = false;
     /// Answers are read in pieces of this size, at least.
     std::size_t read_bytes = 512;
 };
@@ -38,7 +38,7 @@
     bool drain = false;
     /// An answer that keeps arriving when the time limit passes is read on for
     /// about this long.
-    core::common::duration reading_limit = std::chrono::seconds(1);
+    core::common::duration late_read_limit = std::chrono::seconds(1);
 };
 
 /// HTTP/1.1 client with a pool of kept connections per endpoint; one request
--- a/src/adapters/platform/store_client.cpp
+++ b/src/adapters/platform/store_client.cpp
@@ -288,7 +288,7 @@
     message.remote_endpoint = settings_.where;
     message.message = std::visit(request_writer{}, call.operation);
     message.timeout = settings_.timeout;
-    message.reading_limit = reading_limit;
+    message.late_read_limit = reading_limit;
     auto const* const watch = std::get_if<ports::store_watch>(&call.operation);
     if (watch != nullptr)
     {
--- a/tests/contract/adapters/flowing_answer_test.cpp
+++ b/tests/contract/adapters/flowing_answer_test.cpp
@@ -66,7 +66,7 @@
         made.remote_endpoint = where_;
         made.message = {"GET", "/x", {}, "", {}};
         made.timeout = limit;
-        made.reading_limit = reading_limit;
+        made.late_read_limit = reading_limit;
         client_->send(std::move(made), std::move(handle));
     }
 
--- a/tests/contract/adapters/silent_connections_test.cpp
+++ b/tests/contract/adapters/silent_connections_test.cpp
@@ -134,7 +134,7 @@
     asio::io_context io;
     server served(io);
     adapters::http::client_settings settings;
-    settings.doubt_unused = true;
+    settings.close_idle_on_timeout = true;
     adapters::http::client from(io, settings);
     auto const before = exchange(io, from, served.where, at_once);
     ASSERT_EQ(before,
