--- a/src/adapters/callers/caller_headers.cpp
+++ b/src/adapters/callers/caller_headers.cpp
@@ -98,7 +98,7 @@
 
 } // namespace
 
-std::optional<failure> find_fault(http::request const& message)
+std::optional<failure> find_header_error(http::request const& message)
 {
     constexpr std::array<std::string_view, 4> methods{
         "GET", "POST", "PUT", "DELETE"};
@@ -146,7 +146,7 @@
 std::optional<ports::caller_request>
 parse_caller_request(http::request& message, failure& reason)
 {
-    if (auto fault = find_fault(message))
+    if (auto fault = find_header_error(message))
     {
         reason = std::move(*fault);
         return std::nullopt;
--- a/src/adapters/callers/caller_headers.hpp
+++ b/src/adapters/callers/caller_headers.hpp
@@ -16,7 +16,8 @@
 parse_caller_request(http::request& message, core::common::failure& reason);
 
 /// The first thing wrong with a request's method or headers; empty where none.
-std::optional<core::common::failure> find_fault(http::request const& message);
+std::optional<core::common::failure>
+find_header_error(http::request const& message);
 
 http::response to_response(ports::caller_answer answer);
 
--- a/src/adapters/logging/logger.cpp
+++ b/src/adapters/logging/logger.cpp
@@ -58,7 +58,7 @@
     return std::nullopt;
 }
 
-void set_up(std::string_view program, ports::severity least)
+void initialize(std::string_view program, ports::severity least)
 {
     static log4cplus::Initializer const initializer;
     log4cplus::helpers::Properties properties;
--- a/src/adapters/logging/logger.hpp
+++ b/src/adapters/logging/logger.hpp
@@ -19,7 +19,7 @@
 ///     2026-12-02T23:15:50.120Z WARN fuchsia-entry takeover partition=7 ...
 ///
 /// To be called once, before the first line.
-void set_up(std::string_view program, ports::severity least);
+void initialize(std::string_view program, ports::severity least);
 
 /// Writes one structured line. Thread-safe.
 void write(ports::log_event const& event);
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -121,7 +121,7 @@
     events.pre_check =
         [](http::request const& message) -> std::optional<http::response>
     {
-        if (auto const fault = callers::find_fault(message))
+        if (auto const fault = callers::find_header_error(message))
         {
             return http::failure_response(*fault);
         }
--- a/src/programs/entry/main.cpp
+++ b/src/programs/entry/main.cpp
@@ -35,7 +35,7 @@
         std::cout << "settings are valid\n";
         return 0;
     }
-    adapters::logging::set_up("fuchsia-entry", options->daemon.log_level);
+    adapters::logging::initialize("fuchsia-entry", options->daemon.log_level);
     programs::entry::entry_program program(std::move(*options));
     if (!program.listen(reason))
     {
--- a/src/programs/planner/main.cpp
+++ b/src/programs/planner/main.cpp
@@ -32,8 +32,8 @@
                      fuchsia::core::common::to_string(reason).c_str());
         return bad_settings;
     }
-    fuchsia::adapters::logging::set_up("fuchsia-planner",
-                                       settings->daemon.log_level);
+    fuchsia::adapters::logging::initialize("fuchsia-planner",
+                                           settings->daemon.log_level);
     fuchsia::programs::planner::planner_program program(std::move(*settings));
     auto const status = program.run(reason);
     if (!status)
--- a/src/programs/pool/main.cpp
+++ b/src/programs/pool/main.cpp
@@ -54,6 +54,6 @@
     {
         return 0;
     }
-    fuchsia::adapters::logging::set_up("fuchsia-pool", settings->log_level);
+    fuchsia::adapters::logging::initialize("fuchsia-pool", settings->log_level);
     fuchsia::adapters::logging::end_process(serve(std::move(*settings), path));
 }
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -44,7 +44,7 @@
     {
         return complain(file->reason());
     }
-    adapters::logging::set_up("fuchsia-standin", level);
+    adapters::logging::initialize("fuchsia-standin", level);
     boost::asio::io_context io(1);
     Server server(io, std::move(settings));
     auto const where = server.listen(reason);
--- a/tests/contract/adapters/logging_test.cpp
+++ b/tests/contract/adapters/logging_test.cpp
@@ -11,7 +11,7 @@
     // prints one complaint at the start and then nothing: an operator sees an
     // empty log.
     testing::internal::CaptureStdout();
-    set_up("program-a", ports::severity::info);
+    initialize("program-a", ports::severity::info);
     write(ports::severity::debug, "too_small", {});
     write(ports::severity::warning, "takeover", {{"partition", "7"}});
     auto const text = testing::internal::GetCapturedStdout();
