--- a/src/adapters/platform/worker_client.cpp
+++ b/src/adapters/platform/worker_client.cpp
@@ -259,7 +259,7 @@
     poll();
 }
 
-void worker_client::follow(std::vector<std::string> racks)
+void worker_client::set_racks(std::vector<std::string> racks)
 {
     racks_ = std::move(racks);
 }
--- a/src/adapters/platform/worker_client.hpp
+++ b/src/adapters/platform/worker_client.hpp
@@ -38,7 +38,7 @@
 
     void start();
     /// From now on reads the reports of just these racks.
-    void follow(std::vector<std::string> racks);
+    void set_racks(std::vector<std::string> racks);
     /// Answers through `on_reply` exactly once, never from within `send`.
     void send(ports::worker_call call);
 
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -89,7 +89,7 @@
                small_ring,
                [this](std::vector<std::string>& racks)
                {
-                   client_->follow(std::move(racks));
+                   client_->set_racks(std::move(racks));
                })
 {
     adapters::platform::worker_handlers handlers;
