--- a/src/adapters/settings/entry_options.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -1,4 +1,4 @@
-#include "adapters/settings/entry_options.hpp"
+#include "adapters/settings/entry_settings.hpp"
 
 #include <utility>
 
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t megabyte = 1024 * 1024;
 
-void read_http(toml_table table, entry_options& out)
+void read_http(toml_table table, entry_daemon_settings& out)
 {
     out.http.header_bytes = static_cast<std::uint32_t>(table.integer_or(
         "header_bytes", out.http.header_bytes, 1024, 256 * 1024));
@@ -27,12 +27,12 @@
     out.http.connections = static_cast<std::uint32_t>(
         table.integer_or("connections", out.http.connections, 1, 65'536));
     out.http.idle = table.duration_or("idle_ms", out.http.idle, 100ms, 1h);
-    out.waiting_requests = static_cast<std::uint32_t>(
-        table.integer_or("waiting_requests", out.waiting_requests, 1, 65'536));
+    out.max_waiting_requests = static_cast<std::uint32_t>(table.integer_or(
+        "waiting_requests", out.max_waiting_requests, 1, 65'536));
     table.refuse_unread();
 }
 
-void read_upstreams(toml_table table, entry_options& out)
+void read_upstreams(toml_table table, entry_daemon_settings& out)
 {
     auto& engine = out.engine.upstreams;
     engine.max_execution =
@@ -60,7 +60,7 @@
     table.refuse_unread();
 }
 
-void read_contracts(toml_table table, entry_options& out)
+void read_contracts(toml_table table, entry_daemon_settings& out)
 {
     auto& slices = out.engine.slices;
     slices.valid = table.duration_or("slice_valid_ms", slices.valid, 200ms, 1h);
@@ -80,7 +80,7 @@
     table.refuse_unread();
 }
 
-void read_keys(toml_table table, entry_options& out)
+void read_keys(toml_table table, entry_daemon_settings& out)
 {
     auto& keys = out.engine.keys;
     keys.keep = table.duration_or("keep_ms", keys.keep, 1s, 24h);
@@ -100,7 +100,7 @@
     table.refuse_unread();
 }
 
-void read_queue(toml_table table, entry_options& out)
+void read_queue(toml_table table, entry_daemon_settings& out)
 {
     auto& engine = out.engine;
     auto const caution = static_cast<std::uint32_t>(
@@ -124,7 +124,7 @@
     table.refuse_unread();
 }
 
-void read_retries(toml_table table, entry_options& out)
+void read_retries(toml_table table, entry_daemon_settings& out)
 {
     requests::retry_budget budget;
     budget.share_permille = static_cast<std::uint32_t>(
@@ -145,7 +145,7 @@
     table.refuse_unread();
 }
 
-void read_stop(toml_table table, entry_options& out)
+void read_stop(toml_table table, entry_daemon_settings& out)
 {
     auto& engine = out.engine;
     engine.balancer_lag =
@@ -159,22 +159,22 @@
 
 } // namespace
 
-std::optional<entry_options> read_entry_options(std::string const& path,
-                                                core::common::failure& reason)
+std::optional<entry_daemon_settings>
+load_entry_settings(std::string const& path, core::common::failure& reason)
 {
     auto const file = toml_file::open(path, reason);
     if (!file)
     {
         return std::nullopt;
     }
-    return parse_entry_options(*file, reason);
+    return parse_entry_settings(*file, reason);
 }
 
-std::optional<entry_options> parse_entry_options(toml_file& file,
-                                                 core::common::failure& reason)
+std::optional<entry_daemon_settings>
+parse_entry_settings(toml_file& file, core::common::failure& reason)
 {
     auto root = file.root();
-    entry_options out;
+    entry_daemon_settings out;
     out.daemon = read_daemon_settings(root, false);
     read_http(root.table("http"), out);
     read_upstreams(root.table("upstreams"), out);
--- a/src/adapters/settings/entry_options.hpp
+++ b/src/adapters/settings/entry_settings.hpp
@@ -14,19 +14,19 @@
 
 /// All that fuchsia-entry reads from its settings file; examples/entry.toml
 /// documents each key.
-struct entry_options
+struct entry_daemon_settings
 {
     daemon_settings daemon;
     core::requests::entry_settings engine;
     http::server_limits http;
-    std::uint32_t waiting_requests = 4096;
+    std::uint32_t max_waiting_requests = 4096;
     http::client_settings upstreams;
 };
 
 /// Reads and checks an entry's settings; `reason` names file and line.
-std::optional<entry_options> read_entry_options(std::string const& path,
-                                                core::common::failure& reason);
-std::optional<entry_options> parse_entry_options(toml_file& file,
-                                                 core::common::failure& reason);
+std::optional<entry_daemon_settings>
+load_entry_settings(std::string const& path, core::common::failure& reason);
+std::optional<entry_daemon_settings>
+parse_entry_settings(toml_file& file, core::common::failure& reason);
 
 } // namespace fuchsia::adapters::settings
--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -18,7 +18,7 @@
 /// From a planner's burial to the first renewal by its successor.
 constexpr core::common::duration takeover_time = 5s;
 
-void read_tasks(toml_table table, planner_file& out)
+void read_tasks(toml_table table, planner_daemon_settings& out)
 {
     auto& cell = out.planner.cell;
     cell.lease = table.duration_or("lease_ms", cell.lease, 1s, 600s);
@@ -72,7 +72,7 @@
     table.refuse_unread();
 }
 
-void read_placement(toml_table table, planner_file& out)
+void read_placement(toml_table table, planner_daemon_settings& out)
 {
     auto& cell = out.planner.cell;
     auto const chosen =
@@ -111,14 +111,14 @@
     table.refuse_unread();
 }
 
-std::optional<planner_file> read(std::shared_ptr<toml_file> const& file,
-                                 core::common::failure& reason)
+std::optional<planner_daemon_settings>
+read(std::shared_ptr<toml_file> const& file, core::common::failure& reason)
 {
     if (!file)
     {
         return std::nullopt;
     }
-    planner_file out;
+    planner_daemon_settings out;
     auto root = file->root();
     out.daemon = read_daemon_settings(root, true);
     read_tasks(root.table("tasks"), out);
@@ -140,13 +140,13 @@
 
 } // namespace
 
-std::optional<planner_file> load_planner_settings(std::string const& path,
-                                                  core::common::failure& reason)
+std::optional<planner_daemon_settings>
+load_planner_settings(std::string const& path, core::common::failure& reason)
 {
     return read(toml_file::open(path, reason), reason);
 }
 
-std::optional<planner_file> parse_planner_settings(
+std::optional<planner_daemon_settings> parse_planner_settings(
     std::string_view text, std::string name, core::common::failure& reason)
 {
     return read(toml_file::parse(text, std::move(name), reason), reason);
--- a/src/adapters/settings/planner_settings.hpp
+++ b/src/adapters/settings/planner_settings.hpp
@@ -10,16 +10,16 @@
 {
 
 /// All that `fuchsia-planner` is told by its settings file.
-struct planner_file
+struct planner_daemon_settings
 {
     daemon_settings daemon;
     core::tasks::planner_settings planner;
 };
 
 /// Reads and checks a planner's settings; `reason` names file and line.
-std::optional<planner_file>
+std::optional<planner_daemon_settings>
 load_planner_settings(std::string const& path, core::common::failure& reason);
-std::optional<planner_file> parse_planner_settings(
+std::optional<planner_daemon_settings> parse_planner_settings(
     std::string_view text, std::string name, core::common::failure& reason);
 
 } // namespace fuchsia::adapters::settings
--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -129,15 +129,15 @@
     table.refuse_unread();
 }
 
-std::optional<pool_file> parse(std::shared_ptr<toml_file> const& file,
-                               core::common::failure& reason)
+std::optional<pool_daemon_settings>
+parse(std::shared_ptr<toml_file> const& file, core::common::failure& reason)
 {
     if (!file)
     {
         return std::nullopt;
     }
     auto root = file->root();
-    pool_file made;
+    pool_daemon_settings made;
     made.name = root.text("name");
     made.data_centre = root.text("data_centre");
     made.submissions = root.endpoint("submissions");
@@ -168,15 +168,16 @@
 
 } // namespace
 
-std::optional<pool_file> load_pool_settings(std::string const& path,
-                                            core::common::failure& reason)
+std::optional<pool_daemon_settings>
+load_pool_settings(std::string const& path, core::common::failure& reason)
 {
     return parse(toml_file::open(path, reason), reason);
 }
 
-std::optional<pool_file> parse_pool_settings(std::string_view text,
-                                             std::string const& name,
-                                             core::common::failure& reason)
+std::optional<pool_daemon_settings>
+parse_pool_settings(std::string_view text,
+                    std::string const& name,
+                    core::common::failure& reason)
 {
     return parse(toml_file::parse(text, name, reason), reason);
 }
--- a/src/adapters/settings/pool_settings.hpp
+++ b/src/adapters/settings/pool_settings.hpp
@@ -13,7 +13,7 @@
 {
 
 /// What a settings file of `fuchsia-pool` holds.
-struct pool_file
+struct pool_daemon_settings
 {
     std::string name;
     std::string data_centre;
@@ -28,10 +28,11 @@
 };
 
 /// Empty, with file, line, key and reason, where the file is no good.
-std::optional<pool_file> load_pool_settings(std::string const& path,
-                                            core::common::failure& reason);
-std::optional<pool_file> parse_pool_settings(std::string_view text,
-                                             std::string const& name,
-                                             core::common::failure& reason);
+std::optional<pool_daemon_settings>
+load_pool_settings(std::string const& path, core::common::failure& reason);
+std::optional<pool_daemon_settings>
+parse_pool_settings(std::string_view text,
+                    std::string const& name,
+                    core::common::failure& reason);
 
 } // namespace fuchsia::adapters::settings
--- a/src/programs/ctl/settings_checks.cpp
+++ b/src/programs/ctl/settings_checks.cpp
@@ -1,6 +1,6 @@
 #include "programs/ctl/settings_checks.hpp"
 
-#include "adapters/settings/entry_options.hpp"
+#include "adapters/settings/entry_settings.hpp"
 #include "adapters/settings/planner_settings.hpp"
 #include "adapters/settings/pool_settings.hpp"
 #include "programs/ctl/ctl_settings.hpp"
@@ -25,7 +25,7 @@
     {"fuchsia-entry",
      [](std::string const& file, failure& reason)
      {
-         return adapters::settings::read_entry_options(file, reason)
+         return adapters::settings::load_entry_settings(file, reason)
              .has_value();
      }},
     {"fuchsia-planner",
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -21,19 +21,19 @@
 constexpr core::common::duration sample_interval = std::chrono::seconds(1);
 
 adapters::daemon::daemon_options
-shell_options_of(adapters::settings::entry_options const& options)
+shell_options_of(adapters::settings::entry_daemon_settings const& options)
 {
     adapters::daemon::daemon_options shell;
     shell.service = "fuchsia-entry";
     shell.with_upstreams = true;
     shell.http = options.http;
-    shell.max_waiting_requests = options.waiting_requests;
+    shell.max_waiting_requests = options.max_waiting_requests;
     return shell;
 }
 
 } // namespace
 
-entry_program::entry_program(adapters::settings::entry_options options)
+entry_program::entry_program(adapters::settings::entry_daemon_settings options)
     : options_(std::move(options)),
       shell_(options_.daemon, shell_options_of(options_), events()),
       metrics_(shell_.metrics()), self_(shell_.self()),
--- a/src/programs/entry/entry_program.hpp
+++ b/src/programs/entry/entry_program.hpp
@@ -4,7 +4,7 @@
 #include "adapters/http/client.hpp"
 #include "adapters/runtime/io_thread.hpp"
 #include "adapters/runtime/ring.hpp"
-#include "adapters/settings/entry_options.hpp"
+#include "adapters/settings/entry_settings.hpp"
 #include "core/requests/entry_engine.hpp"
 #include "programs/entry/entry_metrics.hpp"
 
@@ -21,7 +21,7 @@
 class entry_program
 {
 public:
-    explicit entry_program(adapters::settings::entry_options options);
+    explicit entry_program(adapters::settings::entry_daemon_settings options);
     ~entry_program();
     entry_program(entry_program const&) = delete;
     entry_program& operator=(entry_program const&) = delete;
@@ -59,7 +59,7 @@
     // Of the upstream thread.
     void call_upstream(ports::upstream_send& send);
 
-    adapters::settings::entry_options options_;
+    adapters::settings::entry_daemon_settings options_;
     adapters::daemon::daemon_runtime shell_;
     entry_metrics metrics_;
     ports::member_identity self_;
--- a/src/programs/entry/main.cpp
+++ b/src/programs/entry/main.cpp
@@ -1,5 +1,5 @@
 #include "adapters/logging/logger.hpp"
-#include "adapters/settings/entry_options.hpp"
+#include "adapters/settings/entry_settings.hpp"
 #include "programs/entry/entry_program.hpp"
 
 #include <CLI/CLI.hpp>
@@ -24,7 +24,7 @@
 
     core::common::failure reason;
     auto options =
-        adapters::settings::read_entry_options(settings_path, reason);
+        adapters::settings::load_entry_settings(settings_path, reason);
     if (!options)
     {
         std::cerr << "fuchsia-entry: " << to_string(reason) << '\n';
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -39,7 +39,8 @@
 
 } // namespace
 
-planner_program::planner_program(adapters::settings::planner_file settings)
+planner_program::planner_program(
+    adapters::settings::planner_daemon_settings settings)
     : settings_(std::move(settings)),
       shell_(settings_.daemon, options(), events()),
       calls_(workers_duty_,
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -22,7 +22,8 @@
 class planner_program
 {
 public:
-    explicit planner_program(adapters::settings::planner_file settings);
+    explicit planner_program(
+        adapters::settings::planner_daemon_settings settings);
     ~planner_program();
 
     /// The process' exit status; empty, with the reason, where it can't start.
@@ -68,7 +69,7 @@
     // planner_samples.cpp: counts.
     void sample(core::common::time_point now);
 
-    adapters::settings::planner_file settings_;
+    adapters::settings::planner_daemon_settings settings_;
     adapters::daemon::daemon_runtime shell_;
     adapters::runtime::io_thread workers_duty_{"workers"};
     adapters::runtime::ring<call_out> calls_;
--- a/src/programs/pool/main.cpp
+++ b/src/programs/pool/main.cpp
@@ -19,7 +19,7 @@
 }
 
 // All duties are over, and all sockets closed, when this returns.
-int serve(fuchsia::adapters::settings::pool_file settings,
+int serve(fuchsia::adapters::settings::pool_daemon_settings settings,
           std::string const& path)
 {
     fuchsia::core::common::failure reason;
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-pool_program::pool_program(adapters::settings::pool_file settings,
+pool_program::pool_program(adapters::settings::pool_daemon_settings settings,
                            std::string path)
     : settings_(std::move(settings)), path_(std::move(path)),
       engine_(settings_.pool,
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -29,7 +29,8 @@
 {
 public:
     /// `path` is where the settings came from; SIGHUP reads it again.
-    pool_program(adapters::settings::pool_file settings, std::string path);
+    pool_program(adapters::settings::pool_daemon_settings settings,
+                 std::string path);
     ~pool_program();
 
     /// Runs until a planned stop is complete; the process' exit status. Empty,
@@ -80,7 +81,7 @@
     void refuse(outside_operation const& call);
     void refuse(ports::kv_call const& call);
 
-    adapters::settings::pool_file settings_;
+    adapters::settings::pool_daemon_settings settings_;
     std::string path_;
     core::pool::engine engine_;
     adapters::metrics::registry metrics_;
