--- a/src/adapters/settings/daemon_settings.cpp
+++ b/src/adapters/settings/daemon_settings.cpp
@@ -28,7 +28,7 @@
                    "name",
                    "a name without a slash is expected");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_platform(toml_table table, daemon_settings& out, bool with_workers)
@@ -46,7 +46,7 @@
         table.duration_or("store_timeout_ms", 1000ms, 50ms, 60s);
     out.list_interval =
         table.duration_or("list_interval_ms", 1000ms, 100ms, 60s);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_security(toml_table table, daemon_settings& out)
@@ -71,7 +71,7 @@
         }
         out.token = token.value_or("");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_membership(toml_table table, daemon_settings& out)
@@ -107,14 +107,14 @@
                    "pause_limit_ms",
                    "the pause limit must be below hold");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_log(toml_table table, daemon_settings& out)
 {
     out.log_level = static_cast<ports::severity>(
         table.choice_or("level", 1, {"debug", "info", "warning", "error"}));
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 } // namespace
--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -29,7 +29,7 @@
     out.http.idle = table.duration_or("idle_ms", out.http.idle, 100ms, 1h);
     out.max_waiting_requests = static_cast<std::uint32_t>(table.integer_or(
         "waiting_requests", out.max_waiting_requests, 1, 65'536));
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_upstreams(toml_table table, entry_daemon_settings& out)
@@ -57,7 +57,7 @@
     // The slot is counted free at the latest after `max_execution`; a late
     // answer is waited for that long too.
     out.upstreams.drain_timeout = engine.max_execution;
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_contracts(toml_table table, entry_daemon_settings& out)
@@ -77,7 +77,7 @@
                    "a slice must be valid for two renewals, or one lost "
                    "message stops the customer");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_keys(toml_table table, entry_daemon_settings& out)
@@ -97,7 +97,7 @@
                    "keys must be kept for longer than sending_bound, or a "
                    "late sending finds its key forgotten");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_queue(toml_table table, entry_daemon_settings& out)
@@ -121,7 +121,7 @@
         table.integer_or("max_open", 20'000, 1, 1'000'000));
     engine.max_open_bytes = static_cast<std::size_t>(
         table.integer_or("max_open_mb", 64, 1, 4096) * megabyte);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_retries(toml_table table, entry_daemon_settings& out)
@@ -142,7 +142,7 @@
     {
         out.engine.retries = fixed;
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_stop(toml_table table, entry_daemon_settings& out)
@@ -154,7 +154,7 @@
         "handover_patience_ms", engine.handover_patience, 10ms, 10min);
     engine.stop_patience =
         table.duration_or("stop_patience_ms", engine.stop_patience, 1s, 1h);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 } // namespace
@@ -183,7 +183,7 @@
     read_queue(root.table("queue"), out);
     read_retries(root.table("retries"), out);
     read_stop(root.table("stop"), out);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     if (!file.ok())
     {
         reason = file.reason();
--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -69,7 +69,7 @@
                    "send_window_ms",
                    "the send window must not exceed the start window");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_placement(toml_table table, planner_daemon_settings& out)
@@ -108,7 +108,7 @@
                    "well_below must be under trouble_above, or the guard "
                    "throttles and relaxes in turns");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 std::optional<planner_daemon_settings>
@@ -123,7 +123,7 @@
     out.daemon = read_daemon_settings(root, true);
     read_tasks(root.table("tasks"), out);
     read_placement(root.table("placement"), out);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     out.planner.membership = out.daemon.membership;
     auto const writes = out.daemon.store_writes > 2 * other_writes_per_second
                             ? out.daemon.store_writes - other_writes_per_second
--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -70,7 +70,7 @@
     overlap = std::min(overlap, history * overlap_parts / history_parts);
     auto const cancel = bounds.duration_or("cancel_ms", 3s, 1200ms, 600s);
     out.owner.jobs_age_limit = cancel - order_reserve;
-    bounds.refuse_unread();
+    bounds.reject_unknown_keys();
 }
 
 void read_sharing(toml_table table, core::pool::colocation_settings& out)
@@ -87,7 +87,7 @@
         table.duration_or("evict_after_ms", out.evict_after, 0ms, 60s);
     out.stop_after =
         table.duration_or("stop_after_ms", out.stop_after, 0ms, 60s);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_regroup(toml_table table, core::pool::rebalance_settings& out)
@@ -103,7 +103,7 @@
     out.benefit_horizon =
         table.number_or("horizon_s", out.benefit_horizon, 0, 600);
     out.move_cost = table.number_or("move_cost_s", out.move_cost, 0, 600);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_guaranteed(toml_table table,
@@ -113,7 +113,7 @@
     out.window = table.duration_or("window_ms", out.window, 1s, 600s);
     out.covered_fraction =
         table.number_or("enough", out.covered_fraction, 0, 1);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 // What one owner of 350 workers and 1,000 starts a second needs.
@@ -126,7 +126,7 @@
         table.number_or("cores", cores_of_size_one, 0.001, 10'000);
     auto const link = table.number_or("link_mbps", mbps_of_size_one, 0.1, 1e7);
     out.size = std::min(cores / cores_of_size_one, link / mbps_of_size_one);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 std::optional<pool_daemon_settings>
@@ -157,7 +157,7 @@
                     made.pool.owner.short_job_reserve);
     read_machine(root.table("machine"), made.pool.claim);
     read_bounds(root.table("bounds"), made.pool);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     if (!file->ok())
     {
         reason = file->reason();
--- a/src/adapters/settings/toml_reader.cpp
+++ b/src/adapters/settings/toml_reader.cpp
@@ -297,7 +297,7 @@
     return result;
 }
 
-void toml_table::refuse_unread()
+void toml_table::reject_unknown_keys()
 {
     for (auto const& key : keys())
     {
--- a/src/adapters/settings/toml_reader.hpp
+++ b/src/adapters/settings/toml_reader.hpp
@@ -59,7 +59,7 @@
     std::vector<std::string> keys() const;
 
     /// Refuses every key that was not asked for; to be called last.
-    void refuse_unread();
+    void reject_unknown_keys();
     /// Records an error of the caller's own at `key`, unless one stands.
     void
     fail(core::common::result_code code, std::string_view key, std::string why);
--- a/src/programs/ctl/ctl_settings.cpp
+++ b/src/programs/ctl/ctl_settings.cpp
@@ -94,7 +94,7 @@
     }
     settings.timeout = root.duration_or(
         "timeout_ms", settings.timeout, least_timeout, most_timeout);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     if (!file->ok())
     {
         reason = file->reason();
--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -36,7 +36,7 @@
     {
         where = table.endpoint("address");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return where;
 }
 
@@ -50,7 +50,7 @@
         probe.name = table.text("name");
         probe.where = table.endpoint("address");
         probe.data_centre = table.text_or("data_centre", "");
-        table.refuse_unread();
+        table.reject_unknown_keys();
         probes.push_back(std::move(probe));
     }
     return probes;
@@ -73,7 +73,7 @@
                    "max_ms",
                    "the longest time is below the median");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return time;
 }
 
@@ -108,7 +108,7 @@
                    "first_port",
                    "there are not enough ports above it");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_worker_pool(toml_table table, workers::pool_settings& pool)
@@ -137,7 +137,7 @@
     pool.service_latency_us = static_cast<std::uint64_t>(
         table.integer_or("service_latency_us", 5'000, 1, 60'000'000));
     pool.broken_classes = table.texts_or("broken_classes", {});
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 void read_interference(toml_table table, workers::interference_settings& out)
@@ -149,7 +149,7 @@
     out.wave_period =
         table.duration_or("wave_period_ms", out.wave_period, 100ms, 3'600s);
     out.size_error = table.number_or("size_error", out.size_error, 1.0, 100.0);
-    table.refuse_unread();
+    table.reject_unknown_keys();
 }
 
 } // namespace
@@ -159,7 +159,7 @@
     auto table = root.table("log");
     auto const level =
         table.choice_or("level", 1, {"debug", "info", "warning", "error"});
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return static_cast<ports::severity>(level);
 }
 
@@ -176,13 +176,13 @@
         store.integer_or("reads_per_second", 2'000, 1, max_rate));
     settings.store.limits.keys = static_cast<std::size_t>(
         store.integer_or("keys", 500'000, 1, max_keys));
-    store.refuse_unread();
+    store.reject_unknown_keys();
     auto instances = root.table("instances");
     settings.instances.lifetime = instances.duration_or(
         "lifetime_ms", settings.instances.lifetime, 200ms, 600s);
-    instances.refuse_unread();
+    instances.reject_unknown_keys();
     settings.probes = read_probes(root);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return settings;
 }
 
@@ -200,9 +200,9 @@
         auto prefix = table.text("prefix");
         auto const factor = table.number_or("factor", 1.0, 0.001, 1'000.0);
         settings.pool.paths.push_back({std::move(prefix), factor});
-        table.refuse_unread();
+        table.reject_unknown_keys();
     }
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return settings;
 }
 
@@ -213,7 +213,7 @@
     settings.platform = read_platform_address(root);
     read_worker_pool(root.table("workers"), settings.pool);
     read_interference(root.table("interference"), settings.pool.interference);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return settings;
 }
 
@@ -226,7 +226,7 @@
     made.workers = natural(root, "workers", made.workers, 1, max_instances);
     made.host = root.text_or("host", made.host);
     made.prefix = root.text_or("prefix", made.prefix);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return made;
 }
 
@@ -241,10 +241,10 @@
         link.listen = table.endpoint("listen");
         link.target = table.endpoint("target");
         link.delay = table.duration_or("delay_us", link.delay, 0ms, 60s);
-        table.refuse_unread();
+        table.reject_unknown_keys();
         settings.links.push_back(std::move(link));
     }
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return settings;
 }
 
--- a/tests/contract/adapters/settings_test.cpp
+++ b/tests/contract/adapters/settings_test.cpp
@@ -47,7 +47,7 @@
     }
     auto root = file->root();
     adapters::settings::read_daemon_settings(root, false);
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return file->reason();
 }
 
--- a/tools/load/commands.cpp
+++ b/tools/load/commands.cpp
@@ -56,7 +56,7 @@
     }
     auto root = file->root();
     auto targets = read_targets(root, {});
-    root.refuse_unread();
+    root.reject_unknown_keys();
     reason = file->reason();
     return file->ok() ? std::optional<target_settings>(std::move(targets))
                       : std::nullopt;
--- a/tools/load/experiment.cpp
+++ b/tools/load/experiment.cpp
@@ -62,7 +62,7 @@
         read.factor = table.number_or("factor", 1.0, 0.0, max_rate);
         read.factor_to =
             table.number_or("factor_to", read.factor, 0.0, max_rate);
-        table.refuse_unread();
+        table.reject_unknown_keys();
         if (read.name.empty())
         {
             read.name = std::to_string(phases.size() + 1);
@@ -108,7 +108,7 @@
         table.fail(
             result_code::out_of_range, "path", "a path begins with a slash");
     }
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return read;
 }
 
@@ -133,7 +133,7 @@
     read.per_minute = table.number_or("per_minute", 0.0, 0.0, max_rate);
     read.from = table.duration_or("from_ms", read.from, 0ms, longest);
     read.until = table.duration_or("until_ms", read.until, 0ms, longest);
-    table.refuse_unread();
+    table.reject_unknown_keys();
     read.body = boost::json::serialize(job);
     return read;
 }
@@ -177,7 +177,7 @@
     read.path = table.text("path");
     read.body = table.text_or("body", "");
     read.with_token = table.flag_or("token", false);
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return read;
 }
 
@@ -190,7 +190,7 @@
         table.flag_or("honour_retry_after", read.honour_retry_after);
     read.unknown = table.flag_or("unknown", read.unknown);
     read.lost = table.flag_or("lost", read.lost);
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return read;
 }
 
@@ -270,7 +270,7 @@
         table.duration_or("check_interval_ms", read.check_interval, 10ms, 60s);
     read.check_lag =
         table.duration_or("check_lag_ms", read.check_lag, 0ms, 60s);
-    table.refuse_unread();
+    table.reject_unknown_keys();
     return read;
 }
 
@@ -300,7 +300,7 @@
     {
         read.events.push_back(read_event(table, read.targets));
     }
-    root.refuse_unread();
+    root.reject_unknown_keys();
     return read;
 }
 
