--- a/src/programs/planner/administration.cpp
+++ b/src/programs/planner/administration.cpp
@@ -76,8 +76,7 @@
     }
 };
 
-bool bears_token(std::string_view authorization,
-                 std::string_view token) noexcept
+bool has_token(std::string_view authorization, std::string_view token) noexcept
 {
     constexpr std::string_view scheme = "Bearer ";
     bool const has_scheme = authorization.starts_with(scheme);
@@ -380,11 +379,12 @@
         what.refuse(result_code::queue_full, {}, "too many removals at once");
         return;
     }
-    removals_.push_back(
-        {what.request,
-         what.message.remote_address,
-         member_removal(
-             settings_.bury, role, name, self_.incarnation + ++writes_)});
+    removals_.push_back({what.request,
+                         what.message.remote_address,
+                         member_removal(settings_.fence_after,
+                                        role,
+                                        name,
+                                        self_.incarnation + ++writes_)});
     removals_.back().removal.start(what.now, next_call_, what.out);
 }
 
--- a/src/programs/planner/administration.hpp
+++ b/src/programs/planner/administration.hpp
@@ -28,7 +28,7 @@
     core::config::writer_settings writer;
     /// How long a member's record must stand still before an operator may
     /// remove it; the membership's own `bury`.
-    core::common::duration bury = std::chrono::seconds(3);
+    core::common::duration fence_after = std::chrono::seconds(3);
 };
 
 /// What the planner shows to its administration.
@@ -52,8 +52,7 @@
 
 /// Whether the value of an Authorization header bears `token`, compared in
 /// constant time.
-bool bears_token(std::string_view authorization,
-                 std::string_view token) noexcept;
+bool has_token(std::string_view authorization, std::string_view token) noexcept;
 
 class administration
 {
--- a/src/programs/planner/planner_callers.cpp
+++ b/src/programs/planner/planner_callers.cpp
@@ -32,7 +32,7 @@
 std::optional<response> planner_program::screen(request const& asked) const
 {
     auto const authorization = asked.header("Authorization").value_or("");
-    if (!bears_token(authorization, settings_.daemon.token))
+    if (!has_token(authorization, settings_.daemon.token))
     {
         return adapters::http::failure_response(
             {core::common::result_code::bad_token,
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -532,8 +532,8 @@
 
 TEST(administration, the_token_is_needed_whole)
 {
-    using programs::planner::bears_token;
-    EXPECT_TRUE(bears_token("Bearer 0123456789abcdef", "0123456789abcdef"));
+    using programs::planner::has_token;
+    EXPECT_TRUE(has_token("Bearer 0123456789abcdef", "0123456789abcdef"));
     for (char const* bad : {"",
                             "Bearer ",
                             "Bearer 0123456789abcde",
@@ -542,9 +542,9 @@
                             "0123456789abcdef",
                             "Basic 0123456789abcdef"})
     {
-        EXPECT_FALSE(bears_token(bad, "0123456789abcdef")) << bad;
+        EXPECT_FALSE(has_token(bad, "0123456789abcdef")) << bad;
     }
-    EXPECT_FALSE(bears_token("Bearer ", ""));
+    EXPECT_FALSE(has_token("Bearer ", ""));
 }
 
 TEST(administration, paths_of_other_parts_are_left_alone)
