--- a/src/adapters/settings/daemon_settings.cpp
+++ b/src/adapters/settings/daemon_settings.cpp
@@ -80,7 +80,8 @@
     timing.beat_interval =
         table.duration_or("beat_interval_ms", timing.beat_interval, 50ms, 10s);
     timing.hold = table.duration_or("hold_ms", timing.hold, 200ms, 60s);
-    timing.bury = table.duration_or("bury_ms", timing.bury, 300ms, 120s);
+    timing.fencing_delay =
+        table.duration_or("bury_ms", timing.fencing_delay, 300ms, 120s);
     timing.pause_limit =
         table.duration_or("pause_limit_ms", timing.pause_limit, 50ms, 60s);
     timing.witness_count = static_cast<std::uint32_t>(
@@ -94,7 +95,8 @@
                    "hold must be at least two beat intervals, or one lost "
                    "beat stops the member");
     }
-    if (timing.hold * (100 + 2 * max_drift_percent) / 100 >= timing.bury)
+    if (timing.hold * (100 + 2 * max_drift_percent) / 100 >=
+        timing.fencing_delay)
     {
         table.fail(result_code::inconsistent,
                    "bury_ms",
--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -56,7 +56,7 @@
                    "renewal ends its task");
     }
     if (cell.lease - cell.renew_interval <
-        out.daemon.membership.bury + takeover_time)
+        out.daemon.membership.fencing_delay + takeover_time)
     {
         table.fail(result_code::inconsistent,
                    "lease_ms",
--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -67,7 +67,7 @@
             drive_free(now, current, members, out);
         }
     }
-    drive_buried(now, members, who, out);
+    erase_fenced_record(now, members, who, out);
 }
 
 void claim_table::know_self(ports::member_identity const& self)
@@ -154,7 +154,7 @@
     {
         return true;
     }
-    return current.owner != self_ && members.is_buried(current.owner) &&
+    return current.owner != self_ && members.is_fenced(current.owner) &&
            members.records().index() >= current.version;
 }
 
@@ -233,10 +233,10 @@
 // Buried records are kept while a claim names them, so that everybody sees why
 // it may be taken over, and for a while longer; then one member erases them,
 // and any member where that one does not.
-void claim_table::drive_buried(common::time_point now,
-                               membership::member const& members,
-                               candidates const& who,
-                               ports::actions& out)
+void claim_table::erase_fenced_record(common::time_point now,
+                                      membership::member const& members,
+                                      candidates const& who,
+                                      ports::actions& out)
 {
     if (erasing_ || !members.may_act(now) || !members.proved_by_store())
     {
@@ -245,14 +245,14 @@
     for (auto const& [name, seen] : members.records().records())
     {
         auto const age = now - seen.version_seen;
-        if (!seen.value.buried || age < settings_.keep_buried ||
+        if (!seen.value.fenced || age < settings_.fenced_record_retention ||
             view_.names_owner(seen.value.info.id))
         {
             continue;
         }
         auto const* chosen = winner(name, who.live);
         if ((chosen != nullptr && *chosen == self_.name) ||
-            age >= settings_.keep_buried * 2)
+            age >= settings_.fenced_record_retention * 2)
         {
             erasing_ = true;
             ++counts_.erases;
--- a/src/core/claims/claim_table.hpp
+++ b/src/core/claims/claim_table.hpp
@@ -37,7 +37,7 @@
     /// Most handovers that are asked for at once, but in a planned stop.
     std::uint32_t max_handovers = 8;
     /// A buried record is erased once no claim has named it for this long.
-    common::duration keep_buried = std::chrono::seconds(60);
+    common::duration fenced_record_retention = std::chrono::seconds(60);
 };
 
 /// Store calls that a claim table made since it was made.
@@ -147,10 +147,10 @@
                     claim const& current,
                     membership::member const& members,
                     ports::actions& out);
-    void drive_buried(common::time_point now,
-                      membership::member const& members,
-                      candidates const& who,
-                      ports::actions& out);
+    void erase_fenced_record(common::time_point now,
+                             membership::member const& members,
+                             candidates const& who,
+                             ports::actions& out);
     bool is_kept_for_another(claim const& current,
                              membership::member const& members) const;
     bool may_claim(common::time_point now,
--- a/src/core/membership/burial.cpp
+++ b/src/core/membership/fencing.cpp
@@ -1,4 +1,4 @@
-#include "core/membership/burial.hpp"
+#include "core/membership/fencing.hpp"
 
 #include "core/common/hash.hpp"
 
@@ -32,33 +32,33 @@
 
 } // namespace
 
-burial::burial(settings const& settings, safety_parts parts)
+fencing::fencing(settings const& settings, safety_parts parts)
     : settings_(settings), parts_(parts)
 {
 }
 
-burial_steps burial::next(common::time_point now,
-                          ports::member_identity const& observer,
-                          bool joined,
-                          roster const& members,
-                          platform_list const& platform,
-                          witness& own,
-                          std::mt19937_64& random)
+fencing_actions fencing::next(common::time_point now,
+                              ports::member_identity const& observer,
+                              bool joined,
+                              roster const& members,
+                              platform_list const& platform,
+                              witness& own,
+                              std::mt19937_64& random)
 {
-    burial_steps steps;
+    fencing_actions steps;
     drop_settled(members);
     for (auto const& [name, seen] : members.records())
     {
         auto const& id = seen.value.info.id;
         bool const predecessor = name == observer.name && id != observer;
         if (id == observer || (!joined && !predecessor) ||
-            !stands_still(seen, members))
+            !is_unchanged(seen, members))
         {
             continue;
         }
         auto const wait = predecessor ? common::duration{}
                                       : rank_delay(observer, id, members);
-        if (now - seen.version_seen < settings_.bury + wait)
+        if (now - seen.version_seen < settings_.fencing_delay + wait)
         {
             if (parts_.unchanged_version)
             {
@@ -79,13 +79,13 @@
         }
         ask(now, subject, seen.value, observer, members, own, steps);
         if (!subject.writing && now >= subject.next_write &&
-            may_bury(now, subject, seen.value, members, platform))
+            may_fence(now, subject, seen.value, members, platform))
         {
             subject.writing = true;
             steps.writes.push_back(
                 {id,
                  {members_prefix(seen.value.info.role) + name,
-                  to_json(buried(seen.value, random())),
+                  to_json(make_fenced(seen.value, random())),
                   seen.version}});
         }
     }
@@ -94,7 +94,7 @@
 
 // What is no longer as it was when pursued ends here; a write under way is
 // waited for, so that its answer finds its candidate.
-void burial::drop_settled(roster const& members)
+void fencing::drop_settled(roster const& members)
 {
     std::erase_if(candidates_,
                   [&members](auto const& entry)
@@ -109,19 +109,19 @@
 // A beat that was applied before the first list was sent before it, so its
 // proof ends within `bury` of that list; one that was applied after it changed
 // the version. The first list's answer came in at `version_seen`.
-bool burial::stands_still(seen_record const& seen, roster const& members) const
+bool fencing::is_unchanged(seen_record const& seen, roster const& members) const
 {
-    if (!seen.readable || seen.value.buried)
+    if (!seen.readable || seen.value.fenced)
     {
         return false;
     }
     return !parts_.unchanged_version ||
-           members.list_sent() - seen.version_seen >= settings_.bury;
+           members.list_sent() - seen.version_seen >= settings_.fencing_delay;
 }
 
-common::duration burial::rank_delay(ports::member_identity const& observer,
-                                    ports::member_identity const& subject,
-                                    roster const& members) const
+common::duration fencing::rank_delay(ports::member_identity const& observer,
+                                     ports::member_identity const& subject,
+                                     roster const& members) const
 {
     std::uint64_t const seed = subject.incarnation;
     std::uint64_t const mine = common::hash_of(observer.name, seed);
@@ -137,13 +137,13 @@
     return rank_step * std::min<std::int64_t>(rank, last_rank);
 }
 
-void burial::ask(common::time_point now,
-                 candidate& subject,
-                 record const& value,
-                 ports::member_identity const& observer,
-                 roster const& members,
-                 witness& own,
-                 burial_steps& steps) const
+void fencing::ask(common::time_point now,
+                  candidate& subject,
+                  record const& value,
+                  ports::member_identity const& observer,
+                  roster const& members,
+                  witness& own,
+                  fencing_actions& steps) const
 {
     if (now < subject.next_question)
     {
@@ -169,11 +169,11 @@
     }
 }
 
-bool burial::may_bury(common::time_point now,
-                      candidate const& subject,
-                      record const& value,
-                      roster const& members,
-                      platform_list const& platform) const
+bool fencing::may_fence(common::time_point now,
+                        candidate const& subject,
+                        record const& value,
+                        roster const& members,
+                        platform_list const& platform) const
 {
     if (!parts_.consent || value.witnesses.empty())
     {
@@ -194,10 +194,10 @@
 // its going was seen its promises are over. That its record stands still or is
 // buried is no proof that it is gone: it may have lost only the store, and go
 // on promising. Nor is a record that was removed: an operator may be wrong.
-bool burial::is_gone(common::time_point now,
-                     ports::member_identity const& witness,
-                     roster const& members,
-                     platform_list const& platform) const
+bool fencing::is_gone(common::time_point now,
+                      ports::member_identity const& witness,
+                      roster const& members,
+                      platform_list const& platform) const
 {
     if (!settings_.list_stands_in)
     {
@@ -207,7 +207,7 @@
     if (seen == nullptr)
     {
         return platform.dropped_for(
-            witness.name, common::time_point::min(), settings_.bury);
+            witness.name, common::time_point::min(), settings_.fencing_delay);
     }
     if (!seen->readable)
     {
@@ -215,22 +215,23 @@
     }
     if (seen->value.info.id != witness)
     {
-        return now - seen->incarnation_seen >= settings_.bury;
+        return now - seen->incarnation_seen >= settings_.fencing_delay;
     }
     if (seen->value.successor != 0 &&
-        now - seen->successor_seen >= settings_.bury)
+        now - seen->successor_seen >= settings_.fencing_delay)
     {
         return true;
     }
     // Whoever still beats runs, whatever a list says that lags.
-    bool const beats = now - seen->version_seen < settings_.bury;
-    return !beats && platform.dropped_for(
-                         witness.name, seen->incarnation_seen, settings_.bury);
+    bool const beats = now - seen->version_seen < settings_.fencing_delay;
+    return !beats && platform.dropped_for(witness.name,
+                                          seen->incarnation_seen,
+                                          settings_.fencing_delay);
 }
 
-void burial::consented(ports::member_identity const& witness,
-                       ports::member_identity const& subject,
-                       std::uint64_t version)
+void fencing::on_consent(ports::member_identity const& witness,
+                         ports::member_identity const& subject,
+                         std::uint64_t version)
 {
     auto const place = candidates_.find(subject.name);
     if (place != candidates_.end() && place->second.subject == subject &&
@@ -242,19 +243,19 @@
 
 // A record that did not change since an earlier list is read again just when
 // it will have stood still for `bury`: lists may then be rare in calm times.
-common::time_point burial::next_look(common::time_point now,
-                                     ports::member_identity const& observer,
-                                     roster const& members) const
+common::time_point fencing::next_read_at(common::time_point now,
+                                         ports::member_identity const& observer,
+                                         roster const& members) const
 {
     auto next = common::time_point::max();
     for (auto const& [name, seen] : members.records())
     {
-        if (!seen.readable || seen.value.buried ||
+        if (!seen.readable || seen.value.fenced ||
             seen.value.info.id == observer)
         {
             continue;
         }
-        auto const due = seen.version_seen + settings_.bury;
+        auto const due = seen.version_seen + settings_.fencing_delay;
         if (due > members.list_sent())
         {
             next = std::min(next, due);
@@ -267,8 +268,8 @@
     return next;
 }
 
-void burial::write_ended(common::time_point now,
-                         ports::member_identity const& subject)
+void fencing::on_write_reply(common::time_point now,
+                             ports::member_identity const& subject)
 {
     auto const place = candidates_.find(subject.name);
     if (place != candidates_.end())
--- a/src/core/membership/burial.hpp
+++ b/src/core/membership/fencing.hpp
@@ -30,17 +30,17 @@
 };
 
 /// "Write `operation`; its answer belongs to the burial of `subject`."
-struct burial_write
+struct fencing_write
 {
     ports::member_identity subject;
     ports::store_write operation;
 };
 
 /// What `burial::next` decided.
-struct burial_steps
+struct fencing_actions
 {
     std::vector<consent_question> questions;
-    std::vector<burial_write> writes;
+    std::vector<fencing_write> writes;
 };
 
 /// The observer's part of a takeover. Three conditions bury member X:
@@ -53,34 +53,34 @@
 ///
 /// Any member may observe. So that not all ask and write at once, each waits
 /// longer by its rank in a hash order drawn for the subject.
-class burial
+class fencing
 {
 public:
     /// Most burials pursued at once; the rest waits for its turn.
     static constexpr std::size_t max_candidates = 64;
 
-    burial(settings const& settings, safety_parts parts);
+    fencing(settings const& settings, safety_parts parts);
 
     /// `observer` buries any member, or, while it has not joined, only
     /// `predecessor`, the earlier incarnation under its own name.
-    burial_steps next(common::time_point now,
-                      ports::member_identity const& observer,
-                      bool joined,
-                      roster const& members,
-                      platform_list const& platform,
-                      witness& own,
-                      std::mt19937_64& random);
-    void consented(ports::member_identity const& witness,
-                   ports::member_identity const& subject,
-                   std::uint64_t version);
+    fencing_actions next(common::time_point now,
+                         ports::member_identity const& observer,
+                         bool joined,
+                         roster const& members,
+                         platform_list const& platform,
+                         witness& own,
+                         std::mt19937_64& random);
+    void on_consent(ports::member_identity const& witness,
+                    ports::member_identity const& subject,
+                    std::uint64_t version);
     /// When the records should be read again to find or follow a burial, were
     /// it sooner than the next regular list.
-    common::time_point next_look(common::time_point now,
-                                 ports::member_identity const& observer,
-                                 roster const& members) const;
+    common::time_point next_read_at(common::time_point now,
+                                    ports::member_identity const& observer,
+                                    roster const& members) const;
     /// The answer to a `burial_write` came.
-    void write_ended(common::time_point now,
-                     ports::member_identity const& subject);
+    void on_write_reply(common::time_point now,
+                        ports::member_identity const& subject);
 
 private:
     struct candidate
@@ -94,7 +94,7 @@
         bool writing = false;
     };
 
-    bool stands_still(seen_record const& seen, roster const& members) const;
+    bool is_unchanged(seen_record const& seen, roster const& members) const;
     common::duration rank_delay(ports::member_identity const& observer,
                                 ports::member_identity const& subject,
                                 roster const& members) const;
@@ -102,18 +102,18 @@
                  ports::member_identity const& witness,
                  roster const& members,
                  platform_list const& platform) const;
-    bool may_bury(common::time_point now,
-                  candidate const& subject,
-                  record const& value,
-                  roster const& members,
-                  platform_list const& platform) const;
+    bool may_fence(common::time_point now,
+                   candidate const& subject,
+                   record const& value,
+                   roster const& members,
+                   platform_list const& platform) const;
     void ask(common::time_point now,
              candidate& subject,
              record const& value,
              ports::member_identity const& observer,
              roster const& members,
              witness& own,
-             burial_steps& steps) const;
+             fencing_actions& steps) const;
     void drop_settled(roster const& members);
 
     settings settings_;
--- a/src/core/membership/lifecycle.cpp
+++ b/src/core/membership/lifecycle.cpp
@@ -116,7 +116,7 @@
     {phase::out_of_proof, state_number<out_of_proof_state>, "out_of_proof"},
     {phase::removing, state_number<removing_state>, "removing"},
     {phase::gone, state_number<gone_state>, "gone"},
-    {phase::buried, state_number<buried_state>, "buried"},
+    {phase::fenced, state_number<buried_state>, "buried"},
 }};
 
 } // namespace
@@ -204,14 +204,14 @@
             return row.value;
         }
     }
-    return phase::buried;
+    return phase::fenced;
 }
 
 bool lifecycle::takes_part() const noexcept
 {
     phase const here = now();
     return here != phase::removing && here != phase::gone &&
-           here != phase::buried;
+           here != phase::fenced;
 }
 
 void lifecycle::tell(phase before,
@@ -223,7 +223,7 @@
     {
         return;
     }
-    bool const bad = after == phase::out_of_proof || after == phase::buried;
+    bool const bad = after == phase::out_of_proof || after == phase::fenced;
     out.emplace_back(
         ports::log_event{bad ? ports::severity::warning : ports::severity::info,
                          "member_phase",
--- a/src/core/membership/lifecycle.hpp
+++ b/src/core/membership/lifecycle.hpp
@@ -19,7 +19,7 @@
     out_of_proof,        ///< Alive, but acts on nothing.
     removing,            ///< Planned stop: the record is being erased.
     gone,                ///< Planned stop: the store has no record any more.
-    buried,              ///< Over: the store shows another in its place.
+    fenced,              ///< Over: the store shows another in its place.
 };
 
 std::string_view name_of(phase value) noexcept;
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -20,8 +20,8 @@
                std::uint64_t seed,
                safety_parts parts)
     : settings_(settings), random_(seed), roster_(self.role), proof_(parts),
-      witness_(settings.bury), burial_(settings, parts), life_(self.id.name),
-      own_(std::move(self), settings.beat_interval)
+      witness_(settings.fencing_delay), fencing_(settings, parts),
+      life_(self.id.name), own_(std::move(self), settings.beat_interval)
 {
 }
 
@@ -74,7 +74,7 @@
     {
         drive_list(now, out);
         drive_rounds(now, out);
-        drive_burials(now, out);
+        advance_fencing(now, out);
     }
     follow_proof(now, out);
 }
@@ -146,8 +146,8 @@
     case call_kind::list:
         on_list_reply(now, answered.sent, reply, out);
         break;
-    case call_kind::burial:
-        burial_.write_ended(now, answered.subject);
+    case call_kind::fencing:
+        fencing_.on_write_reply(now, answered.subject);
         next_list_ = now; // Shows what became of it.
         break;
     }
@@ -159,13 +159,13 @@
                           ports::actions& out)
 {
     auto const news = own_.on_reply(now, reply);
-    if (!news.fenced.empty())
+    if (!news.fenced_reason.empty())
     {
         bool const took_part = life_.takes_part();
-        life_.fenced(news.fenced, out);
+        life_.fenced(news.fenced_reason, out);
         if (took_part)
         {
-            out.emplace_back(ports::rejoin{news.fenced});
+            out.emplace_back(ports::rejoin{news.fenced_reason});
         }
         return;
     }
@@ -205,7 +205,7 @@
         return;
     }
     next_list_ =
-        std::min(next_list_, burial_.next_look(now, self().id, roster_));
+        std::min(next_list_, fencing_.next_read_at(now, self().id, roster_));
     witness_.learn(now, roster_);
     wanted_witnesses_ =
         choose_witnesses(self().id, roster_.live(), settings_.witness_count);
@@ -226,9 +226,9 @@
     bool const own = seen->value.info.id == self().id;
     if (own_.joined())
     {
-        return !own || seen->value.buried || seen->value.successor != 0;
+        return !own || seen->value.fenced || seen->value.successor != 0;
     }
-    return own_.predecessor() && (own || seen->value.buried ||
+    return own_.predecessor() && (own || seen->value.fenced ||
                                   seen->value.info.id != *own_.predecessor());
 }
 
@@ -328,9 +328,9 @@
     return place != live.end() && place->id.name == name ? &*place : nullptr;
 }
 
-bool member::is_buried(ports::member_identity const& id) const noexcept
+bool member::is_fenced(ports::member_identity const& id) const noexcept
 {
-    return roster_.is_buried(id);
+    return roster_.is_fenced(id);
 }
 
 roster const& member::records() const noexcept
--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/common/time.hpp"
-#include "core/membership/burial.hpp"
+#include "core/membership/fencing.hpp"
 #include "core/membership/lifecycle.hpp"
 #include "core/membership/member_info.hpp"
 #include "core/membership/own_record.hpp"
@@ -31,7 +31,7 @@
     std::uint64_t own_writes = 0; ///< Beats, the first write, removal.
     std::uint64_t own_reads = 0;  ///< Read backs, and the first look.
     std::uint64_t lists = 0;
-    std::uint64_t burial_writes = 0;
+    std::uint64_t fencing_writes = 0;
     std::uint64_t promise_requests = 0;
     std::uint64_t promises_given = 0;
     std::uint64_t promises_refused = 0;
@@ -103,7 +103,7 @@
     /// owned may be claimed. An incarnation that joined after the newest list
     /// was read looks removed too: who learns of one elsewhere, as from a claim
     /// at some version, may only ask once `records().index()` has reached that.
-    bool is_buried(ports::member_identity const& id) const noexcept;
+    bool is_fenced(ports::member_identity const& id) const noexcept;
     /// All records of the role as the newest list showed them.
     roster const& records() const noexcept;
     /// Whether the record list has been read at least once.
@@ -115,7 +115,7 @@
     {
         own,
         list,
-        burial,
+        fencing,
     };
 
     struct pending_call
@@ -147,7 +147,7 @@
 
     // member_peers.cpp: promises and consent.
     void drive_rounds(common::time_point now, ports::actions& out);
-    void drive_burials(common::time_point now, ports::actions& out);
+    void advance_fencing(common::time_point now, ports::actions& out);
     void send(ports::member_identity const& to,
               ports::peer_message message,
               ports::actions& out) const;
@@ -169,7 +169,7 @@
     proof proof_;
     witness witness_;
     platform_list platform_;
-    burial burial_;
+    fencing fencing_;
     lifecycle life_;
     own_record own_;
     witness_list wanted_witnesses_;
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -30,9 +30,9 @@
     }
 }
 
-void member::drive_burials(common::time_point now, ports::actions& out)
+void member::advance_fencing(common::time_point now, ports::actions& out)
 {
-    auto steps = burial_.next(
+    auto steps = fencing_.next(
         now, self().id, own_.joined(), roster_, platform_, witness_, random_);
     for (auto const& question : steps.questions)
     {
@@ -43,7 +43,7 @@
     }
     for (auto& write : steps.writes)
     {
-        ++counts_.burial_writes;
+        ++counts_.fencing_writes;
         out.emplace_back(ports::log_event{
             ports::severity::warning,
             "member_burial",
@@ -52,7 +52,7 @@
              {"incarnation", to_hexadecimal(write.subject.incarnation)},
              {"version", std::to_string(write.operation.expected_version)}}});
         call(now,
-             call_kind::burial,
+             call_kind::fencing,
              std::move(write.operation),
              out,
              write.subject);
@@ -83,7 +83,8 @@
     {
         if (consent->granted)
         {
-            burial_.consented(from, consent->subject, consent->record_version);
+            fencing_.on_consent(
+                from, consent->subject, consent->record_version);
             drive(now, out);
         }
     }
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -173,7 +173,7 @@
         end("the own record is unreadable: " + common::to_string(reason), news);
         return;
     }
-    if (value->info.id == self_.id && !value->buried && value->successor == 0)
+    if (value->info.id == self_.id && !value->fenced && value->successor == 0)
     {
         settle_own(*value, entry.version, news);
         return;
@@ -237,12 +237,12 @@
     }
     if (joined_ || value.info.id == self_.id)
     {
-        end(value.buried ? "buried by another member"
+        end(value.fenced ? "buried by another member"
                          : "a newer process runs under this name",
             news);
         return;
     }
-    if (value.buried)
+    if (value.fenced)
     {
         version_ = version;
         predecessor_.reset();
@@ -294,7 +294,7 @@
 void own_record::end(std::string why, own_record_news& news)
 {
     step_ = step::over;
-    news.fenced = std::move(why);
+    news.fenced_reason = std::move(why);
 }
 
 void own_record::look_again() noexcept
--- a/src/core/membership/own_record.hpp
+++ b/src/core/membership/own_record.hpp
@@ -22,7 +22,7 @@
     /// Set where a write is now known to have been accepted: when it was sent.
     std::optional<common::time_point> accepted_sent;
     /// Not empty: another wrote the record, this incarnation is over.
-    std::string fenced;
+    std::string fenced_reason;
 };
 
 /// Decides the next store call about the own record, one at a time.
--- a/src/core/membership/record.cpp
+++ b/src/core/membership/record.cpp
@@ -134,9 +134,9 @@
     return "members/" + std::string(role) + "/";
 }
 
-record buried(record value, std::uint64_t write_id)
+record make_fenced(record value, std::uint64_t write_id)
 {
-    value.buried = true;
+    value.fenced = true;
     value.write_id = write_id;
     return value;
 }
@@ -165,7 +165,7 @@
     value.beat =
         static_cast<std::uint64_t>(reader.integer_or("beat", 0, 0, max_count));
     value.witnesses = read_witnesses(reader);
-    value.buried = reader.flag_or("buried", false);
+    value.fenced = reader.flag_or("buried", false);
     value.successor = read_hexadecimal(reader, "successor", "0");
     value.write_id = read_hexadecimal(reader, "write_id", "");
     if (!reader.ok())
@@ -197,7 +197,7 @@
     {
         object["leaving"] = true;
     }
-    if (value.buried)
+    if (value.fenced)
     {
         object["buried"] = true;
     }
--- a/src/core/membership/record.hpp
+++ b/src/core/membership/record.hpp
@@ -23,7 +23,7 @@
     /// Whose promises may stand in for the store's answers.
     std::vector<ports::member_identity> witnesses;
     /// This incarnation never acts again.
-    bool buried = false;
+    bool fenced = false;
     /// A newer incarnation under the same name runs and waits for this one's
     /// burial; 0 where there is none.
     std::uint64_t successor = 0;
@@ -42,7 +42,7 @@
 std::string to_json(record const& value);
 
 /// The record that buries `value`: the same but for the flag and the write id.
-record buried(record value, std::uint64_t write_id);
+record make_fenced(record value, std::uint64_t write_id);
 
 /// "members/entry/".
 std::string members_prefix(std::string_view role);
--- a/src/core/membership/roster.cpp
+++ b/src/core/membership/roster.cpp
@@ -146,7 +146,7 @@
     return live_;
 }
 
-bool roster::is_buried(ports::member_identity const& id) const noexcept
+bool roster::is_fenced(ports::member_identity const& id) const noexcept
 {
     if (!known_)
     {
@@ -154,7 +154,7 @@
     }
     auto const* seen = find(id.name);
     return seen == nullptr || (seen->readable && (seen->value.info.id != id ||
-                                                  seen->value.buried));
+                                                  seen->value.fenced));
 }
 
 void roster::renew_live()
@@ -162,7 +162,7 @@
     live_.clear();
     for (auto const& [name, seen] : records_)
     {
-        if (seen.readable && !seen.value.buried && seen.value.successor == 0)
+        if (seen.readable && !seen.value.fenced && seen.value.successor == 0)
         {
             live_.push_back(seen.value.info);
         }
--- a/src/core/membership/roster.hpp
+++ b/src/core/membership/roster.hpp
@@ -65,7 +65,7 @@
     records_by_name const& records() const noexcept;
     seen_record const* find(std::string_view name) const noexcept;
     std::vector<member_info> const& live() const noexcept;
-    bool is_buried(ports::member_identity const& id) const noexcept;
+    bool is_fenced(ports::member_identity const& id) const noexcept;
 
 private:
     seen_record read_entry(common::time_point now,
--- a/src/core/membership/settings.hpp
+++ b/src/core/membership/settings.hpp
@@ -23,7 +23,7 @@
     common::duration hold = std::chrono::seconds(2);
     /// A record must stand still, and promises must be silent, this long
     /// before their member may be buried.
-    common::duration bury = std::chrono::seconds(3);
+    common::duration fencing_delay = std::chrono::seconds(3);
     /// A longer gap between two ticks is a pause: it voids all proofs.
     common::duration pause_limit = std::chrono::milliseconds(800);
     std::uint32_t witness_count = 5;
@@ -49,7 +49,7 @@
            value.beat_interval * 2 < value.hold &&
            value.pause_limit < value.hold &&
            value.hold * (1000 + max_drift_permille) <
-               value.bury * (1000 - max_drift_permille);
+               value.fencing_delay * (1000 - max_drift_permille);
 }
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/witness.cpp
+++ b/src/core/membership/witness.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-witness::witness(common::duration bury) : bury_(bury)
+witness::witness(common::duration bury) : fencing_delay_(bury)
 {
 }
 
@@ -30,7 +30,7 @@
                       ports::member_identity const& subject,
                       roster const& members)
 {
-    if (consents_.count(subject) != 0 || members.is_buried(subject))
+    if (consents_.count(subject) != 0 || members.is_fenced(subject))
     {
         return false;
     }
@@ -52,7 +52,7 @@
         return false; // Its burial at `version` would fail.
     }
     auto const promised = promises_.find(subject);
-    if (promised != promises_.end() && now - promised->second < bury_)
+    if (promised != promises_.end() && now - promised->second < fencing_delay_)
     {
         return false;
     }
@@ -75,7 +75,7 @@
     std::erase_if(promises_,
                   [now, this](auto const& given)
                   {
-                      return now - given.second > bury_ * 2;
+                      return now - given.second > fencing_delay_ * 2;
                   });
 }
 
--- a/src/core/membership/witness.hpp
+++ b/src/core/membership/witness.hpp
@@ -42,7 +42,7 @@
     void after_pause(common::time_point now) noexcept;
 
 private:
-    common::duration bury_;
+    common::duration fencing_delay_;
     std::map<ports::member_identity, common::time_point> promises_;
     std::map<ports::member_identity, std::uint64_t> consents_;
 };
--- a/src/programs/planner/administration_lists.cpp
+++ b/src/programs/planner/administration_lists.cpp
@@ -115,7 +115,7 @@
     boost::json::array waiting;
     for (auto const& member : members)
     {
-        if (!member.buried && member.info.config_revision < revision)
+        if (!member.fenced && member.info.config_revision < revision)
         {
             waiting.push_back(describe_member(member));
         }
@@ -133,7 +133,7 @@
         {"revision", member.info.config_revision},
         {"beat", member.beat},
         {"leaving", member.info.leaving},
-        {"buried", member.buried},
+        {"buried", member.fenced},
     };
 }
 
--- a/src/programs/planner/administration_removal.cpp
+++ b/src/programs/planner/administration_removal.cpp
@@ -53,7 +53,7 @@
     if (!reading_)
     {
         auto buried = *seen_;
-        buried.buried = true;
+        buried.fenced = true;
         buried.write_id = write_id_;
         operation = ports::store_write{key_, to_json(buried), version_};
     }
@@ -120,7 +120,7 @@
         finish(reason.code, reason.why);
         return;
     }
-    if (record->buried)
+    if (record->fenced)
     {
         finish(result_code::ok, {});
         return;
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -209,7 +209,7 @@
     engine_ = std::make_unique<tasks::planner_engine>(
         settings_.planner, self, self.id.incarnation);
     administration_settings for_operators;
-    for_operators.fence_after = settings_.daemon.membership.bury;
+    for_operators.fence_after = settings_.daemon.membership.fencing_delay;
     administration_ = std::make_unique<administration>(for_operators, self.id);
     followed_.clear();
 }
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -107,7 +107,7 @@
         value.info = {{name, 7}, role, "thrissur-b", {"127.0.0.1", 1}, {}};
         value.info.http_address = {"127.0.0.1", 2};
         value.info.config_revision = revision;
-        value.buried = buried;
+        value.fenced = buried;
         value.beat = ++beats_;
         store.put("members/" + role + "/" + name, to_json(value));
     }
@@ -117,7 +117,7 @@
         core::common::failure reason;
         auto const value = core::membership::parse_record(
             role, name, store.value("members/" + role + "/" + name), reason);
-        return value && value->buried;
+        return value && value->fenced;
     }
 
     tests::memory_store& store;
--- a/tests/unit/membership/parts_test.cpp
+++ b/tests/unit/membership/parts_test.cpp
@@ -33,7 +33,7 @@
 ports::store_reply list_at(std::uint64_t version, bool is_buried = false)
 {
     record value = describe(subject);
-    value.buried = is_buried;
+    value.fenced = is_buried;
     ports::store_reply reply;
     reply.status = ports::store_status::done;
     reply.index = version;
@@ -94,7 +94,7 @@
     reply.entries.front().value = "nonsense";
     EXPECT_TRUE(members.apply(start, start, reply, reason));
     EXPECT_NE(reason.code, core::common::result_code::ok);
-    EXPECT_FALSE(members.is_buried(subject));
+    EXPECT_FALSE(members.is_fenced(subject));
     EXPECT_TRUE(members.live().empty());
 }
 
@@ -104,7 +104,7 @@
     roster members = shows(9, true);
     core::common::failure reason;
     EXPECT_FALSE(members.apply(start + 1s, start + 1s, list_at(5), reason));
-    EXPECT_TRUE(members.is_buried(subject));
+    EXPECT_TRUE(members.is_fenced(subject));
 }
 
 TEST(witness, consents_only_when_its_last_promise_is_older_than_bury)
--- a/tests/unit/walks/small_system.cpp
+++ b/tests/unit/walks/small_system.cpp
@@ -554,7 +554,7 @@
             core::membership::parse_record(role, name, entry->value, reason);
         known = {entry->version,
                  value ? value->info.id.incarnation : 0,
-                 value && value->buried,
+                 value && value->fenced,
                  value ? value->witnesses : core::membership::witness_list{}};
     }
     return known;
