--- a/src/adapters/settings/daemon_settings.cpp
+++ b/src/adapters/settings/daemon_settings.cpp
@@ -77,25 +77,26 @@
 void read_membership(toml_table table, daemon_settings& out)
 {
     auto& timing = out.membership;
-    timing.beat_interval =
-        table.duration_or("beat_interval_ms", timing.beat_interval, 50ms, 10s);
-    timing.hold = table.duration_or("hold_ms", timing.hold, 200ms, 60s);
+    timing.heartbeat_interval = table.duration_or(
+        "beat_interval_ms", timing.heartbeat_interval, 50ms, 10s);
+    timing.proof_lifetime =
+        table.duration_or("hold_ms", timing.proof_lifetime, 200ms, 60s);
     timing.fencing_delay =
         table.duration_or("bury_ms", timing.fencing_delay, 300ms, 120s);
     timing.pause_limit =
         table.duration_or("pause_limit_ms", timing.pause_limit, 50ms, 60s);
     timing.witness_count = static_cast<std::uint32_t>(
         table.integer_or("witness_count", timing.witness_count, 1, 15));
-    timing.list_stands_in =
-        table.flag_or("list_stands_in", timing.list_stands_in);
-    if (timing.beat_interval * 2 > timing.hold)
+    timing.platform_list_replaces_consent =
+        table.flag_or("list_stands_in", timing.platform_list_replaces_consent);
+    if (timing.heartbeat_interval * 2 > timing.proof_lifetime)
     {
         table.fail(result_code::inconsistent,
                    "hold_ms",
                    "hold must be at least two beat intervals, or one lost "
                    "beat stops the member");
     }
-    if (timing.hold * (100 + 2 * max_drift_percent) / 100 >=
+    if (timing.proof_lifetime * (100 + 2 * max_drift_percent) / 100 >=
         timing.fencing_delay)
     {
         table.fail(result_code::inconsistent,
@@ -103,7 +104,7 @@
                    "bury must exceed hold by more than 6 percent, or a "
                    "member may act after its burial");
     }
-    if (timing.pause_limit >= timing.hold)
+    if (timing.pause_limit >= timing.proof_lifetime)
     {
         table.fail(result_code::inconsistent,
                    "pause_limit_ms",
--- a/src/core/membership/fencing.cpp
+++ b/src/core/membership/fencing.cpp
@@ -199,7 +199,7 @@
                       roster const& members,
                       platform_list const& platform) const
 {
-    if (!settings_.list_stands_in)
+    if (!settings_.platform_list_replaces_consent)
     {
         return false;
     }
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -21,7 +21,7 @@
                safety_parts parts)
     : settings_(settings), random_(seed), roster_(self.role), proof_(parts),
       witness_(settings.fencing_delay), fencing_(settings, parts),
-      life_(self.id.name), own_(std::move(self), settings.beat_interval)
+      life_(self.id.name), own_(std::move(self), settings.heartbeat_interval)
 {
 }
 
@@ -47,7 +47,7 @@
     if (paused)
     {
         ++counts_.pauses;
-        proof_.void_all(now);
+        proof_.invalidate_all(now);
         witness_.after_pause(now);
         own_.hurry(now);
         next_round_ = now;
@@ -114,7 +114,7 @@
 
 void member::follow_proof(common::time_point now, ports::actions& out)
 {
-    if (proof_age(now) >= settings_.hold)
+    if (proof_age(now) >= settings_.proof_lifetime)
     {
         life_.proved(proof_source::none, out);
     }
@@ -279,7 +279,7 @@
 {
     return life_.takes_part() && last_seen_ &&
            now - *last_seen_ <= settings_.pause_limit &&
-           proof_age(now) < settings_.hold;
+           proof_age(now) < settings_.proof_lifetime;
 }
 
 common::duration member::proof_age(common::time_point now) const noexcept
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -11,11 +11,11 @@
 void member::drive_rounds(common::time_point now, ports::actions& out)
 {
     if (!own_.joined() || now < next_round_ ||
-        proof_age(now) < settings_.hold / 2)
+        proof_age(now) < settings_.proof_lifetime / 2)
     {
         return;
     }
-    next_round_ = now + settings_.hold / 3;
+    next_round_ = now + settings_.proof_lifetime / 3;
     std::set<ports::member_identity> asked;
     for (auto const& list : own_.possible_lists())
     {
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 own_record::own_record(member_info self, common::duration beat_interval)
-    : self_(std::move(self)), beat_interval_(beat_interval)
+    : self_(std::move(self)), heartbeat_interval_(beat_interval)
 {
 }
 
@@ -66,7 +66,7 @@
                                               std::mt19937_64& random)
 {
     in_flight_ = call_kind::write;
-    next_write_ = now + beat_interval_;
+    next_write_ = now + heartbeat_interval_;
     if (unsettled_.size() == max_unsettled)
     {
         unsettled_.erase(unsettled_.begin());
@@ -83,7 +83,7 @@
 {
     record value;
     value.info = self_;
-    value.beat = ++beat_;
+    value.heartbeat_count = ++heartbeat_count_;
     value.witnesses =
         unsettled_.empty() ? witnesses : unsettled_.back().value.witnesses;
     value.write_id = random();
--- a/src/core/membership/own_record.hpp
+++ b/src/core/membership/own_record.hpp
@@ -116,7 +116,7 @@
     std::string key() const;
 
     member_info self_;
-    common::duration beat_interval_;
+    common::duration heartbeat_interval_;
     step step_ = step::looking;
     call_kind in_flight_ = call_kind::none;
     common::time_point next_call_{};
@@ -124,7 +124,7 @@
     bool removing_ = false;
     bool joined_ = false;
     std::uint64_t version_ = 0;
-    std::uint64_t beat_ = 0;
+    std::uint64_t heartbeat_count_ = 0;
     record standing_;
     /// Writes whose effect is not known, the one in flight last.
     std::vector<sent_write> unsettled_;
--- a/src/core/membership/proof.cpp
+++ b/src/core/membership/proof.cpp
@@ -109,7 +109,7 @@
     return times[majority - 1];
 }
 
-void proof::void_all(common::time_point now) noexcept
+void proof::invalidate_all(common::time_point now) noexcept
 {
     floor_ = now;
     by_store_.reset();
--- a/src/core/membership/proof.hpp
+++ b/src/core/membership/proof.hpp
@@ -35,7 +35,7 @@
                   std::uint64_t round,
                   std::vector<witness_list> const& lists);
     /// Voids all proofs, and those that answers to earlier calls would give.
-    void void_all(common::time_point now) noexcept;
+    void invalidate_all(common::time_point now) noexcept;
 
     /// When the newest proof was sent; nothing where there is none.
     std::optional<common::time_point> newest() const noexcept;
--- a/src/core/membership/record.cpp
+++ b/src/core/membership/record.cpp
@@ -162,7 +162,7 @@
     value.info.leaving = reader.flag_or("leaving", false);
     value.info.config_revision = static_cast<std::uint64_t>(
         reader.integer_or("config_revision", 0, 0, max_count));
-    value.beat =
+    value.heartbeat_count =
         static_cast<std::uint64_t>(reader.integer_or("beat", 0, 0, max_count));
     value.witnesses = read_witnesses(reader);
     value.fenced = reader.flag_or("buried", false);
@@ -188,7 +188,7 @@
         {"data_centre", value.info.data_centre},
         {"peer", endpoint_json(value.info.peer_address)},
         {"http", endpoint_json(value.info.http_address)},
-        {"beat", value.beat},
+        {"beat", value.heartbeat_count},
         {"witnesses", std::move(witnesses)},
         {"config_revision", value.info.config_revision},
         {"write_id", to_hexadecimal(value.write_id)},
--- a/src/core/membership/record.hpp
+++ b/src/core/membership/record.hpp
@@ -19,7 +19,7 @@
 struct record
 {
     member_info info;
-    std::uint64_t beat = 0; ///< Counts this incarnation's writes.
+    std::uint64_t heartbeat_count = 0; ///< Counts this incarnation's writes.
     /// Whose promises may stand in for the store's answers.
     std::vector<ports::member_identity> witnesses;
     /// This incarnation never acts again.
--- a/src/core/membership/settings.hpp
+++ b/src/core/membership/settings.hpp
@@ -17,10 +17,10 @@
 /// A test counts them.
 struct settings
 {
-    common::duration beat_interval = std::chrono::milliseconds(500);
+    common::duration heartbeat_interval = std::chrono::milliseconds(500);
     /// A proof lets its member act this long, counted from when the beat or
     /// promise request was sent.
-    common::duration hold = std::chrono::seconds(2);
+    common::duration proof_lifetime = std::chrono::seconds(2);
     /// A record must stand still, and promises must be silent, this long
     /// before their member may be buried.
     common::duration fencing_delay = std::chrono::seconds(3);
@@ -30,7 +30,7 @@
     /// Whether the platform may stand in for the consent of witnesses that
     /// are gone: its list no longer names them, or it runs a newer process
     /// under their name. Off, an operator has to remove such a member.
-    bool list_stands_in = true;
+    bool platform_list_replaces_consent = true;
     /// The records of the role are read this often, and more often while one
     /// of them stands still. A member that dies is buried about `bury` to
     /// `bury + list_interval` after its last beat.
@@ -43,12 +43,13 @@
 /// Whether the times fit each other, as the proof of safety needs them to:
 /// `hold` must have ended on the slowest clock before `bury` ends on the
 /// fastest, and a member must get two tries at a beat within `hold`.
-constexpr bool consistent(settings const& value) noexcept
+constexpr bool is_consistent(settings const& value) noexcept
 {
-    return value.beat_interval.count() > 0 && value.list_interval.count() > 0 &&
-           value.beat_interval * 2 < value.hold &&
-           value.pause_limit < value.hold &&
-           value.hold * (1000 + max_drift_permille) <
+    return value.heartbeat_interval.count() > 0 &&
+           value.list_interval.count() > 0 &&
+           value.heartbeat_interval * 2 < value.proof_lifetime &&
+           value.pause_limit < value.proof_lifetime &&
+           value.proof_lifetime * (1000 + max_drift_permille) <
                value.fencing_delay * (1000 - max_drift_permille);
 }
 
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -37,7 +37,8 @@
 bool planner_engine::config_fresh(common::time_point now) const noexcept
 {
     return follower_.current().revision != 0 &&
-           now - follower_.confirmed_at() <= settings_.membership.hold;
+           now - follower_.confirmed_at() <=
+               settings_.membership.proof_lifetime;
 }
 
 desk_context planner_engine::desk(common::time_point now, ports::actions& out)
--- a/src/programs/planner/administration_lists.cpp
+++ b/src/programs/planner/administration_lists.cpp
@@ -131,7 +131,7 @@
         {"data_centre", member.info.data_centre},
         {"http", adapters::http::to_string(member.info.http_address)},
         {"revision", member.info.config_revision},
-        {"beat", member.beat},
+        {"beat", member.heartbeat_count},
         {"leaving", member.info.leaving},
         {"buried", member.fenced},
     };
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -108,7 +108,7 @@
         value.info.http_address = {"127.0.0.1", 2};
         value.info.config_revision = revision;
         value.fenced = buried;
-        value.beat = ++beats_;
+        value.heartbeat_count = ++beats_;
         store.put("members/" + role + "/" + name, to_json(value));
     }
 
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -115,7 +115,7 @@
 // owned, so it has to stop first, and callers go elsewhere.
 TEST_F(outage, member_without_store_and_peers_stops_within_hold)
 {
-    auto const hold = three_witnesses().settings.hold;
+    auto const hold = three_witnesses().settings.proof_lifetime;
     system.cut_store(0, true);
     isolate(0);
     EXPECT_TRUE(system.run_until(
@@ -180,7 +180,7 @@
     static system_options untrusted()
     {
         auto options = three_witnesses();
-        options.settings.list_stands_in = false;
+        options.settings.platform_list_replaces_consent = false;
         return options;
     }
 };
--- a/tests/unit/membership/parts_test.cpp
+++ b/tests/unit/membership/parts_test.cpp
@@ -55,7 +55,7 @@
 TEST(record, reads_back_what_it_wrote)
 {
     record value = describe(subject);
-    value.beat = 12;
+    value.heartbeat_count = 12;
     value.witnesses = {{"entry-2", 0xfedcba9876543210}, {"a#b", 1}};
     value.info.leaving = true;
     value.info.config_revision = 980;
--- a/tests/unit/walks/walk.cpp
+++ b/tests/unit/walks/walk.cpp
@@ -25,7 +25,7 @@
     described.drift_permille = 30;
     described.parts = options.parts;
     described.settings.witness_count = options.seed % 4 == 0 ? 0 : 3;
-    described.settings.list_stands_in = options.seed % 2 == 0;
+    described.settings.platform_list_replaces_consent = options.seed % 2 == 0;
     return described;
 }
 
