--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -42,7 +42,7 @@
 {
     know_self(members.self().id);
     drive_list(now, out);
-    if (!view_.known() || !members.knows_members())
+    if (!view_.known() || !members.has_member_list())
     {
         return;
     }
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -21,27 +21,28 @@
                safety_parts parts)
     : settings_(settings), random_(seed), roster_(self.role), proof_(parts),
       witness_(settings.fencing_delay), fencing_(settings, parts),
-      life_(self.id.name), own_(std::move(self), settings.heartbeat_interval)
+      lifecycle_(self.id.name),
+      own_(std::move(self), settings.heartbeat_interval)
 {
 }
 
 void member::start(common::time_point now, ports::actions& out)
 {
     started_ = true;
-    notice(now, out);
+    detect_pause(now, out);
     drive(now, out);
 }
 
 void member::tick(common::time_point now, ports::actions& out)
 {
-    notice(now, out);
+    detect_pause(now, out);
     drive(now, out);
 }
 
 // A frozen process wakes with its old proofs and with frames in its buffers,
 // while others may have buried it and taken over. The gap since it last did
 // anything shows that, before anything is decided on what it believed.
-void member::notice(common::time_point now, ports::actions& out)
+void member::detect_pause(common::time_point now, ports::actions& out)
 {
     bool const paused = last_seen_ && now - *last_seen_ > settings_.pause_limit;
     if (paused)
@@ -58,7 +59,7 @@
             {{"member", self().id.name},
              {"gap_ms",
               std::to_string(common::to_milliseconds(now - *last_seen_))}}});
-        follow_proof(now, out);
+        update_phase_from_proof(now, out);
     }
     last_seen_ = now;
 }
@@ -70,13 +71,13 @@
         return;
     }
     drive_own(now, out);
-    if (life_.takes_part())
+    if (lifecycle_.takes_part())
     {
         drive_list(now, out);
         drive_rounds(now, out);
         advance_fencing(now, out);
     }
-    follow_proof(now, out);
+    update_phase_from_proof(now, out);
 }
 
 void member::drive_own(common::time_point now, ports::actions& out)
@@ -112,17 +113,19 @@
          out);
 }
 
-void member::follow_proof(common::time_point now, ports::actions& out)
+void member::update_phase_from_proof(common::time_point now,
+                                     ports::actions& out)
 {
     if (proof_age(now) >= settings_.proof_lifetime)
     {
-        life_.proved(proof_source::none, out);
+        lifecycle_.proved(proof_source::none, out);
     }
     else
     {
-        life_.proved(proof_.newest_is_from_store() ? proof_source::store
-                                                   : proof_source::witnesses,
-                     out);
+        lifecycle_.proved(proof_.newest_is_from_store()
+                              ? proof_source::store
+                              : proof_source::witnesses,
+                          out);
     }
 }
 
@@ -130,7 +133,7 @@
                             ports::store_reply const& reply,
                             ports::actions& out)
 {
-    notice(now, out);
+    detect_pause(now, out);
     auto const place = calls_.find(reply.id.number);
     if (place == calls_.end())
     {
@@ -161,8 +164,8 @@
     auto const news = own_.on_reply(now, reply);
     if (!news.fenced_reason.empty())
     {
-        bool const took_part = life_.takes_part();
-        life_.fenced(news.fenced_reason, out);
+        bool const took_part = lifecycle_.takes_part();
+        lifecycle_.fenced(news.fenced_reason, out);
         if (took_part)
         {
             out.emplace_back(ports::rejoin{news.fenced_reason});
@@ -171,13 +174,13 @@
     }
     if (news.accepted_sent)
     {
-        life_.joined(out);
+        lifecycle_.joined(out);
         proof_.store_accepted(now, *news.accepted_sent);
         roster_.note(now, own_.standing(), own_.version());
     }
     if (own_.removed())
     {
-        life_.removed(out);
+        lifecycle_.removed(out);
     }
 }
 
@@ -236,7 +239,7 @@
                           ports::instance_list const& list,
                           ports::actions& out)
 {
-    notice(now, out);
+    detect_pause(now, out);
     platform_.apply(list, self().id.name);
 }
 
@@ -247,7 +250,7 @@
 
 void member::begin_leaving(common::time_point now, ports::actions& out)
 {
-    notice(now, out);
+    detect_pause(now, out);
     own_.set_leaving();
     own_.hurry(now);
     drive(now, out);
@@ -255,29 +258,29 @@
 
 void member::remove(common::time_point now, ports::actions& out)
 {
-    notice(now, out);
-    if (!life_.takes_part())
+    detect_pause(now, out);
+    if (!lifecycle_.takes_part())
     {
         return;
     }
-    life_.removing(out);
+    lifecycle_.removing(out);
     own_.remove();
     if (own_.removed())
     {
-        life_.removed(out);
+        lifecycle_.removed(out);
     }
     drive(now, out);
 }
 
-bool member::gone() const noexcept
+bool member::is_removed() const noexcept
 {
-    return life_.now() == phase::gone;
+    return lifecycle_.current_phase() == member_phase::removed;
 }
 
 // Asked between a wake-up and the next tick, the gap is not noticed yet.
 bool member::may_act(common::time_point now) const noexcept
 {
-    return life_.takes_part() && last_seen_ &&
+    return lifecycle_.takes_part() && last_seen_ &&
            now - *last_seen_ <= settings_.pause_limit &&
            proof_age(now) < settings_.proof_lifetime;
 }
@@ -293,9 +296,9 @@
     return proof_.newest_is_from_store();
 }
 
-phase member::state() const noexcept
+member_phase member::current_phase() const noexcept
 {
-    return life_.now();
+    return lifecycle_.current_phase();
 }
 
 member_info const& member::self() const noexcept
@@ -338,7 +341,7 @@
     return roster_;
 }
 
-bool member::knows_members() const noexcept
+bool member::has_member_list() const noexcept
 {
     return roster_.known();
 }
--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -2,8 +2,8 @@
 
 #include "core/common/time.hpp"
 #include "core/membership/fencing.hpp"
-#include "core/membership/lifecycle.hpp"
 #include "core/membership/member_info.hpp"
+#include "core/membership/member_lifecycle.hpp"
 #include "core/membership/own_record.hpp"
 #include "core/membership/platform_list.hpp"
 #include "core/membership/proof.hpp"
@@ -81,7 +81,7 @@
     /// Writes the record away after the claims were handed over; `gone` tells
     /// when the store has it. The member acts on nothing from now on.
     void remove(common::time_point now, ports::actions& out);
-    bool gone() const noexcept;
+    bool is_removed() const noexcept;
 
     /// Whether a proof stands that is younger than `hold`.
     bool may_act(common::time_point now) const noexcept;
@@ -90,7 +90,7 @@
     /// Whether the newest proof came from the store rather than witnesses.
     bool proved_by_store() const noexcept;
     /// Where this member stands in its life, for logs, metrics and status.
-    phase state() const noexcept;
+    member_phase current_phase() const noexcept;
 
     member_info const& self() const noexcept;
     /// Live members of this role, this one included once its record stands,
@@ -107,7 +107,7 @@
     /// All records of the role as the newest list showed them.
     roster const& records() const noexcept;
     /// Whether the record list has been read at least once.
-    bool knows_members() const noexcept;
+    bool has_member_list() const noexcept;
     member_counts const& counts() const noexcept;
 
 private:
@@ -126,11 +126,11 @@
     };
 
     // member.cpp: the own record, the list of members, the proof.
-    void notice(common::time_point now, ports::actions& out);
+    void detect_pause(common::time_point now, ports::actions& out);
     void drive(common::time_point now, ports::actions& out);
     void drive_own(common::time_point now, ports::actions& out);
     void drive_list(common::time_point now, ports::actions& out);
-    void follow_proof(common::time_point now, ports::actions& out);
+    void update_phase_from_proof(common::time_point now, ports::actions& out);
     void on_own_reply(common::time_point now,
                       ports::store_reply const& reply,
                       ports::actions& out);
@@ -170,7 +170,7 @@
     witness witness_;
     platform_list platform_;
     fencing fencing_;
-    lifecycle life_;
+    member_lifecycle lifecycle_;
     own_record own_;
     witness_list wanted_witnesses_;
     member_counts counts_;
--- a/src/core/membership/lifecycle.cpp
+++ b/src/core/membership/member_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "core/membership/lifecycle.hpp"
+#include "core/membership/member_lifecycle.hpp"
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
@@ -102,26 +102,30 @@
 
 struct phase_row
 {
-    phase value;
+    member_phase value;
     int state; ///< MSM's number of the state.
     std::string_view name;
 };
 
 constexpr std::array<phase_row, 7> phase_table{{
-    {phase::joining, state_number<joining_state>, "joining"},
-    {phase::active_by_store, state_number<by_store_state>, "active_by_store"},
-    {phase::active_by_witnesses,
+    {member_phase::joining, state_number<joining_state>, "joining"},
+    {member_phase::active_by_store_proof,
+     state_number<by_store_state>,
+     "active_by_store"},
+    {member_phase::active_by_witness_promises,
      state_number<by_witnesses_state>,
      "active_by_witnesses"},
-    {phase::out_of_proof, state_number<out_of_proof_state>, "out_of_proof"},
-    {phase::removing, state_number<removing_state>, "removing"},
-    {phase::gone, state_number<gone_state>, "gone"},
-    {phase::fenced, state_number<buried_state>, "buried"},
+    {member_phase::proof_expired,
+     state_number<out_of_proof_state>,
+     "out_of_proof"},
+    {member_phase::removing, state_number<removing_state>, "removing"},
+    {member_phase::removed, state_number<gone_state>, "gone"},
+    {member_phase::fenced, state_number<buried_state>, "buried"},
 }};
 
 } // namespace
 
-std::string_view name_of(phase value) noexcept
+std::string_view name_of(member_phase value) noexcept
 {
     for (auto const& row : phase_table)
     {
@@ -133,31 +137,32 @@
     return {};
 }
 
-struct lifecycle::machine
+struct member_lifecycle::machine
 {
     life_machine life;
 };
 
-lifecycle::lifecycle(std::string member)
+member_lifecycle::member_lifecycle(std::string member)
     : machine_(std::make_unique<machine>()), member_(std::move(member))
 {
     machine_->life.start();
 }
 
-lifecycle::~lifecycle() = default;
-lifecycle::lifecycle(lifecycle&& other) noexcept = default;
-lifecycle& lifecycle::operator=(lifecycle&& other) noexcept = default;
+member_lifecycle::~member_lifecycle() = default;
+member_lifecycle::member_lifecycle(member_lifecycle&& other) noexcept = default;
+member_lifecycle&
+member_lifecycle::operator=(member_lifecycle&& other) noexcept = default;
 
-void lifecycle::joined(ports::actions& out)
+void member_lifecycle::joined(ports::actions& out)
 {
-    phase const before = now();
+    member_phase const before = current_phase();
     machine_->life.process_event(record_stands{});
-    tell(before, "record stands", out);
+    log_transition(before, "record stands", out);
 }
 
-void lifecycle::proved(proof_source source, ports::actions& out)
+void member_lifecycle::proved(proof_source source, ports::actions& out)
 {
-    phase const before = now();
+    member_phase const before = current_phase();
     switch (source)
     {
     case proof_source::store:
@@ -170,31 +175,31 @@
         machine_->life.process_event(proof_over{});
         break;
     }
-    tell(before, "proof", out);
+    log_transition(before, "proof", out);
 }
 
-void lifecycle::removing(ports::actions& out)
+void member_lifecycle::removing(ports::actions& out)
 {
-    phase const before = now();
+    member_phase const before = current_phase();
     machine_->life.process_event(remove_asked{});
-    tell(before, "planned stop", out);
+    log_transition(before, "planned stop", out);
 }
 
-void lifecycle::removed(ports::actions& out)
+void member_lifecycle::removed(ports::actions& out)
 {
-    phase const before = now();
+    member_phase const before = current_phase();
     machine_->life.process_event(record_erased{});
-    tell(before, "planned stop", out);
+    log_transition(before, "planned stop", out);
 }
 
-void lifecycle::fenced(std::string const& why, ports::actions& out)
+void member_lifecycle::fenced(std::string const& why, ports::actions& out)
 {
-    phase const before = now();
+    member_phase const before = current_phase();
     machine_->life.process_event(record_taken{});
-    tell(before, why, out);
+    log_transition(before, why, out);
 }
 
-phase lifecycle::now() const noexcept
+member_phase member_lifecycle::current_phase() const noexcept
 {
     int const state = machine_->life.current_state()[0];
     for (auto const& row : phase_table)
@@ -204,26 +209,27 @@
             return row.value;
         }
     }
-    return phase::fenced;
+    return member_phase::fenced;
 }
 
-bool lifecycle::takes_part() const noexcept
+bool member_lifecycle::takes_part() const noexcept
 {
-    phase const here = now();
-    return here != phase::removing && here != phase::gone &&
-           here != phase::fenced;
+    member_phase const here = current_phase();
+    return here != member_phase::removing && here != member_phase::removed &&
+           here != member_phase::fenced;
 }
 
-void lifecycle::tell(phase before,
-                     std::string const& why,
-                     ports::actions& out) const
+void member_lifecycle::log_transition(member_phase before,
+                                      std::string const& why,
+                                      ports::actions& out) const
 {
-    phase const after = now();
+    member_phase const after = current_phase();
     if (after == before)
     {
         return;
     }
-    bool const bad = after == phase::out_of_proof || after == phase::fenced;
+    bool const bad =
+        after == member_phase::proof_expired || after == member_phase::fenced;
     out.emplace_back(
         ports::log_event{bad ? ports::severity::warning : ports::severity::info,
                          "member_phase",
--- a/src/core/membership/lifecycle.hpp
+++ b/src/core/membership/member_lifecycle.hpp
@@ -11,18 +11,19 @@
 {
 
 /// What a member may do at present.
-enum class phase : std::uint8_t
+enum class member_phase : std::uint8_t
 {
-    joining,             ///< Its record does not stand yet.
-    active_by_store,     ///< Its newest proof is an accepted beat.
-    active_by_witnesses, ///< The store is silent; its witnesses promised.
-    out_of_proof,        ///< Alive, but acts on nothing.
-    removing,            ///< Planned stop: the record is being erased.
-    gone,                ///< Planned stop: the store has no record any more.
-    fenced,              ///< Over: the store shows another in its place.
+    joining,                    ///< Its record does not stand yet.
+    active_by_store_proof,      ///< Its newest proof is an accepted beat.
+    active_by_witness_promises, ///< The store is silent; its witnesses
+                                ///< promised.
+    proof_expired,              ///< Alive, but acts on nothing.
+    removing,                   ///< Planned stop: the record is being erased.
+    removed, ///< Planned stop: the store has no record any more.
+    fenced,  ///< Over: the store shows another in its place.
 };
 
-std::string_view name_of(phase value) noexcept;
+std::string_view name_of(member_phase value) noexcept;
 
 /// Where the newest proof comes from.
 enum class proof_source : std::uint8_t
@@ -35,15 +36,15 @@
 /// The life of one member as a state machine (Boost.MSM, in the .cpp). It
 /// holds no rule of safety of its own; it keeps the phases in their order, so
 /// that nothing leads out of `gone` or `buried`, and logs each change.
-class lifecycle
+class member_lifecycle
 {
 public:
-    explicit lifecycle(std::string member);
-    ~lifecycle();
-    lifecycle(lifecycle&& other) noexcept;
-    lifecycle& operator=(lifecycle&& other) noexcept;
-    lifecycle(lifecycle const&) = delete;
-    lifecycle& operator=(lifecycle const&) = delete;
+    explicit member_lifecycle(std::string member);
+    ~member_lifecycle();
+    member_lifecycle(member_lifecycle&& other) noexcept;
+    member_lifecycle& operator=(member_lifecycle&& other) noexcept;
+    member_lifecycle(member_lifecycle const&) = delete;
+    member_lifecycle& operator=(member_lifecycle const&) = delete;
 
     /// The record stands.
     void joined(ports::actions& out);
@@ -55,7 +56,7 @@
     /// Another wrote the record.
     void fenced(std::string const& why, ports::actions& out);
 
-    phase now() const noexcept;
+    member_phase current_phase() const noexcept;
     /// Whether this incarnation still takes part: not removing, gone, buried.
     bool takes_part() const noexcept;
 
@@ -64,7 +65,9 @@
     std::unique_ptr<machine> machine_;
     std::string member_;
 
-    void tell(phase before, std::string const& why, ports::actions& out) const;
+    void log_transition(member_phase before,
+                        std::string const& why,
+                        ports::actions& out) const;
 };
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -63,7 +63,7 @@
                      ports::peer_receive const& message,
                      ports::actions& out)
 {
-    notice(now, out);
+    detect_pause(now, out);
     auto const& from = message.from;
     auto const& body = message.message;
     if (auto const* asked = std::get_if<ports::promise_request>(&body))
@@ -73,7 +73,7 @@
     else if (auto const* promise = std::get_if<ports::promise_reply>(&body))
     {
         handle(now, from, *promise);
-        follow_proof(now, out);
+        update_phase_from_proof(now, out);
     }
     else if (auto const* question = std::get_if<ports::consent_request>(&body))
     {
@@ -98,7 +98,8 @@
                     ports::promise_request const& request,
                     ports::actions& out)
 {
-    bool const granted = life_.takes_part() && proof_.newest().has_value() &&
+    bool const granted = lifecycle_.takes_part() &&
+                         proof_.newest().has_value() &&
                          witness_.promise(now, from, roster_);
     ++(granted ? counts_.promises_given : counts_.promises_refused);
     send(from,
@@ -122,7 +123,7 @@
                     ports::actions& out)
 {
     bool const granted =
-        life_.takes_part() && request.subject != self().id &&
+        lifecycle_.takes_part() && request.subject != self().id &&
         witness_.consent(now, request.subject, request.record_version, roster_);
     counts_.consents_given += granted ? 1 : 0;
     send(from,
--- a/src/core/requests/entry_life.cpp
+++ b/src/core/requests/entry_life.cpp
@@ -80,7 +80,7 @@
         }
         break;
     case entry_phase::leaving:
-        if (members_.gone() || waited_long)
+        if (members_.is_removed() || waited_long)
         {
             life_.on(entry_event::removed);
             out.emplace_back(ports::stop_complete{});
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -160,7 +160,7 @@
         member_.remove(now, out);
     }
     bool const late = now - *stop_since_ >= settings_.stop_limit;
-    if ((removing_ && member_.gone()) || late)
+    if ((removing_ && member_.is_removed()) || late)
     {
         stop_told_ = true;
         out.emplace_back(ports::stop_complete{});
@@ -169,7 +169,7 @@
 
 bool planner_engine::ready(common::time_point now) const noexcept
 {
-    return member_.knows_members() && claims_.known() && workers_known_ &&
+    return member_.has_member_list() && claims_.known() && workers_known_ &&
            member_.may_act(now) && !stop_since_;
 }
 
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -83,8 +83,9 @@
                           {
                               return system.all_owned();
                           }));
-    EXPECT_EQ(system.at(0).member.state(),
-              fuchsia::core::membership::phase::active_by_witnesses);
+    EXPECT_EQ(
+        system.at(0).member.current_phase(),
+        fuchsia::core::membership::member_phase::active_by_witness_promises);
     system.store.faults.down = false;
     EXPECT_TRUE(holds_for(10s,
                           [this]
--- a/tests/unit/membership/parts_test.cpp
+++ b/tests/unit/membership/parts_test.cpp
@@ -212,5 +212,5 @@
     EXPECT_TRUE(std::holds_alternative<ports::reset_peers>(out.front()));
     EXPECT_FALSE(own.may_act(start + 901ms));
     EXPECT_EQ(own.counts().promises_given, 0U);
-    EXPECT_EQ(own.state(), phase::out_of_proof);
+    EXPECT_EQ(own.current_phase(), member_phase::proof_expired);
 }
--- a/tests/unit/walks/small_system.cpp
+++ b/tests/unit/walks/small_system.cpp
@@ -371,7 +371,7 @@
         who.removed = true;
         who.member.remove(local, out);
     }
-    if (who.member.gone())
+    if (who.member.is_removed())
     {
         who.ended = true;
     }
