--- a/src/core/membership/fencing.cpp
+++ b/src/core/membership/fencing.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-fencing::fencing(settings const& settings, safety_parts parts)
+fencing::fencing(settings const& settings, safety_rules parts)
     : settings_(settings), parts_(parts)
 {
 }
@@ -60,7 +60,7 @@
                                       : rank_delay(observer, id, members);
         if (now - seen.version_seen < settings_.fencing_delay + wait)
         {
-            if (parts_.unchanged_version)
+            if (parts_.require_unchanged_version)
             {
                 continue;
             }
@@ -115,7 +115,7 @@
     {
         return false;
     }
-    return !parts_.unchanged_version ||
+    return !parts_.require_unchanged_version ||
            members.list_sent() - seen.version_seen >= settings_.fencing_delay;
 }
 
@@ -175,7 +175,7 @@
                         roster const& members,
                         platform_list const& platform) const
 {
-    if (!parts_.consent || value.witnesses.empty())
+    if (!parts_.require_consent || value.witnesses.empty())
     {
         return true; // Without witnesses only the store gives proofs.
     }
--- a/src/core/membership/fencing.hpp
+++ b/src/core/membership/fencing.hpp
@@ -3,7 +3,7 @@
 #include "core/common/time.hpp"
 #include "core/membership/platform_list.hpp"
 #include "core/membership/roster.hpp"
-#include "core/membership/safety_parts.hpp"
+#include "core/membership/safety_rules.hpp"
 #include "core/membership/settings.hpp"
 #include "core/membership/witness.hpp"
 #include "ports/identity.hpp"
@@ -59,7 +59,7 @@
     /// Most burials pursued at once; the rest waits for its turn.
     static constexpr std::size_t max_candidates = 64;
 
-    fencing(settings const& settings, safety_parts parts);
+    fencing(settings const& settings, safety_rules parts);
 
     /// `observer` buries any member, or, while it has not joined, only
     /// `predecessor`, the earlier incarnation under its own name.
@@ -117,7 +117,7 @@
     void drop_settled(roster const& members);
 
     settings settings_;
-    safety_parts parts_;
+    safety_rules parts_;
     std::map<std::string, candidate, std::less<>> candidates_;
 };
 
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -18,7 +18,7 @@
 member::member(settings settings,
                member_info self,
                std::uint64_t seed,
-               safety_parts parts)
+               safety_rules parts)
     : settings_(settings), random_(seed), roster_(self.role), proof_(parts),
       witness_(settings.fencing_delay), fencing_(settings, parts),
       lifecycle_(self.id.name),
--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -8,7 +8,7 @@
 #include "core/membership/platform_list.hpp"
 #include "core/membership/proof.hpp"
 #include "core/membership/roster.hpp"
-#include "core/membership/safety_parts.hpp"
+#include "core/membership/safety_rules.hpp"
 #include "core/membership/settings.hpp"
 #include "core/membership/witness.hpp"
 #include "ports/actions.hpp"
@@ -56,7 +56,7 @@
     member(settings settings,
            member_info self,
            std::uint64_t seed,
-           safety_parts parts = {});
+           safety_rules parts = {});
 
     void start(common::time_point now, ports::actions& out);
     /// Called at least every 100 ms.
--- a/src/core/membership/proof.cpp
+++ b/src/core/membership/proof.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-proof::proof(safety_parts parts) : parts_(parts)
+proof::proof(safety_rules parts) : parts_(parts)
 {
 }
 
@@ -26,7 +26,7 @@
     {
         return;
     }
-    common::time_point const from = parts_.proof_from_send ? sent : now;
+    common::time_point const from = parts_.count_proof_from_send ? sent : now;
     by_store_ = by_store_ ? std::max(*by_store_, from) : from;
 }
 
@@ -63,7 +63,7 @@
         promises_.clear(); // Witnesses changed often; the next round refills.
     }
     common::time_point const from =
-        parts_.proof_from_send ? sent_round->sent : now;
+        parts_.count_proof_from_send ? sent_round->sent : now;
     auto const [place, added] = promises_.try_emplace(witness, from);
     place->second = std::max(place->second, from);
 
@@ -76,7 +76,7 @@
             return;
         }
         since = since ? std::min(*since, *here) : *here;
-        if (!parts_.both_lists)
+        if (!parts_.require_both_witness_lists)
         {
             break;
         }
--- a/src/core/membership/proof.hpp
+++ b/src/core/membership/proof.hpp
@@ -2,7 +2,7 @@
 
 #include "core/common/time.hpp"
 #include "core/membership/own_record.hpp"
-#include "core/membership/safety_parts.hpp"
+#include "core/membership/safety_rules.hpp"
 #include "ports/identity.hpp"
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 class proof
 {
 public:
-    explicit proof(safety_parts parts);
+    explicit proof(safety_rules parts);
 
     /// A beat that was sent at `sent` is known to have been accepted.
     void store_accepted(common::time_point now, common::time_point sent);
@@ -51,7 +51,7 @@
     std::optional<common::time_point>
     majority_since(witness_list const& list) const;
 
-    safety_parts parts_;
+    safety_rules parts_;
     std::optional<common::time_point> by_store_;
     std::optional<common::time_point> by_witnesses_;
     /// Proofs sent before this do not count.
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -283,7 +283,7 @@
     system_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
-    options.parts.both_lists = both_lists;
+    options.parts.require_both_witness_lists = both_lists;
     small_system system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
--- a/tests/unit/walks/small_system.hpp
+++ b/tests/unit/walks/small_system.hpp
@@ -25,7 +25,7 @@
     std::size_t partitions = 6;
     std::uint64_t seed = 1;
     core::membership::settings settings;
-    core::membership::safety_parts parts;
+    core::membership::safety_rules parts;
     /// Clocks run up to this much faster or slower than true time.
     std::int64_t drift_permille = 0;
 };
--- a/tests/unit/walks/walk.hpp
+++ b/tests/unit/walks/walk.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/membership/safety_parts.hpp"
+#include "core/membership/safety_rules.hpp"
 #include "small_system.hpp"
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 struct walk_options
 {
     std::uint64_t seed = 1;
-    core::membership::safety_parts parts;
+    core::membership::safety_rules parts;
     /// How long faults come, after a calm start.
     duration faults = std::chrono::seconds(30);
     /// Whether all partitions must be owned again once all is mended.
--- a/tests/unit/walks/walk_test.cpp
+++ b/tests/unit/walks/walk_test.cpp
@@ -22,7 +22,7 @@
 }
 
 /// The first of the seeds up to `last` whose walk fails; 0 where none does.
-std::uint64_t first_caught(fuchsia::core::membership::safety_parts parts,
+std::uint64_t first_caught(fuchsia::core::membership::safety_rules parts,
                            std::uint64_t last)
 {
     for (std::uint64_t seed = 1; seed <= last; ++seed)
@@ -80,17 +80,17 @@
 // would not see the fault which that part prevents.
 TEST(safety_walks_see, burial_without_consent)
 {
-    EXPECT_NE(first_caught({.consent = false}, 50), 0);
+    EXPECT_NE(first_caught({.require_consent = false}, 50), 0);
 }
 
 TEST(safety_walks_see, burial_of_a_record_that_moves)
 {
-    EXPECT_NE(first_caught({.unchanged_version = false}, 50), 0);
+    EXPECT_NE(first_caught({.require_unchanged_version = false}, 50), 0);
 }
 
 TEST(safety_walks_see, proof_counted_from_the_answer)
 {
-    EXPECT_NE(first_caught({.proof_from_send = false}, 400), 0);
+    EXPECT_NE(first_caught({.count_proof_from_send = false}, 400), 0);
 }
 
 // One walk in a few thousand sees this part missing. Seeds that did are kept;
@@ -105,7 +105,8 @@
                             {
                                 walk_options options;
                                 options.seed = seed;
-                                options.parts.both_lists = false;
+                                options.parts.require_both_witness_lists =
+                                    false;
                                 options.must_recover = false;
                                 return !run_walk(options).violation.empty();
                             }));
