--- a/src/core/claims/wish.cpp
+++ b/src/core/claims/assignment.cpp
@@ -1,16 +1,16 @@
-#include "core/claims/wish.hpp"
+#include "core/claims/assignment.hpp"
 
 #include "core/common/hash.hpp"
 
 namespace fuchsia::core::claims
 {
 
-candidates find_candidates(common::time_point now,
-                           membership::member const& members,
-                           bool leaving,
-                           common::duration settle)
+owner_candidates find_owner_candidates(common::time_point now,
+                                       membership::member const& members,
+                                       bool leaving,
+                                       common::duration settle)
 {
-    candidates who;
+    owner_candidates who;
     for (auto const& info : members.live())
     {
         bool const self = info.id == members.self().id;
@@ -22,14 +22,14 @@
         auto const* seen = members.records().find(info.id.name);
         if (self || (seen != nullptr && now - seen->incarnation_seen >= settle))
         {
-            who.settled.push_back(info.id.name);
+            who.stable.push_back(info.id.name);
         }
     }
     return who;
 }
 
-void fair_shares::update(std::vector<std::string> const& partitions,
-                         std::vector<std::string> const& names)
+void partition_assignment::update(std::vector<std::string> const& partitions,
+                                  std::vector<std::string> const& names)
 {
     if (partitions == partitions_ && names == names_)
     {
@@ -65,15 +65,15 @@
     }
 }
 
-std::string const*
-fair_shares::owner(std::string const& partition) const noexcept
+std::string const* partition_assignment::assigned_owner(
+    std::string const& partition) const noexcept
 {
     auto const found = owners_.find(partition);
     return found == owners_.end() ? nullptr : &names_[found->second];
 }
 
-std::string const* winner(std::string const& partition,
-                          std::vector<std::string> const& names)
+std::string const* rendezvous_owner(std::string const& partition,
+                                    std::vector<std::string> const& names)
 {
     if (names.empty())
     {
--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -46,13 +46,14 @@
     {
         return;
     }
-    auto const who = find_candidates(now, members, leaving_, settings_.settle);
-    live_shares_.update(partitions_, who.live);
-    settled_shares_.update(partitions_, who.settled);
+    auto const who =
+        find_owner_candidates(now, members, leaving_, settings_.stable_after);
+    live_assignment_.update(partitions_, who.live);
+    stable_assignment_.update(partitions_, who.stable);
     for (auto const& [partition, current] : view_.all())
     {
         auto& state = progress_[partition];
-        drive_owned(now, current, state, members);
+        update_owned(now, current, state, members);
         if (state.calling || now < state.retry ||
             writes_ >= settings_.max_writes)
         {
@@ -60,11 +61,11 @@
         }
         if (state.read_back || (current.owner == self_ && !is_ours(partition)))
         {
-            drive_unsettled(current, state, out);
+            resolve_unclear_write(current, state, out);
         }
         else
         {
-            drive_free(now, current, members, out);
+            claim_if_free(now, current, members, out);
         }
     }
     erase_fenced_record(now, members, who, out);
@@ -80,9 +81,9 @@
     }
 }
 
-void claim_table::drive_unsettled(claim const& current,
-                                  progress const& state,
-                                  ports::actions& out)
+void claim_table::resolve_unclear_write(claim const& current,
+                                        progress const& state,
+                                        ports::actions& out)
 {
     if (state.read_back)
     {
@@ -95,10 +96,10 @@
     write_release(current, out);
 }
 
-void claim_table::drive_free(common::time_point now,
-                             claim const& current,
-                             membership::member const& members,
-                             ports::actions& out)
+void claim_table::claim_if_free(common::time_point now,
+                                claim const& current,
+                                membership::member const& members,
+                                ports::actions& out)
 {
     if (!may_claim(now, members) || !is_free(current, members))
     {
@@ -108,7 +109,7 @@
     {
         return;
     }
-    auto const* wanted = live_shares_.owner(current.partition);
+    auto const* wanted = live_assignment_.assigned_owner(current.partition);
     bool const ours = current.handed_to == self_ ||
                       (wanted != nullptr && *wanted == self_.name);
     if (ours && std::binary_search(
@@ -161,10 +162,10 @@
 // A claim is kept for a while, whatever the hash says: its last owner may have
 // released it since it is leaving, which the next list of members will tell.
 // Handing it back at once would leave its keys' callers without an owner.
-void claim_table::drive_owned(common::time_point now,
-                              claim const& current,
-                              progress& state,
-                              membership::member const& members)
+void claim_table::update_owned(common::time_point now,
+                               claim const& current,
+                               progress& state,
+                               membership::member const& members)
 {
     if (current.owner != self_)
     {
@@ -180,14 +181,14 @@
         state.epoch = current.epoch;
         state.owned_since = now;
     }
-    if (!leaving_ && now - state.owned_since < settings_.settle)
+    if (!leaving_ && now - state.owned_since < settings_.stable_after)
     {
         return;
     }
-    auto const* wanted = settled_shares_.owner(current.partition);
+    auto const* wanted = stable_assignment_.assigned_owner(current.partition);
     if (wanted == nullptr)
     {
-        wanted = live_shares_.owner(current.partition);
+        wanted = live_assignment_.assigned_owner(current.partition);
     }
     if (wanted != nullptr && *wanted == self_.name)
     {
@@ -216,7 +217,7 @@
     claim_change change;
     change.kind = claim_change_kind::handover_asked;
     change.now = current;
-    change.wished = id;
+    change.assigned_to = id;
     view_.tell(std::move(change));
 }
 
@@ -235,7 +236,7 @@
 // and any member where that one does not.
 void claim_table::erase_fenced_record(common::time_point now,
                                       membership::member const& members,
-                                      candidates const& who,
+                                      owner_candidates const& who,
                                       ports::actions& out)
 {
     if (erasing_ || !members.may_act(now) || !members.proved_by_store())
@@ -250,7 +251,7 @@
         {
             continue;
         }
-        auto const* chosen = winner(name, who.live);
+        auto const* chosen = rendezvous_owner(name, who.live);
         if ((chosen != nullptr && *chosen == self_.name) ||
             age >= settings_.fenced_record_retention * 2)
         {
--- a/src/core/claims/claim_table.hpp
+++ b/src/core/claims/claim_table.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "core/claims/assignment.hpp"
 #include "core/claims/claim_record.hpp"
 #include "core/claims/claim_view.hpp"
-#include "core/claims/wish.hpp"
 #include "core/common/time.hpp"
 #include "core/membership/member.hpp"
 #include "ports/actions.hpp"
@@ -28,7 +28,7 @@
     /// A member must have been live this long before claims are handed over
     /// to it, and must have owned a claim this long before it hands it on:
     /// one that comes and goes would move them each time.
-    common::duration settle = std::chrono::seconds(5);
+    common::duration stable_after = std::chrono::seconds(5);
     /// A member claims nothing before it has been live this long, so that
     /// members which start together share out at once.
     common::duration claim_after = std::chrono::seconds(1);
@@ -136,20 +136,20 @@
 
     // claim_table.cpp: which partitions to claim, keep and hand over.
     void know_self(ports::member_identity const& self);
-    void drive_owned(common::time_point now,
-                     claim const& current,
-                     progress& state,
-                     membership::member const& members);
-    void drive_unsettled(claim const& current,
-                         progress const& state,
-                         ports::actions& out);
-    void drive_free(common::time_point now,
-                    claim const& current,
-                    membership::member const& members,
-                    ports::actions& out);
+    void update_owned(common::time_point now,
+                      claim const& current,
+                      progress& state,
+                      membership::member const& members);
+    void resolve_unclear_write(claim const& current,
+                               progress const& state,
+                               ports::actions& out);
+    void claim_if_free(common::time_point now,
+                       claim const& current,
+                       membership::member const& members,
+                       ports::actions& out);
     void erase_fenced_record(common::time_point now,
                              membership::member const& members,
-                             candidates const& who,
+                             owner_candidates const& who,
                              ports::actions& out);
     bool is_kept_for_another(claim const& current,
                              membership::member const& members) const;
@@ -180,8 +180,8 @@
     claim_settings settings_;
     claim_view view_;
     std::map<std::string, progress> progress_;
-    fair_shares live_shares_;    ///< Among all that don't leave.
-    fair_shares settled_shares_; ///< Among those live long enough.
+    partition_assignment live_assignment_;   ///< Among all that don't leave.
+    partition_assignment stable_assignment_; ///< Among those live long enough.
     /// Bounded by one list, one erase and `max_writes`.
     std::map<std::uint64_t, pending_call> calls_;
     claim_counts counts_;
--- a/src/core/claims/claim_view.hpp
+++ b/src/core/claims/claim_view.hpp
@@ -44,7 +44,7 @@
     /// Acquired by `release` of a live predecessor rather than by burial.
     bool handed_over = false;
     /// Of `handover_asked`: who is wished; empty name where nobody is left.
-    ports::member_identity wished;
+    ports::member_identity assigned_to;
 };
 
 /// The claims by partition, each at the newest version that any answer showed.
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -14,13 +14,13 @@
 {
     auto& one = handovers_[partition];
     bool const sent = one.stage == handover_stage::sending;
-    if (sent && one.to != change.wished)
+    if (sent && one.to != change.assigned_to)
     {
         // The successor changed after the keys were sent: send them again.
         one.stage_began = now;
         one.last_sent = {};
     }
-    one.to = change.wished;
+    one.to = change.assigned_to;
     one.epoch = change.now.epoch;
 }
 
--- a/tests/process/entry_deployment.cpp
+++ b/tests/process/entry_deployment.cpp
@@ -2,7 +2,7 @@
 
 #include "process/own_address.hpp"
 
-#include "core/claims/wish.hpp"
+#include "core/claims/assignment.hpp"
 #include "core/common/hash.hpp"
 #include "core/common/json.hpp"
 #include "core/config/index.hpp"
@@ -173,11 +173,11 @@
         all.push_back(std::to_string(at));
     }
     std::sort(all.begin(), all.end());
-    core::claims::fair_shares shares;
+    core::claims::partition_assignment shares;
     shares.update(all, names);
     for (auto const& partition : all)
     {
-        auto const* owner = shares.owner(partition);
+        auto const* owner = shares.assigned_owner(partition);
         auto const at = std::find(names.begin(), names.end(), *owner);
         ++wished[static_cast<std::size_t>(at - names.begin())];
     }
--- a/tests/unit/claims/wish_test.cpp
+++ b/tests/unit/claims/wish_test.cpp
@@ -1,9 +1,9 @@
-#include "core/claims/wish.hpp"
+#include "core/claims/assignment.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
 
-using fuchsia::core::claims::fair_shares;
+using fuchsia::core::claims::partition_assignment;
 
 namespace
 {
@@ -24,13 +24,14 @@
                   fair_shares const& after,
                   std::vector<std::string> const& partitions)
 {
-    return static_cast<std::size_t>(std::count_if(
-        partitions.begin(),
-        partitions.end(),
-        [&](std::string const& partition)
-        {
-            return *before.owner(partition) != *after.owner(partition);
-        }));
+    return static_cast<std::size_t>(
+        std::count_if(partitions.begin(),
+                      partitions.end(),
+                      [&](std::string const& partition)
+                      {
+                          return *before.assigned_owner(partition) !=
+                                 *after.assigned_owner(partition);
+                      }));
 }
 
 } // namespace
@@ -46,7 +47,7 @@
         std::map<std::string, std::size_t> owned;
         for (auto const& partition : partitions)
         {
-            ++owned[*shares.owner(partition)];
+            ++owned[*shares.assigned_owner(partition)];
         }
         std::size_t const most = (64 + count - 1) / count;
         for (auto const& [name, share] : owned)
@@ -60,7 +61,7 @@
 {
     fair_shares shares;
     shares.update(numbered("", 4), {});
-    EXPECT_EQ(shares.owner("1"), nullptr);
+    EXPECT_EQ(shares.assigned_owner("1"), nullptr);
 }
 
 // An instance is replaced. Every partition that changes hands is closed for a
