--- a/src/core/claims/claim_calls.cpp
+++ b/src/core/claims/claim_calls.cpp
@@ -13,8 +13,8 @@
         return;
     }
     list_in_flight_ = true;
-    next_list_ = now + settings_.watch_gap;
-    if (view_.known())
+    next_list_ = now + settings_.min_watch_interval;
+    if (view_.is_loaded())
     {
         ++counts_.watches;
         call({call_kind::list, {}, {}},
@@ -47,7 +47,7 @@
 {
     claim_record value;
     value.released_by = self_;
-    value.handed_to = progress_[current.partition].asked_for;
+    value.handed_to = progress_[current.partition].requested_successor;
     value.epoch = current.epoch;
     value.write_id = random_();
     ++counts_.writes;
@@ -69,7 +69,7 @@
     }
     pending_call const answered = std::move(place->second);
     calls_.erase(place);
-    know_self(members.self().id);
+    set_self(members.self().id);
     switch (answered.kind)
     {
     case call_kind::list:
--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -40,9 +40,9 @@
                        membership::member const& members,
                        ports::actions& out)
 {
-    know_self(members.self().id);
+    set_self(members.self().id);
     drive_list(now, out);
-    if (!view_.known() || !members.has_member_list())
+    if (!view_.is_loaded() || !members.has_member_list())
     {
         return;
     }
@@ -71,7 +71,7 @@
     erase_fenced_record(now, members, who, out);
 }
 
-void claim_table::know_self(ports::member_identity const& self)
+void claim_table::set_self(ports::member_identity const& self)
 {
     if (self_ != self)
     {
@@ -140,7 +140,7 @@
     auto const* own = members.records().find(self_.name);
     return !leaving_ && members.may_act(now) && members.proved_by_store() &&
            own != nullptr &&
-           now - own->incarnation_seen >= settings_.claim_after;
+           now - own->incarnation_seen >= settings_.claim_delay;
 }
 
 // An owner that joined after the members were last read looks removed, and a
@@ -169,8 +169,8 @@
 {
     if (current.owner != self_)
     {
-        state.asked = false;
-        state.asked_for = {};
+        state.handover_requested = false;
+        state.requested_successor = {};
     }
     if (!is_ours(current.partition))
     {
@@ -192,8 +192,8 @@
     }
     if (wanted != nullptr && *wanted == self_.name)
     {
-        state.asked = false;
-        state.asked_for = {};
+        state.handover_requested = false;
+        state.requested_successor = {};
         return;
     }
     if (wanted == nullptr && !leaving_)
@@ -203,25 +203,25 @@
     auto const* info = wanted == nullptr ? nullptr : members.find(*wanted);
     ports::member_identity const id =
         info == nullptr ? ports::member_identity{} : info->id;
-    if (state.asked && state.asked_for == id)
+    if (state.handover_requested && state.requested_successor == id)
     {
         return;
     }
-    if (!state.asked && !leaving_ &&
-        handovers_asked() >= settings_.max_handovers)
+    if (!state.handover_requested && !leaving_ &&
+        handovers_requested() >= settings_.max_handovers)
     {
         return;
     }
-    state.asked = true;
-    state.asked_for = id;
+    state.handover_requested = true;
+    state.requested_successor = id;
     claim_change change;
-    change.kind = claim_change_kind::handover_asked;
-    change.now = current;
+    change.kind = claim_change_kind::handover_requested;
+    change.current = current;
     change.assigned_to = id;
-    view_.tell(std::move(change));
+    view_.record_change(std::move(change));
 }
 
-std::size_t claim_table::handovers_asked() const
+std::size_t claim_table::handovers_requested() const
 {
     return static_cast<std::size_t>(std::count_if(progress_.begin(),
                                                   progress_.end(),
@@ -330,7 +330,8 @@
     return names;
 }
 
-std::size_t claim_table::held(membership::member const& members) const noexcept
+std::size_t
+claim_table::held_count(membership::member const& members) const noexcept
 {
     auto const& claims = view_.all();
     return static_cast<std::size_t>(
@@ -342,9 +343,9 @@
                       }));
 }
 
-bool claim_table::known() const noexcept
+bool claim_table::is_loaded() const noexcept
 {
-    return view_.known();
+    return view_.is_loaded();
 }
 
 claim_counts const& claim_table::counts() const noexcept
--- a/src/core/claims/claim_table.hpp
+++ b/src/core/claims/claim_table.hpp
@@ -22,7 +22,7 @@
     /// of them even where none changed, so a short wait would cost bandwidth.
     common::duration watch_wait = std::chrono::seconds(30);
     /// Between two polls while claims change: one answer covers many changes.
-    common::duration watch_gap = std::chrono::milliseconds(250);
+    common::duration min_watch_interval = std::chrono::milliseconds(250);
     /// Pause before a call is tried again that the store did not answer.
     common::duration retry_interval = std::chrono::milliseconds(500);
     /// A member must have been live this long before claims are handed over
@@ -31,7 +31,7 @@
     common::duration stable_after = std::chrono::seconds(5);
     /// A member claims nothing before it has been live this long, so that
     /// members which start together share out at once.
-    common::duration claim_after = std::chrono::seconds(1);
+    common::duration claim_delay = std::chrono::seconds(1);
     /// Most claims and releases under way at once.
     std::uint32_t max_writes = 4;
     /// Most handovers that are asked for at once, but in a planned stop.
@@ -97,9 +97,9 @@
     std::vector<std::string> owned(membership::member const& members) const;
     /// How many partitions the store may still show as this member's, those
     /// being released included. A planned stop waits until there is none.
-    std::size_t held(membership::member const& members) const noexcept;
+    std::size_t held_count(membership::member const& members) const noexcept;
     /// Whether the table has been read at least once.
-    bool known() const noexcept;
+    bool is_loaded() const noexcept;
     claim_counts const& counts() const noexcept;
 
     /// Changes since the last call. To be called after each event.
@@ -128,14 +128,14 @@
         common::time_point retry; ///< No call about it before this.
         bool calling = false;
         bool read_back = false; ///< A write is unclear: read before the next.
-        bool asked = false;     ///< A handover was asked for.
-        ports::member_identity asked_for; ///< Whom it was asked for.
-        std::uint64_t epoch = 0;          ///< Of the claim that is ours since:
+        bool handover_requested = false; ///< A handover was asked for.
+        ports::member_identity requested_successor; ///< Whom it was asked for.
+        std::uint64_t epoch = 0; ///< Of the claim that is ours since:
         common::time_point owned_since;
     };
 
     // claim_table.cpp: which partitions to claim, keep and hand over.
-    void know_self(ports::member_identity const& self);
+    void set_self(ports::member_identity const& self);
     void update_owned(common::time_point now,
                       claim const& current,
                       progress& state,
@@ -157,7 +157,7 @@
                    membership::member const& members) const;
     bool is_free(claim const& current, membership::member const& members) const;
     bool is_ours(std::string const& partition) const;
-    std::size_t handovers_asked() const;
+    std::size_t handovers_requested() const;
 
     // claim_calls.cpp: calls of the store.
     void drive_list(common::time_point now, ports::actions& out);
--- a/src/core/claims/claim_view.cpp
+++ b/src/core/claims/claim_view.cpp
@@ -94,7 +94,7 @@
                                         version,
                                         value.released_by,
                                         value.handed_to});
-    tell_owner(before, place->second);
+    record_owner_change(before, place->second);
     if (value.owner != self_)
     {
         releasing_.erase(partition);
@@ -112,19 +112,19 @@
     }
     claim const before = std::exchange(place->second, {});
     place->second.partition = partition;
-    tell_owner(before, place->second);
+    record_owner_change(before, place->second);
     releasing_.erase(partition);
 }
 
-void claim_view::tell_owner(claim const& before, claim const& after)
+void claim_view::record_owner_change(claim const& before, claim const& after)
 {
     if (before.owner == after.owner)
     {
         return;
     }
     claim_change change;
-    change.now = after;
-    change.before =
+    change.current = after;
+    change.previous_owner =
         before.owner.name.empty() ? after.released_by : before.owner;
     if (after.owner == self_)
     {
@@ -152,7 +152,7 @@
     return releasing_.count(partition) != 0;
 }
 
-void claim_view::tell(claim_change change)
+void claim_view::record_change(claim_change change)
 {
     changes_.push_back(std::move(change));
 }
@@ -183,7 +183,7 @@
                        });
 }
 
-bool claim_view::known() const noexcept
+bool claim_view::is_loaded() const noexcept
 {
     return known_;
 }
--- a/src/core/claims/claim_view.hpp
+++ b/src/core/claims/claim_view.hpp
@@ -28,19 +28,19 @@
 
 enum class claim_change_kind : std::uint8_t
 {
-    acquired,       ///< Ours from now on.
-    handover_asked, ///< Another live member is wished: hand over, then
-                    ///< `release`.
-    lost,           ///< No longer ours.
-    owner_changed,  ///< Changed hands between others.
+    acquired,           ///< Ours from now on.
+    handover_requested, ///< Another live member is wished: hand over, then
+                        ///< `release`.
+    lost,               ///< No longer ours.
+    owner_changed,      ///< Changed hands between others.
 };
 
 struct claim_change
 {
     claim_change_kind kind = claim_change_kind::owner_changed;
-    claim now;
+    claim current;
     /// The owner before; empty name where there was none.
-    ports::member_identity before;
+    ports::member_identity previous_owner;
     /// Acquired by `release` of a live predecessor rather than by burial.
     bool handed_over = false;
     /// Of `handover_asked`: who is wished; empty name where nobody is left.
@@ -77,21 +77,21 @@
     void begin_release(std::string const& partition);
     bool is_releasing(std::string const& partition) const noexcept;
     /// Appends a change that the table itself decided.
-    void tell(claim_change change);
+    void record_change(claim_change change);
     std::vector<claim_change> take_changes();
 
     std::map<std::string, claim> const& all() const noexcept;
     claim const* find(std::string const& partition) const noexcept;
     bool names_owner(ports::member_identity const& id) const noexcept;
     /// Whether a list has been taken.
-    bool known() const noexcept;
+    bool is_loaded() const noexcept;
     /// The index to wait on for news.
     std::uint64_t index() const noexcept;
 
 private:
     void take_entry(ports::store_entry const& entry);
     void take_absent(std::string const& partition, std::uint64_t index);
-    void tell_owner(claim const& before, claim const& after);
+    void record_owner_change(claim const& before, claim const& after);
 
     std::string prefix_;
     ports::member_identity self_;
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -21,7 +21,7 @@
         one.last_sent = {};
     }
     one.to = change.assigned_to;
-    one.epoch = change.now.epoch;
+    one.epoch = change.current.epoch;
 }
 
 void entry_engine::drive_handovers(common::time_point now, ports::actions& out)
--- a/src/core/requests/entry_life.cpp
+++ b/src/core/requests/entry_life.cpp
@@ -53,7 +53,7 @@
     switch (life_.phase())
     {
     case entry_phase::joining:
-        if (may_send(now) && claims_.known())
+        if (may_send(now) && claims_.is_loaded())
         {
             life_.on(entry_event::joined);
             log(out, ports::severity::info, "serving", {});
@@ -68,7 +68,7 @@
         }
         break;
     case entry_phase::finishing:
-        if (unanswered_ > 0 || claims_.held(members_) > 0)
+        if (unanswered_ > 0 || claims_.held_count(members_) > 0)
         {
             busy_at_ = now;
         }
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -28,7 +28,7 @@
                                    claims::claim_change const& change,
                                    ports::actions& out)
 {
-    std::uint32_t const partition = partition_number(change.now.partition);
+    std::uint32_t const partition = partition_number(change.current.partition);
     if (partition == common::partition_count)
     {
         return;
@@ -38,7 +38,7 @@
     case claims::claim_change_kind::acquired:
         take_partition(now, partition, change, out);
         break;
-    case claims::claim_change_kind::handover_asked:
+    case claims::claim_change_kind::handover_requested:
         start_handover(now, partition, change);
         break;
     case claims::claim_change_kind::lost:
@@ -57,9 +57,9 @@
                                   ports::actions& out)
 {
     bool const first_owner =
-        change.before.name.empty() && change.now.epoch <= 1;
+        change.previous_owner.name.empty() && change.current.epoch <= 1;
     auto const imported =
-        imports_.take(partition, change.now.epoch, change.before);
+        imports_.take(partition, change.current.epoch, change.previous_owner);
     handovers_.erase(partition);
     if (first_owner)
     {
@@ -87,18 +87,18 @@
         {
             taken.others.push_back(id);
         }
-        if (!change.before.name.empty())
+        if (!change.previous_owner.name.empty())
         {
-            taken.others.push_back(change.before);
+            taken.others.push_back(change.previous_owner);
         }
         takeovers_[partition] = std::move(taken);
     }
     log(out,
         ports::severity::info,
         "partition_acquired",
-        {{"partition", change.now.partition},
-         {"epoch", std::to_string(change.now.epoch)},
-         {"before", change.before.name},
+        {{"partition", change.current.partition},
+         {"epoch", std::to_string(change.current.epoch)},
+         {"before", change.previous_owner.name},
          {"keys", imported ? std::to_string(imported->keys.size()) : "none"}});
 }
 
--- a/src/core/tasks/planner_cells.cpp
+++ b/src/core/tasks/planner_cells.cpp
@@ -70,13 +70,13 @@
 {
     for (auto const& change : claims_.take_changes())
     {
-        auto const& cell = change.now.partition;
+        auto const& cell = change.current.partition;
         switch (change.kind)
         {
         case claims::claim_change_kind::acquired:
-            add_cell(now, change.now, out);
+            add_cell(now, change.current, out);
             break;
-        case claims::claim_change_kind::handover_asked:
+        case claims::claim_change_kind::handover_requested:
             releasing_.insert(cell);
             break;
         case claims::claim_change_kind::lost:
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -154,7 +154,7 @@
     {
         return;
     }
-    if (!removing_ && cells_.empty() && claims_.held(member_) == 0)
+    if (!removing_ && cells_.empty() && claims_.held_count(member_) == 0)
     {
         removing_ = true;
         member_.remove(now, out);
@@ -169,7 +169,7 @@
 
 bool planner_engine::ready(common::time_point now) const noexcept
 {
-    return member_.has_member_list() && claims_.known() && workers_known_ &&
+    return member_.has_member_list() && claims_.is_loaded() && workers_known_ &&
            member_.may_act(now) && !stop_since_;
 }
 
--- a/tests/unit/walks/small_system.cpp
+++ b/tests/unit/walks/small_system.cpp
@@ -361,12 +361,12 @@
 {
     for (auto const& change : who.claims.take_changes())
     {
-        if (change.kind == core::claims::claim_change_kind::handover_asked)
+        if (change.kind == core::claims::claim_change_kind::handover_requested)
         {
-            who.claims.release(local, change.now.partition, out);
+            who.claims.release(local, change.current.partition, out);
         }
     }
-    if (who.leaving && !who.removed && who.claims.held(who.member) == 0)
+    if (who.leaving && !who.removed && who.claims.held_count(who.member) == 0)
     {
         who.removed = true;
         who.member.remove(local, out);
