--- a/src/core/config/change.cpp
+++ b/src/core/config/change.cpp
@@ -99,7 +99,7 @@
 
     bool operator()(set_data_centre const& set) const
     {
-        index.data_centres[set.name] = {index.revision, set.out};
+        index.data_centres[set.name] = {index.revision, set.out_of_service};
         if (index.data_centres.size() > max_data_centres)
         {
             reason = {common::result_code::out_of_range,
@@ -120,26 +120,26 @@
         auto const& customer = put.value.customer;
         value.contracts.insert_or_assign(customer, put.value);
         value.withdrawn.erase(customer);
-        value.changed_at[customer] = value.revision;
+        value.contract_revisions[customer] = value.revision;
     }
 
     void operator()(withdraw_contract const& withdraw) const
     {
         value.contracts.erase(withdraw.customer);
         value.withdrawn.insert(withdraw.customer);
-        value.changed_at[withdraw.customer] = value.revision;
+        value.contract_revisions[withdraw.customer] = value.revision;
     }
 
     void operator()(set_data_centre const& set) const
     {
-        value.data_centres[set.name] = value.revision;
-        if (set.out)
+        value.data_centre_revisions[set.name] = value.revision;
+        if (set.out_of_service)
         {
-            value.data_centres_out.insert(set.name);
+            value.data_centres_out_of_service.insert(set.name);
         }
         else
         {
-            value.data_centres_out.erase(set.name);
+            value.data_centres_out_of_service.erase(set.name);
         }
     }
 };
@@ -160,15 +160,16 @@
     return after;
 }
 
-std::uint64_t last_change(index_document const& index, change const& what)
+std::uint64_t last_change_revision(index_document const& index,
+                                   change const& what)
 {
     return std::visit(last_change_in{index}, what);
 }
 
-bool make_change(index_document& index,
-                 std::string const& write_id,
-                 change const& what,
-                 common::failure& reason)
+bool apply_to_index(index_document& index,
+                    std::string const& write_id,
+                    change const& what,
+                    common::failure& reason)
 {
     return std::visit(make_in{index, write_id, reason}, what);
 }
--- a/src/core/config/change.hpp
+++ b/src/core/config/change.hpp
@@ -24,7 +24,7 @@
 struct set_data_centre
 {
     std::string name;
-    bool out = false;
+    bool out_of_service = false;
 };
 
 /// What an operator asks for.
@@ -37,13 +37,14 @@
                                           std::uint64_t revision);
 
 /// Revision at which the thing that `what` changes was last changed.
-std::uint64_t last_change(index_document const& index, change const& what);
+std::uint64_t last_change_revision(index_document const& index,
+                                   change const& what);
 
 /// Makes the change in an index whose revision is already the new one; false,
 /// with the reason, where that can't be.
-bool make_change(index_document& index,
-                 std::string const& write_id,
-                 change const& what,
-                 common::failure& reason);
+bool apply_to_index(index_document& index,
+                    std::string const& write_id,
+                    change const& what,
+                    common::failure& reason);
 
 } // namespace fuchsia::core::config
--- a/src/core/config/writer.cpp
+++ b/src/core/config/change_writer.cpp
@@ -1,4 +1,4 @@
-#include "core/config/writer.hpp"
+#include "core/config/change_writer.hpp"
 
 #include <utility>
 
@@ -18,23 +18,24 @@
     return reason.code == common::result_code::ok;
 }
 
-writer::writer(writer_settings settings, change_request request)
+change_writer::change_writer(change_writer_settings settings,
+                             change_request request)
     : settings_(settings), request_(std::move(request))
 {
 }
 
-void writer::start(common::time_point now,
-                   std::uint64_t& next_call,
-                   ports::actions& out)
+void change_writer::start(common::time_point now,
+                          std::uint64_t& next_call,
+                          ports::actions& out)
 {
     give_up_at_ = now + settings_.give_up_after;
     ready_ = true;
     send(now, next_call, out);
 }
 
-void writer::tick(common::time_point now,
-                  std::uint64_t& next_call,
-                  ports::actions& out)
+void change_writer::tick(common::time_point now,
+                         std::uint64_t& next_call,
+                         ports::actions& out)
 {
     if (!finished() && !waiting_for_ && now >= retry_at_)
     {
@@ -43,10 +44,10 @@
     }
 }
 
-bool writer::on_store_reply(common::time_point now,
-                            ports::store_reply const& reply,
-                            std::uint64_t& next_call,
-                            ports::actions& out)
+bool change_writer::on_store_reply(common::time_point now,
+                                   ports::store_reply const& reply,
+                                   std::uint64_t& next_call,
+                                   ports::actions& out)
 {
     if (!waiting_for_ || reply.id.number != *waiting_for_)
     {
@@ -79,25 +80,25 @@
     return true;
 }
 
-change_request const& writer::request() const noexcept
+change_request const& change_writer::request() const noexcept
 {
     return request_;
 }
 
-std::optional<change_result> const& writer::result() const noexcept
+std::optional<change_result> const& change_writer::result() const noexcept
 {
     return result_;
 }
 
-bool writer::finished() const noexcept
+bool change_writer::finished() const noexcept
 {
     return step_ == step::finished;
 }
 
 /// Sends the call of the present step where it is due, or gives up.
-void writer::send(common::time_point now,
-                  std::uint64_t& next_call,
-                  ports::actions& out)
+void change_writer::send(common::time_point now,
+                         std::uint64_t& next_call,
+                         ports::actions& out)
 {
     if (!ready_ || finished())
     {
@@ -117,13 +118,14 @@
         {ports::store_requester::administration, *waiting_for_}, operation()});
 }
 
-ports::store_operation writer::operation() const
+ports::store_operation change_writer::operation() const
 {
     switch (step_)
     {
     case step::writing_document:
     {
-        auto const& contract = std::get<put_contract>(request_.what).value;
+        auto const& contract =
+            std::get<put_contract>(request_.requested_change).value;
         auto const& entry = move_->index.contracts.at(contract.customer);
         return ports::store_write{
             document_key(contract.customer, entry.document),
@@ -144,7 +146,7 @@
     return ports::store_read{std::string(index_key)};
 }
 
-void writer::pause(common::time_point now)
+void change_writer::pause(common::time_point now)
 {
     retry_at_ = now + settings_.retry_interval;
     ready_ = false;
@@ -152,7 +154,7 @@
 
 /// Sets the result. While a swap may still take effect, no failure is told as
 /// one that changed nothing.
-void writer::finish(common::failure reason, std::uint64_t revision)
+void change_writer::finish(common::failure reason, std::uint64_t revision)
 {
     bool const accepted = reason.code == common::result_code::ok;
     if (!accepted && move_ && move_->unclear)
@@ -170,7 +172,8 @@
     }
 }
 
-void writer::on_index(common::time_point now, ports::store_reply const& reply)
+void change_writer::on_index(common::time_point now,
+                             ports::store_reply const& reply)
 {
     if (reply.status != ports::store_status::done)
     {
@@ -205,9 +208,9 @@
 
 /// Looks in a newly read index for the fate of the swap that was sent. True:
 /// it did not take effect and never will.
-bool writer::settle_move(common::time_point now,
-                         index_document const& index,
-                         std::uint64_t version)
+bool change_writer::settle_move(common::time_point now,
+                                index_document const& index,
+                                std::uint64_t version)
 {
     auto const target = move_->index.revision;
     auto const writer_of = index.recent_writes.find(target);
@@ -240,14 +243,15 @@
     return false;
 }
 
-void writer::decide(index_document index, std::uint64_t version)
+void change_writer::decide(index_document index, std::uint64_t version)
 {
     if (!base_)
     {
         base_ = request_.if_revision.value_or(index.revision);
     }
     auto const newest = index.revision;
-    bool const changed = last_change(index, request_.what) > *base_;
+    bool const changed =
+        last_change_revision(index, request_.requested_change) > *base_;
     if (changed || *base_ > newest || lost_races_ > settings_.max_lost_races)
     {
         finish({common::result_code::conflict,
@@ -271,14 +275,14 @@
         return;
     }
     move_ = sent_move{std::move(index), version, false};
-    step_ = std::holds_alternative<put_contract>(request_.what)
+    step_ = std::holds_alternative<put_contract>(request_.requested_change)
                 ? step::writing_document
                 : step::moving_index;
     ready_ = true;
 }
 
 /// Turns the index that was read into the one that is to replace it.
-bool writer::make_next(index_document& index, common::failure& reason)
+bool change_writer::make_next(index_document& index, common::failure& reason)
 {
     ++index.revision;
     index.recent_writes[index.revision] = request_.write_id;
@@ -286,17 +290,19 @@
     {
         index.recent_writes.erase(index.recent_writes.begin());
     }
-    for (auto const& name : request_.seen_data_centres)
+    for (auto const& name : request_.observed_data_centres)
     {
         if (index.data_centres.size() < max_data_centres)
         {
             index.data_centres.try_emplace(name);
         }
     }
-    return make_change(index, request_.write_id, request_.what, reason);
+    return apply_to_index(
+        index, request_.write_id, request_.requested_change, reason);
 }
 
-void writer::on_document(common::time_point now, ports::store_status status)
+void change_writer::on_document(common::time_point now,
+                                ports::store_status status)
 {
     // The key holds the write id: a conflict says that an earlier try, whose
     // answer was lost, has written it.
@@ -310,7 +316,7 @@
     pause(now);
 }
 
-void writer::on_move(common::time_point now, ports::store_status status)
+void change_writer::on_move(common::time_point now, ports::store_status status)
 {
     switch (status)
     {
@@ -334,7 +340,7 @@
 /// for a revision that the index has reached can't be pointed to any more,
 /// since its writer's swap expects an older index. The document before this
 /// one stays, for those who still read the index before this one.
-void writer::on_documents(ports::store_reply const& reply)
+void change_writer::on_documents(ports::store_reply const& reply)
 {
     step_ = step::finished;
     if (reply.status != ports::store_status::done)
@@ -364,13 +370,14 @@
     }
 }
 
-std::string const* writer::customer() const noexcept
+std::string const* change_writer::customer() const noexcept
 {
-    if (auto const* put = std::get_if<put_contract>(&request_.what))
+    if (auto const* put = std::get_if<put_contract>(&request_.requested_change))
     {
         return &put->value.customer;
     }
-    auto const* withdraw = std::get_if<withdraw_contract>(&request_.what);
+    auto const* withdraw =
+        std::get_if<withdraw_contract>(&request_.requested_change);
     return withdraw == nullptr ? nullptr : &withdraw->customer;
 }
 
--- a/src/core/config/writer.hpp
+++ b/src/core/config/change_writer.hpp
@@ -15,7 +15,7 @@
 
 struct change_request
 {
-    change what;
+    change requested_change;
     /// The operator saw this revision: a conflict where the same contract or
     /// data centre was changed after it. Without it, the change conflicts
     /// only with one that comes in while it is under way.
@@ -23,7 +23,7 @@
     /// Different for each change of each process; letters, digits and dots.
     std::string write_id;
     /// Data centres of instances and workers; the index remembers them.
-    name_set seen_data_centres;
+    name_set observed_data_centres;
     /// This process has applied this revision: an older index is stale.
     std::uint64_t known_revision = 0;
 };
@@ -39,7 +39,7 @@
     bool accepted() const noexcept;
 };
 
-struct writer_settings
+struct change_writer_settings
 {
     common::duration retry_interval = std::chrono::milliseconds(200);
     /// No call is begun after this time since the start.
@@ -55,10 +55,10 @@
 /// A lost answer of the swap is settled by reading back: the index names the
 /// writers of its newest revisions. While the index stands as it was, the same
 /// swap is sent again; whichever of the two comes first, the other fails.
-class writer
+class change_writer
 {
 public:
-    writer(writer_settings settings, change_request request);
+    change_writer(change_writer_settings settings, change_request request);
 
     /// `next_call` numbers the calls of `store_user::administration`; it is
     /// counted up for each.
@@ -115,7 +115,7 @@
     void on_documents(ports::store_reply const& reply);
     std::string const* customer() const noexcept;
 
-    writer_settings settings_;
+    change_writer_settings settings_;
     change_request request_;
     std::optional<change_result> result_;
     step step_ = step::reading;
--- a/src/core/config/configuration.cpp
+++ b/src/core/config/configuration.cpp
@@ -47,7 +47,7 @@
     for (auto const& member : *object)
     {
         std::string const name = member.key();
-        if (!is_plain_name(name))
+        if (!is_valid_name(name))
         {
             inner.fail(common::result_code::out_of_range, name, "a bad name");
         }
@@ -86,8 +86,8 @@
 {
     auto const has_revision = [&value](std::string const& customer)
     {
-        auto const found = value.changed_at.find(customer);
-        return found != value.changed_at.end() &&
+        auto const found = value.contract_revisions.find(customer);
+        return found != value.contract_revisions.end() &&
                found->second <= value.revision;
     };
     bool const contracts = std::all_of(value.contracts.begin(),
@@ -104,22 +104,22 @@
             return has_revision(customer) && !value.contracts.count(customer);
         });
     return contracts && withdrawn &&
-           value.changed_at.size() ==
+           value.contract_revisions.size() ==
                value.contracts.size() + value.withdrawn.size();
 }
 
 } // namespace
 
-std::uint64_t contract_changed_at(configuration const& value,
-                                  std::string_view customer) noexcept
+std::uint64_t contract_revision(configuration const& value,
+                                std::string_view customer) noexcept
 {
-    return find_revision(value.changed_at, customer);
+    return find_revision(value.contract_revisions, customer);
 }
 
-std::uint64_t data_centre_changed_at(configuration const& value,
-                                     std::string_view data_centre) noexcept
+std::uint64_t data_centre_revision(configuration const& value,
+                                   std::string_view data_centre) noexcept
 {
-    return find_revision(value.data_centres, data_centre);
+    return find_revision(value.data_centre_revisions, data_centre);
 }
 
 std::string to_json(configuration const& value)
@@ -133,9 +133,9 @@
         {"revision", value.revision},
         {"contracts", std::move(contracts)},
         {"withdrawn", to_json_array(value.withdrawn)},
-        {"data_centres_out", to_json_array(value.data_centres_out)},
-        {"data_centres", to_json_object(value.data_centres)},
-        {"changed_at", to_json_object(value.changed_at)},
+        {"data_centres_out", to_json_array(value.data_centres_out_of_service)},
+        {"data_centres", to_json_object(value.data_centre_revisions)},
+        {"changed_at", to_json_object(value.contract_revisions)},
     };
     return boost::json::serialize(object);
 }
@@ -161,10 +161,11 @@
     value.revision =
         static_cast<std::uint64_t>(reader.integer("revision", 1, max_revision));
     read_contracts(reader, value);
-    value.changed_at = read_revisions(reader, "changed_at", 1);
+    value.contract_revisions = read_revisions(reader, "changed_at", 1);
     value.withdrawn = read_name_set(reader, "withdrawn");
-    value.data_centres_out = read_name_set(reader, "data_centres_out");
-    value.data_centres = read_revisions(reader, "data_centres", 0);
+    value.data_centres_out_of_service =
+        read_name_set(reader, "data_centres_out");
+    value.data_centre_revisions = read_revisions(reader, "data_centres", 0);
     if (reader.ok() && !agrees(value))
     {
         reader.fail(common::result_code::inconsistent,
--- a/src/core/config/configuration.hpp
+++ b/src/core/config/configuration.hpp
@@ -34,23 +34,23 @@
     /// By customer; a withdrawn contract is absent here and in `withdrawn`.
     std::map<std::string, contracts::contract, std::less<>> contracts;
     std::set<std::string, std::less<>> withdrawn;
-    std::set<std::string, std::less<>> data_centres_out;
+    std::set<std::string, std::less<>> data_centres_out_of_service;
     /// Every data centre that operators or instances have named, with the
     /// revision at which it was last taken out or in; 0: never.
-    std::map<std::string, std::uint64_t, std::less<>> data_centres;
+    std::map<std::string, std::uint64_t, std::less<>> data_centre_revisions;
     /// The revision at which each customer's contract was last put or
     /// withdrawn.
-    std::map<std::string, std::uint64_t, std::less<>> changed_at;
+    std::map<std::string, std::uint64_t, std::less<>> contract_revisions;
 
     bool operator==(configuration const&) const = default;
 };
 
 /// The revision at which `customer`'s contract, or `data_centre`, was last
 /// changed; 0 where it never was.
-std::uint64_t contract_changed_at(configuration const& value,
-                                  std::string_view customer) noexcept;
-std::uint64_t data_centre_changed_at(configuration const& value,
-                                     std::string_view data_centre) noexcept;
+std::uint64_t contract_revision(configuration const& value,
+                                std::string_view customer) noexcept;
+std::uint64_t data_centre_revision(configuration const& value,
+                                   std::string_view data_centre) noexcept;
 
 /// The whole configuration as one JSON document, offered to peers.
 std::string to_json(configuration const& value);
--- a/src/core/config/follower.cpp
+++ b/src/core/config/follower.cpp
@@ -39,17 +39,18 @@
 
 } // namespace
 
-follower::follower(follower_settings settings) : settings_(settings)
+configuration_follower::configuration_follower(follower_settings settings)
+    : settings_(settings)
 {
 }
 
-void follower::start(common::time_point now, ports::actions& out)
+void configuration_follower::start(common::time_point now, ports::actions& out)
 {
     watch_due_ = now;
     send_confirm(now, out);
 }
 
-void follower::tick(common::time_point now, ports::actions& out)
+void configuration_follower::tick(common::time_point now, ports::actions& out)
 {
     if (now >= confirm_due_ && !in_flight(call_kind::confirm))
     {
@@ -65,9 +66,9 @@
     }
 }
 
-void follower::on_store_reply(common::time_point now,
-                              ports::store_reply const& reply,
-                              ports::actions& out)
+void configuration_follower::on_store_reply(common::time_point now,
+                                            ports::store_reply const& reply,
+                                            ports::actions& out)
 {
     auto const found = calls_.find(reply.id.number);
     if (found == calls_.end())
@@ -107,10 +108,10 @@
     tick(now, out);
 }
 
-void follower::on_peer(common::time_point now,
-                       ports::peer_receive const& message,
-                       ports::endpoint const& from,
-                       ports::actions& out)
+void configuration_follower::on_peer(common::time_point now,
+                                     ports::peer_receive const& message,
+                                     ports::endpoint const& from,
+                                     ports::actions& out)
 {
     if (auto const* offer = std::get_if<ports::config_offer>(&message.message))
     {
@@ -127,11 +128,12 @@
     }
 }
 
-void follower::on_peer_revision(common::time_point now,
-                                std::uint64_t revision,
-                                ports::member_identity const& from,
-                                ports::endpoint const& where,
-                                ports::actions& out)
+void configuration_follower::on_peer_revision(
+    common::time_point now,
+    std::uint64_t revision,
+    ports::member_identity const& from,
+    ports::endpoint const& where,
+    ports::actions& out)
 {
     if (revision <= current_.revision)
     {
@@ -148,30 +150,31 @@
         from, where, ports::config_request{current_.revision}});
 }
 
-void follower::adopt(configuration newer, ports::actions& out)
+void configuration_follower::adopt(configuration newer, ports::actions& out)
 {
     apply(std::move(newer), "writer", out);
 }
 
-configuration const& follower::current() const noexcept
+configuration const& configuration_follower::current() const noexcept
 {
     return current_;
 }
 
-common::time_point follower::confirmed_at() const noexcept
+common::time_point configuration_follower::confirmed_at() const noexcept
 {
     return confirmed_at_;
 }
 
-std::optional<common::time_point> follower::store_answered_at() const noexcept
+std::optional<common::time_point>
+configuration_follower::store_answered_at() const noexcept
 {
     return store_answered_at_;
 }
 
-void follower::send(common::time_point now,
-                    pending_call call,
-                    ports::store_operation operation,
-                    ports::actions& out)
+void configuration_follower::send(common::time_point now,
+                                  pending_call call,
+                                  ports::store_operation operation,
+                                  ports::actions& out)
 {
     call.sent = now;
     auto const number = next_call_++;
@@ -180,7 +183,8 @@
         {ports::store_requester::configuration, number}, std::move(operation)});
 }
 
-void follower::send_confirm(common::time_point now, ports::actions& out)
+void configuration_follower::send_confirm(common::time_point now,
+                                          ports::actions& out)
 {
     send(now,
          {call_kind::confirm, {}, {}, {}},
@@ -188,7 +192,8 @@
          out);
 }
 
-void follower::send_watch(common::time_point now, ports::actions& out)
+void configuration_follower::send_watch(common::time_point now,
+                                        ports::actions& out)
 {
     send(now,
          {call_kind::watch, {}, {}, {}},
@@ -197,7 +202,7 @@
          out);
 }
 
-bool follower::in_flight(call_kind kind) const noexcept
+bool configuration_follower::in_flight(call_kind kind) const noexcept
 {
     return std::any_of(calls_.begin(),
                        calls_.end(),
@@ -207,7 +212,7 @@
                        });
 }
 
-bool follower::in_flight(std::string const& key) const noexcept
+bool configuration_follower::in_flight(std::string const& key) const noexcept
 {
     return std::any_of(calls_.begin(),
                        calls_.end(),
@@ -217,10 +222,10 @@
                        });
 }
 
-void follower::on_index(common::time_point now,
-                        common::time_point sent,
-                        ports::store_reply const& reply,
-                        ports::actions& out)
+void configuration_follower::on_index(common::time_point now,
+                                      common::time_point sent,
+                                      ports::store_reply const& reply,
+                                      ports::actions& out)
 {
     store_seen_ = true;
     auto const* entry = index_in(reply);
@@ -262,23 +267,23 @@
     begin_fetch(now, sent, std::move(*index), out);
 }
 
-void follower::apply(configuration newer,
-                     char const* source,
-                     ports::actions& out)
+void configuration_follower::apply(configuration newer,
+                                   char const* source,
+                                   ports::actions& out)
 {
     if (newer.revision <= current_.revision)
     {
         return;
     }
-    append_log(
-        out,
-        ports::severity::info,
-        "configuration_applied",
-        {{"revision", std::to_string(newer.revision)},
-         {"before", std::to_string(current_.revision)},
-         {"source", source},
-         {"contracts", std::to_string(newer.contracts.size())},
-         {"data_centres_out", std::to_string(newer.data_centres_out.size())}});
+    append_log(out,
+               ports::severity::info,
+               "configuration_applied",
+               {{"revision", std::to_string(newer.revision)},
+                {"before", std::to_string(current_.revision)},
+                {"source", source},
+                {"contracts", std::to_string(newer.contracts.size())},
+                {"data_centres_out",
+                 std::to_string(newer.data_centres_out_of_service.size())}});
     current_ = std::move(newer);
     if (fetch_ && fetch_->index.revision <= current_.revision)
     {
@@ -292,10 +297,10 @@
     }
 }
 
-void follower::on_offer(common::time_point now,
-                        ports::peer_receive const& message,
-                        ports::config_offer const& offer,
-                        ports::actions& out)
+void configuration_follower::on_offer(common::time_point now,
+                                      ports::peer_receive const& message,
+                                      ports::config_offer const& offer,
+                                      ports::actions& out)
 {
     if (offer.revision <= current_.revision)
     {
@@ -318,10 +323,10 @@
     apply(std::move(*offered), "peer", out);
 }
 
-void follower::refuse(common::time_point now,
-                      std::string const& what,
-                      common::failure const& reason,
-                      ports::actions& out)
+void configuration_follower::refuse(common::time_point now,
+                                    std::string const& what,
+                                    common::failure const& reason,
+                                    ports::actions& out)
 {
     std::string text = what + " " + common::to_string(reason);
     if (text == last_refusal_ && now - last_refusal_at_ < refusal_log_interval)
--- a/src/core/config/follower.hpp
+++ b/src/core/config/follower.hpp
@@ -33,10 +33,10 @@
 /// Keeps this process's configuration the newest that the store or any peer
 /// has: watches the index, reads changed contracts, takes a peer's offer, and
 /// never applies a revision that is not higher than the last.
-class follower
+class configuration_follower
 {
 public:
-    explicit follower(follower_settings settings);
+    explicit configuration_follower(follower_settings settings);
 
     void start(common::time_point now, ports::actions& out);
     void tick(common::time_point now, ports::actions& out);
--- a/src/core/config/follower_fetch.cpp
+++ b/src/core/config/follower_fetch.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-void follower::send_missing(common::time_point now, ports::actions& out)
+void configuration_follower::send_missing(common::time_point now,
+                                          ports::actions& out)
 {
     auto const customers = missing();
     if (customers.size() > max_single_reads)
@@ -44,10 +45,10 @@
     }
 }
 
-void follower::begin_fetch(common::time_point now,
-                           common::time_point sent,
-                           index_document index,
-                           ports::actions& out)
+void configuration_follower::begin_fetch(common::time_point now,
+                                         common::time_point sent,
+                                         index_document index,
+                                         ports::actions& out)
 {
     fetch next;
     next.index_sent = sent;
@@ -58,8 +59,8 @@
         {
             continue;
         }
-        auto const known = current_.changed_at.find(customer);
-        if (known != current_.changed_at.end() &&
+        auto const known = current_.contract_revisions.find(customer);
+        if (known != current_.contract_revisions.end() &&
             known->second == entry.revision)
         {
             next.loaded.emplace(customer, current_.contracts.at(customer));
@@ -81,10 +82,10 @@
     }
 }
 
-void follower::on_documents(common::time_point now,
-                            pending_call const& call,
-                            ports::store_reply const& reply,
-                            ports::actions& out)
+void configuration_follower::on_documents(common::time_point now,
+                                          pending_call const& call,
+                                          ports::store_reply const& reply,
+                                          ports::actions& out)
 {
     if (!fetch_)
     {
@@ -124,10 +125,10 @@
     apply_if_whole(out);
 }
 
-void follower::take_document(common::time_point now,
-                             std::string const& customer,
-                             std::string const& text,
-                             ports::actions& out)
+void configuration_follower::take_document(common::time_point now,
+                                           std::string const& customer,
+                                           std::string const& text,
+                                           ports::actions& out)
 {
     common::failure reason;
     auto contract = contracts::parse_contract(text, reason);
@@ -146,7 +147,7 @@
     fetch_->loaded.insert_or_assign(customer, std::move(*contract));
 }
 
-std::vector<std::string> follower::missing() const
+std::vector<std::string> configuration_follower::missing() const
 {
     std::vector<std::string> customers;
     for (auto const& [customer, entry] : fetch_->index.contracts)
@@ -159,7 +160,7 @@
     return customers;
 }
 
-void follower::apply_if_whole(ports::actions& out)
+void configuration_follower::apply_if_whole(ports::actions& out)
 {
     if (!fetch_ || !missing().empty())
     {
@@ -169,16 +170,16 @@
     newer.revision = fetch_->index.revision;
     for (auto const& [name, entry] : fetch_->index.data_centres)
     {
-        newer.data_centres[name] = entry.revision;
-        if (entry.out)
+        newer.data_centre_revisions[name] = entry.revision;
+        if (entry.out_of_service)
         {
-            newer.data_centres_out.insert(name);
+            newer.data_centres_out_of_service.insert(name);
         }
     }
     newer.contracts = std::move(fetch_->loaded);
     for (auto const& [customer, entry] : fetch_->index.contracts)
     {
-        newer.changed_at[customer] = entry.revision;
+        newer.contract_revisions[customer] = entry.revision;
         if (entry.withdrawn)
         {
             newer.withdrawn.insert(customer);
--- a/src/core/config/index.cpp
+++ b/src/core/config/index.cpp
@@ -70,7 +70,7 @@
     {
         std::string name = member.key();
         std::string const where = "index.data_centres." + name;
-        if (!member.value().is_object() || !is_plain_name(name))
+        if (!member.value().is_object() || !is_valid_name(name))
         {
             reason = {common::result_code::wrong_type,
                       where,
@@ -81,7 +81,7 @@
         data_centre_entry entry;
         entry.revision = static_cast<std::uint64_t>(reader.integer(
             "revision", 0, static_cast<std::int64_t>(value.revision)));
-        entry.out = reader.flag_or("out", false);
+        entry.out_of_service = reader.flag_or("out", false);
         if (!reader.ok())
         {
             reason = reader.reason();
@@ -142,7 +142,8 @@
     boost::json::object data_centres;
     for (auto const& [name, entry] : value.data_centres)
     {
-        data_centres[name] = {{"revision", entry.revision}, {"out", entry.out}};
+        data_centres[name] = {{"revision", entry.revision},
+                              {"out", entry.out_of_service}};
     }
     boost::json::array recent_writes;
     for (auto const& [revision, write_id] : value.recent_writes)
--- a/src/core/config/index.hpp
+++ b/src/core/config/index.hpp
@@ -36,7 +36,7 @@
 {
     /// At which it was last taken out or in; 0: only seen so far.
     std::uint64_t revision = 0;
-    bool out = false;
+    bool out_of_service = false;
 
     bool operator==(data_centre_entry const&) const = default;
 };
--- a/src/core/config/name_set.cpp
+++ b/src/core/config/name_set.cpp
@@ -5,7 +5,7 @@
 namespace fuchsia::core::config
 {
 
-bool is_plain_name(std::string_view name) noexcept
+bool is_valid_name(std::string_view name) noexcept
 {
     auto const allowed = [](char letter)
     {
@@ -36,7 +36,7 @@
     }
     for (auto const& item : *array)
     {
-        if (!item.is_string() || !is_plain_name(item.as_string()))
+        if (!item.is_string() || !is_valid_name(item.as_string()))
         {
             reader.fail(common::result_code::out_of_range,
                         key,
--- a/src/core/config/name_set.hpp
+++ b/src/core/config/name_set.hpp
@@ -14,7 +14,7 @@
 
 /// Whether `name` may name a customer or a data centre: 1 to 64 lower-case
 /// letters, digits and hyphens. Names become parts of the store's keys.
-bool is_plain_name(std::string_view name) noexcept;
+bool is_valid_name(std::string_view name) noexcept;
 
 boost::json::array to_json_array(name_set const& names);
 
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -351,7 +351,7 @@
     std::mt19937_64 random_;
     membership::member members_;
     claims::claim_table claims_;
-    config::follower follower_;
+    config::configuration_follower follower_;
     upstreams::slot_table slots_;
     key_memory keys_;
     fair_queue queue_;
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -69,7 +69,7 @@
         return;
     }
     applied_revision_ = current.revision;
-    slots_.set_data_centres_out(current.data_centres_out);
+    slots_.set_data_centres_out_of_service(current.data_centres_out_of_service);
     members_.set_config_revision(current.revision);
     log(out,
         ports::severity::info,
@@ -77,7 +77,7 @@
         {{"revision", std::to_string(current.revision)},
          {"contracts", std::to_string(current.contracts.size())},
          {"data_centres_out",
-          std::to_string(current.data_centres_out.size())}});
+          std::to_string(current.data_centres_out_of_service.size())}});
 }
 
 bool entry_engine::is_live(ports::member_identity const& id) const noexcept
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -76,7 +76,7 @@
                                part.what.data_centre,
                                cell_,
                                !must && !with.workers.in_rack(cell_).empty(),
-                               with.config.data_centres_out},
+                               with.config.data_centres_out_of_service},
                               with.workers);
         if (!to)
         {
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -260,7 +260,7 @@
 bool cell_runner::data_centre_out(cell_context const& with) const
 {
     auto const name = with.workers.data_centre_of(cell_);
-    return with.config.data_centres_out.count(name) != 0;
+    return with.config.data_centres_out_of_service.count(name) != 0;
 }
 
 void cell_runner::hold() noexcept
--- a/src/core/tasks/job_desk.cpp
+++ b/src/core/tasks/job_desk.cpp
@@ -178,7 +178,7 @@
                                    wanted->data_centre,
                                    "",
                                    false,
-                                   with.config.data_centres_out},
+                                   with.config.data_centres_out_of_service},
                                   with.workers);
     if (!cell)
     {
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -122,7 +122,7 @@
     {
         return "the contract is used up";
     }
-    if (config.data_centres_out.count(view.what.data_centre) != 0)
+    if (config.data_centres_out_of_service.count(view.what.data_centre) != 0)
     {
         return "its data centre is out";
     }
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -188,7 +188,7 @@
     return member_;
 }
 
-config::follower& planner_engine::follower() noexcept
+config::configuration_follower& planner_engine::follower() noexcept
 {
     return follower_;
 }
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -83,7 +83,7 @@
     bool stopping() const noexcept;
     membership::member& members() noexcept;
     membership::member const& members() const noexcept;
-    config::follower& follower() noexcept;
+    config::configuration_follower& follower() noexcept;
     claims::claim_table const& claims() const noexcept;
     worker_book const& workers() const noexcept;
     task_counters const& counters() const noexcept;
@@ -126,7 +126,7 @@
     planner_settings settings_;
     membership::member member_;
     claims::claim_table claims_;
-    config::follower follower_;
+    config::configuration_follower follower_;
     store_calls calls_;
     worker_calls worker_calls_;
     worker_book workers_;
--- a/src/core/upstreams/slot_table.cpp
+++ b/src/core/upstreams/slot_table.cpp
@@ -157,19 +157,20 @@
                       : std::min(listed.slots, listed.connections);
     known.listed = true;
     known.leaving = listed.state == ports::instance_state::leaving;
-    known.out = data_centres_out_.contains(known.data_centre);
+    known.out_of_service =
+        data_centres_out_of_service_.contains(known.data_centre);
 }
 
-void slot_table::set_data_centres_out(
+void slot_table::set_data_centres_out_of_service(
     std::set<std::string, std::less<>> const& names)
 {
-    data_centres_out_ = names;
+    data_centres_out_of_service_ = names;
     for (std::uint32_t index = 0; index < upstreams_.size(); ++index)
     {
         auto& one = upstreams_[index];
-        bool const was_out = one.out;
-        one.out = names.contains(one.data_centre);
-        if (was_out && !one.out)
+        bool const was_out = one.out_of_service;
+        one.out_of_service = names.contains(one.data_centre);
+        if (was_out && !one.out_of_service)
         {
             one.share = std::min(one.share, settings_.cold_share);
         }
@@ -375,8 +376,8 @@
 
 bool slot_table::usable(upstream const& one) const noexcept
 {
-    return owned_[one.partition] && one.listed && !one.leaving && !one.out &&
-           one.slots > 0;
+    return owned_[one.partition] && one.listed && !one.leaving &&
+           !one.out_of_service && one.slots > 0;
 }
 
 // Brings an upstream's parts of the sums, and its place among those with a
--- a/src/core/upstreams/slot_table.hpp
+++ b/src/core/upstreams/slot_table.hpp
@@ -64,7 +64,8 @@
     void release(std::uint32_t partition);
 
     void on_instances(common::time_point now, ports::instance_list const& list);
-    void set_data_centres_out(std::set<std::string, std::less<>> const& names);
+    void set_data_centres_out_of_service(
+        std::set<std::string, std::less<>> const& names);
 
     /// Takes a free slot for `exchange`; empty where there is none.
     std::optional<placement> take(common::time_point now,
@@ -98,7 +99,7 @@
         std::uint32_t slots = 0;
         bool listed = false;
         bool leaving = false;
-        bool out = false;
+        bool out_of_service = false;
         double share = 1.0;
         std::vector<std::uint64_t>
             unseen; ///< Held by requests not seen to end.
@@ -141,7 +142,7 @@
     std::array<std::optional<common::time_point>, common::partition_count>
         taken_over_{};
     std::array<std::uint32_t, common::partition_count> busy_{};
-    std::set<std::string, std::less<>> data_centres_out_;
+    std::set<std::string, std::less<>> data_centres_out_of_service_;
     bool list_seen_ = false;
     std::uint64_t next_unseen_ = 0;
     std::uint32_t free_slots_ = 0;
--- a/src/programs/ctl/command_line.cpp
+++ b/src/programs/ctl/command_line.cpp
@@ -101,7 +101,7 @@
             ->check(
                 [](std::string const& text)
                 {
-                    return core::config::is_plain_name(text)
+                    return core::config::is_valid_name(text)
                                ? std::string{}
                                : "a name has 1 to 64 lower-case letters, "
                                  "digits and hyphens";
--- a/src/programs/planner/administration.cpp
+++ b/src/programs/planner/administration.cpp
@@ -226,7 +226,7 @@
         standing.push_back(boost::json::parse(to_json(value)));
     }
     boost::json::object changed_at;
-    for (auto const& [customer, revision] : current.changed_at)
+    for (auto const& [customer, revision] : current.contract_revisions)
     {
         changed_at[customer] = revision;
     }
@@ -258,8 +258,7 @@
         }
         what.answer(json_answer({
             {"revision", current.revision},
-            {"changed_at",
-             core::config::contract_changed_at(current, customer)},
+            {"changed_at", core::config::contract_revision(current, customer)},
             {"contract", boost::json::parse(to_json(found->second))},
         }));
         return;
@@ -305,7 +304,7 @@
     auto const& current = what.view.configuration.current();
     auto names = what.view.data_centres();
     names.insert(what.view.membership.self().data_centre);
-    for (auto const& [name, revision] : current.data_centres)
+    for (auto const& [name, revision] : current.data_centre_revisions)
     {
         names.insert(name);
     }
@@ -314,8 +313,10 @@
     {
         list.push_back(boost::json::object{
             {"name", name},
-            {"state", current.data_centres_out.count(name) != 0 ? "out" : "in"},
-            {"changed_at", core::config::data_centre_changed_at(current, name)},
+            {"state",
+             current.data_centres_out_of_service.count(name) != 0 ? "out"
+                                                                  : "in"},
+            {"changed_at", core::config::data_centre_revision(current, name)},
         });
     }
     what.answer(json_answer({
@@ -345,10 +346,10 @@
     auto known = what.view.data_centres();
     known.insert(what.view.membership.self().data_centre);
     auto const& current = what.view.configuration.current();
-    bool const is_known =
-        known.count(name) != 0 || current.data_centres.count(name) != 0;
+    bool const is_known = known.count(name) != 0 ||
+                          current.data_centre_revisions.count(name) != 0;
     bool const is_new = what.target.query.count("new") != 0 &&
-                        core::config::is_plain_name(name);
+                        core::config::is_valid_name(name);
     if (!is_known && !is_new)
     {
         what.refuse(result_code::not_found,
@@ -455,15 +456,16 @@
                     "all contracts together would exceed 900 KiB");
         return;
     }
-    request.what = std::move(change);
+    request.requested_change = std::move(change);
     request.write_id = next_write_id();
-    request.seen_data_centres = what.view.data_centres();
-    request.seen_data_centres.insert(what.view.membership.self().data_centre);
+    request.observed_data_centres = what.view.data_centres();
+    request.observed_data_centres.insert(
+        what.view.membership.self().data_centre);
     request.known_revision = current.revision;
     changes_.push_back(
         {what.request,
          what.message.remote_address,
-         core::config::writer(settings_.writer, std::move(request))});
+         core::config::change_writer(settings_.writer, std::move(request))});
     changes_.back().writer.start(what.now, next_call_, what.out);
 }
 
--- a/src/programs/planner/administration.hpp
+++ b/src/programs/planner/administration.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "adapters/http/message.hpp"
+#include "core/config/change_writer.hpp"
 #include "core/config/follower.hpp"
 #include "core/config/name_set.hpp"
-#include "core/config/writer.hpp"
 #include "core/membership/member.hpp"
 #include "ports/actions.hpp"
 #include "programs/planner/administration_lists.hpp"
@@ -25,7 +25,7 @@
 
 struct administration_settings
 {
-    core::config::writer_settings writer;
+    core::config::change_writer_settings writer;
     /// How long a member's record must stand still before an operator may
     /// remove it; the membership's own `bury`.
     core::common::duration fence_after = std::chrono::seconds(3);
@@ -34,7 +34,7 @@
 /// What the planner shows to its administration.
 struct administration_view
 {
-    core::config::follower& configuration;
+    core::config::configuration_follower& configuration;
     core::membership::member const& membership;
     /// Data centres of the workers that are listed.
     std::function<core::config::name_set()> data_centres;
@@ -91,7 +91,7 @@
     {
         std::uint64_t request = 0;
         std::string from; ///< Address of the operator's machine.
-        core::config::writer writer;
+        core::config::change_writer writer;
         bool answered = false;
     };
 
--- a/src/programs/planner/administration_message.cpp
+++ b/src/programs/planner/administration_message.cpp
@@ -126,8 +126,9 @@
     return answer;
 }
 
-boost::json::value confirmed_ms_ago(core::common::time_point now,
-                                    core::config::follower const& follower)
+boost::json::value
+confirmed_ms_ago(core::common::time_point now,
+                 core::config::configuration_follower const& follower)
 {
     auto const at = follower.confirmed_at();
     if (at == core::common::time_point{})
--- a/src/programs/planner/administration_message.hpp
+++ b/src/programs/planner/administration_message.hpp
@@ -40,7 +40,8 @@
 
 /// Milliseconds since the store last confirmed the configuration; null where
 /// it never did.
-boost::json::value confirmed_ms_ago(core::common::time_point now,
-                                    core::config::follower const& follower);
+boost::json::value
+confirmed_ms_ago(core::common::time_point now,
+                 core::config::configuration_follower const& follower);
 
 } // namespace fuchsia::programs::planner
--- a/src/programs/planner/administration_outcomes.cpp
+++ b/src/programs/planner/administration_outcomes.cpp
@@ -29,7 +29,8 @@
 
     std::string operator()(core::config::set_data_centre const& set) const
     {
-        return "data centre " + set.name + (set.out ? " out" : " in");
+        return "data centre " + set.name +
+               (set.out_of_service ? " out" : " in");
     }
 };
 
@@ -65,7 +66,7 @@
             continue;
         }
         pending.answered = true;
-        auto const& what = pending.writer.request().what;
+        auto const& what = pending.writer.request().requested_change;
         auto event = event_of(result->accepted() ? "configuration_accepted"
                                                  : "configuration_not_changed",
                               std::visit(describe_change{}, what),
@@ -195,7 +196,7 @@
         {"confirmed_ms_ago", confirmed_ms_ago(now, view.configuration)},
         {"contracts", current.contracts.size()},
         {"data_centres_out",
-         core::config::to_json_array(current.data_centres_out)},
+         core::config::to_json_array(current.data_centres_out_of_service)},
         {"members", std::move(members)},
         {"claims", count_claims(partitions_.entries())},
     };
--- a/tests/contract/config/follower_test.cpp
+++ b/tests/contract/config/follower_test.cpp
@@ -9,7 +9,7 @@
 using namespace fuchsia;
 using namespace std::chrono_literals;
 using core::config::configuration;
-using core::config::follower;
+using core::config::configuration_follower;
 using core::config::index_document;
 using fault = fuchsia::tests::memory_store::fault;
 
@@ -142,7 +142,7 @@
     configuration value;
     value.revision = revision;
     value.contracts["mill"] = contract_of("mill", in_flight);
-    value.changed_at["mill"] = revision;
+    value.contract_revisions["mill"] = revision;
     return value;
 }
 
@@ -159,7 +159,7 @@
     EXPECT_EQ(current.revision, 4U);
     EXPECT_EQ(current.contracts.at("mill").requests_in_flight, 9U);
     EXPECT_EQ(current.contracts.at("shop").requests_in_flight, 3U);
-    EXPECT_EQ(current.data_centres_out.count("a"), 1U);
+    EXPECT_EQ(current.data_centres_out_of_service.count("a"), 1U);
     EXPECT_EQ(bench.subject.confirmed_at(), at(0s));
 }
 
--- a/tests/contract/config/writer_test.cpp
+++ b/tests/contract/config/writer_test.cpp
@@ -1,4 +1,4 @@
-#include "core/config/writer.hpp"
+#include "core/config/change_writer.hpp"
 
 #include "contract/config/memory_store.hpp"
 #include "core/config/follower.hpp"
@@ -12,11 +12,11 @@
 using namespace std::chrono_literals;
 using core::common::result_code;
 using core::config::change;
+using core::config::change_writer;
 using core::config::index_document;
 using core::config::put_contract;
 using core::config::set_data_centre;
 using core::config::withdraw_contract;
-using core::config::writer;
 using fault = fuchsia::tests::memory_store::fault;
 
 namespace
@@ -53,7 +53,7 @@
                std::uint64_t known = 0)
     {
         core::config::change_request request;
-        request.what = std::move(what);
+        request.requested_change = std::move(what);
         request.if_revision = if_revision;
         request.write_id = "w" + std::to_string(writers.size());
         request.known_revision = known;
@@ -155,9 +155,9 @@
     EXPECT_EQ(bench.limit_of("mill"), 9U);
     EXPECT_EQ(bench.limit_of("shop"), std::nullopt);
     EXPECT_TRUE(bench.index().contracts.at("shop").withdrawn);
-    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out);
+    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out_of_service);
     EXPECT_EQ(bench.change_to(set_data_centre{"kochi-a", false}).revision, 5U);
-    EXPECT_FALSE(bench.index().data_centres.at("kochi-a").out);
+    EXPECT_FALSE(bench.index().data_centres.at("kochi-a").out_of_service);
 }
 
 TEST(config_writer, withdrawing_what_does_not_stand_is_refused)
@@ -271,7 +271,7 @@
     EXPECT_EQ(revisions, (std::set<std::uint64_t>{1, 2, 3}));
     EXPECT_EQ(bench.limit_of("mill"), 10U);
     EXPECT_EQ(bench.limit_of("shop"), 20U);
-    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out);
+    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out_of_service);
 }
 
 struct writer_fault_case
@@ -422,7 +422,7 @@
 
     EXPECT_EQ(bench.run(same).reason.code, result_code::conflict);
     EXPECT_EQ(bench.run(other).revision, 2U);
-    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out);
+    EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out_of_service);
 }
 
 TEST(config_writer, too_many_later_changes_leave_it_unclear)
@@ -491,7 +491,7 @@
         ASSERT_TRUE(next);
         expected = *next;
     }
-    core::config::follower reader{{}};
+    core::config::configuration_follower reader{{}};
     ports::actions out;
     reader.start(bench.now, out);
     for (int round = 0; round < 10; ++round)
@@ -593,10 +593,10 @@
             {
                 return who.subject.request().write_id == history[mill.revision];
             });
-        auto const* put =
-            last == bench.writers.end()
-                ? nullptr
-                : std::get_if<put_contract>(&last->subject.request().what);
+        auto const* put = last == bench.writers.end()
+                              ? nullptr
+                              : std::get_if<put_contract>(
+                                    &last->subject.request().requested_change);
         EXPECT_EQ(limit,
                   put == nullptr ? std::nullopt
                                  : std::optional(put->value.requests_in_flight))
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -122,7 +122,7 @@
 
     tests::memory_store& store;
     administration subject;
-    core::config::follower configuration{{}};
+    core::config::configuration_follower configuration{{}};
     core::membership::member self;
     core::common::time_point now{100s};
     std::deque<ports::store_call> calls;
@@ -210,7 +210,8 @@
     auto const out =
         bench.request("PUT", "/v1/data-centres/kochi-a", R"({"state":"out"})");
     EXPECT_EQ(out.text("revision"), "1");
-    EXPECT_EQ(bench.configuration.current().data_centres_out.count("kochi-a"),
+    EXPECT_EQ(bench.configuration.current().data_centres_out_of_service.count(
+                  "kochi-a"),
               1U)
         << "in force here before anybody reads the store";
     auto const listed = bench.request("GET", "/v1/data-centres");
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -114,9 +114,9 @@
     made.contracts["c"] =
         core::contracts::parse_contract(contract_sample(), reason).value();
     made.withdrawn = {"d"};
-    made.changed_at = {{"c", 3}, {"d", 9}};
-    made.data_centres = {{"a", 0}, {"b", 4}};
-    made.data_centres_out = {"b"};
+    made.contract_revisions = {{"c", 3}, {"d", 9}};
+    made.data_centre_revisions = {{"a", 0}, {"b", 4}};
+    made.data_centres_out_of_service = {"b"};
     return to_json(made);
 }
 
--- a/tests/unit/tasks/planner_system.cpp
+++ b/tests/unit/tasks/planner_system.cpp
@@ -443,9 +443,9 @@
 void planner_system::change(core::config::change what)
 {
     core::config::change_request request;
-    request.what = std::move(what);
+    request.requested_change = std::move(what);
     request.write_id = "test." + std::to_string(++changes_);
-    core::config::writer writer({}, std::move(request));
+    core::config::change_writer writer({}, std::move(request));
     std::uint64_t number = 0;
     ports::actions out;
     writer.start(time.now(), number, out);
--- a/tests/unit/tasks/planner_system.hpp
+++ b/tests/unit/tasks/planner_system.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/config/writer.hpp"
+#include "core/config/change_writer.hpp"
 #include "core/tasks/planner_engine.hpp"
 #include "fake_workers.hpp"
 #include "unit/walks/fake_link.hpp"
--- a/tests/unit/upstreams/slot_table_test.cpp
+++ b/tests/unit/upstreams/slot_table_test.cpp
@@ -191,9 +191,9 @@
     EXPECT_FALSE(take(1s, 1));
     list(2s);
     EXPECT_TRUE(take(2s, 2));
-    table().set_data_centres_out({"kochi-a"});
+    table().set_data_centres_out_of_service({"kochi-a"});
     EXPECT_FALSE(take(2s, 3));
-    table().set_data_centres_out({});
+    table().set_data_centres_out_of_service({});
     EXPECT_EQ(table().in_use("u"), 1U) << "what runs goes on";
     table().release(partition());
     EXPECT_FALSE(take(3s, 4));
