--- a/src/adapters/http/message.cpp
+++ b/src/adapters/http/message.cpp
@@ -66,7 +66,8 @@
     answer.headers.push_back(
         {"Fuchsia-Code", std::to_string(number) + " " + std::string(row.name)});
     answer.headers.push_back(
-        {"Fuchsia-Outcome", std::string(core::common::name_of(row.says))});
+        {"Fuchsia-Outcome",
+         std::string(core::common::name_of(row.request_outcome))});
     return answer;
 }
 
--- a/src/core/common/result_code.hpp
+++ b/src/core/common/result_code.hpp
@@ -89,7 +89,7 @@
     result_code code;
     std::string_view name;
     std::uint16_t http_status;
-    outcome says;
+    outcome request_outcome;
     std::string_view meaning;
 };
 
--- a/src/core/requests/refusal.cpp
+++ b/src/core/requests/refusal.cpp
@@ -15,7 +15,7 @@
     ports::caller_answer answer;
     answer.status = row.http_status;
     answer.code = code;
-    answer.outcome = row.says;
+    answer.outcome = row.request_outcome;
     answer.headers.push_back({"Content-Type", "application/json"});
     answer.body = "{\"code\":" + std::to_string(static_cast<unsigned>(code)) +
                   ",\"name\":\"" + std::string(row.name) + "\",\"why\":\"" +
--- a/src/programs/ctl/planner_client.cpp
+++ b/src/programs/ctl/planner_client.cpp
@@ -36,7 +36,7 @@
     }
     else if (code)
     {
-        says = core::common::row_of(*code).says;
+        says = core::common::row_of(*code).request_outcome;
     }
     return says == core::common::outcome::not_run ? call_end::refused
                                                   : call_end::unknown;
--- a/tests/contract/docs/errors_page_test.cpp
+++ b/tests/contract/docs/errors_page_test.cpp
@@ -20,7 +20,7 @@
         EXPECT_EQ(on_page[1], "`" + std::string(in_code.name) + "`");
         EXPECT_EQ(on_page[2], std::to_string(in_code.http_status))
             << in_code.name;
-        EXPECT_EQ(on_page[3], core::common::name_of(in_code.says))
+        EXPECT_EQ(on_page[3], core::common::name_of(in_code.request_outcome))
             << in_code.name;
         EXPECT_EQ(on_page[4], in_code.meaning) << in_code.name;
         EXPECT_FALSE(on_page[5].empty()) << in_code.name;
