--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -63,14 +63,15 @@
 void read_contracts(toml_table table, entry_daemon_settings& out)
 {
     auto& slices = out.engine.slices;
-    slices.valid = table.duration_or("slice_valid_ms", slices.valid, 200ms, 1h);
+    slices.lifetime =
+        table.duration_or("slice_valid_ms", slices.lifetime, 200ms, 1h);
     slices.renew_interval =
         table.duration_or("slice_renew_ms", slices.renew_interval, 20ms, 10min);
-    slices.cap_permille = static_cast<std::uint32_t>(
-        table.integer_or("slice_cap_permille", slices.cap_permille, 1, 1000));
+    slices.max_share_permille = static_cast<std::uint32_t>(table.integer_or(
+        "slice_cap_permille", slices.max_share_permille, 1, 1000));
     out.engine.slice_patience = table.duration_or(
         "slice_patience_ms", out.engine.slice_patience, 0ms, 10s);
-    if (slices.renew_interval * 2 > slices.valid)
+    if (slices.renew_interval * 2 > slices.lifetime)
     {
         table.fail(result_code::inconsistent,
                    "slice_renew_ms",
--- a/src/core/contracts/slice.hpp
+++ b/src/core/contracts/slice.hpp
@@ -21,20 +21,20 @@
 struct slice_settings
 {
     /// How long a slice may be used, from when it was asked for.
-    common::duration valid = std::chrono::seconds(2);
+    common::duration lifetime = std::chrono::seconds(2);
     /// Clocks may differ in speed by this much.
     std::uint32_t drift_permille = 30;
     common::duration renew_interval = std::chrono::milliseconds(500);
     /// Least time between two requests for the same customer.
-    common::duration ask_interval = std::chrono::milliseconds(20);
+    common::duration min_request_interval = std::chrono::milliseconds(20);
     /// An unanswered request is repeated after this.
-    common::duration ask_again = std::chrono::milliseconds(150);
+    common::duration request_timeout = std::chrono::milliseconds(150);
     /// No entry holds a larger part of a contract, so that a new owner knows
     /// how much an entry that does not report may have at most. Half as much
     /// again as the even share of nine: an entry can take more than its share,
     /// and a new owner has half the contract left to lend while a whole data
     /// centre of three entries can't report.
-    std::uint32_t cap_permille = 167;
+    std::uint32_t max_share_permille = 167;
     /// How long requests of an entry that died may run on.
     common::duration max_execution = std::chrono::seconds(30);
 };
@@ -42,9 +42,9 @@
 enum class slice_verdict : std::uint8_t
 {
     admitted,
-    no_slice, ///< None in force: ask and wait a moment.
-    full,     ///< Its requests in flight are used up.
-    over_rate,
+    no_slice,                ///< None in force: ask and wait a moment.
+    in_flight_limit_reached, ///< Its requests in flight are used up.
+    rate_limit_reached,
 };
 
 /// One customer's slice at the entry that borrows it.
@@ -56,15 +56,15 @@
     slice_verdict admit(common::time_point now,
                         ports::request_class kind,
                         contract const& limits);
-    void end(ports::request_class kind) noexcept;
+    void on_request_end(ports::request_class kind) noexcept;
     /// One more request would have been admitted with a larger slice.
-    void count_unmet() noexcept;
+    void count_unmet_demand() noexcept;
 
     /// The next request for a slice where it is time for one.
-    std::optional<ports::slice_request> ask(common::time_point now,
-                                            contract const& limits);
+    std::optional<ports::slice_request> next_request(common::time_point now,
+                                                     contract const& limits);
     /// Asks again at once: the customer's owner is another one.
-    void ask_anew() noexcept;
+    void request_at_once() noexcept;
     void on_grant(common::time_point now, ports::slice_grant const& grant);
 
     /// Whether the owner gave less than was wanted just now, so that waiting
@@ -74,7 +74,7 @@
     bool is_rate_limited(common::time_point now) const noexcept;
     std::uint32_t in_flight() const noexcept;
     /// Most that may be in flight here until the next grant.
-    std::uint32_t bound(common::time_point now) const noexcept;
+    std::uint32_t in_flight_bound(common::time_point now) const noexcept;
 
 private:
     bool is_valid(common::time_point now) const noexcept;
@@ -134,10 +134,11 @@
           std::uint32_t members,
           std::uint64_t revision);
     /// The entry was buried: what it had runs out.
-    void gone(common::time_point now, ports::member_identity const& member);
+    void on_member_fenced(common::time_point now,
+                          ports::member_identity const& member);
 
     /// Most that may be in flight at all entries together.
-    std::uint32_t granted(common::time_point now) const noexcept;
+    std::uint32_t granted_in_flight(common::time_point now) const noexcept;
 
 private:
     struct share
--- a/src/core/contracts/slice_holder.cpp
+++ b/src/core/contracts/slice_holder.cpp
@@ -53,13 +53,13 @@
     if (in_flight() >= slots ||
         (batch && in_flight_[index_of(kind)] >= batch_slots))
     {
-        return slice_verdict::full;
+        return slice_verdict::in_flight_limit_reached;
     }
     refill(now);
     if (tokens_ < 1.0)
     {
         ++arrivals_;
-        return slice_verdict::over_rate;
+        return slice_verdict::rate_limit_reached;
     }
     tokens_ -= 1.0;
     ++arrivals_;
@@ -68,7 +68,7 @@
     return slice_verdict::admitted;
 }
 
-void slice_holder::end(ports::request_class kind) noexcept
+void slice_holder::on_request_end(ports::request_class kind) noexcept
 {
     if (in_flight_[index_of(kind)] > 0)
     {
@@ -76,14 +76,14 @@
     }
 }
 
-void slice_holder::count_unmet() noexcept
+void slice_holder::count_unmet_demand() noexcept
 {
     at_rest_ = false;
     ++unmet_;
 }
 
-std::optional<ports::slice_request> slice_holder::ask(common::time_point now,
-                                                      contract const& limits)
+std::optional<ports::slice_request>
+slice_holder::next_request(common::time_point now, contract const& limits)
 {
     if (!is_time(now))
     {
@@ -111,7 +111,7 @@
     {
         valid_until_ = now;
     }
-    request.in_use = bound(now);
+    request.in_use = in_flight_bound(now);
     wanted_ = request.wanted;
     wanted_rate_ = request.wanted_rate;
     waiting_ = true;
@@ -122,7 +122,7 @@
     return request;
 }
 
-void slice_holder::ask_anew() noexcept
+void slice_holder::request_at_once() noexcept
 {
     at_rest_ = false;
     waiting_ = false;
@@ -140,7 +140,7 @@
     }
     waiting_ = false;
     auto const length = std::min<std::uint64_t>(
-        grant.valid_us, static_cast<std::uint64_t>(settings_.valid.count()));
+        grant.valid_us, static_cast<std::uint64_t>(settings_.lifetime.count()));
     // A bucket that was not used for a while is full.
     bool const rested = now - refilled_ >= bucket_rest;
     refill(now);
@@ -178,7 +178,8 @@
     return in_flight_[0] + in_flight_[1];
 }
 
-std::uint32_t slice_holder::bound(common::time_point now) const noexcept
+std::uint32_t
+slice_holder::in_flight_bound(common::time_point now) const noexcept
 {
     return is_valid(now) ? std::max(slots_, in_flight()) : in_flight();
 }
@@ -201,12 +202,13 @@
     auto const since = now - *asked_;
     if (waiting_)
     {
-        return since >= settings_.ask_again;
+        return since >= settings_.request_timeout;
     }
     bool const more = unmet_ > 0 || in_flight() >= slots_;
     return since >= settings_.renew_interval ||
-           ((more || !is_valid(now)) && since >= settings_.ask_interval &&
-            !is_limited(now) && !is_rate_limited(now));
+           ((more || !is_valid(now)) &&
+            since >= settings_.min_request_interval && !is_limited(now) &&
+            !is_rate_limited(now));
 }
 
 void slice_holder::refill(common::time_point now) noexcept
--- a/src/core/contracts/slice_ledger.cpp
+++ b/src/core/contracts/slice_ledger.cpp
@@ -76,13 +76,13 @@
     own.rate = answer.rate;
     own.rate_until = now + lease();
 
-    answer.valid_us = static_cast<std::uint64_t>(settings_.valid.count());
+    answer.valid_us = static_cast<std::uint64_t>(settings_.lifetime.count());
     last_cap_ = cap;
     return answer;
 }
 
-void slice_ledger::gone(common::time_point now,
-                        ports::member_identity const& member)
+void slice_ledger::on_member_fenced(common::time_point now,
+                                    ports::member_identity const& member)
 {
     auto const found = shares_.find(member);
     if (found != shares_.end() && !found->second.ends)
@@ -93,7 +93,8 @@
     }
 }
 
-std::uint32_t slice_ledger::granted(common::time_point now) const noexcept
+std::uint32_t
+slice_ledger::granted_in_flight(common::time_point now) const noexcept
 {
     std::uint32_t sum = 0;
     for (auto const& [member, one] : shares_)
@@ -109,7 +110,7 @@
                                    std::uint32_t members) const noexcept
 {
     std::uint64_t const by_share =
-        (std::uint64_t{limit} * settings_.cap_permille + permille - 1) /
+        (std::uint64_t{limit} * settings_.max_share_permille + permille - 1) /
         permille;
     std::uint32_t const count = std::max(members, std::uint32_t{1});
     std::uint64_t const by_count = (std::uint64_t{limit} + count - 1) / count;
@@ -128,7 +129,8 @@
 
 common::duration slice_ledger::lease() const noexcept
 {
-    return settings_.valid * (permille + settings_.drift_permille) / permille;
+    return settings_.lifetime * (permille + settings_.drift_permille) /
+           permille;
 }
 
 // Where more is wanted than there is, each gets in proportion to its wish.
@@ -141,7 +143,7 @@
     std::uint64_t total = 0;
     for (auto const& [name, one] : shares_)
     {
-        bool const recent = now - one.asked < 2 * settings_.valid;
+        bool const recent = now - one.asked < 2 * settings_.lifetime;
         total += recent ? one.*member : 0;
     }
     if (total <= limit || wanted == 0)
--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -181,7 +181,7 @@
     {
         if (one.charged)
         {
-            customer->second.slice.end(one.request.kind);
+            customer->second.slice.on_request_end(one.request.kind);
         }
         if (!customer->second.parked.empty())
         {
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -26,7 +26,7 @@
                             customer_state const& customer,
                             contracts::slice_verdict verdict) const
 {
-    if (verdict == contracts::slice_verdict::over_rate)
+    if (verdict == contracts::slice_verdict::rate_limit_reached)
     {
         return customer.slice.is_rate_limited(now)
                    ? std::optional(result_code::over_contract_rate)
@@ -95,7 +95,7 @@
         return;
     }
     auto& customer = customer_of(name);
-    auto request = customer.slice.ask(now, *limits);
+    auto request = customer.slice.next_request(now, *limits);
     if (!request)
     {
         return;
@@ -122,7 +122,7 @@
     {
         if (common::partition_of(name) == partition)
         {
-            customer_of(name).slice.ask_anew();
+            customer_of(name).slice.request_at_once();
         }
     }
 }
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -24,7 +24,7 @@
             lost = true;
             for (auto& [customer, ledger] : ledgers_)
             {
-                ledger.gone(now, id);
+                ledger.on_member_fenced(now, id);
             }
         }
         bool const over =
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -214,7 +214,7 @@
         route(now, one, out);
         return;
     }
-    customer.slice.count_unmet();
+    customer.slice.count_unmet_demand();
     // Waiting is of use only where the customer's owner may lend more.
     if (auto const code = waits_in_vain(now, customer, verdict))
     {
--- a/tests/unit/contracts/slice_test.cpp
+++ b/tests/unit/contracts/slice_test.cpp
@@ -41,7 +41,7 @@
            contract const& limits,
            std::uint32_t members = 1)
 {
-    if (auto const request = holder.ask(now, limits))
+    if (auto const request = holder.next_request(now, limits))
     {
         if (auto const grant =
                 ledger.grant(now, entry(0), *request, limits, members, 1))
@@ -62,7 +62,7 @@
               slice_verdict::no_slice);
     for (int turn = 0; turn < 20; ++turn)
     {
-        holder.count_unmet();
+        holder.count_unmet_demand();
     }
     renew(at(0s), holder, ledger, limits);
     EXPECT_EQ(holder.admit(at(0s), request_class::batch, limits),
@@ -70,14 +70,14 @@
     EXPECT_EQ(holder.admit(at(0s), request_class::batch, limits),
               slice_verdict::admitted);
     EXPECT_EQ(holder.admit(at(0s), request_class::batch, limits),
-              slice_verdict::full)
+              slice_verdict::in_flight_limit_reached)
         << "batch may use half";
     EXPECT_EQ(holder.admit(at(0s), request_class::latency_critical, limits),
               slice_verdict::admitted);
     EXPECT_EQ(holder.admit(at(0s), request_class::latency_critical, limits),
               slice_verdict::admitted);
     EXPECT_EQ(holder.admit(at(0s), request_class::latency_critical, limits),
-              slice_verdict::full);
+              slice_verdict::in_flight_limit_reached);
 }
 
 // The owner can't be reached any more. The entry goes on with its slice until
@@ -87,8 +87,8 @@
     auto const limits = limits_of(4);
     slice_holder holder({});
     slice_ledger ledger({});
-    holder.count_unmet();
-    auto const request = holder.ask(at(0s), limits);
+    holder.count_unmet_demand();
+    auto const request = holder.next_request(at(0s), limits);
     ASSERT_TRUE(request);
     auto const grant = ledger.grant(at(1s), entry(0), *request, limits, 1, 1);
     holder.on_grant(at(1500ms), *grant);
@@ -106,12 +106,12 @@
     auto const limits = limits_of(4);
     slice_holder holder({});
     slice_ledger ledger({});
-    holder.count_unmet();
-    auto const first = holder.ask(at(0s), limits);
+    holder.count_unmet_demand();
+    auto const first = holder.next_request(at(0s), limits);
     auto const grant = ledger.grant(at(0s), entry(0), *first, limits, 1, 1);
-    ASSERT_TRUE(holder.ask(at(200ms), limits));
+    ASSERT_TRUE(holder.next_request(at(200ms), limits));
     holder.on_grant(at(201ms), *grant);
-    EXPECT_EQ(holder.bound(at(201ms)), 0U);
+    EXPECT_EQ(holder.in_flight_bound(at(201ms)), 0U);
 }
 
 // A noisy customer has used up its requests a second: the rest is refused, on
@@ -129,11 +129,11 @@
             slice_verdict::admitted)
         {
             ++admitted;
-            holder.end(request_class::latency_critical);
+            holder.on_request_end(request_class::latency_critical);
         }
         else
         {
-            holder.count_unmet();
+            holder.count_unmet_demand();
         }
         renew(now, holder, ledger, limits);
     }
@@ -183,7 +183,7 @@
                 for (std::size_t who = 0; who < entries; ++who)
                 {
                     others.push_back(entry(who));
-                    holders[who].ask_anew();
+                    holders[who].request_at_once();
                 }
                 ledger.take_over(now, others);
             }
@@ -196,14 +196,14 @@
                                      request_class::latency_critical,
                                      limits) != slice_verdict::admitted)
                     {
-                        holder.count_unmet();
+                        holder.count_unmet_demand();
                     }
                 }
                 if (random() % 3 == 0)
                 {
-                    holder.end(request_class::latency_critical);
+                    holder.on_request_end(request_class::latency_critical);
                 }
-                if (auto const request = holder.ask(now, limits))
+                if (auto const request = holder.next_request(now, limits))
                 {
                     asked[who] = owner;
                     for (auto copies = random() % 3; copies > 0; --copies)
