--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -39,8 +39,8 @@
         table.duration_or("max_execution_ms", engine.max_execution, 100ms, 1h);
     engine.report_slack =
         table.duration_or("report_slack_ms", engine.report_slack, 0ms, 60s);
-    engine.cold_share =
-        table.number_or("cold_share", engine.cold_share, 0.01, 1.0);
+    engine.initial_share =
+        table.number_or("cold_share", engine.initial_share, 0.01, 1.0);
     if (table.choice_or("choice", 0, {"weighted_two_choices", "round_robin"}) ==
         1)
     {
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -74,7 +74,7 @@
     case handover_stage::waiting:
         break;
     case handover_stage::emptying_slots:
-        if (slots_.idle(partition) || !patient)
+        if (slots_.is_idle(partition) || !patient)
         {
             enter(now, one, handover_stage::emptying_keys);
         }
@@ -82,7 +82,7 @@
     case handover_stage::emptying_keys:
         if (keys_.running(partition) == 0 || !patient)
         {
-            one.slots_idle = slots_.idle(partition);
+            one.slots_idle = slots_.is_idle(partition);
             enter(now, one, handover_stage::sending);
             send_keys(now, partition, one, out);
         }
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -347,7 +347,7 @@
     case request_stage::at_upstream:
         // Its slot stays taken until its end is known. A peer that forwarded
         // it watches the deadline itself and needs to know the end.
-        slots_.on_slow(now, one.sending);
+        slots_.on_caller_timeout(now, one.sending);
         if (one.is_local())
         {
             deliver(one, refusal(result_code::deadline_after_send, true), out);
--- a/src/core/requests/entry_settings.hpp
+++ b/src/core/requests/entry_settings.hpp
@@ -16,7 +16,7 @@
 {
     membership::settings membership;
     config::follower_settings configuration;
-    upstreams::settings upstreams;
+    upstreams::slot_table_settings upstreams;
     contracts::slice_settings slices;
     key_memory_settings keys;
     admission_policy admission = deadline_admission{};
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -48,7 +48,7 @@
                                  ports::actions& out)
 {
     std::uint64_t const exchange = next_id_++;
-    auto const place = slots_.take(now, exchange, one.avoid);
+    auto const place = slots_.take_slot(now, exchange, one.avoid);
     if (!place)
     {
         return false;
@@ -58,7 +58,7 @@
         count_first_try(retries_);
     }
     one.stage = request_stage::at_upstream;
-    one.avoid = place->index;
+    one.avoid = place->upstream_index;
     one.sending = exchange;
     one.sent = now;
     by_sending_.emplace(exchange, one.id);
@@ -66,7 +66,7 @@
     ++counts_.upstream_sends;
     out.emplace_back(ports::upstream_send{exchange,
                                           place->upstream,
-                                          place->where,
+                                          place->address,
                                           one.request,
                                           settings_.upstreams.max_execution});
     return true;
@@ -178,7 +178,7 @@
                                    ports::actions& out)
 {
     notice_pause(now, out);
-    slots_.on_end(now, end);
+    slots_.on_exchange_end(now, end);
     auto* one = find_sending(end.exchange);
     if (one == nullptr)
     {
--- a/src/core/upstreams/choice.cpp
+++ b/src/core/upstreams/choice.cpp
@@ -30,14 +30,14 @@
     double const share =
         (load.in_use + 1.0) / (load.limit > 0 ? load.limit : 1);
     double const latency = load.latency_us > 0 ? load.latency_us : 1.0;
-    return share * latency * (1.0 + failure_weight * load.failure);
+    return share * latency * (1.0 + failure_weight * load.failure_rate);
 }
 
-std::optional<std::size_t> choose(choice_policy& policy,
-                                  std::span<std::uint32_t const> open,
-                                  std::span<upstream_load const> loads,
-                                  std::optional<std::uint32_t> avoid,
-                                  std::mt19937_64& random) noexcept
+std::optional<std::size_t> choose_upstream(choice_policy& policy,
+                                           std::span<std::uint32_t const> open,
+                                           std::span<upstream_load const> loads,
+                                           std::optional<std::uint32_t> avoid,
+                                           std::mt19937_64& random) noexcept
 {
     if (open.empty())
     {
--- a/src/core/upstreams/choice.hpp
+++ b/src/core/upstreams/choice.hpp
@@ -18,7 +18,7 @@
     std::uint32_t in_use = 0; ///< Slots taken.
     std::uint32_t limit = 0;  ///< Slots it may have taken now, at least 1.
     double latency_us = 0;    ///< Moving average; 0: none seen.
-    double failure = 0;       ///< Moving share of failures, 0 to 1.
+    double failure_rate = 0;  ///< Moving share of failures, 0 to 1.
 };
 
 /// Draws two and takes the one that would serve sooner: share of slots in use,
@@ -42,10 +42,10 @@
 /// Position in `open` of the upstream to use; `loads` is indexed by the
 /// members of `open`. Takes `avoid` (an index of `loads`) only where there is
 /// no other. Empty where `open` is.
-std::optional<std::size_t> choose(choice_policy& policy,
-                                  std::span<std::uint32_t const> open,
-                                  std::span<upstream_load const> loads,
-                                  std::optional<std::uint32_t> avoid,
-                                  std::mt19937_64& random) noexcept;
+std::optional<std::size_t> choose_upstream(choice_policy& policy,
+                                           std::span<std::uint32_t const> open,
+                                           std::span<upstream_load const> loads,
+                                           std::optional<std::uint32_t> avoid,
+                                           std::mt19937_64& random) noexcept;
 
 } // namespace fuchsia::core::upstreams
--- a/src/core/upstreams/slot_table.cpp
+++ b/src/core/upstreams/slot_table.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-slot_table::slot_table(settings const& chosen, std::uint64_t seed)
+slot_table::slot_table(slot_table_settings const& chosen, std::uint64_t seed)
     : settings_(chosen), random_(seed), next_unseen_(first_unseen)
 {
 }
@@ -135,7 +135,7 @@
     auto& added = upstreams_[index];
     added.id = listed.id;
     added.partition = common::partition_of(listed.id);
-    added.share = list_seen_ ? settings_.cold_share : 1.0;
+    added.share = list_seen_ ? settings_.initial_share : 1.0;
     // Nobody knows its latency yet: taken for the average, not for very fast.
     loads_[index].latency_us = service_time_us_;
     index_of_.emplace(listed.id, index);
@@ -172,17 +172,19 @@
         one.out_of_service = names.contains(one.data_centre);
         if (was_out && !one.out_of_service)
         {
-            one.share = std::min(one.share, settings_.cold_share);
+            one.share = std::min(one.share, settings_.initial_share);
         }
         refresh(index);
     }
 }
 
-std::optional<placement> slot_table::take(common::time_point now,
-                                          std::uint64_t exchange,
-                                          std::optional<std::uint32_t> avoid)
+std::optional<slot_placement>
+slot_table::take_slot(common::time_point now,
+                      std::uint64_t exchange,
+                      std::optional<std::uint32_t> avoid)
 {
-    auto const at = choose(settings_.choice, open_, loads_, avoid, random_);
+    auto const at =
+        choose_upstream(settings_.choice, open_, loads_, avoid, random_);
     if (!at)
     {
         return std::nullopt;
@@ -192,14 +194,15 @@
     ++loads_[index].in_use;
     ++busy_[upstreams_[index].partition];
     refresh(index);
-    return placement{index, upstreams_[index].id, upstreams_[index].where};
+    return slot_placement{index, upstreams_[index].id, upstreams_[index].where};
 }
 
 // A request that waited long in our queue has little time left when it is sent.
 // If its deadline counted against the upstream, a full queue would shrink the
 // upstreams' shares, which makes the queue longer yet: an entry with plenty of
 // idle slots would stay overloaded for good.
-void slot_table::on_slow(common::time_point now, std::uint64_t exchange)
+void slot_table::on_caller_timeout(common::time_point now,
+                                   std::uint64_t exchange)
 {
     auto const found = holds_.find(exchange);
     if (found == holds_.end() || found->second.slow)
@@ -216,7 +219,8 @@
     refresh(found->second.index);
 }
 
-void slot_table::on_end(common::time_point now, ports::upstream_end const& end)
+void slot_table::on_exchange_end(common::time_point now,
+                                 ports::upstream_end const& end)
 {
     auto const found = holds_.find(end.exchange);
     if (found == holds_.end())
@@ -240,7 +244,7 @@
         // The connection stands and the request may lie unread in it: a frozen
         // upstream reports an idle slot and begins the request when it wakes.
         // Only the other end, which follows, frees the slot.
-        on_slow(now, end.exchange);
+        on_caller_timeout(now, end.exchange);
         break;
     case lost:
     case too_large:
@@ -277,7 +281,7 @@
     return common::duration(static_cast<std::int64_t>(service_time_us_));
 }
 
-bool slot_table::idle(std::uint32_t partition) const noexcept
+bool slot_table::is_idle(std::uint32_t partition) const noexcept
 {
     return busy_[partition] == 0;
 }
@@ -362,7 +366,7 @@
         return;
     }
     auto& load = loads_[index];
-    load.failure -= sample_weight * load.failure;
+    load.failure_rate -= sample_weight * load.failure_rate;
     upstreams_[index].share =
         std::min(1.0, upstreams_[index].share + success_step);
 }
@@ -370,7 +374,7 @@
 void slot_table::shrink(std::uint32_t index)
 {
     auto& load = loads_[index];
-    load.failure += sample_weight * (1.0 - load.failure);
+    load.failure_rate += sample_weight * (1.0 - load.failure_rate);
     upstreams_[index].share *= failure_factor;
 }
 
--- a/src/core/upstreams/slot_table.hpp
+++ b/src/core/upstreams/slot_table.hpp
@@ -19,7 +19,7 @@
 namespace fuchsia::core::upstreams
 {
 
-struct settings
+struct slot_table_settings
 {
     /// No upstream runs a request longer than this after it was sent. The
     /// promise that no upstream is overfilled rests on it wherever the end of
@@ -30,16 +30,17 @@
     common::duration report_slack = std::chrono::milliseconds(500);
     std::size_t max_upstreams = 8192;
     /// Share of its slots that an upstream gets when it joins.
-    double cold_share = 0.25;
+    double initial_share = 0.25;
     choice_policy choice = weighted_two_choices{};
 };
 
 /// Where one exchange was placed.
-struct placement
+struct slot_placement
 {
-    std::uint32_t index = 0; ///< Names the upstream in `take`'s `avoid`.
+    std::uint32_t upstream_index =
+        0; ///< Names the upstream in `take`'s `avoid`.
     std::string upstream;
-    ports::endpoint where;
+    ports::endpoint address;
 };
 
 /// The slots of all upstreams whose partitions this entry owns.
@@ -55,7 +56,7 @@
 class slot_table
 {
 public:
-    slot_table(settings const& chosen, std::uint64_t seed);
+    slot_table(slot_table_settings const& chosen, std::uint64_t seed);
 
     /// The partition is ours from now on. Unless `idle` its predecessor may
     /// have filled every slot just before.
@@ -68,13 +69,14 @@
         std::set<std::string, std::less<>> const& names);
 
     /// Takes a free slot for `exchange`; empty where there is none.
-    std::optional<placement> take(common::time_point now,
-                                  std::uint64_t exchange,
-                                  std::optional<std::uint32_t> avoid);
+    std::optional<slot_placement> take_slot(common::time_point now,
+                                            std::uint64_t exchange,
+                                            std::optional<std::uint32_t> avoid);
     /// The caller gave up on the exchange: counts against its upstream where
     /// it had far more time than requests usually take.
-    void on_slow(common::time_point now, std::uint64_t exchange);
-    void on_end(common::time_point now, ports::upstream_end const& end);
+    void on_caller_timeout(common::time_point now, std::uint64_t exchange);
+    void on_exchange_end(common::time_point now,
+                         ports::upstream_end const& end);
     /// Frees slots whose bound has passed.
     void tick(common::time_point now);
 
@@ -84,7 +86,7 @@
     /// Moving average over all upstreams; 0 where nothing has been seen.
     common::duration service_time() const noexcept;
     /// Whether no slot of the partition's upstreams is taken.
-    bool idle(std::uint32_t partition) const noexcept;
+    bool is_idle(std::uint32_t partition) const noexcept;
     /// Slots taken on one upstream, those of unseen ends included.
     std::uint32_t in_use(std::string const& upstream) const noexcept;
     std::size_t size() const noexcept;
@@ -130,7 +132,7 @@
     void set_open(std::uint32_t index, bool open);
     bool usable(upstream const& one) const noexcept;
 
-    settings settings_;
+    slot_table_settings settings_;
     std::mt19937_64 random_;
     std::vector<upstream> upstreams_;
     std::vector<upstream_load> loads_; ///< Beside `upstreams_`.
--- a/tests/unit/upstreams/slot_table_test.cpp
+++ b/tests/unit/upstreams/slot_table_test.cpp
@@ -32,7 +32,7 @@
 protected:
     slot_table_test()
     {
-        settings chosen;
+        slot_table_settings chosen;
         chosen.max_execution = 10s;
         chosen.report_slack = 0ms;
         table_ = std::make_unique<slot_table>(chosen, 1);
@@ -61,7 +61,7 @@
 
     bool take(core::common::duration when, std::uint64_t exchange)
     {
-        return table().take(at(when), exchange, std::nullopt).has_value();
+        return table().take_slot(at(when), exchange, std::nullopt).has_value();
     }
 
     void end(core::common::duration when,
@@ -72,7 +72,7 @@
         ended.exchange = exchange;
         ended.status = status;
         ended.http_status = 200;
-        table().on_end(at(when), ended);
+        table().on_exchange_end(at(when), ended);
     }
 
 private:
@@ -170,7 +170,7 @@
 // of it only after the takeover does not mean that nothing runs there.
 TEST_F(slot_table_test, upstream_learned_of_after_a_takeover_is_closed_too)
 {
-    settings chosen;
+    slot_table_settings chosen;
     chosen.max_execution = 10s;
     slot_table fresh(chosen, 1);
     fresh.acquire(at(1s), partition(), false);
@@ -245,9 +245,9 @@
     {
         for (int turn = 0; turn < 50; ++turn)
         {
-            EXPECT_EQ(*choose(policy, both, loads, 1, random), 0U);
+            EXPECT_EQ(*choose_upstream(policy, both, loads, 1, random), 0U);
         }
-        EXPECT_EQ(*choose(policy, one, loads, 1, random), 0U);
-        EXPECT_FALSE(choose(policy, {}, loads, 1, random));
+        EXPECT_EQ(*choose_upstream(policy, one, loads, 1, random), 0U);
+        EXPECT_FALSE(choose_upstream(policy, {}, loads, 1, random));
     }
 }
