--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -69,8 +69,8 @@
         table.duration_or("slice_renew_ms", slices.renew_interval, 20ms, 10min);
     slices.max_share_permille = static_cast<std::uint32_t>(table.integer_or(
         "slice_cap_permille", slices.max_share_permille, 1, 1000));
-    out.engine.slice_patience = table.duration_or(
-        "slice_patience_ms", out.engine.slice_patience, 0ms, 10s);
+    out.engine.slice_timeout = table.duration_or(
+        "slice_patience_ms", out.engine.slice_timeout, 0ms, 10s);
     if (slices.renew_interval * 2 > slices.lifetime)
     {
         table.fail(result_code::inconsistent,
@@ -89,9 +89,9 @@
         "max_keys", static_cast<std::int64_t>(keys.max_keys), 1, 10'000'000));
     keys.max_bytes = static_cast<std::size_t>(
         table.integer_or("max_mb", 64, 1, 4096) * megabyte);
-    out.engine.sending_bound = table.duration_or(
-        "sending_bound_ms", out.engine.sending_bound, 100ms, 10min);
-    if (out.engine.sending_bound > keys.keep)
+    out.engine.max_delivery_time = table.duration_or(
+        "sending_bound_ms", out.engine.max_delivery_time, 100ms, 10min);
+    if (out.engine.max_delivery_time > keys.keep)
     {
         table.fail(result_code::inconsistent,
                    "keep_ms",
@@ -118,7 +118,7 @@
     }
     engine.max_queued = static_cast<std::size_t>(
         table.integer_or("max_queued", 2'000, 1, 1'000'000));
-    engine.max_open = static_cast<std::size_t>(
+    engine.max_open_requests = static_cast<std::size_t>(
         table.integer_or("max_open", 20'000, 1, 1'000'000));
     engine.max_open_bytes = static_cast<std::size_t>(
         table.integer_or("max_open_mb", 64, 1, 4096) * megabyte);
@@ -151,10 +151,10 @@
     auto& engine = out.engine;
     engine.balancer_lag =
         table.duration_or("balancer_lag_ms", engine.balancer_lag, 0ms, 10min);
-    engine.handover_patience = table.duration_or(
-        "handover_patience_ms", engine.handover_patience, 10ms, 10min);
-    engine.stop_patience =
-        table.duration_or("stop_patience_ms", engine.stop_patience, 1s, 1h);
+    engine.handover_stage_timeout = table.duration_or(
+        "handover_patience_ms", engine.handover_stage_timeout, 10ms, 10min);
+    engine.stop_timeout =
+        table.duration_or("stop_patience_ms", engine.stop_timeout, 1s, 1h);
     table.reject_unknown_keys();
 }
 
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -33,7 +33,7 @@
                    : std::nullopt;
     }
     bool const in_vain = customer.slice.is_limited(now) ||
-                         customer.parked.size() >= settings_.max_parked;
+                         customer.parked.size() >= settings_.max_awaiting_slice;
     return in_vain ? std::optional(result_code::over_contract_in_flight)
                    : std::nullopt;
 }
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -68,7 +68,8 @@
                                   handover& one,
                                   ports::actions& out)
 {
-    bool const patient = now - one.stage_began < settings_.handover_patience;
+    bool const patient =
+        now - one.stage_began < settings_.handover_stage_timeout;
     switch (one.stage)
     {
     case handover_stage::waiting:
@@ -93,7 +94,7 @@
             enter(now, one, handover_stage::releasing);
             claims_.release(now, partition_name(partition), out);
         }
-        else if (now - one.last_sent >= settings_.handover_retry)
+        else if (now - one.last_sent >= settings_.handover_retry_interval)
         {
             send_keys(now, partition, one, out);
         }
--- a/src/core/requests/entry_life.cpp
+++ b/src/core/requests/entry_life.cpp
@@ -48,8 +48,8 @@
 
 void entry_engine::drive_life(common::time_point now, ports::actions& out)
 {
-    bool const waited_long = now - stop_announced_ >
-                             settings_.balancer_lag + settings_.stop_patience;
+    bool const waited_long =
+        now - stop_announced_ > settings_.balancer_lag + settings_.stop_timeout;
     switch (life_.phase())
     {
     case entry_phase::joining:
@@ -73,7 +73,8 @@
             busy_at_ = now;
         }
         if (unanswered_ == 0 &&
-            (now - busy_at_ >= settings_.leave_lag || waited_long))
+            (now - busy_at_ >= settings_.release_propagation_time ||
+             waited_long))
         {
             life_.on(entry_event::finished);
             members_.remove(now, out);
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -90,7 +90,7 @@
 {
     auto const found = heard_.find(id);
     return found == heard_.end() ||
-           now - found->second > settings_.silence_limit;
+           now - found->second > settings_.peer_silence_timeout;
 }
 
 // A member whose proof stands but whose configuration is known to be old could
@@ -98,8 +98,10 @@
 bool entry_engine::may_send(common::time_point now) const noexcept
 {
     bool const behind =
-        behind_since_ && now - *behind_since_ > settings_.config_grace;
-    bool const seen = now - configuration_seen_ <= settings_.config_limit;
+        behind_since_ &&
+        now - *behind_since_ > settings_.newer_configuration_grace;
+    bool const seen =
+        now - configuration_seen_ <= settings_.max_configuration_age;
     return !retired_ && !behind && seen && members_.may_act(now);
 }
 
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -219,7 +219,7 @@
         refuse_now(result_code::no_proof);
         return;
     }
-    if (requests_.size() >= settings_.max_open ||
+    if (requests_.size() >= settings_.max_open_requests ||
         open_bytes_ + message.request.body.size() > settings_.max_open_bytes)
     {
         refuse_now(result_code::queue_full);
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -77,7 +77,7 @@
     {
         return result_code::no_proof;
     }
-    if (requests_.size() >= settings_.max_open ||
+    if (requests_.size() >= settings_.max_open_requests ||
         open_bytes_ + request.body.size() > settings_.max_open_bytes)
     {
         return result_code::queue_full;
@@ -127,7 +127,7 @@
     // A pause shorter than the limit is not noticed, so it counts as delay.
     auto const began = std::max(owners_.of(one.partition).learned, woke_);
     auto const late =
-        settings_.sending_bound + settings_.membership.pause_limit;
+        settings_.max_delivery_time + settings_.membership.pause_limit;
     return one.request.attempt == 1 && one.received - began >= late;
 }
 
@@ -223,7 +223,7 @@
     }
     one.stage = request_stage::parked;
     customer.parked.push_back(one.id);
-    set_timer(one, std::min(one.expires, now + settings_.slice_patience));
+    set_timer(one, std::min(one.expires, now + settings_.slice_timeout));
     ask_for_slice(now, one.request.customer, out);
 }
 
@@ -268,11 +268,12 @@
 {
     if (!one.seek_until)
     {
-        one.seek_until = std::min(one.expires, now + settings_.seek_patience);
+        one.seek_until =
+            std::min(one.expires, now + settings_.owner_change_timeout);
     }
     auto& waiting = seeking_[one.partition];
     bool const in_vain = !one.is_local() || now >= *one.seek_until ||
-                         waiting.size() >= settings_.max_seeking;
+                         waiting.size() >= settings_.max_awaiting_owner;
     if (in_vain)
     {
         refuse(now, one, result_code::owner_unreachable, out);
--- a/src/core/requests/entry_settings.hpp
+++ b/src/core/requests/entry_settings.hpp
@@ -22,30 +22,31 @@
     admission_policy admission = deadline_admission{};
     retry_policy retries = retry_budget{};
 
-    std::size_t max_open = 20'000;           ///< Requests known at once.
+    std::size_t max_open_requests = 20'000;  ///< Requests known at once.
     std::size_t max_open_bytes = 64U << 20U; ///< Their bodies.
     std::size_t max_queued = 2'000;
-    std::size_t max_parked = 64; ///< Of one customer, waiting for a slice.
+    std::size_t max_awaiting_slice =
+        64; ///< Of one customer, waiting for a slice.
 
     /// A sending reaches an entry within this time of being sent, or never.
     /// The promise that a key runs once across a takeover rests on it.
-    common::duration sending_bound = std::chrono::seconds(5);
+    common::duration max_delivery_time = std::chrono::seconds(5);
     /// How long a request waits for the first slice of its customer.
-    common::duration slice_patience = std::chrono::milliseconds(150);
+    common::duration slice_timeout = std::chrono::milliseconds(150);
     /// How long a request waits for its key's partition to change hands, and
     /// how many may.
-    common::duration seek_patience = std::chrono::seconds(1);
-    std::size_t max_seeking = 1'000;
+    common::duration owner_change_timeout = std::chrono::seconds(1);
+    std::size_t max_awaiting_owner = 1'000;
     /// A peer that was not heard from for this long gets no forwarded key.
-    common::duration silence_limit = std::chrono::milliseconds(1500);
+    common::duration peer_silence_timeout = std::chrono::milliseconds(1500);
     /// A forwarded request's deadline is earlier by this, for the way back.
     common::duration hop_margin = std::chrono::milliseconds(2);
     /// How long a peer may tell of a newer configuration, which we can't get,
     /// before new work stops.
-    common::duration config_grace = std::chrono::seconds(2);
+    common::duration newer_configuration_grace = std::chrono::seconds(2);
     /// How long ago the store, or witnesses in its place, must have shown that
     /// our configuration is the newest.
-    common::duration config_limit = std::chrono::seconds(5);
+    common::duration max_configuration_age = std::chrono::seconds(5);
     common::duration load_interval = std::chrono::milliseconds(500);
     /// Peers that hear of our load in one interval. All of them would make a
     /// node's bytes grow with the members: 19 KB/s at 33.
@@ -56,15 +57,15 @@
     /// How long a balancer may go on sending after /readyz turned to 503.
     common::duration balancer_lag = std::chrono::seconds(5);
     /// How long a handover waits for each of: slots, keys, acknowledgement.
-    common::duration handover_patience = std::chrono::seconds(5);
-    common::duration handover_retry = std::chrono::milliseconds(300);
+    common::duration handover_stage_timeout = std::chrono::seconds(5);
+    common::duration handover_retry_interval = std::chrono::milliseconds(300);
     std::size_t max_handovers = 8; ///< At once.
     /// Others learn within this time that a partition was given up. A member
     /// that leaves goes on refusing what they still forward to it.
-    common::duration leave_lag = std::chrono::seconds(1);
+    common::duration release_propagation_time = std::chrono::seconds(1);
     /// With nothing left to answer, a stop waits no longer than this for the
     /// store; the others then bury what is left of this member.
-    common::duration stop_patience = std::chrono::seconds(30);
+    common::duration stop_timeout = std::chrono::seconds(30);
 };
 
 } // namespace fuchsia::core::requests
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_world.cpp
@@ -56,9 +56,9 @@
     settings.upstreams.max_execution = 3s;
     settings.upstreams.report_slack = 0ms;
     settings.keys.keep = 30s;
-    settings.sending_bound = 2s;
+    settings.max_delivery_time = 2s;
     settings.balancer_lag = 500ms;
-    settings.handover_patience = 4s;
+    settings.handover_stage_timeout = 4s;
     return settings;
 }
 
