--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -130,11 +130,11 @@
     requests::retry_budget budget;
     budget.share_permille = static_cast<std::uint32_t>(
         table.integer_or("share_permille", budget.share_permille, 0, 1000));
-    budget.most_saved = static_cast<std::uint32_t>(
-        table.integer_or("most_saved", budget.most_saved, 0, 10'000));
+    budget.max_saved = static_cast<std::uint32_t>(
+        table.integer_or("most_saved", budget.max_saved, 0, 10'000));
     requests::fixed_retries fixed;
-    fixed.most =
-        static_cast<std::uint32_t>(table.integer_or("fixed", fixed.most, 0, 3));
+    fixed.max_retries = static_cast<std::uint32_t>(
+        table.integer_or("fixed", fixed.max_retries, 0, 3));
     if (table.choice_or("policy", 0, {"budget", "fixed"}) == 0)
     {
         out.engine.retries = budget;
--- a/src/core/requests/admission.hpp
+++ b/src/core/requests/admission.hpp
@@ -11,12 +11,13 @@
 {
 
 /// What admission goes by when no slot is free.
-struct queue_view
+struct queue_state
 {
-    std::size_t ahead = 0;   ///< Requests that would be served before it.
-    std::size_t waiting = 0; ///< All that wait.
-    std::uint32_t slots = 0; ///< Slots that serve the queue.
-    common::duration service_time{}; ///< Average seen; 0: none yet.
+    std::size_t requests_ahead =
+        0; ///< Requests that would be served before it.
+    std::size_t requests_waiting = 0; ///< All that wait.
+    std::uint32_t slots = 0;          ///< Slots that serve the queue.
+    common::duration service_time{};  ///< Average seen; 0: none yet.
 };
 
 /// Refuses what would not be answered before its deadline. Waiting in vain
@@ -24,25 +25,26 @@
 struct deadline_admission
 {
     /// The prediction is taken times this, in thousandths.
-    std::uint32_t caution_permille = 1000;
+    std::uint32_t safety_factor_permille = 1000;
 };
 
 /// The plain baseline: a fixed number may wait, whatever their deadlines.
 struct fixed_bound_admission
 {
-    std::size_t bound = 100;
+    std::size_t max_waiting = 100;
 };
 
 using admission_policy =
     std::variant<deadline_admission, fixed_bound_admission>;
 
 /// Time until a newcomer gets a slot.
-common::duration predicted_wait(queue_view const& view) noexcept;
+common::duration predicted_wait(queue_state const& view) noexcept;
 
 /// Why a request with `left` until its deadline may not join the queue; empty
 /// where it may.
-std::optional<common::result_code> refuse(admission_policy const& policy,
-                                          queue_view const& view,
-                                          common::duration left) noexcept;
+std::optional<common::result_code>
+admission_refusal(admission_policy const& policy,
+                  queue_state const& view,
+                  common::duration left) noexcept;
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -52,7 +52,7 @@
 
 ports::caller_answer entry_engine::refusal(result_code code, bool unheard)
 {
-    common::duration wait = usual_wait(code);
+    common::duration wait = default_retry_after(code);
     if (code == result_code::deadline_unreachable ||
         code == result_code::no_free_slot || code == result_code::queue_full)
     {
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -55,7 +55,7 @@
     }
     if (one.tries++ == 0)
     {
-        count_first_try(retries_);
+        count_first_attempt(retries_);
     }
     one.stage = request_stage::at_upstream;
     one.avoid = place->upstream_index;
@@ -76,12 +76,12 @@
                            open_request& one,
                            ports::actions& out)
 {
-    queue_view const view{queue_.ahead_of(one.request.kind),
-                          queue_.size(),
-                          slots_.usable_slots(),
-                          slots_.service_time()};
-    if (auto const code =
-            requests::refuse(settings_.admission, view, one.expires - now))
+    queue_state const view{queue_.ahead_of(one.request.kind),
+                           queue_.size(),
+                           slots_.usable_slots(),
+                           slots_.service_time()};
+    if (auto const code = requests::admission_refusal(
+            settings_.admission, view, one.expires - now))
     {
         refuse(now, one, *code, out);
         return;
@@ -135,8 +135,9 @@
 std::optional<common::result_code>
 entry_engine::too_late(common::time_point now, open_request const& one) const
 {
-    queue_view const next{0, 0, slots_.usable_slots(), slots_.service_time()};
-    return requests::refuse(settings_.admission, next, one.expires - now);
+    queue_state const next{0, 0, slots_.usable_slots(), slots_.service_time()};
+    return requests::admission_refusal(
+        settings_.admission, next, one.expires - now);
 }
 
 bool entry_engine::retry(common::time_point now,
--- a/src/core/requests/fair_queue.cpp
+++ b/src/core/requests/fair_queue.cpp
@@ -36,7 +36,7 @@
     {
         return pop_from(urgent.size == 0 ? batch : urgent);
     }
-    turn_ = (turn_ + 1) % batch_turn;
+    turn_ = (turn_ + 1) % batch_turn_interval;
     return pop_from(turn_ == 0 ? batch : urgent);
 }
 
@@ -68,8 +68,8 @@
     std::size_t const urgent = classes_[0].size;
     std::size_t const batch = classes_[1].size;
     return kind == ports::request_class::latency_critical
-               ? urgent + std::min(batch, urgent / batch_turn)
-               : batch + std::min(urgent, batch * batch_turn);
+               ? urgent + std::min(batch, urgent / batch_turn_interval)
+               : batch + std::min(urgent, batch * batch_turn_interval);
 }
 
 fair_queue::class_line& fair_queue::line_of(ports::request_class kind) noexcept
--- a/src/core/requests/fair_queue.hpp
+++ b/src/core/requests/fair_queue.hpp
@@ -30,7 +30,7 @@
 {
 public:
     /// While both classes wait, every so many-th turn is the batch's.
-    static constexpr std::uint32_t batch_turn = 8;
+    static constexpr std::uint32_t batch_turn_interval = 8;
 
     explicit fair_queue(std::size_t bound);
 
--- a/src/core/requests/refusal.cpp
+++ b/src/core/requests/refusal.cpp
@@ -29,7 +29,7 @@
     return answer;
 }
 
-common::duration usual_wait(common::result_code code) noexcept
+common::duration default_retry_after(common::result_code code) noexcept
 {
     using enum common::result_code;
     switch (code)
--- a/src/core/requests/refusal.hpp
+++ b/src/core/requests/refusal.hpp
@@ -18,6 +18,6 @@
                                   std::mt19937_64& random);
 
 /// How long a refusal of this kind usually lasts.
-common::duration usual_wait(common::result_code code) noexcept;
+common::duration default_retry_after(common::result_code code) noexcept;
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/retry_budget.cpp
+++ b/src/core/requests/retry_budget.cpp
@@ -26,25 +26,25 @@
 
     bool operator()(fixed_retries const& fixed) const noexcept
     {
-        return tries <= fixed.most;
+        return tries <= fixed.max_retries;
     }
 };
 
 } // namespace
 
-void count_first_try(retry_policy& policy) noexcept
+void count_first_attempt(retry_policy& policy) noexcept
 {
     if (auto* budget = std::get_if<retry_budget>(&policy))
     {
         budget->saved_permille =
             std::min(budget->saved_permille + budget->share_permille,
-                     budget->most_saved * one_retry);
+                     budget->max_saved * one_retry);
     }
 }
 
 bool take_retry(retry_policy& policy, std::uint32_t tries) noexcept
 {
-    return tries < max_tries && std::visit(taker{tries}, policy);
+    return tries < max_attempts && std::visit(taker{tries}, policy);
 }
 
 } // namespace fuchsia::core::requests
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -231,15 +231,16 @@
     };
     for (auto const& row : rows)
     {
-        EXPECT_EQ(refuse(deadline_admission{},
-                         {row.ahead, row.ahead, row.slots, 100ms},
-                         row.left),
+        EXPECT_EQ(admission_refusal(deadline_admission{},
+                                    {row.ahead, row.ahead, row.slots, 100ms},
+                                    row.left),
                   row.refused)
             << row.ahead;
     }
-    EXPECT_EQ(refuse(fixed_bound_admission{5}, {5, 5, 1, 100ms}, 1s),
+    EXPECT_EQ(admission_refusal(fixed_bound_admission{5}, {5, 5, 1, 100ms}, 1s),
               result_code::queue_full);
-    EXPECT_FALSE(refuse(fixed_bound_admission{5}, {4, 4, 1, 100ms}, 1ms));
+    EXPECT_FALSE(
+        admission_refusal(fixed_bound_admission{5}, {4, 4, 1, 100ms}, 1ms));
 }
 
 // All upstreams fail. A fixed number of retries multiplies the load, the
@@ -253,7 +254,7 @@
     constexpr std::uint32_t requests = 10'000;
     for (std::uint32_t number = 0; number < requests; ++number)
     {
-        count_first_try(budget);
+        count_first_attempt(budget);
         for (std::uint32_t tries = 1; take_retry(budget, tries); ++tries)
         {
             ++by_budget;
