--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -4,12 +4,12 @@
 #include "core/config/follower.hpp"
 #include "core/contracts/slice.hpp"
 #include "core/membership/member.hpp"
+#include "core/requests/entry_lifecycle.hpp"
 #include "core/requests/entry_settings.hpp"
 #include "core/requests/fair_queue.hpp"
 #include "core/requests/handover.hpp"
 #include "core/requests/key_memory.hpp"
 #include "core/requests/key_owners.hpp"
-#include "core/requests/life_cycle.hpp"
 #include "core/requests/load_board.hpp"
 #include "core/requests/open_request.hpp"
 #include "core/requests/replay_guard.hpp"
@@ -360,7 +360,7 @@
     key_owners owners_;
     load_board loads_;
     import_book imports_;
-    life_cycle life_;
+    entry_lifecycle life_;
 
     request_table requests_;
     std::unordered_map<std::uint64_t, std::uint64_t> by_caller_;
--- a/src/core/requests/life_cycle.cpp
+++ b/src/core/requests/entry_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "core/requests/life_cycle.hpp"
+#include "core/requests/entry_lifecycle.hpp"
 
 #include <array>
 #include <boost/msm/back/state_machine.hpp>
@@ -74,7 +74,7 @@
 
 } // namespace
 
-struct life_cycle::machine
+struct entry_lifecycle::machine
 {
     boost::msm::back::state_machine<definition> states;
 };
@@ -86,22 +86,23 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-life_cycle::life_cycle() : machine_(std::make_unique<machine>())
+entry_lifecycle::entry_lifecycle() : machine_(std::make_unique<machine>())
 {
     machine_->states.start();
 }
 
-life_cycle::life_cycle(life_cycle&&) noexcept = default;
-life_cycle& life_cycle::operator=(life_cycle&&) noexcept = default;
-life_cycle::~life_cycle() = default;
+entry_lifecycle::entry_lifecycle(entry_lifecycle&&) noexcept = default;
+entry_lifecycle&
+entry_lifecycle::operator=(entry_lifecycle&&) noexcept = default;
+entry_lifecycle::~entry_lifecycle() = default;
 
-entry_phase life_cycle::phase() const noexcept
+entry_phase entry_lifecycle::phase() const noexcept
 {
     // States are numbered in the order of the transition table's rows.
     return static_cast<entry_phase>(machine_->states.current_state()[0]);
 }
 
-bool life_cycle::on(entry_event event)
+bool entry_lifecycle::handle(entry_event event)
 {
     entry_phase const before = phase();
     switch (event)
@@ -109,13 +110,13 @@
     case entry_event::joined:
         machine_->states.process_event(on_joined{});
         break;
-    case entry_event::stop_asked:
+    case entry_event::stop_requested:
         machine_->states.process_event(on_stop{});
         break;
-    case entry_event::balancer_passed:
+    case entry_event::balancer_lag_elapsed:
         machine_->states.process_event(on_balancer{});
         break;
-    case entry_event::finished:
+    case entry_event::drained:
         machine_->states.process_event(on_finished{});
         break;
     case entry_event::removed:
--- a/src/core/requests/entry_life.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -7,7 +7,7 @@
 void entry_engine::begin_stop(common::time_point now, ports::actions& out)
 {
     notice_pause(now, out);
-    if (!life_.on(entry_event::stop_asked))
+    if (!life_.handle(entry_event::stop_requested))
     {
         return;
     }
@@ -55,19 +55,19 @@
     case entry_phase::joining:
         if (may_send(now) && claims_.is_loaded())
         {
-            life_.on(entry_event::joined);
+            life_.handle(entry_event::joined);
             log(out, ports::severity::info, "serving", {});
         }
         break;
-    case entry_phase::announced:
+    case entry_phase::stop_announced:
         if (now - stop_announced_ >= settings_.balancer_lag)
         {
-            life_.on(entry_event::balancer_passed);
+            life_.handle(entry_event::balancer_lag_elapsed);
             members_.begin_leaving(now, out);
             claims_.begin_leaving();
         }
         break;
-    case entry_phase::finishing:
+    case entry_phase::draining:
         if (unanswered_ > 0 || claims_.held_count(members_) > 0)
         {
             busy_at_ = now;
@@ -76,14 +76,14 @@
             (now - busy_at_ >= settings_.release_propagation_time ||
              waited_long))
         {
-            life_.on(entry_event::finished);
+            life_.handle(entry_event::drained);
             members_.remove(now, out);
         }
         break;
     case entry_phase::leaving:
         if (members_.is_removed() || waited_long)
         {
-            life_.on(entry_event::removed);
+            life_.handle(entry_event::removed);
             out.emplace_back(ports::stop_complete{});
         }
         break;
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -68,7 +68,7 @@
                              ports::caller_request const& request) const
 {
     bool const serving = life_.phase() == entry_phase::serving ||
-                         life_.phase() == entry_phase::announced;
+                         life_.phase() == entry_phase::stop_announced;
     if (!serving && life_.phase() != entry_phase::joining)
     {
         return result_code::draining;
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -1,8 +1,8 @@
 #include "core/requests/admission.hpp"
+#include "core/requests/entry_lifecycle.hpp"
 #include "core/requests/fair_queue.hpp"
 #include "core/requests/handover.hpp"
 #include "core/requests/key_memory.hpp"
-#include "core/requests/life_cycle.hpp"
 #include "core/requests/refusal.hpp"
 #include "core/requests/replay_guard.hpp"
 #include "core/requests/retry_budget.hpp"
@@ -285,25 +285,25 @@
 
 TEST(life_cycle, goes_through_its_phases_in_order_only)
 {
-    life_cycle life;
+    entry_lifecycle life;
     using enum entry_event;
-    EXPECT_FALSE(life.on(balancer_passed));
+    EXPECT_FALSE(life.handle(balancer_lag_elapsed));
     std::vector<std::pair<entry_event, entry_phase>> const steps{
         {joined, entry_phase::serving},
-        {stop_asked, entry_phase::announced},
-        {balancer_passed, entry_phase::finishing},
-        {finished, entry_phase::leaving},
+        {stop_requested, entry_phase::stop_announced},
+        {balancer_lag_elapsed, entry_phase::draining},
+        {drained, entry_phase::leaving},
         {removed, entry_phase::stopped}};
     EXPECT_EQ(life.phase(), entry_phase::joining);
     for (auto const& [event, phase] : steps)
     {
-        EXPECT_TRUE(life.on(event));
+        EXPECT_TRUE(life.handle(event));
         EXPECT_EQ(life.phase(), phase) << name_of(phase);
-        EXPECT_FALSE(life.on(event));
+        EXPECT_FALSE(life.handle(event));
     }
-    life_cycle early;
-    EXPECT_TRUE(early.on(stop_asked));
-    EXPECT_EQ(early.phase(), entry_phase::finishing);
+    entry_lifecycle early;
+    EXPECT_TRUE(early.handle(stop_requested));
+    EXPECT_EQ(early.phase(), entry_phase::draining);
 }
 
 // A thousand callers are refused in one moment. Told the same time, they would
