--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -31,7 +31,7 @@
       claims_("entry", partition_names()), follower_(settings_.configuration),
       slots_(settings_.upstreams, seed ^ 2U), keys_(settings_.keys),
       queue_(settings_.max_queued), retries_(settings_.retries),
-      loads_(settings_.load_lifetime), imports_(settings_.keys.max_keys),
+      peer_loads_(settings_.load_lifetime), imports_(settings_.keys.max_keys),
       next_id_(first_id(self.id))
 {
 }
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -10,8 +10,8 @@
 #include "core/requests/handover.hpp"
 #include "core/requests/key_memory.hpp"
 #include "core/requests/key_owners.hpp"
-#include "core/requests/load_board.hpp"
 #include "core/requests/open_request.hpp"
+#include "core/requests/peer_load_table.hpp"
 #include "core/requests/replay_guard.hpp"
 #include "core/requests/retry_budget.hpp"
 #include "core/upstreams/slot_table.hpp"
@@ -358,7 +358,7 @@
     retry_policy retries_;
     replay_guard replays_;
     key_owners owners_;
-    load_board loads_;
+    peer_load_table peer_loads_;
     import_book imports_;
     entry_lifecycle life_;
 
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -43,7 +43,7 @@
                           return !live(heard.first);
                       });
         replays_.keep_only(live);
-        loads_.keep_only(live);
+        peer_loads_.keep_only(live);
         on_peer_lost(now, out);
     }
 }
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -81,7 +81,7 @@
             {
                 if (is_live(from))
                 {
-                    loads_.on_report(now, from, report);
+                    peer_loads_.on_report(now, from, report);
                 }
             },
             [&](ports::forwarded_request const& request)
@@ -157,7 +157,7 @@
     {
         return false;
     }
-    auto const peer = loads_.take_most_free(now);
+    auto const peer = peer_loads_.take_most_free(now);
     if (!peer || !send_to_peer(now, one, *peer, true, out))
     {
         return false;
@@ -299,7 +299,7 @@
         return;
     }
     by_sending_.erase(message.id);
-    loads_.on_report(now, from, {message.free_slots, message.queued});
+    peer_loads_.on_report(now, from, {message.free_slots, message.queued});
     bool const not_run = message.answer.outcome == common::outcome::not_run;
     bool const handed_over =
         message.answer.code == result_code::owner_unreachable;
--- a/src/core/requests/load_board.cpp
+++ b/src/core/requests/peer_load_table.cpp
@@ -1,22 +1,23 @@
-#include "core/requests/load_board.hpp"
+#include "core/requests/peer_load_table.hpp"
 
 namespace fuchsia::core::requests
 {
 
-load_board::load_board(common::duration lifetime) : lifetime_(lifetime)
+peer_load_table::peer_load_table(common::duration lifetime)
+    : lifetime_(lifetime)
 {
 }
 
-void load_board::on_report(common::time_point now,
-                           ports::member_identity const& from,
-                           ports::load_report const& report)
+void peer_load_table::on_report(common::time_point now,
+                                ports::member_identity const& from,
+                                ports::load_report const& report)
 {
     std::uint32_t const free = report.queued > 0 ? 0 : report.free_slots;
     rows_[from] = {free, now + lifetime_};
 }
 
 std::optional<ports::member_identity>
-load_board::take_most_free(common::time_point now)
+peer_load_table::take_most_free(common::time_point now)
 {
     auto best = rows_.end();
     for (auto at = rows_.begin(); at != rows_.end(); ++at)
@@ -36,7 +37,7 @@
     return best->first;
 }
 
-void load_board::keep_only(
+void peer_load_table::keep_only(
     std::function<bool(ports::member_identity const&)> const& is_live)
 {
     std::erase_if(rows_,
--- a/src/core/requests/load_board.hpp
+++ b/src/core/requests/peer_load_table.hpp
@@ -13,11 +13,11 @@
 {
 
 /// What peers told of their free slots.
-class load_board
+class peer_load_table
 {
 public:
     /// A report counts for `lifetime`.
-    explicit load_board(common::duration lifetime);
+    explicit peer_load_table(common::duration lifetime);
 
     void on_report(common::time_point now,
                    ports::member_identity const& from,
