--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -326,12 +326,14 @@
     void drive_handovers(common::time_point now, ports::actions& out);
     void drive_handover(common::time_point now,
                         std::uint32_t partition,
-                        handover& one,
+                        partition_handover& one,
                         ports::actions& out);
-    void enter(common::time_point now, handover& one, handover_stage stage);
+    void enter(common::time_point now,
+               partition_handover& one,
+               handover_stage stage);
     void send_keys(common::time_point now,
                    std::uint32_t partition,
-                   handover& one,
+                   partition_handover& one,
                    ports::actions& out);
     void on_key_handover(common::time_point now,
                          ports::member_identity const& from,
@@ -359,7 +361,7 @@
     replay_guard replays_;
     key_owners owners_;
     peer_load_table peer_loads_;
-    import_book imports_;
+    key_import_buffer imports_;
     entry_lifecycle life_;
 
     request_table requests_;
@@ -369,7 +371,7 @@
     std::map<std::string, customer_state> customers_;
     std::map<std::string, contracts::slice_ledger> ledgers_;
     std::array<std::optional<takeover>, common::partition_count> takeovers_;
-    std::map<std::uint32_t, handover> handovers_;
+    std::map<std::uint32_t, partition_handover> handovers_;
     /// Requests that wait for another owner, by their key's partition.
     std::map<std::uint32_t, std::vector<std::uint64_t>> seeking_;
     /// When each live member was last heard from.
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -13,14 +13,14 @@
                                   claims::claim_change const& change)
 {
     auto& one = handovers_[partition];
-    bool const sent = one.stage == handover_stage::sending;
-    if (sent && one.to != change.assigned_to)
+    bool const sent = one.stage == handover_stage::awaiting_acknowledgement;
+    if (sent && one.successor != change.assigned_to)
     {
         // The successor changed after the keys were sent: send them again.
         one.stage_began = now;
         one.last_sent = {};
     }
-    one.to = change.assigned_to;
+    one.successor = change.assigned_to;
     one.epoch = change.current.epoch;
 }
 
@@ -44,12 +44,12 @@
                 continue;
             }
             ++active;
-            enter(now, one, handover_stage::emptying_slots);
+            enter(now, one, handover_stage::draining_slots);
             slots_.release(partition);
         }
-        bool const unsent = one.stage == handover_stage::emptying_slots ||
-                            one.stage == handover_stage::emptying_keys;
-        if (unsent && one.to == members_.self().id)
+        bool const unsent = one.stage == handover_stage::draining_slots ||
+                            one.stage == handover_stage::draining_keys;
+        if (unsent && one.successor == members_.self().id)
         {
             cancelled.push_back(partition);
             continue;
@@ -65,7 +65,7 @@
 
 void entry_engine::drive_handover(common::time_point now,
                                   std::uint32_t partition,
-                                  handover& one,
+                                  partition_handover& one,
                                   ports::actions& out)
 {
     bool const patient =
@@ -74,22 +74,22 @@
     {
     case handover_stage::waiting:
         break;
-    case handover_stage::emptying_slots:
+    case handover_stage::draining_slots:
         if (slots_.is_idle(partition) || !patient)
         {
-            enter(now, one, handover_stage::emptying_keys);
+            enter(now, one, handover_stage::draining_keys);
         }
         break;
-    case handover_stage::emptying_keys:
+    case handover_stage::draining_keys:
         if (keys_.running(partition) == 0 || !patient)
         {
             one.slots_idle = slots_.is_idle(partition);
-            enter(now, one, handover_stage::sending);
+            enter(now, one, handover_stage::awaiting_acknowledgement);
             send_keys(now, partition, one, out);
         }
         break;
-    case handover_stage::sending:
-        if (one.to.name.empty() || !patient)
+    case handover_stage::awaiting_acknowledgement:
+        if (one.successor.name.empty() || !patient)
         {
             enter(now, one, handover_stage::releasing);
             claims_.release(now, partition_name(partition), out);
@@ -105,7 +105,7 @@
 }
 
 void entry_engine::enter(common::time_point now,
-                         handover& one,
+                         partition_handover& one,
                          handover_stage stage)
 {
     one.stage = stage;
@@ -114,17 +114,17 @@
 
 void entry_engine::send_keys(common::time_point now,
                              std::uint32_t partition,
-                             handover& one,
+                             partition_handover& one,
                              ports::actions& out)
 {
     one.last_sent = now;
-    auto messages = cut_handover(partition,
-                                 one,
-                                 keys_.reach(now, partition),
-                                 keys_.export_keys(now, partition));
+    auto messages = split_key_handover(partition,
+                                       one,
+                                       keys_.reach(now, partition),
+                                       keys_.export_keys(now, partition));
     for (auto& message : messages)
     {
-        send_peer(one.to, std::move(message), out);
+        send_peer(one.successor, std::move(message), out);
     }
 }
 
@@ -152,8 +152,8 @@
         return;
     }
     auto& one = found->second;
-    if (one.stage != handover_stage::sending || one.to != from ||
-        one.epoch != ack.epoch)
+    if (one.stage != handover_stage::awaiting_acknowledgement ||
+        one.successor != from || one.epoch != ack.epoch)
     {
         return;
     }
@@ -170,7 +170,7 @@
 {
     auto const found = handovers_.find(partition);
     return found != handovers_.end() &&
-           found->second.stage >= handover_stage::emptying_keys;
+           found->second.stage >= handover_stage::draining_keys;
 }
 
 bool entry_engine::key_may_run(common::time_point now,
@@ -181,8 +181,9 @@
         return true;
     }
     auto const found = handovers_.find(one.partition);
-    bool const sent = found != handovers_.end() &&
-                      found->second.stage >= handover_stage::sending;
+    bool const sent =
+        found != handovers_.end() &&
+        found->second.stage >= handover_stage::awaiting_acknowledgement;
     return !sent && owns(now, one.partition);
 }
 
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -67,7 +67,7 @@
     }
     else if (imported && keys_.import_keys(now, partition, imported->keys))
     {
-        keys_.open(partition, imported->reaches_from);
+        keys_.open(partition, imported->complete_since);
     }
     else
     {
--- a/src/core/requests/handover.cpp
+++ b/src/core/requests/handover.cpp
@@ -24,10 +24,10 @@
 } // namespace
 
 std::vector<ports::key_handover>
-cut_handover(std::uint32_t partition,
-             handover const& from,
-             common::duration reach,
-             std::vector<ports::remembered_key> keys)
+split_key_handover(std::uint32_t partition,
+                   partition_handover const& from,
+                   common::duration reach,
+                   std::vector<ports::remembered_key> keys)
 {
     ports::key_handover empty;
     empty.partition = partition;
@@ -55,13 +55,13 @@
     return messages;
 }
 
-import_book::import_book(std::size_t max_keys) : max_keys_(max_keys)
+key_import_buffer::key_import_buffer(std::size_t max_keys) : max_keys_(max_keys)
 {
 }
 
-bool import_book::on_message(common::time_point now,
-                             ports::member_identity const& from,
-                             ports::key_handover const& message)
+bool key_import_buffer::on_message(common::time_point now,
+                                   ports::member_identity const& from,
+                                   ports::key_handover const& message)
 {
     if (message.partition >= common::partition_count)
     {
@@ -96,9 +96,9 @@
 }
 
 std::optional<imported_keys>
-import_book::take(std::uint32_t partition,
-                  std::uint64_t epoch,
-                  ports::member_identity const& before)
+key_import_buffer::take(std::uint32_t partition,
+                        std::uint64_t epoch,
+                        ports::member_identity const& before)
 {
     auto const found = incoming_.find(partition);
     if (found == incoming_.end())
@@ -115,10 +115,10 @@
         return std::nullopt;
     }
     imported_keys imported;
-    imported.from = taken.from;
+    imported.predecessor = taken.from;
     imported.epoch = taken.epoch;
     imported.slots_idle = taken.slots_idle;
-    imported.reaches_from = taken.reaches_from;
+    imported.complete_since = taken.reaches_from;
     for (auto const& [name, key] : taken.keys)
     {
         imported.keys.push_back(key);
@@ -126,7 +126,7 @@
     return imported;
 }
 
-std::size_t import_book::count() const noexcept
+std::size_t key_import_buffer::count() const noexcept
 {
     std::size_t sum = 0;
     for (auto const& [partition, one] : incoming_)
--- a/src/core/requests/handover.hpp
+++ b/src/core/requests/handover.hpp
@@ -16,19 +16,20 @@
 enum class handover_stage : std::uint8_t
 {
     waiting,        ///< For its turn.
-    emptying_slots, ///< Its upstreams get no new work; keys still run.
-    emptying_keys,  ///< No new key runs; those that run end.
-    sending,        ///< Keys were sent; waits for the acknowledgement.
-    releasing,      ///< The claim is being given up.
+    draining_slots, ///< Its upstreams get no new work; keys still run.
+    draining_keys,  ///< No new key runs; those that run end.
+    awaiting_acknowledgement, ///< Keys were sent; waits for the
+                              ///< acknowledgement.
+    releasing,                ///< The claim is being given up.
 };
 
 /// One partition on its way to another owner. Once its keys were sent the
 /// partition is never taken up again: a key run after that would be missing
 /// from the successor's memory.
-struct handover
+struct partition_handover
 {
     handover_stage stage = handover_stage::waiting;
-    ports::member_identity to; ///< Empty name: nobody is left.
+    ports::member_identity successor; ///< Empty name: nobody is left.
     std::uint64_t epoch = 0;
     common::time_point stage_began;
     common::time_point last_sent;
@@ -37,26 +38,26 @@
 
 /// Messages that carry a partition's keys, each below a frame's bound.
 std::vector<ports::key_handover>
-cut_handover(std::uint32_t partition,
-             handover const& from,
-             common::duration reach,
-             std::vector<ports::remembered_key> keys);
+split_key_handover(std::uint32_t partition,
+                   partition_handover const& from,
+                   common::duration reach,
+                   std::vector<ports::remembered_key> keys);
 
 /// A predecessor's keys that came in whole.
 struct imported_keys
 {
-    ports::member_identity from;
+    ports::member_identity predecessor;
     std::uint64_t epoch = 0;
     bool slots_idle = false;
-    common::time_point reaches_from;
+    common::time_point complete_since;
     std::vector<ports::remembered_key> keys;
 };
 
 /// Collects the messages of handovers to this entry until the claims follow.
-class import_book
+class key_import_buffer
 {
 public:
-    explicit import_book(std::size_t max_keys);
+    explicit key_import_buffer(std::size_t max_keys);
 
     /// True where the handover is whole now, to be acknowledged.
     bool on_message(common::time_point now,
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -116,29 +116,29 @@
             old.finish(at(1s), key, answer("a"));
         }
     }
-    handover from;
+    partition_handover from;
     from.epoch = 3;
-    auto const frames = cut_handover(partition,
-                                     from,
-                                     old.reach(at(2s), partition),
-                                     old.export_keys(at(2s), partition));
+    auto const frames = split_key_handover(partition,
+                                           from,
+                                           old.reach(at(2s), partition),
+                                           old.export_keys(at(2s), partition));
     ASSERT_EQ(frames.size(), 3U);
     ports::member_identity const sender{"entry-1", 1};
 
-    import_book partial(10'000);
+    key_import_buffer partial(10'000);
     EXPECT_FALSE(partial.on_message(at(2s), sender, frames[0]));
     EXPECT_FALSE(partial.on_message(at(2s), sender, frames[0]));
     EXPECT_FALSE(partial.on_message(at(2s), sender, frames[2]));
     EXPECT_FALSE(partial.take(partition, 4, sender));
 
-    import_book whole(10'000);
+    key_import_buffer whole(10'000);
     EXPECT_FALSE(whole.on_message(at(2s), sender, frames[2]));
     EXPECT_FALSE(whole.on_message(at(2s), sender, frames[0]));
     EXPECT_TRUE(whole.on_message(at(2s), sender, frames[1]));
     auto const taken = whole.take(partition, 4, sender);
     ASSERT_TRUE(taken);
     key_memory next({60s, 10'000, 10'000'000, 4});
-    next.open(partition, taken->reaches_from);
+    next.open(partition, taken->complete_since);
     ASSERT_TRUE(next.import_keys(at(3s), partition, taken->keys));
     EXPECT_EQ(next.running(partition), 0U);
     auto const ended = next.look_up(at(3s), partition, "c/9", 5, false);
@@ -155,7 +155,7 @@
 // came. What ran there is not in it.
 TEST(key_handover, of_an_earlier_claim_does_not_count)
 {
-    import_book book(100);
+    key_import_buffer book(100);
     ports::key_handover message;
     message.partition = partition;
     message.epoch = 3;
