--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -84,14 +84,14 @@
 void read_keys(toml_table table, entry_daemon_settings& out)
 {
     auto& keys = out.engine.keys;
-    keys.keep = table.duration_or("keep_ms", keys.keep, 1s, 24h);
+    keys.retention = table.duration_or("keep_ms", keys.retention, 1s, 24h);
     keys.max_keys = static_cast<std::size_t>(table.integer_or(
         "max_keys", static_cast<std::int64_t>(keys.max_keys), 1, 10'000'000));
     keys.max_bytes = static_cast<std::size_t>(
         table.integer_or("max_mb", 64, 1, 4096) * megabyte);
     out.engine.max_delivery_time = table.duration_or(
         "sending_bound_ms", out.engine.max_delivery_time, 100ms, 10min);
-    if (out.engine.max_delivery_time > keys.keep)
+    if (out.engine.max_delivery_time > keys.retention)
     {
         table.fail(result_code::inconsistent,
                    "keep_ms",
--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -38,7 +38,8 @@
             .look_up(
                 now, one.partition, one.key, one.fingerprint, is_vouched(one))
             .verdict;
-    return verdict == key_verdict::fresh || verdict == key_verdict::full ||
+    return verdict == key_verdict::first_run ||
+           verdict == key_verdict::memory_full ||
            verdict == key_verdict::mismatch;
 }
 
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -89,7 +89,7 @@
                                  ports::actions& out)
 {
     auto const* limits = contract_of(name);
-    auto const& owner = owners_.of(common::partition_of(name)).member;
+    auto const& owner = owners_.owner_of(common::partition_of(name)).member;
     if (limits == nullptr || owner.name.empty())
     {
         return;
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -120,7 +120,7 @@
     one.last_sent = now;
     auto messages = split_key_handover(partition,
                                        one,
-                                       keys_.reach(now, partition),
+                                       keys_.history_length(now, partition),
                                        keys_.export_keys(now, partition));
     for (auto& message : messages)
     {
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -131,7 +131,7 @@
         refuse(now, one, result_code::deadline_passed, out);
         return;
     }
-    auto const owner = owners_.of(one.partition).member;
+    auto const owner = owners_.owner_of(one.partition).member;
     if (!is_live(owner))
     {
         seek_owner(now, one, out);
@@ -185,7 +185,8 @@
     message.request.deadline = left;
     if (!is_spill)
     {
-        message.epoch = is_vouched(one) ? owners_.of(one.partition).epoch : 0;
+        message.epoch =
+            is_vouched(one) ? owners_.owner_of(one.partition).epoch : 0;
     }
     one.stage = request_stage::at_peer;
     one.sending = message.id;
@@ -235,7 +236,7 @@
     prepare(fresh, contract_of(message.request.customer));
     // A spilled key was looked up by its owner, who sent it here.
     fresh.keyed = fresh.keyed && !message.spill;
-    auto const& known = owners_.of(fresh.partition);
+    auto const& known = owners_.owner_of(fresh.partition);
     fresh.vouched = message.request.attempt == 1 &&
                     message.epoch == known.epoch &&
                     known.member == members_.self().id;
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -112,7 +112,7 @@
     one.keyed = !one.idempotent && !request.idempotency_key.empty();
     if (one.keyed)
     {
-        one.key = full_key(request.customer, request.idempotency_key);
+        one.key = customer_key(request.customer, request.idempotency_key);
         one.partition = common::partition_of(one.key);
         one.fingerprint = fingerprint_of(request);
     }
@@ -125,7 +125,8 @@
         return one.vouched;
     }
     // A pause shorter than the limit is not noticed, so it counts as delay.
-    auto const began = std::max(owners_.of(one.partition).learned, woke_);
+    auto const began =
+        std::max(owners_.owner_of(one.partition).learned_at, woke_);
     auto const late =
         settings_.max_delivery_time + settings_.membership.pause_limit;
     return one.request.attempt == 1 && one.received - began >= late;
@@ -161,7 +162,7 @@
         now, one.partition, one.key, one.fingerprint, is_vouched(one));
     switch (found.verdict)
     {
-    case key_verdict::fresh:
+    case key_verdict::first_run:
         return false;
     case key_verdict::ended:
     {
@@ -171,7 +172,7 @@
         return true;
     }
     case key_verdict::running:
-        if (keys_.join(one.key, one.id))
+        if (keys_.add_waiter(one.key, one.id))
         {
             ++counts_.joined_keys;
             one.stage = request_stage::joined;
@@ -183,10 +184,10 @@
     case key_verdict::mismatch:
         refuse(now, one, result_code::bad_header, out);
         return true;
-    case key_verdict::not_reaching:
+    case key_verdict::history_incomplete:
         refuse(now, one, result_code::key_memory_lost, out);
         return true;
-    case key_verdict::full:
+    case key_verdict::memory_full:
         refuse(now, one, result_code::queue_full, out);
         return true;
     }
@@ -236,7 +237,7 @@
         dispatch(now, one, out);
         return;
     }
-    if (owners_.of(one.partition).member != members_.self().id)
+    if (owners_.owner_of(one.partition).member != members_.self().id)
     {
         forward_to_owner(now, one, out);
         return;
--- a/src/core/requests/handover.cpp
+++ b/src/core/requests/handover.cpp
@@ -90,7 +90,7 @@
     }
     for (auto const& key : message.keys)
     {
-        known.keys.insert_or_assign(full_key(key.customer, key.key), key);
+        known.keys.insert_or_assign(customer_key(key.customer, key.key), key);
     }
     return known.keys.size() == known.total;
 }
--- a/src/core/requests/key_memory.cpp
+++ b/src/core/requests/key_memory.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-std::string full_key(std::string const& customer, std::string const& key)
+std::string customer_key(std::string const& customer, std::string const& key)
 {
     return customer + "/" + key;
 }
@@ -57,7 +57,7 @@
 {
     auto& memory = partitions_[partition];
     memory.open = true;
-    memory.reaches_from = reaches_from;
+    memory.complete_since = reaches_from;
 }
 
 std::vector<std::uint64_t> key_memory::close(std::uint32_t partition)
@@ -88,11 +88,11 @@
     return partitions_[partition].open;
 }
 
-key_finding key_memory::look_up(common::time_point now,
-                                std::uint32_t partition,
-                                std::string const& key,
-                                std::uint64_t fingerprint,
-                                bool vouched) const
+key_lookup_result key_memory::look_up(common::time_point now,
+                                      std::uint32_t partition,
+                                      std::string const& key,
+                                      std::uint64_t fingerprint,
+                                      bool vouched) const
 {
     auto const found = entries_.find(key);
     if (found != entries_.end())
@@ -102,20 +102,21 @@
         {
             return {key_verdict::mismatch, nullptr};
         }
-        return known.ended ? key_finding{key_verdict::ended, &known.answer}
-                           : key_finding{key_verdict::running, nullptr};
+        return known.ended
+                   ? key_lookup_result{key_verdict::ended, &known.answer}
+                   : key_lookup_result{key_verdict::running, nullptr};
     }
     auto const& memory = partitions_[partition];
-    bool const reaching =
-        !memory.reaches_from || now - *memory.reaches_from >= settings_.keep;
+    bool const reaching = !memory.complete_since ||
+                          now - *memory.complete_since >= settings_.retention;
     if (!memory.open || (!reaching && !vouched))
     {
-        return {key_verdict::not_reaching, nullptr};
+        return {key_verdict::history_incomplete, nullptr};
     }
     bool const room =
         entries_.size() < settings_.max_keys &&
         bytes_ + entry_overhead + key.size() < settings_.max_bytes;
-    return {room ? key_verdict::fresh : key_verdict::full, nullptr};
+    return {room ? key_verdict::first_run : key_verdict::memory_full, nullptr};
 }
 
 void key_memory::begin(std::uint32_t partition,
@@ -134,7 +135,7 @@
     ++partitions_[partition].running;
 }
 
-bool key_memory::join(std::string const& key, std::uint64_t waiter)
+bool key_memory::add_waiter(std::string const& key, std::uint64_t waiter)
 {
     auto const found = entries_.find(key);
     if (found == entries_.end() ||
@@ -159,7 +160,7 @@
     --partitions_[found->second.partition].running;
     std::vector<std::uint64_t> waiters;
     waiters.swap(found->second.waiters);
-    end_with(now + settings_.keep, found, answer);
+    end_with(now + settings_.retention, found, answer);
     return waiters;
 }
 
@@ -196,11 +197,13 @@
     return partitions_[partition].running;
 }
 
-common::duration key_memory::reach(common::time_point now,
-                                   std::uint32_t partition) const noexcept
+common::duration
+key_memory::history_length(common::time_point now,
+                           std::uint32_t partition) const noexcept
 {
-    auto const& from = partitions_[partition].reaches_from;
-    return from ? std::min(now - *from, settings_.keep) : settings_.keep;
+    auto const& from = partitions_[partition].complete_since;
+    return from ? std::min(now - *from, settings_.retention)
+                : settings_.retention;
 }
 
 std::vector<ports::remembered_key>
@@ -220,9 +223,10 @@
         key.finished = known.ended;
         key.answer = known.answer;
         key.fingerprint = known.fingerprint;
-        auto const left = known.ended ? known.forget_at - now : settings_.keep;
+        auto const left =
+            known.ended ? known.forget_at - now : settings_.retention;
         key.age_us =
-            static_cast<std::uint64_t>((settings_.keep - left).count());
+            static_cast<std::uint64_t>((settings_.retention - left).count());
         keys.push_back(std::move(key));
     }
     return keys;
@@ -244,7 +248,7 @@
     }
     for (auto const& key : keys)
     {
-        auto const name = full_key(key.customer, key.key);
+        auto const name = customer_key(key.customer, key.key);
         begin(partition, name, key.fingerprint);
         auto const found = entries_.find(name);
         if (found->second.ended)
@@ -253,9 +257,9 @@
         }
         // What was running when it was handed over ends where nobody tells us.
         auto const age = common::duration(static_cast<std::int64_t>(
-            std::min<std::uint64_t>(key.age_us, settings_.keep.count())));
+            std::min<std::uint64_t>(key.age_us, settings_.retention.count())));
         --partitions_[partition].running;
-        end_with(now + settings_.keep - age,
+        end_with(now + settings_.retention - age,
                  found,
                  key.finished ? key.answer : memory_lost());
     }
--- a/src/core/requests/key_memory.hpp
+++ b/src/core/requests/key_memory.hpp
@@ -21,7 +21,7 @@
 {
     /// How long after its end a key is remembered. Callers must not send a key
     /// again later than this after its first sending.
-    common::duration keep = std::chrono::minutes(2);
+    common::duration retention = std::chrono::minutes(2);
     std::size_t max_keys = 100'000;
     std::size_t max_bytes = 64U << 20U;
     std::size_t max_waiters = 64; ///< On one running key.
@@ -30,23 +30,24 @@
 /// What the owner of a key may do with a request that carries it.
 enum class key_verdict : std::uint8_t
 {
-    fresh,        ///< Never seen, and it would have been: run it.
-    running,      ///< Wait for the first one's answer.
-    ended,        ///< Answer the same again.
-    mismatch,     ///< The key belongs to another request.
-    not_reaching, ///< An earlier sending may have run before the memory begins.
-    full,         ///< No room to remember it, so it may not run.
+    first_run,          ///< Never seen, and it would have been: run it.
+    running,            ///< Wait for the first one's answer.
+    ended,              ///< Answer the same again.
+    mismatch,           ///< The key belongs to another request.
+    history_incomplete, ///< An earlier sending may have run before the memory
+                        ///< begins.
+    memory_full,        ///< No room to remember it, so it may not run.
 };
 
-struct key_finding
+struct key_lookup_result
 {
-    key_verdict verdict = key_verdict::not_reaching;
+    key_verdict verdict = key_verdict::history_incomplete;
     ports::caller_answer const* answer = nullptr; ///< Where it ended.
 };
 
 /// The name under which a key is remembered and by which it is given to a
 /// partition.
-std::string full_key(std::string const& customer, std::string const& key);
+std::string customer_key(std::string const& customer, std::string const& key);
 
 /// Hash of what a request asks for; never 0.
 std::uint64_t fingerprint_of(ports::caller_request const& request);
@@ -86,17 +87,17 @@
     std::vector<std::uint64_t> close(std::uint32_t partition);
     bool is_open(std::uint32_t partition) const noexcept;
 
-    key_finding look_up(common::time_point now,
-                        std::uint32_t partition,
-                        std::string const& key,
-                        std::uint64_t fingerprint,
-                        bool vouched) const;
+    key_lookup_result look_up(common::time_point now,
+                              std::uint32_t partition,
+                              std::string const& key,
+                              std::uint64_t fingerprint,
+                              bool vouched) const;
     /// Remembers a fresh key as running, before anything is sent.
     void begin(std::uint32_t partition,
                std::string const& key,
                std::uint64_t fingerprint);
     /// Adds a request that waits for a running key; false where too many do.
-    bool join(std::string const& key, std::uint64_t waiter);
+    bool add_waiter(std::string const& key, std::uint64_t waiter);
     /// The run ended: remembers how, and returns the waiters.
     std::vector<std::uint64_t> finish(common::time_point now,
                                       std::string const& key,
@@ -108,8 +109,8 @@
 
     std::uint32_t running(std::uint32_t partition) const noexcept;
     /// How far back the memory of the partition reaches.
-    common::duration reach(common::time_point now,
-                           std::uint32_t partition) const noexcept;
+    common::duration history_length(common::time_point now,
+                                    std::uint32_t partition) const noexcept;
     std::vector<ports::remembered_key>
     export_keys(common::time_point now, std::uint32_t partition) const;
     /// Takes over a predecessor's keys; false where they don't fit, so that
@@ -135,7 +136,7 @@
     struct partition_memory
     {
         bool open = false;
-        std::optional<common::time_point> reaches_from;
+        std::optional<common::time_point> complete_since;
         std::uint32_t running = 0;
     };
     using entries = std::unordered_map<std::string, entry>;
--- a/src/core/requests/key_owners.cpp
+++ b/src/core/requests/key_owners.cpp
@@ -52,7 +52,7 @@
     return changed;
 }
 
-key_owner const& key_owners::of(std::uint32_t partition) const noexcept
+key_owner const& key_owners::owner_of(std::uint32_t partition) const noexcept
 {
     return owners_[partition];
 }
--- a/src/core/requests/key_owners.hpp
+++ b/src/core/requests/key_owners.hpp
@@ -27,7 +27,7 @@
 {
     ports::member_identity member; ///< Empty name: nobody.
     std::uint64_t epoch = 0;
-    common::time_point learned; ///< When it was first seen with this epoch.
+    common::time_point learned_at; ///< When it was first seen with this epoch.
 };
 
 /// Owners of all partitions as this entry last learned them, and since when it
@@ -40,7 +40,7 @@
     /// changed.
     std::vector<std::uint32_t> refresh(common::time_point now,
                                        claims::claim_table const& claims);
-    key_owner const& of(std::uint32_t partition) const noexcept;
+    key_owner const& owner_of(std::uint32_t partition) const noexcept;
 
 private:
     std::array<key_owner, common::partition_count> owners_;
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_world.cpp
@@ -55,7 +55,7 @@
     entry_settings settings;
     settings.upstreams.max_execution = 3s;
     settings.upstreams.report_slack = 0ms;
-    settings.keys.keep = 30s;
+    settings.keys.retention = 30s;
     settings.max_delivery_time = 2s;
     settings.balancer_lag = 500ms;
     settings.handover_stage_timeout = 4s;
@@ -325,7 +325,7 @@
 std::size_t entry_world::owner_of(std::string const& key) const
 {
     auto const partition =
-        core::common::partition_of(core::requests::full_key(customer, key));
+        core::common::partition_of(core::requests::customer_key(customer, key));
     for (std::size_t at = 0; at < nodes_.size(); ++at)
     {
         auto const& who = nodes_[at];
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -44,7 +44,7 @@
     memory.begin(partition, "c/k", 5);
     EXPECT_EQ(memory.look_up(at(0s), partition, "c/k", 5, true).verdict,
               key_verdict::running);
-    EXPECT_TRUE(memory.join("c/k", 99));
+    EXPECT_TRUE(memory.add_waiter("c/k", 99));
     EXPECT_EQ(memory.finish(at(1s), "c/k", answer("a")),
               std::vector<std::uint64_t>{99});
     memory.tick(at(60s));
@@ -66,11 +66,11 @@
     {
         return memory.look_up(at(when), partition, "c/k", 5, vouched).verdict;
     };
-    EXPECT_EQ(look(69s, false), key_verdict::not_reaching);
-    EXPECT_EQ(look(69s, true), key_verdict::fresh);
-    EXPECT_EQ(look(70s, false), key_verdict::fresh);
+    EXPECT_EQ(look(69s, false), key_verdict::history_incomplete);
+    EXPECT_EQ(look(69s, true), key_verdict::first_run);
+    EXPECT_EQ(look(70s, false), key_verdict::first_run);
     memory.close(partition);
-    EXPECT_EQ(look(70s, true), key_verdict::not_reaching);
+    EXPECT_EQ(look(70s, true), key_verdict::history_incomplete);
 }
 
 // Callers send more keys than there is room for. A key forgotten early could
@@ -84,7 +84,7 @@
         memory.begin(partition, "c/" + std::to_string(number), 5);
     }
     EXPECT_EQ(memory.look_up(at(0s), partition, "c/9", 5, true).verdict,
-              key_verdict::full);
+              key_verdict::memory_full);
     EXPECT_EQ(memory.look_up(at(0s), partition, "c/0", 5, true).verdict,
               key_verdict::running);
 }
@@ -118,10 +118,11 @@
     }
     partition_handover from;
     from.epoch = 3;
-    auto const frames = split_key_handover(partition,
-                                           from,
-                                           old.reach(at(2s), partition),
-                                           old.export_keys(at(2s), partition));
+    auto const frames =
+        split_key_handover(partition,
+                           from,
+                           old.history_length(at(2s), partition),
+                           old.export_keys(at(2s), partition));
     ASSERT_EQ(frames.size(), 3U);
     ports::member_identity const sender{"entry-1", 1};
 
@@ -148,7 +149,7 @@
     ASSERT_EQ(running.verdict, key_verdict::ended);
     EXPECT_EQ(running.answer->outcome, core::common::outcome::unknown);
     EXPECT_EQ(next.look_up(at(3s), partition, "c/new", 5, false).verdict,
-              key_verdict::fresh);
+              key_verdict::first_run);
 }
 
 // A handover arrives, but somebody else owned the partition before the claim
