--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -25,7 +25,7 @@
 bool entry_engine::is_unheard(common::time_point now,
                               open_request const& one) const
 {
-    if (!one.keyed || one.begun)
+    if (!one.has_key || one.key_begun)
     {
         return true;
     }
@@ -96,8 +96,9 @@
     auto const answer = refusal(code, true);
     deliver(one, answer, out);
     settle_key(now, one, answer, out);
-    auto const until = one.sent + settings_.upstreams.max_execution;
-    if (one.charged && one.stage != request_stage::joined && until > now)
+    auto const until = one.attempt_sent_at + settings_.upstreams.max_execution;
+    if (one.counted_in_slice && one.stage != request_stage::awaiting_same_key &&
+        until > now)
     {
         linger(one, until);
     }
@@ -119,7 +120,7 @@
     }
     one.answered = true;
     --unanswered_;
-    if (one.maybe_ran && answer.outcome == common::outcome::not_run)
+    if (one.may_have_run && answer.outcome == common::outcome::not_run)
     {
         answer.outcome = common::outcome::unknown;
     }
@@ -130,7 +131,7 @@
     }
     else
     {
-        answer_peer(one.from, one.forwarded_id, std::move(answer), out);
+        answer_peer(one.forwarded_by, one.forwarded_id, std::move(answer), out);
     }
 }
 
@@ -141,11 +142,11 @@
                               ports::caller_answer const& answer,
                               ports::actions& out)
 {
-    if (!one.begun)
+    if (!one.key_begun)
     {
         return;
     }
-    one.begun = false;
+    one.key_begun = false;
     auto const waiters = answer.outcome == common::outcome::not_run
                              ? keys_.forget(one.key)
                              : keys_.finish(now, one.key, answer);
@@ -160,11 +161,11 @@
 
 void entry_engine::linger(open_request& one, common::time_point until)
 {
-    by_sending_.erase(one.sending);
+    by_sending_.erase(one.attempt_id);
     open_bytes_ -= one.request.body.size();
     one.request.body.clear();
     one.request.headers.clear();
-    one.stage = request_stage::lingering;
+    one.stage = request_stage::awaiting_unseen_end;
     set_timer(one, until);
 }
 
@@ -180,7 +181,7 @@
     auto const customer = customers_.find(one.request.customer);
     if (customer != customers_.end())
     {
-        if (one.charged)
+        if (one.counted_in_slice)
         {
             customer->second.slice.on_request_end(one.request.kind);
         }
@@ -190,7 +191,7 @@
         }
     }
     set_timer(one, std::nullopt);
-    by_sending_.erase(one.sending);
+    by_sending_.erase(one.attempt_id);
     open_bytes_ -= one.request.body.size();
     requests_.erase(found);
 }
@@ -198,11 +199,11 @@
 void entry_engine::set_timer(open_request& one,
                              std::optional<common::time_point> when)
 {
-    if (one.timer)
+    if (one.timer_due)
     {
-        timers_.erase({*one.timer, one.id});
+        timers_.erase({*one.timer_due, one.id});
     }
-    one.timer = when;
+    one.timer_due = when;
     if (when)
     {
         timers_.insert({*when, one.id});
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -175,7 +175,8 @@
     {
         std::uint64_t const id = customer.parked.front();
         auto const at = requests_.find(id);
-        if (at == requests_.end() || at->second.stage != request_stage::parked)
+        if (at == requests_.end() ||
+            at->second.stage != request_stage::awaiting_slice)
         {
             customer.parked.pop_front();
             continue;
@@ -193,7 +194,7 @@
         if (verdict == contracts::slice_verdict::admitted)
         {
             customer.parked.pop_front();
-            one.charged = true;
+            one.counted_in_slice = true;
             one.stage = request_stage::arrived;
             set_timer(one, std::nullopt);
             route(now, one, out);
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -176,7 +176,7 @@
 bool entry_engine::key_may_run(common::time_point now,
                                open_request const& one) const noexcept
 {
-    if (!one.begun)
+    if (!one.key_begun)
     {
         return true;
     }
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -153,7 +153,7 @@
                          open_request& one,
                          ports::actions& out)
 {
-    if (one.spilled_here || one.spilled)
+    if (one.received_as_spill || one.spilled)
     {
         return false;
     }
@@ -189,9 +189,9 @@
             is_vouched(one) ? owners_.owner_of(one.partition).epoch : 0;
     }
     one.stage = request_stage::at_peer;
-    one.sending = message.id;
+    one.attempt_id = message.id;
     one.peer = to;
-    one.sent = now;
+    one.attempt_sent_at = now;
     by_sending_.emplace(message.id, one.id);
     set_timer(one, one.expires);
     send_peer(to, std::move(message), out);
@@ -227,24 +227,24 @@
         return;
     }
     open_request fresh;
-    fresh.from = from;
+    fresh.forwarded_by = from;
     fresh.forwarded_id = message.id;
-    fresh.spilled_here = message.spill;
+    fresh.received_as_spill = message.spill;
     fresh.request = message.request;
     fresh.received = now;
     fresh.expires = now + message.request.deadline;
     prepare(fresh, contract_of(message.request.customer));
     // A spilled key was looked up by its owner, who sent it here.
-    fresh.keyed = fresh.keyed && !message.spill;
+    fresh.has_key = fresh.has_key && !message.spill;
     auto const& known = owners_.owner_of(fresh.partition);
-    fresh.vouched = message.request.attempt == 1 &&
-                    message.epoch == known.epoch &&
-                    known.member == members_.self().id;
+    fresh.first_sending_confirmed = message.request.attempt == 1 &&
+                                    message.epoch == known.epoch &&
+                                    known.member == members_.self().id;
     auto& one = add_request(std::move(fresh));
     if (!message.spill)
     {
         // Only the owner may run it; it is never forwarded again.
-        bool const ours = one.keyed && owns(now, one.partition);
+        bool const ours = one.has_key && owns(now, one.partition);
         if (ours)
         {
             route(now, one, out);
@@ -304,7 +304,7 @@
     bool const not_run = message.answer.outcome == common::outcome::not_run;
     bool const handed_over =
         message.answer.code == result_code::owner_unreachable;
-    if (not_run && handed_over && one->keyed && !one->spilled &&
+    if (not_run && handed_over && one->has_key && !one->spilled &&
         !one->answered && now < one->expires)
     {
         one->stage = request_stage::arrived;
@@ -323,7 +323,7 @@
         // It may run on there; the charge stays as long.
         deliver(*one, message.answer, out);
         settle_key(now, *one, message.answer, out);
-        linger(*one, one->sent + settings_.upstreams.max_execution);
+        linger(*one, one->attempt_sent_at + settings_.upstreams.max_execution);
         return;
     }
     conclude(now, one->id, message.answer, out);
@@ -360,8 +360,8 @@
             continue;
         }
         auto& one = found->second;
-        by_sending_.erase(one.sending);
-        one.maybe_ran = true;
+        by_sending_.erase(one.attempt_id);
+        one.may_have_run = true;
         if (!one.idempotent || !retry(now, one, out))
         {
             conclude_linger(now, id, result_code::owner_lost, out);
--- a/src/core/requests/entry_phases.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -26,7 +26,7 @@
     std::vector<std::uint64_t> elsewhere;
     for (auto const& [id, one] : requests_)
     {
-        if (one.stage == request_stage::joined ||
+        if (one.stage == request_stage::awaiting_same_key ||
             one.stage == request_stage::at_peer)
         {
             elsewhere.push_back(id);
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -55,8 +55,8 @@
     }
     auto& one = requests_.at(found->second);
     if (one.stage == request_stage::queued ||
-        one.stage == request_stage::parked ||
-        one.stage == request_stage::seeking)
+        one.stage == request_stage::awaiting_slice ||
+        one.stage == request_stage::awaiting_owner)
     {
         refuse(now, one, result_code::deadline_passed, out);
     }
@@ -109,8 +109,8 @@
         limits == nullptr
             ? request.method != "POST"
             : contracts::is_idempotent(*limits, request.method, request.target);
-    one.keyed = !one.idempotent && !request.idempotency_key.empty();
-    if (one.keyed)
+    one.has_key = !one.idempotent && !request.idempotency_key.empty();
+    if (one.has_key)
     {
         one.key = customer_key(request.customer, request.idempotency_key);
         one.partition = common::partition_of(one.key);
@@ -122,7 +122,7 @@
 {
     if (!one.is_local())
     {
-        return one.vouched;
+        return one.first_sending_confirmed;
     }
     // A pause shorter than the limit is not noticed, so it counts as delay.
     auto const began =
@@ -144,7 +144,7 @@
                          open_request& one,
                          ports::actions& out)
 {
-    bool const own_key = one.keyed && owns(now, one.partition);
+    bool const own_key = one.has_key && owns(now, one.partition);
     if (own_key && settle_known_key(now, one, out))
     {
         return;
@@ -175,7 +175,7 @@
         if (keys_.add_waiter(one.key, one.id))
         {
             ++counts_.joined_keys;
-            one.stage = request_stage::joined;
+            one.stage = request_stage::awaiting_same_key;
             set_timer(one, one.expires);
             return true;
         }
@@ -211,7 +211,7 @@
             : contracts::slice_verdict::no_slice;
     if (verdict == contracts::slice_verdict::admitted)
     {
-        one.charged = true;
+        one.counted_in_slice = true;
         route(now, one, out);
         return;
     }
@@ -222,7 +222,7 @@
         refuse(now, one, *code, out);
         return;
     }
-    one.stage = request_stage::parked;
+    one.stage = request_stage::awaiting_slice;
     customer.parked.push_back(one.id);
     set_timer(one, std::min(one.expires, now + settings_.slice_timeout));
     ask_for_slice(now, one.request.customer, out);
@@ -232,7 +232,7 @@
                          open_request& one,
                          ports::actions& out)
 {
-    if (!one.keyed)
+    if (!one.has_key)
     {
         dispatch(now, one, out);
         return;
@@ -257,7 +257,7 @@
         return;
     }
     keys_.begin(one.partition, one.key, one.fingerprint);
-    one.begun = true;
+    one.key_begun = true;
     dispatch(now, one, out);
 }
 
@@ -267,22 +267,22 @@
                               open_request& one,
                               ports::actions& out)
 {
-    if (!one.seek_until)
+    if (!one.await_owner_until)
     {
-        one.seek_until =
+        one.await_owner_until =
             std::min(one.expires, now + settings_.owner_change_timeout);
     }
     auto& waiting = seeking_[one.partition];
-    bool const in_vain = !one.is_local() || now >= *one.seek_until ||
+    bool const in_vain = !one.is_local() || now >= *one.await_owner_until ||
                          waiting.size() >= settings_.max_awaiting_owner;
     if (in_vain)
     {
         refuse(now, one, result_code::owner_unreachable, out);
         return;
     }
-    one.stage = request_stage::seeking;
+    one.stage = request_stage::awaiting_owner;
     waiting.push_back(one.id);
-    set_timer(one, one.seek_until);
+    set_timer(one, one.await_owner_until);
 }
 
 void entry_engine::route_seeking(common::time_point now,
@@ -294,7 +294,7 @@
     {
         auto const found = requests_.find(id);
         if (found != requests_.end() &&
-            found->second.stage == request_stage::seeking)
+            found->second.stage == request_stage::awaiting_owner)
         {
             found->second.stage = request_stage::arrived;
             set_timer(found->second, std::nullopt);
@@ -312,7 +312,7 @@
         auto const found = requests_.find(id);
         if (found != requests_.end())
         {
-            found->second.timer.reset();
+            found->second.timer_due.reset();
             on_timer(now, found->second, out);
         }
     }
@@ -326,14 +326,14 @@
     switch (one.stage)
     {
     case request_stage::arrived:
-    case request_stage::parked:
+    case request_stage::awaiting_slice:
         refuse(now,
                one,
                expired ? result_code::deadline_passed
                        : result_code::over_contract_in_flight,
                out);
         break;
-    case request_stage::seeking:
+    case request_stage::awaiting_owner:
         refuse(now,
                one,
                expired ? result_code::deadline_passed
@@ -343,13 +343,13 @@
     case request_stage::queued:
         refuse(now, one, result_code::deadline_passed, out);
         break;
-    case request_stage::joined:
+    case request_stage::awaiting_same_key:
         refuse(now, one, result_code::deadline_after_send, out);
         break;
     case request_stage::at_upstream:
         // Its slot stays taken until its end is known. A peer that forwarded
         // it watches the deadline itself and needs to know the end.
-        slots_.on_caller_timeout(now, one.sending);
+        slots_.on_caller_timeout(now, one.attempt_id);
         if (one.is_local())
         {
             deliver(one, refusal(result_code::deadline_after_send, true), out);
@@ -362,10 +362,12 @@
             break;
         }
         deliver(one, refusal(result_code::deadline_after_send, true), out);
-        set_timer(one,
-                  std::max(now, one.sent + settings_.upstreams.max_execution));
+        set_timer(
+            one,
+            std::max(now,
+                     one.attempt_sent_at + settings_.upstreams.max_execution));
         break;
-    case request_stage::lingering:
+    case request_stage::awaiting_unseen_end:
         erase(one.id);
         break;
     }
@@ -381,8 +383,8 @@
         return;
     }
     auto& one = found->second;
-    if (one.stage == request_stage::parked ||
-        one.stage == request_stage::seeking)
+    if (one.stage == request_stage::awaiting_slice ||
+        one.stage == request_stage::awaiting_owner)
     {
         refuse(now, one, result_code::no_proof, out);
     }
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -32,7 +32,7 @@
     {
         return;
     }
-    if (one.spilled_here)
+    if (one.received_as_spill)
     {
         refuse(now, one, result_code::no_free_slot, out);
         return;
@@ -48,19 +48,19 @@
                                  ports::actions& out)
 {
     std::uint64_t const exchange = next_id_++;
-    auto const place = slots_.take_slot(now, exchange, one.avoid);
+    auto const place = slots_.take_slot(now, exchange, one.last_upstream);
     if (!place)
     {
         return false;
     }
-    if (one.tries++ == 0)
+    if (one.attempts++ == 0)
     {
         count_first_attempt(retries_);
     }
     one.stage = request_stage::at_upstream;
-    one.avoid = place->upstream_index;
-    one.sending = exchange;
-    one.sent = now;
+    one.last_upstream = place->upstream_index;
+    one.attempt_id = exchange;
+    one.attempt_sent_at = now;
     by_sending_.emplace(exchange, one.id);
     set_timer(one, one.expires);
     ++counts_.upstream_sends;
@@ -145,7 +145,7 @@
                          ports::actions& out)
 {
     bool const in_time = !one.answered && now < one.expires && may_send(now);
-    if (!in_time || !take_retry(retries_, one.tries))
+    if (!in_time || !take_retry(retries_, one.attempts))
     {
         return false;
     }
@@ -238,13 +238,13 @@
     }
     if (one.idempotent && end.http_status == http_unavailable)
     {
-        bool const ran_before = one.maybe_ran;
-        one.maybe_ran = true;
+        bool const ran_before = one.may_have_run;
+        one.may_have_run = true;
         if (retry(now, one, out))
         {
             return;
         }
-        one.maybe_ran = ran_before;
+        one.may_have_run = ran_before;
     }
     ports::caller_answer answer;
     answer.status = end.http_status;
@@ -258,7 +258,7 @@
                            ports::upstream_end const& end,
                            ports::actions& out)
 {
-    one.maybe_ran = true;
+    one.may_have_run = true;
     bool const large = end.status == ports::exchange_status::too_large;
     if (!large && one.idempotent && retry(now, one, out))
     {
