--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -33,11 +33,13 @@
     {
         return one.request.attempt == 1;
     }
-    auto const verdict =
-        keys_
-            .look_up(
-                now, one.partition, one.key, one.fingerprint, is_vouched(one))
-            .verdict;
+    auto const verdict = keys_
+                             .look_up(now,
+                                      one.partition,
+                                      one.key,
+                                      one.fingerprint,
+                                      is_first_sending_confirmed(one))
+                             .verdict;
     return verdict == key_verdict::first_run ||
            verdict == key_verdict::memory_full ||
            verdict == key_verdict::mismatch;
@@ -57,7 +59,7 @@
     if (code == result_code::deadline_unreachable ||
         code == result_code::no_free_slot || code == result_code::queue_full)
     {
-        wait = std::clamp<common::duration>(predicted(), 50ms, 5s);
+        wait = std::clamp<common::duration>(predicted_queue_wait(), 50ms, 5s);
     }
     auto answer = make_refusal(code, wait, random_);
     if (answer.outcome == common::outcome::not_run && !unheard)
@@ -67,7 +69,7 @@
     return answer;
 }
 
-common::duration entry_engine::predicted() const noexcept
+common::duration entry_engine::predicted_queue_wait() const noexcept
 {
     return predicted_wait({queue_.size(),
                            queue_.size(),
--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -47,20 +47,20 @@
 
 void entry_engine::tick(common::time_point now, ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     if (!retired_)
     {
         members_.tick(now, out);
         claims_.tick(now, members_, out);
         follower_.tick(now, out);
-        after_platform(now, out);
+        sync_platform_state(now, out);
     }
     slots_.tick(now);
     keys_.tick(now);
     fire_timers(now, out);
     if (!may_send(now))
     {
-        fail_waiting(now, out);
+        refuse_all_waiting(now, out);
     }
     if (!retired_)
     {
@@ -68,15 +68,15 @@
         send_loads(now, out);
         drive_handovers(now, out);
     }
-    after_event(now, out);
-    drive_life(now, out);
+    process_waiting_work(now, out);
+    advance_lifecycle(now, out);
 }
 
 void entry_engine::on_store_reply(common::time_point now,
                                   ports::store_reply const& reply,
                                   ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     if (retired_)
     {
         return;
@@ -95,22 +95,22 @@
     default:
         break;
     }
-    after_platform(now, out);
-    after_event(now, out);
+    sync_platform_state(now, out);
+    process_waiting_work(now, out);
 }
 
 void entry_engine::on_instances(common::time_point now,
                                 ports::instance_list const& list,
                                 ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     slots_.on_instances(now, list);
     if (!retired_)
     {
         members_.on_instances(now, list, out);
-        after_platform(now, out);
+        sync_platform_state(now, out);
     }
-    after_event(now, out);
+    process_waiting_work(now, out);
 }
 
 std::optional<common::time_point> entry_engine::next_timer() const noexcept
@@ -175,7 +175,7 @@
 // A first sending may have waited in a socket buffer through the pause, while
 // a later one ran elsewhere. What is read soon after a pause is therefore not
 // vouched for (see `key_memory`).
-void entry_engine::notice_pause(common::time_point now, ports::actions& out)
+void entry_engine::detect_pause(common::time_point now, ports::actions& out)
 {
     if (last_event_ && now - *last_event_ > settings_.membership.pause_limit)
     {
@@ -189,7 +189,8 @@
     last_event_ = now;
 }
 
-void entry_engine::after_event(common::time_point now, ports::actions& out)
+void entry_engine::process_waiting_work(common::time_point now,
+                                        ports::actions& out)
 {
     pump(now, out);
     while (!unpark_wanted_.empty())
@@ -201,7 +202,8 @@
     pump(now, out);
 }
 
-void entry_engine::after_platform(common::time_point now, ports::actions& out)
+void entry_engine::sync_platform_state(common::time_point now,
+                                       ports::actions& out)
 {
     sync_configuration(now, out);
     sync_members(now, out);
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -150,10 +150,10 @@
     };
 
     // entry_engine.cpp: composition and time.
-    void notice_pause(common::time_point now, ports::actions& out);
+    void detect_pause(common::time_point now, ports::actions& out);
     /// Does what an event made possible: sends what waits for a slot or slice.
-    void after_event(common::time_point now, ports::actions& out);
-    void after_platform(common::time_point now, ports::actions& out);
+    void process_waiting_work(common::time_point now, ports::actions& out);
+    void sync_platform_state(common::time_point now, ports::actions& out);
     bool owns(common::time_point now, std::uint32_t partition) const noexcept;
     void log(ports::actions& out,
              ports::severity level,
@@ -164,8 +164,8 @@
     void sync_members(common::time_point now, ports::actions& out);
     void sync_configuration(common::time_point now, ports::actions& out);
     bool is_live(ports::member_identity const& id) const noexcept;
-    bool is_silent(common::time_point now,
-                   ports::member_identity const& id) const noexcept;
+    bool is_peer_silent(common::time_point now,
+                        ports::member_identity const& id) const noexcept;
     bool may_send(common::time_point now) const noexcept;
 
     // entry_partitions.cpp: partitions that come and go.
@@ -173,44 +173,47 @@
     void on_claim_change(common::time_point now,
                          claims::claim_change const& change,
                          ports::actions& out);
-    void take_partition(common::time_point now,
-                        std::uint32_t partition,
-                        claims::claim_change const& change,
-                        ports::actions& out);
-    void lose_partition(common::time_point now,
-                        std::uint32_t partition,
-                        ports::actions& out);
+    void on_partition_acquired(common::time_point now,
+                               std::uint32_t partition,
+                               claims::claim_change const& change,
+                               ports::actions& out);
+    void on_partition_lost(common::time_point now,
+                           std::uint32_t partition,
+                           ports::actions& out);
 
     // entry_life.cpp: from joining to the end.
-    void drive_life(common::time_point now, ports::actions& out);
+    void advance_lifecycle(common::time_point now, ports::actions& out);
 
     // entry_requests.cpp: the way of one request.
     std::optional<result_code>
-    refuse_at_door(common::time_point now,
-                   ports::caller_request const& request) const;
+    arrival_refusal(common::time_point now,
+                    ports::caller_request const& request) const;
     open_request& add_request(open_request request);
-    void prepare(open_request& one, contracts::contract const* limits) const;
-    bool is_vouched(open_request const& one) const noexcept;
-    common::duration predicted() const noexcept;
+    void set_key_and_idempotency(open_request& one,
+                                 contracts::contract const* limits) const;
+    bool is_first_sending_confirmed(open_request const& one) const noexcept;
+    common::duration predicted_queue_wait() const noexcept;
     contracts::contract const* contract_of(std::string const& customer) const;
     void admit(common::time_point now, open_request& one, ports::actions& out);
-    bool settle_known_key(common::time_point now,
-                          open_request& one,
-                          ports::actions& out);
-    void charge(common::time_point now, open_request& one, ports::actions& out);
+    bool resolve_remembered_key(common::time_point now,
+                                open_request& one,
+                                ports::actions& out);
+    void take_from_slice(common::time_point now,
+                         open_request& one,
+                         ports::actions& out);
     void route(common::time_point now, open_request& one, ports::actions& out);
     void
-    seek_owner(common::time_point now, open_request& one, ports::actions& out);
-    void route_seeking(common::time_point now,
-                       std::uint32_t partition,
-                       ports::actions& out);
+    await_owner(common::time_point now, open_request& one, ports::actions& out);
+    void route_awaiting_owner(common::time_point now,
+                              std::uint32_t partition,
+                              ports::actions& out);
     void fire_timers(common::time_point now, ports::actions& out);
     void
     on_timer(common::time_point now, open_request& one, ports::actions& out);
     void refuse_if_waiting(common::time_point now,
                            std::uint64_t id,
                            ports::actions& out);
-    void fail_waiting(common::time_point now, ports::actions& out);
+    void refuse_all_waiting(common::time_point now, ports::actions& out);
 
     // entry_slots.cpp: its part at the slots.
     void
@@ -373,7 +376,7 @@
     std::array<std::optional<takeover>, common::partition_count> takeovers_;
     std::map<std::uint32_t, partition_handover> handovers_;
     /// Requests that wait for another owner, by their key's partition.
-    std::map<std::uint32_t, std::vector<std::uint64_t>> seeking_;
+    std::map<std::uint32_t, std::vector<std::uint64_t>> awaiting_owner_;
     /// When each live member was last heard from.
     std::map<ports::member_identity, common::time_point> heard_;
     common::time_point busy_at_{}; ///< Of a stop: last sign of work.
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -85,8 +85,8 @@
     return members_.find(id) != nullptr;
 }
 
-bool entry_engine::is_silent(common::time_point now,
-                             ports::member_identity const& id) const noexcept
+bool entry_engine::is_peer_silent(
+    common::time_point now, ports::member_identity const& id) const noexcept
 {
     auto const found = heard_.find(id);
     return found == heard_.end() ||
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -20,7 +20,7 @@
     for (std::uint32_t const partition : owners_.refresh(now, claims_))
     {
         report_to_new_owner(partition);
-        route_seeking(now, partition, out);
+        route_awaiting_owner(now, partition, out);
     }
 }
 
@@ -36,13 +36,13 @@
     switch (change.kind)
     {
     case claims::claim_change_kind::acquired:
-        take_partition(now, partition, change, out);
+        on_partition_acquired(now, partition, change, out);
         break;
     case claims::claim_change_kind::handover_requested:
         start_handover(now, partition, change);
         break;
     case claims::claim_change_kind::lost:
-        lose_partition(now, partition, out);
+        on_partition_lost(now, partition, out);
         break;
     case claims::claim_change_kind::owner_changed:
         break;
@@ -51,10 +51,10 @@
 
 // Only a partition that nobody ever owned, or one whose keys a predecessor
 // handed over whole, comes without a past.
-void entry_engine::take_partition(common::time_point now,
-                                  std::uint32_t partition,
-                                  claims::claim_change const& change,
-                                  ports::actions& out)
+void entry_engine::on_partition_acquired(common::time_point now,
+                                         std::uint32_t partition,
+                                         claims::claim_change const& change,
+                                         ports::actions& out)
 {
     bool const first_owner =
         change.previous_owner.name.empty() && change.current.epoch <= 1;
@@ -102,9 +102,9 @@
          {"keys", imported ? std::to_string(imported->keys.size()) : "none"}});
 }
 
-void entry_engine::lose_partition(common::time_point now,
-                                  std::uint32_t partition,
-                                  ports::actions& out)
+void entry_engine::on_partition_lost(common::time_point now,
+                                     std::uint32_t partition,
+                                     ports::actions& out)
 {
     slots_.release(partition);
     handovers_.erase(partition);
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -25,7 +25,7 @@
                            ports::peer_receive const& message,
                            ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     if (retired_)
     {
         return;
@@ -38,7 +38,7 @@
     auto const to_members = [&]
     {
         members_.on_peer(now, message, out);
-        after_platform(now, out);
+        sync_platform_state(now, out);
     };
     auto const to_follower = [&]
     {
@@ -46,7 +46,7 @@
         if (info != nullptr)
         {
             follower_.on_peer(now, message, info->peer_address, out);
-            after_platform(now, out);
+            sync_platform_state(now, out);
         }
     };
     std::visit(
@@ -114,7 +114,7 @@
             },
         },
         message.message);
-    after_event(now, out);
+    process_waiting_work(now, out);
 }
 
 void entry_engine::forward_to_owner(common::time_point now,
@@ -134,13 +134,14 @@
     auto const owner = owners_.owner_of(one.partition).member;
     if (!is_live(owner))
     {
-        seek_owner(now, one, out);
+        await_owner(now, one, out);
         return;
     }
     // A dead owner is buried some seconds after its death. What is forwarded
     // to it until then ends as unknown at the deadline; not sent, it ends as
     // not run at once.
-    if (is_silent(now, owner) || !send_to_peer(now, one, owner, false, out))
+    if (is_peer_silent(now, owner) ||
+        !send_to_peer(now, one, owner, false, out))
     {
         refuse(now, one, result_code::owner_unreachable, out);
         return;
@@ -185,8 +186,9 @@
     message.request.deadline = left;
     if (!is_spill)
     {
-        message.epoch =
-            is_vouched(one) ? owners_.owner_of(one.partition).epoch : 0;
+        message.epoch = is_first_sending_confirmed(one)
+                            ? owners_.owner_of(one.partition).epoch
+                            : 0;
     }
     one.stage = request_stage::at_peer;
     one.attempt_id = message.id;
@@ -233,7 +235,7 @@
     fresh.request = message.request;
     fresh.received = now;
     fresh.expires = now + message.request.deadline;
-    prepare(fresh, contract_of(message.request.customer));
+    set_key_and_idempotency(fresh, contract_of(message.request.customer));
     // A spilled key was looked up by its owner, who sent it here.
     fresh.has_key = fresh.has_key && !message.spill;
     auto const& known = owners_.owner_of(fresh.partition);
@@ -308,7 +310,7 @@
         !one->answered && now < one->expires)
     {
         one->stage = request_stage::arrived;
-        seek_owner(now, *one, out);
+        await_owner(now, *one, out);
         return;
     }
     if (not_run && one->spilled && !one->answered && now < one->expires)
--- a/src/core/requests/entry_phases.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -6,7 +6,7 @@
 
 void entry_engine::begin_stop(common::time_point now, ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     if (!life_.handle(entry_event::stop_requested))
     {
         return;
@@ -16,13 +16,13 @@
         ports::severity::info,
         "stop_begun",
         {{"phase", std::string(name_of(life_.phase()))}});
-    drive_life(now, out);
+    advance_lifecycle(now, out);
 }
 
 void entry_engine::retire(common::time_point now, ports::actions& out)
 {
     retired_ = true;
-    fail_waiting(now, out);
+    refuse_all_waiting(now, out);
     std::vector<std::uint64_t> elsewhere;
     for (auto const& [id, one] : requests_)
     {
@@ -46,7 +46,8 @@
     return life_.phase() == entry_phase::serving && may_send(now);
 }
 
-void entry_engine::drive_life(common::time_point now, ports::actions& out)
+void entry_engine::advance_lifecycle(common::time_point now,
+                                     ports::actions& out)
 {
     bool const waited_long =
         now - stop_announced_ > settings_.balancer_lag + settings_.stop_timeout;
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -13,12 +13,12 @@
                                      ports::caller_request request,
                                      ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     if (by_caller_.contains(caller))
     {
         return;
     }
-    if (auto const code = refuse_at_door(now, request))
+    if (auto const code = arrival_refusal(now, request))
     {
         out.emplace_back(ports::caller_reply{
             caller, refusal(*code, is_first_heard(request))});
@@ -36,18 +36,18 @@
             batch ? limits->batch_latency_target : limits->latency_target;
     }
     fresh.expires = now + fresh.request.deadline;
-    prepare(fresh, limits);
+    set_key_and_idempotency(fresh, limits);
     auto& one = add_request(std::move(fresh));
     by_caller_.emplace(caller, one.id);
     admit(now, one, out);
-    after_event(now, out);
+    process_waiting_work(now, out);
 }
 
 void entry_engine::on_caller_gone(common::time_point now,
                                   std::uint64_t caller,
                                   ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     auto const found = by_caller_.find(caller);
     if (found == by_caller_.end())
     {
@@ -60,12 +60,12 @@
     {
         refuse(now, one, result_code::deadline_passed, out);
     }
-    after_event(now, out);
+    process_waiting_work(now, out);
 }
 
 std::optional<common::result_code>
-entry_engine::refuse_at_door(common::time_point now,
-                             ports::caller_request const& request) const
+entry_engine::arrival_refusal(common::time_point now,
+                              ports::caller_request const& request) const
 {
     bool const serving = life_.phase() == entry_phase::serving ||
                          life_.phase() == entry_phase::stop_announced;
@@ -101,8 +101,8 @@
     return requests_.emplace(id, std::move(request)).first->second;
 }
 
-void entry_engine::prepare(open_request& one,
-                           contracts::contract const* limits) const
+void entry_engine::set_key_and_idempotency(
+    open_request& one, contracts::contract const* limits) const
 {
     auto const& request = one.request;
     one.idempotent =
@@ -118,7 +118,8 @@
     }
 }
 
-bool entry_engine::is_vouched(open_request const& one) const noexcept
+bool entry_engine::is_first_sending_confirmed(
+    open_request const& one) const noexcept
 {
     if (!one.is_local())
     {
@@ -145,21 +146,24 @@
                          ports::actions& out)
 {
     bool const own_key = one.has_key && owns(now, one.partition);
-    if (own_key && settle_known_key(now, one, out))
+    if (own_key && resolve_remembered_key(now, one, out))
     {
         return;
     }
-    charge(now, one, out);
+    take_from_slice(now, one, out);
 }
 
 // True where the key's memory answers, or has the request wait for another
 // sending's answer.
-bool entry_engine::settle_known_key(common::time_point now,
-                                    open_request& one,
-                                    ports::actions& out)
+bool entry_engine::resolve_remembered_key(common::time_point now,
+                                          open_request& one,
+                                          ports::actions& out)
 {
-    auto const found = keys_.look_up(
-        now, one.partition, one.key, one.fingerprint, is_vouched(one));
+    auto const found = keys_.look_up(now,
+                                     one.partition,
+                                     one.key,
+                                     one.fingerprint,
+                                     is_first_sending_confirmed(one));
     switch (found.verdict)
     {
     case key_verdict::first_run:
@@ -194,9 +198,9 @@
     return true;
 }
 
-void entry_engine::charge(common::time_point now,
-                          open_request& one,
-                          ports::actions& out)
+void entry_engine::take_from_slice(common::time_point now,
+                                   open_request& one,
+                                   ports::actions& out)
 {
     auto const* limits = contract_of(one.request.customer);
     if (limits == nullptr)
@@ -244,16 +248,16 @@
     }
     if (!owns(now, one.partition))
     {
-        seek_owner(now, one, out);
+        await_owner(now, one, out);
         return;
     }
-    if (settle_known_key(now, one, out))
+    if (resolve_remembered_key(now, one, out))
     {
         return;
     }
     if (key_is_frozen(one.partition))
     {
-        seek_owner(now, one, out);
+        await_owner(now, one, out);
         return;
     }
     keys_.begin(one.partition, one.key, one.fingerprint);
@@ -263,16 +267,16 @@
 
 // The key's partition is on its way to another owner: waits a moment for that.
 // A request that was forwarded here goes back to where it came from instead.
-void entry_engine::seek_owner(common::time_point now,
-                              open_request& one,
-                              ports::actions& out)
+void entry_engine::await_owner(common::time_point now,
+                               open_request& one,
+                               ports::actions& out)
 {
     if (!one.await_owner_until)
     {
         one.await_owner_until =
             std::min(one.expires, now + settings_.owner_change_timeout);
     }
-    auto& waiting = seeking_[one.partition];
+    auto& waiting = awaiting_owner_[one.partition];
     bool const in_vain = !one.is_local() || now >= *one.await_owner_until ||
                          waiting.size() >= settings_.max_awaiting_owner;
     if (in_vain)
@@ -285,11 +289,11 @@
     set_timer(one, one.await_owner_until);
 }
 
-void entry_engine::route_seeking(common::time_point now,
-                                 std::uint32_t partition,
-                                 ports::actions& out)
+void entry_engine::route_awaiting_owner(common::time_point now,
+                                        std::uint32_t partition,
+                                        ports::actions& out)
 {
-    auto const waiting = std::exchange(seeking_[partition], {});
+    auto const waiting = std::exchange(awaiting_owner_[partition], {});
     for (std::uint64_t const id : waiting)
     {
         auto const found = requests_.find(id);
@@ -390,7 +394,8 @@
     }
 }
 
-void entry_engine::fail_waiting(common::time_point now, ports::actions& out)
+void entry_engine::refuse_all_waiting(common::time_point now,
+                                      ports::actions& out)
 {
     while (auto const id = queue_.pop())
     {
@@ -408,7 +413,7 @@
             refuse_if_waiting(now, id, out);
         }
     }
-    for (auto const& [partition, waiting] : std::exchange(seeking_, {}))
+    for (auto const& [partition, waiting] : std::exchange(awaiting_owner_, {}))
     {
         for (std::uint64_t const id : waiting)
         {
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -178,12 +178,12 @@
                                    ports::upstream_end const& end,
                                    ports::actions& out)
 {
-    notice_pause(now, out);
+    detect_pause(now, out);
     slots_.on_exchange_end(now, end);
     auto* one = find_sending(end.exchange);
     if (one == nullptr)
     {
-        after_event(now, out);
+        process_waiting_work(now, out);
         return;
     }
     using enum ports::exchange_status;
@@ -191,7 +191,7 @@
     {
         // The other end, once it is known, follows.
         on_timer(now, *one, out);
-        after_event(now, out);
+        process_waiting_work(now, out);
         return;
     }
     by_sending_.erase(end.exchange);
@@ -221,7 +221,7 @@
         on_lost(now, *one, end, out);
         break;
     }
-    after_event(now, out);
+    process_waiting_work(now, out);
 }
 
 void entry_engine::on_whole_answer(common::time_point now,
