--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -15,15 +15,18 @@
                           result_code code,
                           ports::actions& out)
 {
-    conclude(now, one.id, refusal(code, is_unheard(now, one)), out);
+    finish(now,
+           one.id,
+           make_refusal_answer(code, has_no_earlier_run(now, one)),
+           out);
 }
 
 // "Not run" is about the caller's request, which all sendings of its key are
 // part of. True where no other sending of the key can have run: the owner asks
 // its memory at the moment it refuses, since another sending may have run
 // while this one waited; any other entry knows it only of a first sending.
-bool entry_engine::is_unheard(common::time_point now,
-                              open_request const& one) const
+bool entry_engine::has_no_earlier_run(common::time_point now,
+                                      open_request const& one) const
 {
     if (!one.has_key || one.key_begun)
     {
@@ -46,14 +49,16 @@
 }
 
 // The same for a request that is refused unseen.
-bool entry_engine::is_first_heard(ports::caller_request const& request) noexcept
+bool entry_engine::has_no_earlier_sending(
+    ports::caller_request const& request) noexcept
 {
     bool const keyed =
         request.method == "POST" && !request.idempotency_key.empty();
     return !keyed || request.attempt == 1;
 }
 
-ports::caller_answer entry_engine::refusal(result_code code, bool unheard)
+ports::caller_answer entry_engine::make_refusal_answer(result_code code,
+                                                       bool unheard)
 {
     common::duration wait = default_retry_after(code);
     if (code == result_code::deadline_unreachable ||
@@ -77,32 +82,32 @@
                            slots_.service_time()});
 }
 
-void entry_engine::conclude(common::time_point now,
-                            std::uint64_t id,
-                            ports::caller_answer const& answer,
-                            ports::actions& out)
+void entry_engine::finish(common::time_point now,
+                          std::uint64_t id,
+                          ports::caller_answer const& answer,
+                          ports::actions& out)
 {
     auto& one = requests_.at(id);
-    deliver(one, answer, out);
-    settle_key(now, one, answer, out);
+    send_answer(one, answer, out);
+    record_key_outcome(now, one, answer, out);
     erase(id);
 }
 
 // The outcome is unknown and it may still run: its charge stays until it can't.
-void entry_engine::conclude_linger(common::time_point now,
-                                   std::uint64_t id,
-                                   result_code code,
-                                   ports::actions& out)
+void entry_engine::finish_with_unknown_outcome(common::time_point now,
+                                               std::uint64_t id,
+                                               result_code code,
+                                               ports::actions& out)
 {
     auto& one = requests_.at(id);
-    auto const answer = refusal(code, true);
-    deliver(one, answer, out);
-    settle_key(now, one, answer, out);
+    auto const answer = make_refusal_answer(code, true);
+    send_answer(one, answer, out);
+    record_key_outcome(now, one, answer, out);
     auto const until = one.attempt_sent_at + settings_.upstreams.max_execution;
     if (one.counted_in_slice && one.stage != request_stage::awaiting_same_key &&
         until > now)
     {
-        linger(one, until);
+        keep_until_ended(one, until);
     }
     else
     {
@@ -112,9 +117,9 @@
 
 // A later try that was refused, here or by a peer, does not undo an earlier one
 // whose answer was lost.
-void entry_engine::deliver(open_request& one,
-                           ports::caller_answer answer,
-                           ports::actions& out)
+void entry_engine::send_answer(open_request& one,
+                               ports::caller_answer answer,
+                               ports::actions& out)
 {
     if (one.answered)
     {
@@ -139,10 +144,10 @@
 
 // A key whose run was refused before anything was sent is fresh again; any
 // other end is remembered, an unknown one too.
-void entry_engine::settle_key(common::time_point now,
-                              open_request& one,
-                              ports::caller_answer const& answer,
-                              ports::actions& out)
+void entry_engine::record_key_outcome(common::time_point now,
+                                      open_request& one,
+                                      ports::caller_answer const& answer,
+                                      ports::actions& out)
 {
     if (!one.key_begun)
     {
@@ -156,14 +161,14 @@
     {
         if (requests_.contains(waiter))
         {
-            conclude(now, waiter, answer, out);
+            finish(now, waiter, answer, out);
         }
     }
 }
 
-void entry_engine::linger(open_request& one, common::time_point until)
+void entry_engine::keep_until_ended(open_request& one, common::time_point until)
 {
-    by_sending_.erase(one.attempt_id);
+    by_attempt_.erase(one.attempt_id);
     open_bytes_ -= one.request.body.size();
     one.request.body.clear();
     one.request.headers.clear();
@@ -193,7 +198,7 @@
         }
     }
     set_timer(one, std::nullopt);
-    by_sending_.erase(one.attempt_id);
+    by_attempt_.erase(one.attempt_id);
     open_bytes_ -= one.request.body.size();
     requests_.erase(found);
 }
@@ -212,10 +217,10 @@
     }
 }
 
-open_request* entry_engine::find_sending(std::uint64_t sending) noexcept
+open_request* entry_engine::find_attempt(std::uint64_t sending) noexcept
 {
-    auto const found = by_sending_.find(sending);
-    if (found == by_sending_.end())
+    auto const found = by_attempt_.find(sending);
+    if (found == by_attempt_.end())
     {
         return nullptr;
     }
--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -192,14 +192,14 @@
 void entry_engine::process_waiting_work(common::time_point now,
                                         ports::actions& out)
 {
-    pump(now, out);
+    send_queued(now, out);
     while (!unpark_wanted_.empty())
     {
         std::string const name = *unpark_wanted_.begin();
         unpark_wanted_.erase(unpark_wanted_.begin());
         unpark(now, name, out);
     }
-    pump(now, out);
+    send_queued(now, out);
 }
 
 void entry_engine::sync_platform_state(common::time_point now,
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -223,46 +223,48 @@
                        ports::actions& out);
     void
     enqueue(common::time_point now, open_request& one, ports::actions& out);
-    void pump(common::time_point now, ports::actions& out);
-    std::optional<result_code> too_late(common::time_point now,
-                                        open_request const& one) const;
+    void send_queued(common::time_point now, ports::actions& out);
+    std::optional<result_code> deadline_refusal(common::time_point now,
+                                                open_request const& one) const;
     bool retry(common::time_point now, open_request& one, ports::actions& out);
-    void on_whole_answer(common::time_point now,
+    void on_complete_answer(common::time_point now,
+                            open_request& one,
+                            ports::upstream_end const& end,
+                            ports::actions& out);
+    void on_attempt_lost(common::time_point now,
                          open_request& one,
                          ports::upstream_end const& end,
                          ports::actions& out);
-    void on_lost(common::time_point now,
-                 open_request& one,
-                 ports::upstream_end const& end,
-                 ports::actions& out);
 
     // entry_answers.cpp: how requests end.
     void refuse(common::time_point now,
                 open_request& one,
                 result_code code,
                 ports::actions& out);
-    ports::caller_answer refusal(result_code code, bool unheard);
-    static bool is_first_heard(ports::caller_request const& request) noexcept;
-    bool is_unheard(common::time_point now, open_request const& one) const;
-    void conclude(common::time_point now,
-                  std::uint64_t id,
-                  ports::caller_answer const& answer,
-                  ports::actions& out);
-    void conclude_linger(common::time_point now,
-                         std::uint64_t id,
-                         result_code code,
-                         ports::actions& out);
-    void deliver(open_request& one,
-                 ports::caller_answer answer,
-                 ports::actions& out);
-    void settle_key(common::time_point now,
-                    open_request& one,
-                    ports::caller_answer const& answer,
-                    ports::actions& out);
-    void linger(open_request& one, common::time_point until);
+    ports::caller_answer make_refusal_answer(result_code code, bool unheard);
+    static bool
+    has_no_earlier_sending(ports::caller_request const& request) noexcept;
+    bool has_no_earlier_run(common::time_point now,
+                            open_request const& one) const;
+    void finish(common::time_point now,
+                std::uint64_t id,
+                ports::caller_answer const& answer,
+                ports::actions& out);
+    void finish_with_unknown_outcome(common::time_point now,
+                                     std::uint64_t id,
+                                     result_code code,
+                                     ports::actions& out);
+    void send_answer(open_request& one,
+                     ports::caller_answer answer,
+                     ports::actions& out);
+    void record_key_outcome(common::time_point now,
+                            open_request& one,
+                            ports::caller_answer const& answer,
+                            ports::actions& out);
+    void keep_until_ended(open_request& one, common::time_point until);
     void erase(std::uint64_t id);
     void set_timer(open_request& one, std::optional<common::time_point> when);
-    open_request* find_sending(std::uint64_t sending) noexcept;
+    open_request* find_attempt(std::uint64_t sending) noexcept;
 
     // entry_peers.cpp: what goes between entries.
     void forward_to_owner(common::time_point now,
@@ -369,7 +371,7 @@
 
     request_table requests_;
     std::unordered_map<std::uint64_t, std::uint64_t> by_caller_;
-    std::unordered_map<std::uint64_t, std::uint64_t> by_sending_;
+    std::unordered_map<std::uint64_t, std::uint64_t> by_attempt_;
     std::set<std::pair<common::time_point, std::uint64_t>> timers_;
     std::map<std::string, customer_state> customers_;
     std::map<std::string, contracts::slice_ledger> ledgers_;
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -118,7 +118,8 @@
     {
         if (requests_.contains(waiter))
         {
-            conclude_linger(now, waiter, result_code::owner_lost, out);
+            finish_with_unknown_outcome(
+                now, waiter, result_code::owner_lost, out);
         }
     }
     log(out,
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -194,7 +194,7 @@
     one.attempt_id = message.id;
     one.peer = to;
     one.attempt_sent_at = now;
-    by_sending_.emplace(message.id, one.id);
+    by_attempt_.emplace(message.id, one.id);
     set_timer(one, one.expires);
     send_peer(to, std::move(message), out);
     return true;
@@ -212,10 +212,11 @@
     busy_at_ = now;
     auto const refuse_now = [&](result_code code)
     {
-        answer_peer(from,
-                    message.id,
-                    refusal(code, is_first_heard(message.request)),
-                    out);
+        answer_peer(
+            from,
+            message.id,
+            make_refusal_answer(code, has_no_earlier_sending(message.request)),
+            out);
     };
     if (!may_send(now))
     {
@@ -295,13 +296,13 @@
                                        ports::forwarded_answer const& message,
                                        ports::actions& out)
 {
-    auto* one = find_sending(message.id);
+    auto* one = find_attempt(message.id);
     if (one == nullptr || one->stage != request_stage::at_peer ||
         one->peer != from)
     {
         return;
     }
-    by_sending_.erase(message.id);
+    by_attempt_.erase(message.id);
     peer_loads_.on_report(now, from, {message.free_slots, message.queued});
     bool const not_run = message.answer.outcome == common::outcome::not_run;
     bool const handed_over =
@@ -323,12 +324,13 @@
     if (may_still_run(message.answer))
     {
         // It may run on there; the charge stays as long.
-        deliver(*one, message.answer, out);
-        settle_key(now, *one, message.answer, out);
-        linger(*one, one->attempt_sent_at + settings_.upstreams.max_execution);
+        send_answer(*one, message.answer, out);
+        record_key_outcome(now, *one, message.answer, out);
+        keep_until_ended(
+            *one, one->attempt_sent_at + settings_.upstreams.max_execution);
         return;
     }
-    conclude(now, one->id, message.answer, out);
+    finish(now, one->id, message.answer, out);
 }
 
 void entry_engine::answer_peer(ports::member_identity const& to,
@@ -362,11 +364,11 @@
             continue;
         }
         auto& one = found->second;
-        by_sending_.erase(one.attempt_id);
+        by_attempt_.erase(one.attempt_id);
         one.may_have_run = true;
         if (!one.idempotent || !retry(now, one, out))
         {
-            conclude_linger(now, id, result_code::owner_lost, out);
+            finish_with_unknown_outcome(now, id, result_code::owner_lost, out);
         }
     }
 }
--- a/src/core/requests/entry_phases.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -36,7 +36,7 @@
     {
         if (requests_.contains(id))
         {
-            conclude_linger(now, id, result_code::owner_lost, out);
+            finish_with_unknown_outcome(now, id, result_code::owner_lost, out);
         }
     }
 }
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -21,7 +21,8 @@
     if (auto const code = arrival_refusal(now, request))
     {
         out.emplace_back(ports::caller_reply{
-            caller, refusal(*code, is_first_heard(request))});
+            caller,
+            make_refusal_answer(*code, has_no_earlier_sending(request))});
         return;
     }
     auto const* limits = contract_of(request.customer);
@@ -172,7 +173,7 @@
     {
         ++counts_.replayed_keys;
         ports::caller_answer const answer = *found.answer;
-        conclude(now, one.id, answer, out);
+        finish(now, one.id, answer, out);
         return true;
     }
     case key_verdict::running:
@@ -356,7 +357,10 @@
         slots_.on_caller_timeout(now, one.attempt_id);
         if (one.is_local())
         {
-            deliver(one, refusal(result_code::deadline_after_send, true), out);
+            send_answer(
+                one,
+                make_refusal_answer(result_code::deadline_after_send, true),
+                out);
         }
         break;
     case request_stage::at_peer:
@@ -365,7 +369,9 @@
             erase(one.id);
             break;
         }
-        deliver(one, refusal(result_code::deadline_after_send, true), out);
+        send_answer(one,
+                    make_refusal_answer(result_code::deadline_after_send, true),
+                    out);
         set_timer(
             one,
             std::max(now,
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -61,7 +61,7 @@
     one.last_upstream = place->upstream_index;
     one.attempt_id = exchange;
     one.attempt_sent_at = now;
-    by_sending_.emplace(exchange, one.id);
+    by_attempt_.emplace(exchange, one.id);
     set_timer(one, one.expires);
     ++counts_.upstream_sends;
     out.emplace_back(ports::upstream_send{exchange,
@@ -97,7 +97,7 @@
     set_timer(one, one.expires);
 }
 
-void entry_engine::pump(common::time_point now, ports::actions& out)
+void entry_engine::send_queued(common::time_point now, ports::actions& out)
 {
     while (slots_.free_slots() > 0 && queue_.size() > 0 && may_send(now))
     {
@@ -117,7 +117,7 @@
         {
             refuse(now, one, result_code::owner_unreachable, out);
         }
-        else if (auto const late = too_late(now, one))
+        else if (auto const late = deadline_refusal(now, one))
         {
             refuse(now, one, *late, out);
         }
@@ -133,7 +133,8 @@
 // it: goodput falls the more the higher the load. Refused now, its caller knows
 // at once that it did not run.
 std::optional<common::result_code>
-entry_engine::too_late(common::time_point now, open_request const& one) const
+entry_engine::deadline_refusal(common::time_point now,
+                               open_request const& one) const
 {
     queue_state const next{0, 0, slots_.usable_slots(), slots_.service_time()};
     return requests::admission_refusal(
@@ -180,7 +181,7 @@
 {
     detect_pause(now, out);
     slots_.on_exchange_end(now, end);
-    auto* one = find_sending(end.exchange);
+    auto* one = find_attempt(end.exchange);
     if (one == nullptr)
     {
         process_waiting_work(now, out);
@@ -194,7 +195,7 @@
         process_waiting_work(now, out);
         return;
     }
-    by_sending_.erase(end.exchange);
+    by_attempt_.erase(end.exchange);
     switch (end.status)
     {
     case answered:
@@ -207,7 +208,7 @@
             }
             break;
         }
-        on_whole_answer(now, *one, end, out);
+        on_complete_answer(now, *one, end, out);
         break;
     case not_sent:
         if (!retry(now, *one, out))
@@ -218,22 +219,24 @@
     case timed_out:
     case lost:
     case too_large:
-        on_lost(now, *one, end, out);
+        on_attempt_lost(now, *one, end, out);
         break;
     }
     process_waiting_work(now, out);
 }
 
-void entry_engine::on_whole_answer(common::time_point now,
-                                   open_request& one,
-                                   ports::upstream_end const& end,
-                                   ports::actions& out)
+void entry_engine::on_complete_answer(common::time_point now,
+                                      open_request& one,
+                                      ports::upstream_end const& end,
+                                      ports::actions& out)
 {
     if (end.http_status == 0)
     {
         // A late answer that was read to its end but not kept.
-        conclude(
-            now, one.id, refusal(result_code::deadline_after_send, true), out);
+        finish(now,
+               one.id,
+               make_refusal_answer(result_code::deadline_after_send, true),
+               out);
         return;
     }
     if (one.idempotent && end.http_status == http_unavailable)
@@ -250,13 +253,13 @@
     answer.status = end.http_status;
     answer.headers = end.headers;
     answer.body = end.body;
-    conclude(now, one.id, answer, out);
+    finish(now, one.id, answer, out);
 }
 
-void entry_engine::on_lost(common::time_point now,
-                           open_request& one,
-                           ports::upstream_end const& end,
-                           ports::actions& out)
+void entry_engine::on_attempt_lost(common::time_point now,
+                                   open_request& one,
+                                   ports::upstream_end const& end,
+                                   ports::actions& out)
 {
     one.may_have_run = true;
     bool const large = end.status == ports::exchange_status::too_large;
@@ -266,7 +269,7 @@
     }
     auto const partial = end.http_status != 0 ? result_code::upstream_partial
                                               : result_code::upstream_lost;
-    conclude_linger(
+    finish_with_unknown_outcome(
         now, one.id, large ? result_code::answer_too_large : partial, out);
 }
 
