--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -192,9 +192,9 @@
         {
             customer->second.slice.on_request_end(one.request.kind);
         }
-        if (!customer->second.parked.empty())
+        if (!customer->second.awaiting_slice.empty())
         {
-            unpark_wanted_.insert(one.request.customer);
+            customers_to_resume_.insert(one.request.customer);
         }
     }
     set_timer(one, std::nullopt);
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -22,7 +22,7 @@
 // Why a request that its customer's slice does not admit need not wait for a
 // larger one; empty where it may.
 std::optional<common::result_code>
-entry_engine::waits_in_vain(common::time_point now,
+entry_engine::slice_refusal(common::time_point now,
                             customer_state const& customer,
                             contracts::slice_verdict verdict) const
 {
@@ -32,8 +32,9 @@
                    ? std::optional(result_code::over_contract_rate)
                    : std::nullopt;
     }
-    bool const in_vain = customer.slice.is_limited(now) ||
-                         customer.parked.size() >= settings_.max_awaiting_slice;
+    bool const in_vain =
+        customer.slice.is_limited(now) ||
+        customer.awaiting_slice.size() >= settings_.max_awaiting_slice;
     return in_vain ? std::optional(result_code::over_contract_in_flight)
                    : std::nullopt;
 }
@@ -50,14 +51,14 @@
         ledgers_.emplace(name, contracts::slice_ledger(settings_.slices))
             .first->second;
     auto const& taken = takeovers_[common::partition_of(name)];
-    if (taken && now - taken->when < settings_.upstreams.max_execution)
+    if (taken && now - taken->started_at < settings_.upstreams.max_execution)
     {
-        added.take_over(now, taken->others);
+        added.take_over(now, taken->possible_holders);
     }
     return added;
 }
 
-void entry_engine::ask_for_slices(common::time_point now, ports::actions& out)
+void entry_engine::request_slices(common::time_point now, ports::actions& out)
 {
     if (!may_send(now))
     {
@@ -68,23 +69,23 @@
         auto const next = std::next(at);
         bool const gone = contract_of(at->first) == nullptr;
         if (gone && at->second.slice.in_flight() == 0 &&
-            at->second.parked.empty())
+            at->second.awaiting_slice.empty())
         {
             customers_.erase(at);
         }
         else if (!gone)
         {
-            ask_for_slice(now, at->first, out);
-            if (!at->second.parked.empty())
+            request_slice(now, at->first, out);
+            if (!at->second.awaiting_slice.empty())
             {
-                unpark_wanted_.insert(at->first);
+                customers_to_resume_.insert(at->first);
             }
         }
         at = next;
     }
 }
 
-void entry_engine::ask_for_slice(common::time_point now,
+void entry_engine::request_slice(common::time_point now,
                                  std::string const& name,
                                  ports::actions& out)
 {
@@ -101,7 +102,7 @@
         return;
     }
     request->customer = name;
-    customer.asked = owner;
+    customer.last_requested_owner = owner;
     if (owner != members_.self().id)
     {
         send_peer(owner, *request, out);
@@ -116,7 +117,7 @@
 // A new owner knows nothing of its predecessor's grants. It counts everybody
 // with the most one may hold until they report, and so they do at once, those
 // that hold nothing too.
-void entry_engine::report_to_new_owner(std::uint32_t partition)
+void entry_engine::request_slices_from_new_owner(std::uint32_t partition)
 {
     for (auto const& [name, limits] : follower_.current().contracts)
     {
@@ -153,17 +154,17 @@
                                   ports::actions& /*out*/)
 {
     auto const found = customers_.find(grant.customer);
-    if (found == customers_.end() || found->second.asked != from)
+    if (found == customers_.end() || found->second.last_requested_owner != from)
     {
         return;
     }
     found->second.slice.on_grant(now, grant);
-    unpark_wanted_.insert(grant.customer);
+    customers_to_resume_.insert(grant.customer);
 }
 
-void entry_engine::unpark(common::time_point now,
-                          std::string const& name,
-                          ports::actions& out)
+void entry_engine::resume_awaiting_slice(common::time_point now,
+                                         std::string const& name,
+                                         ports::actions& out)
 {
     auto const found = customers_.find(name);
     if (found == customers_.end())
@@ -171,21 +172,21 @@
         return;
     }
     auto& customer = found->second;
-    while (!customer.parked.empty())
+    while (!customer.awaiting_slice.empty())
     {
-        std::uint64_t const id = customer.parked.front();
+        std::uint64_t const id = customer.awaiting_slice.front();
         auto const at = requests_.find(id);
         if (at == requests_.end() ||
             at->second.stage != request_stage::awaiting_slice)
         {
-            customer.parked.pop_front();
+            customer.awaiting_slice.pop_front();
             continue;
         }
         auto& one = at->second;
         auto const* limits = contract_of(name);
         if (limits == nullptr)
         {
-            customer.parked.pop_front();
+            customer.awaiting_slice.pop_front();
             refuse(now, one, result_code::contract_withdrawn, out);
             continue;
         }
@@ -193,19 +194,19 @@
             customer.slice.admit(now, one.request.kind, *limits);
         if (verdict == contracts::slice_verdict::admitted)
         {
-            customer.parked.pop_front();
+            customer.awaiting_slice.pop_front();
             one.counted_in_slice = true;
             one.stage = request_stage::arrived;
             set_timer(one, std::nullopt);
             route(now, one, out);
             continue;
         }
-        auto const code = waits_in_vain(now, customer, verdict);
+        auto const code = slice_refusal(now, customer, verdict);
         if (!code)
         {
             return;
         }
-        customer.parked.pop_front();
+        customer.awaiting_slice.pop_front();
         refuse(now, one, *code, out);
     }
 }
--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -64,7 +64,7 @@
     }
     if (!retired_)
     {
-        ask_for_slices(now, out);
+        request_slices(now, out);
         send_loads(now, out);
         drive_handovers(now, out);
     }
@@ -193,11 +193,11 @@
                                         ports::actions& out)
 {
     send_queued(now, out);
-    while (!unpark_wanted_.empty())
+    while (!customers_to_resume_.empty())
     {
-        std::string const name = *unpark_wanted_.begin();
-        unpark_wanted_.erase(unpark_wanted_.begin());
-        unpark(now, name, out);
+        std::string const name = *customers_to_resume_.begin();
+        customers_to_resume_.erase(customers_to_resume_.begin());
+        resume_awaiting_slice(now, name, out);
     }
     send_queued(now, out);
 }
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -139,14 +139,15 @@
     struct customer_state
     {
         contracts::slice_holder slice;
-        std::deque<std::uint64_t> parked;
-        ports::member_identity asked; ///< Owner the last request went to.
+        std::deque<std::uint64_t> awaiting_slice;
+        ports::member_identity
+            last_requested_owner; ///< Owner the last request went to.
     };
     /// A takeover whose predecessor's grants may still be used.
     struct takeover
     {
-        common::time_point when;
-        std::vector<ports::member_identity> others;
+        common::time_point started_at;
+        std::vector<ports::member_identity> possible_holders;
     };
 
     // entry_engine.cpp: composition and time.
@@ -302,16 +303,16 @@
     // entry_contracts.cpp: slices of contracts.
     customer_state& customer_of(std::string const& name);
     std::optional<result_code>
-    waits_in_vain(common::time_point now,
+    slice_refusal(common::time_point now,
                   customer_state const& customer,
                   contracts::slice_verdict verdict) const;
     contracts::slice_ledger& ledger_of(common::time_point now,
                                        std::string const& name);
-    void ask_for_slice(common::time_point now,
+    void request_slice(common::time_point now,
                        std::string const& name,
                        ports::actions& out);
-    void ask_for_slices(common::time_point now, ports::actions& out);
-    void report_to_new_owner(std::uint32_t partition);
+    void request_slices(common::time_point now, ports::actions& out);
+    void request_slices_from_new_owner(std::uint32_t partition);
     std::optional<ports::slice_grant>
     grant_slice(common::time_point now,
                 ports::member_identity const& to,
@@ -320,9 +321,9 @@
                         ports::member_identity const& from,
                         ports::slice_grant const& grant,
                         ports::actions& out);
-    void unpark(common::time_point now,
-                std::string const& name,
-                ports::actions& out);
+    void resume_awaiting_slice(common::time_point now,
+                               std::string const& name,
+                               ports::actions& out);
 
     // entry_handovers.cpp: partitions that change hands as planned.
     void start_handover(common::time_point now,
@@ -389,7 +390,7 @@
     std::uint64_t next_id_ = 0;
     std::size_t open_bytes_ = 0;
     std::size_t unanswered_ = 0;
-    std::set<std::string> unpark_wanted_; ///< Customers with room again.
+    std::set<std::string> customers_to_resume_; ///< Customers with room again.
     std::optional<common::time_point> last_event_;
     common::time_point woke_{}; ///< End of the last pause, or the start.
     common::time_point next_loads_{};
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -19,7 +19,7 @@
     }
     for (std::uint32_t const partition : owners_.refresh(now, claims_))
     {
-        report_to_new_owner(partition);
+        request_slices_from_new_owner(partition);
         route_awaiting_owner(now, partition, out);
     }
 }
@@ -85,11 +85,11 @@
         takeover taken{now, {}};
         for (auto const& [id, gone_since] : known_members_)
         {
-            taken.others.push_back(id);
+            taken.possible_holders.push_back(id);
         }
         if (!change.previous_owner.name.empty())
         {
-            taken.others.push_back(change.previous_owner);
+            taken.possible_holders.push_back(change.previous_owner);
         }
         takeovers_[partition] = std::move(taken);
     }
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -211,7 +211,7 @@
     }
     auto& customer = customer_of(one.request.customer);
     auto const verdict =
-        customer.parked.empty()
+        customer.awaiting_slice.empty()
             ? customer.slice.admit(now, one.request.kind, *limits)
             : contracts::slice_verdict::no_slice;
     if (verdict == contracts::slice_verdict::admitted)
@@ -222,15 +222,15 @@
     }
     customer.slice.count_unmet_demand();
     // Waiting is of use only where the customer's owner may lend more.
-    if (auto const code = waits_in_vain(now, customer, verdict))
+    if (auto const code = slice_refusal(now, customer, verdict))
     {
         refuse(now, one, *code, out);
         return;
     }
     one.stage = request_stage::awaiting_slice;
-    customer.parked.push_back(one.id);
+    customer.awaiting_slice.push_back(one.id);
     set_timer(one, std::min(one.expires, now + settings_.slice_timeout));
-    ask_for_slice(now, one.request.customer, out);
+    request_slice(now, one.request.customer, out);
 }
 
 void entry_engine::route(common::time_point now,
@@ -414,7 +414,8 @@
     }
     for (auto& [name, customer] : customers_)
     {
-        for (std::uint64_t const id : std::exchange(customer.parked, {}))
+        for (std::uint64_t const id :
+             std::exchange(customer.awaiting_slice, {}))
         {
             refuse_if_waiting(now, id, out);
         }
