--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -31,15 +31,15 @@
       claims_("entry", partition_names()), follower_(settings_.configuration),
       slots_(settings_.upstreams, seed ^ 2U), keys_(settings_.keys),
       queue_(settings_.max_queued), retries_(settings_.retries),
-      peer_loads_(settings_.load_lifetime), imports_(settings_.keys.max_keys),
-      next_id_(first_id(self.id))
+      peer_loads_(settings_.load_lifetime),
+      key_imports_(settings_.keys.max_keys), next_id_(first_id(self.id))
 {
 }
 
 void entry_engine::start(common::time_point now, ports::actions& out)
 {
-    woke_ = now;
-    last_event_ = now;
+    resumed_at_ = now;
+    last_event_at_ = now;
     members_.start(now, out);
     claims_.start(now, out);
     follower_.start(now, out);
@@ -66,7 +66,7 @@
     {
         request_slices(now, out);
         send_loads(now, out);
-        drive_handovers(now, out);
+        advance_handovers(now, out);
     }
     process_waiting_work(now, out);
     advance_lifecycle(now, out);
@@ -125,7 +125,7 @@
 entry_status entry_engine::status(common::time_point now) const
 {
     entry_status shown;
-    shown.phase = life_.phase();
+    shown.phase = lifecycle_.phase();
     shown.may_act = members_.may_act(now);
     shown.proof_age = members_.proof_age(now);
     shown.revision = follower_.current().revision;
@@ -177,16 +177,17 @@
 // vouched for (see `key_memory`).
 void entry_engine::detect_pause(common::time_point now, ports::actions& out)
 {
-    if (last_event_ && now - *last_event_ > settings_.membership.pause_limit)
+    if (last_event_at_ &&
+        now - *last_event_at_ > settings_.membership.pause_limit)
     {
-        woke_ = now;
+        resumed_at_ = now;
         log(out,
             ports::severity::warning,
             "paused",
             {{"ms",
-              std::to_string(common::to_milliseconds(now - *last_event_))}});
+              std::to_string(common::to_milliseconds(now - *last_event_at_))}});
     }
-    last_event_ = now;
+    last_event_at_ = now;
 }
 
 void entry_engine::process_waiting_work(common::time_point now,
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -94,10 +94,10 @@
                            ports::caller_request request,
                            ports::actions& out);
     /// Its connection closed: what has not been sent need not run.
-    void on_caller_gone(common::time_point now,
-                        std::uint64_t caller,
-                        ports::actions& out);
-    void on_upstream_end(common::time_point now,
+    void on_caller_disconnected(common::time_point now,
+                                std::uint64_t caller,
+                                ports::actions& out);
+    void on_exchange_end(common::time_point now,
                          ports::upstream_end const& end,
                          ports::actions& out);
     void on_store_reply(common::time_point now,
@@ -290,10 +290,10 @@
                      ports::caller_answer answer,
                      ports::actions& out) const;
     void on_peer_lost(common::time_point now, ports::actions& out);
-    void note_revision(common::time_point now,
-                       std::uint64_t revision,
-                       ports::member_identity const& from,
-                       ports::actions& out);
+    void on_peer_revision(common::time_point now,
+                          std::uint64_t revision,
+                          ports::member_identity const& from,
+                          ports::actions& out);
     void send_loads(common::time_point now, ports::actions& out);
     ports::load_report own_load() const noexcept;
     void send_peer(ports::member_identity const& to,
@@ -329,14 +329,14 @@
     void start_handover(common::time_point now,
                         std::uint32_t partition,
                         claims::claim_change const& change);
-    void drive_handovers(common::time_point now, ports::actions& out);
-    void drive_handover(common::time_point now,
-                        std::uint32_t partition,
-                        partition_handover& one,
-                        ports::actions& out);
-    void enter(common::time_point now,
-               partition_handover& one,
-               handover_stage stage);
+    void advance_handovers(common::time_point now, ports::actions& out);
+    void advance_handover(common::time_point now,
+                          std::uint32_t partition,
+                          partition_handover& one,
+                          ports::actions& out);
+    void enter_stage(common::time_point now,
+                     partition_handover& one,
+                     handover_stage stage);
     void send_keys(common::time_point now,
                    std::uint32_t partition,
                    partition_handover& one,
@@ -367,8 +367,8 @@
     replay_guard replays_;
     key_owners owners_;
     peer_load_table peer_loads_;
-    key_import_buffer imports_;
-    entry_lifecycle life_;
+    key_import_buffer key_imports_;
+    entry_lifecycle lifecycle_;
 
     request_table requests_;
     std::unordered_map<std::uint64_t, std::uint64_t> by_caller_;
@@ -381,8 +381,8 @@
     /// Requests that wait for another owner, by their key's partition.
     std::map<std::uint32_t, std::vector<std::uint64_t>> awaiting_owner_;
     /// When each live member was last heard from.
-    std::map<ports::member_identity, common::time_point> heard_;
-    common::time_point busy_at_{}; ///< Of a stop: last sign of work.
+    std::map<ports::member_identity, common::time_point> last_received_;
+    common::time_point last_work_at_{}; ///< Of a stop: last sign of work.
     /// Live members, and since when those that are not any more are gone.
     std::map<ports::member_identity, std::optional<common::time_point>>
         known_members_;
@@ -391,16 +391,16 @@
     std::size_t open_bytes_ = 0;
     std::size_t unanswered_ = 0;
     std::set<std::string> customers_to_resume_; ///< Customers with room again.
-    std::optional<common::time_point> last_event_;
-    common::time_point woke_{}; ///< End of the last pause, or the start.
-    common::time_point next_loads_{};
+    std::optional<common::time_point> last_event_at_;
+    common::time_point resumed_at_{}; ///< End of the last pause, or the start.
+    common::time_point next_load_report_at_{};
     std::size_t next_load_peer_ = 0;
-    common::time_point stop_announced_{};
+    common::time_point stop_announced_at_{};
     std::uint64_t applied_revision_ = 0;
-    std::uint64_t newest_revision_ = 0; ///< That anybody told of.
+    std::uint64_t newest_reported_revision_ = 0; ///< That anybody told of.
     std::optional<common::time_point> behind_since_;
     /// When the configuration was last known to be the newest.
-    common::time_point configuration_seen_{};
+    common::time_point configuration_current_as_of_{};
     bool may_act_ = false;
     bool retired_ = false;
     entry_counts counts_;
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -24,7 +24,8 @@
     one.epoch = change.current.epoch;
 }
 
-void entry_engine::drive_handovers(common::time_point now, ports::actions& out)
+void entry_engine::advance_handovers(common::time_point now,
+                                     ports::actions& out)
 {
     std::size_t active = 0;
     for (auto const& [partition, one] : handovers_)
@@ -44,7 +45,7 @@
                 continue;
             }
             ++active;
-            enter(now, one, handover_stage::draining_slots);
+            enter_stage(now, one, handover_stage::draining_slots);
             slots_.release(partition);
         }
         bool const unsent = one.stage == handover_stage::draining_slots ||
@@ -54,7 +55,7 @@
             cancelled.push_back(partition);
             continue;
         }
-        drive_handover(now, partition, one, out);
+        advance_handover(now, partition, one, out);
     }
     for (std::uint32_t const partition : cancelled)
     {
@@ -63,10 +64,10 @@
     }
 }
 
-void entry_engine::drive_handover(common::time_point now,
-                                  std::uint32_t partition,
-                                  partition_handover& one,
-                                  ports::actions& out)
+void entry_engine::advance_handover(common::time_point now,
+                                    std::uint32_t partition,
+                                    partition_handover& one,
+                                    ports::actions& out)
 {
     bool const patient =
         now - one.stage_began < settings_.handover_stage_timeout;
@@ -77,21 +78,21 @@
     case handover_stage::draining_slots:
         if (slots_.is_idle(partition) || !patient)
         {
-            enter(now, one, handover_stage::draining_keys);
+            enter_stage(now, one, handover_stage::draining_keys);
         }
         break;
     case handover_stage::draining_keys:
         if (keys_.running(partition) == 0 || !patient)
         {
             one.slots_idle = slots_.is_idle(partition);
-            enter(now, one, handover_stage::awaiting_acknowledgement);
+            enter_stage(now, one, handover_stage::awaiting_acknowledgement);
             send_keys(now, partition, one, out);
         }
         break;
     case handover_stage::awaiting_acknowledgement:
         if (one.successor.name.empty() || !patient)
         {
-            enter(now, one, handover_stage::releasing);
+            enter_stage(now, one, handover_stage::releasing);
             claims_.release(now, partition_name(partition), out);
         }
         else if (now - one.last_sent >= settings_.handover_retry_interval)
@@ -104,9 +105,9 @@
     }
 }
 
-void entry_engine::enter(common::time_point now,
-                         partition_handover& one,
-                         handover_stage stage)
+void entry_engine::enter_stage(common::time_point now,
+                               partition_handover& one,
+                               handover_stage stage)
 {
     one.stage = stage;
     one.stage_began = now;
@@ -133,7 +134,7 @@
                                    ports::key_handover const& message,
                                    ports::actions& out)
 {
-    if (is_live(from) && imports_.on_message(now, from, message))
+    if (is_live(from) && key_imports_.on_message(now, from, message))
     {
         send_peer(from,
                   ports::key_handover_ack{message.partition, message.epoch},
@@ -158,7 +159,7 @@
         return;
     }
     ++counts_.handovers;
-    enter(now, one, handover_stage::releasing);
+    enter_stage(now, one, handover_stage::releasing);
     claims_.release(now, partition_name(ack.partition), out);
     log(out,
         ports::severity::info,
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -13,7 +13,7 @@
     for (auto const& info : members_.live())
     {
         known_members_[info.id].reset();
-        heard_.emplace(info.id, now);
+        last_received_.emplace(info.id, now);
     }
     for (auto at = known_members_.begin(); at != known_members_.end();)
     {
@@ -37,7 +37,7 @@
         {
             return is_live(id);
         };
-        std::erase_if(heard_,
+        std::erase_if(last_received_,
                       [&live](auto const& heard)
                       {
                           return !live(heard.first);
@@ -52,15 +52,16 @@
                                       ports::actions& out)
 {
     auto const& current = follower_.current();
-    configuration_seen_ =
-        std::max(configuration_seen_, follower_.confirmed_at());
+    configuration_current_as_of_ =
+        std::max(configuration_current_as_of_, follower_.confirmed_at());
     // While the store is silent the witnesses' promises tell their revisions.
     if (!members_.proved_by_store() && members_.may_act(now))
     {
-        configuration_seen_ = now;
+        configuration_current_as_of_ = now;
     }
-    newest_revision_ = std::max(newest_revision_, current.revision);
-    if (current.revision >= newest_revision_)
+    newest_reported_revision_ =
+        std::max(newest_reported_revision_, current.revision);
+    if (current.revision >= newest_reported_revision_)
     {
         behind_since_.reset();
     }
@@ -88,8 +89,8 @@
 bool entry_engine::is_peer_silent(
     common::time_point now, ports::member_identity const& id) const noexcept
 {
-    auto const found = heard_.find(id);
-    return found == heard_.end() ||
+    auto const found = last_received_.find(id);
+    return found == last_received_.end() ||
            now - found->second > settings_.peer_silence_timeout;
 }
 
@@ -101,7 +102,7 @@
         behind_since_ &&
         now - *behind_since_ > settings_.newer_configuration_grace;
     bool const seen =
-        now - configuration_seen_ <= settings_.max_configuration_age;
+        now - configuration_current_as_of_ <= settings_.max_configuration_age;
     return !retired_ && !behind && seen && members_.may_act(now);
 }
 
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -58,8 +58,8 @@
 {
     bool const first_owner =
         change.previous_owner.name.empty() && change.current.epoch <= 1;
-    auto const imported =
-        imports_.take(partition, change.current.epoch, change.previous_owner);
+    auto const imported = key_imports_.take(
+        partition, change.current.epoch, change.previous_owner);
     handovers_.erase(partition);
     if (first_owner)
     {
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -33,7 +33,7 @@
     auto const& from = message.from;
     if (is_live(from))
     {
-        heard_[from] = now;
+        last_received_[from] = now;
     }
     auto const to_members = [&]
     {
@@ -53,12 +53,12 @@
         overloaded{
             [&](ports::promise_request const& request)
             {
-                note_revision(now, request.config_revision, from, out);
+                on_peer_revision(now, request.config_revision, from, out);
                 to_members();
             },
             [&](ports::promise_reply const& reply)
             {
-                note_revision(now, reply.config_revision, from, out);
+                on_peer_revision(now, reply.config_revision, from, out);
                 to_members();
             },
             [&](ports::consent_request const&)
@@ -209,7 +209,7 @@
     {
         return;
     }
-    busy_at_ = now;
+    last_work_at_ = now;
     auto const refuse_now = [&](result_code code)
     {
         answer_peer(
@@ -258,7 +258,7 @@
         }
         return;
     }
-    bool const stopping = life_.phase() != entry_phase::serving;
+    bool const stopping = lifecycle_.phase() != entry_phase::serving;
     if (stopping || queue_.size() > 0 || !send_upstream(now, one, out))
     {
         refuse(now, one, result_code::no_free_slot, out);
@@ -373,19 +373,19 @@
     }
 }
 
-void entry_engine::note_revision(common::time_point now,
-                                 std::uint64_t revision,
-                                 ports::member_identity const& from,
-                                 ports::actions& out)
+void entry_engine::on_peer_revision(common::time_point now,
+                                    std::uint64_t revision,
+                                    ports::member_identity const& from,
+                                    ports::actions& out)
 {
     auto const* info = members_.find(from);
     if (info == nullptr || revision <= follower_.current().revision)
     {
         return;
     }
-    if (revision > newest_revision_)
+    if (revision > newest_reported_revision_)
     {
-        newest_revision_ = revision;
+        newest_reported_revision_ = revision;
     }
     if (!behind_since_)
     {
@@ -396,11 +396,11 @@
 
 void entry_engine::send_loads(common::time_point now, ports::actions& out)
 {
-    if (now < next_loads_ || !may_send(now))
+    if (now < next_load_report_at_ || !may_send(now))
     {
         return;
     }
-    next_loads_ = now + settings_.load_interval;
+    next_load_report_at_ = now + settings_.load_interval;
     auto const report = own_load();
     auto const& live = members_.live();
     auto const count = std::min(live.size(), settings_.load_fanout);
@@ -417,7 +417,7 @@
 
 ports::load_report entry_engine::own_load() const noexcept
 {
-    bool const welcome = life_.phase() == entry_phase::serving;
+    bool const welcome = lifecycle_.phase() == entry_phase::serving;
     return {welcome ? slots_.free_slots() : 0,
             static_cast<std::uint32_t>(queue_.size())};
 }
--- a/src/core/requests/entry_phases.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -7,15 +7,15 @@
 void entry_engine::begin_stop(common::time_point now, ports::actions& out)
 {
     detect_pause(now, out);
-    if (!life_.handle(entry_event::stop_requested))
+    if (!lifecycle_.handle(entry_event::stop_requested))
     {
         return;
     }
-    stop_announced_ = now;
+    stop_announced_at_ = now;
     log(out,
         ports::severity::info,
         "stop_begun",
-        {{"phase", std::string(name_of(life_.phase()))}});
+        {{"phase", std::string(name_of(lifecycle_.phase()))}});
     advance_lifecycle(now, out);
 }
 
@@ -43,27 +43,27 @@
 
 bool entry_engine::ready(common::time_point now) const noexcept
 {
-    return life_.phase() == entry_phase::serving && may_send(now);
+    return lifecycle_.phase() == entry_phase::serving && may_send(now);
 }
 
 void entry_engine::advance_lifecycle(common::time_point now,
                                      ports::actions& out)
 {
-    bool const waited_long =
-        now - stop_announced_ > settings_.balancer_lag + settings_.stop_timeout;
-    switch (life_.phase())
+    bool const waited_long = now - stop_announced_at_ >
+                             settings_.balancer_lag + settings_.stop_timeout;
+    switch (lifecycle_.phase())
     {
     case entry_phase::joining:
         if (may_send(now) && claims_.is_loaded())
         {
-            life_.handle(entry_event::joined);
+            lifecycle_.handle(entry_event::joined);
             log(out, ports::severity::info, "serving", {});
         }
         break;
     case entry_phase::stop_announced:
-        if (now - stop_announced_ >= settings_.balancer_lag)
+        if (now - stop_announced_at_ >= settings_.balancer_lag)
         {
-            life_.handle(entry_event::balancer_lag_elapsed);
+            lifecycle_.handle(entry_event::balancer_lag_elapsed);
             members_.begin_leaving(now, out);
             claims_.begin_leaving();
         }
@@ -71,20 +71,20 @@
     case entry_phase::draining:
         if (unanswered_ > 0 || claims_.held_count(members_) > 0)
         {
-            busy_at_ = now;
+            last_work_at_ = now;
         }
         if (unanswered_ == 0 &&
-            (now - busy_at_ >= settings_.release_propagation_time ||
+            (now - last_work_at_ >= settings_.release_propagation_time ||
              waited_long))
         {
-            life_.handle(entry_event::drained);
+            lifecycle_.handle(entry_event::drained);
             members_.remove(now, out);
         }
         break;
     case entry_phase::leaving:
         if (members_.is_removed() || waited_long)
         {
-            life_.handle(entry_event::removed);
+            lifecycle_.handle(entry_event::removed);
             out.emplace_back(ports::stop_complete{});
         }
         break;
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -44,9 +44,9 @@
     process_waiting_work(now, out);
 }
 
-void entry_engine::on_caller_gone(common::time_point now,
-                                  std::uint64_t caller,
-                                  ports::actions& out)
+void entry_engine::on_caller_disconnected(common::time_point now,
+                                          std::uint64_t caller,
+                                          ports::actions& out)
 {
     detect_pause(now, out);
     auto const found = by_caller_.find(caller);
@@ -68,9 +68,9 @@
 entry_engine::arrival_refusal(common::time_point now,
                               ports::caller_request const& request) const
 {
-    bool const serving = life_.phase() == entry_phase::serving ||
-                         life_.phase() == entry_phase::stop_announced;
-    if (!serving && life_.phase() != entry_phase::joining)
+    bool const serving = lifecycle_.phase() == entry_phase::serving ||
+                         lifecycle_.phase() == entry_phase::stop_announced;
+    if (!serving && lifecycle_.phase() != entry_phase::joining)
     {
         return result_code::draining;
     }
@@ -128,7 +128,7 @@
     }
     // A pause shorter than the limit is not noticed, so it counts as delay.
     auto const began =
-        std::max(owners_.owner_of(one.partition).learned_at, woke_);
+        std::max(owners_.owner_of(one.partition).learned_at, resumed_at_);
     auto const late =
         settings_.max_delivery_time + settings_.membership.pause_limit;
     return one.request.attempt == 1 && one.received - began >= late;
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -175,7 +175,7 @@
 
 } // namespace
 
-void entry_engine::on_upstream_end(common::time_point now,
+void entry_engine::on_exchange_end(common::time_point now,
                                    ports::upstream_end const& end,
                                    ports::actions& out)
 {
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -197,11 +197,11 @@
 void entry_program::on_upstream_end(ports::upstream_end& end)
 {
     auto const now = clock::now();
-    engine_->on_upstream_end(now, end, actions_);
+    engine_->on_exchange_end(now, end, actions_);
     perform(now, false);
     for (auto& old : retired_)
     {
-        old->on_upstream_end(now, end, actions_);
+        old->on_exchange_end(now, end, actions_);
         perform(now, true);
     }
 }
@@ -253,7 +253,7 @@
     ports::upstream_end end;
     end.exchange = exchange;
     end.status = ports::exchange_status::not_sent;
-    engine_->on_upstream_end(now, end, actions_);
+    engine_->on_exchange_end(now, end, actions_);
     perform(now, false);
 }
 
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_world.cpp
@@ -560,7 +560,7 @@
                               time_point now,
                               ports::actions& out)
                         {
-                            engine.on_upstream_end(now, end, out);
+                            engine.on_exchange_end(now, end, out);
                         });
                });
 }
@@ -610,7 +610,7 @@
                               time_point now,
                               ports::actions& out)
                         {
-                            engine.on_upstream_end(now, end, out);
+                            engine.on_exchange_end(now, end, out);
                         });
                });
 }
--- a/tools/load/bench_requests.cpp
+++ b/tools/load/bench_requests.cpp
@@ -331,7 +331,7 @@
                          tell(index,
                               [&](entry_engine& to, ports::actions& out)
                               {
-                                  to.on_upstream_end(world_.now(), end, out);
+                                  to.on_exchange_end(world_.now(), end, out);
                               });
                      });
     }
