--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -95,13 +95,13 @@
             "batch_guard_permille", cell.limits.batch_guard_permille, 0, 1000));
     auto& guard = cell.guard;
     guard.enabled = table.flag_or("guard", guard.enabled);
-    guard.trouble_above =
-        table.number_or("trouble_above", guard.trouble_above, 0.01, 100);
-    guard.well_below =
-        table.number_or("well_below", guard.well_below, 0.01, 100);
-    guard.least_permille = static_cast<std::uint32_t>(
-        table.integer_or("least_permille", guard.least_permille, 1, 1000));
-    if (guard.well_below >= guard.trouble_above)
+    guard.throttle_threshold =
+        table.number_or("trouble_above", guard.throttle_threshold, 0.01, 100);
+    guard.relax_threshold =
+        table.number_or("well_below", guard.relax_threshold, 0.01, 100);
+    guard.min_cpu_permille = static_cast<std::uint32_t>(
+        table.integer_or("least_permille", guard.min_cpu_permille, 1, 1000));
+    if (guard.relax_threshold >= guard.throttle_threshold)
     {
         table.fail(result_code::inconsistent,
                    "well_below",
--- a/src/core/placement/guard.cpp
+++ b/src/core/placement/latency_guard.cpp
@@ -1,4 +1,4 @@
-#include "core/placement/guard.hpp"
+#include "core/placement/latency_guard.hpp"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
     {
         sum +=
             (learned.weight(service.task_class, task.task_class) + unlearned) *
-            task.share;
+            task.cpu_share;
     }
     return sum;
 }
@@ -42,18 +42,19 @@
 
 } // namespace
 
-guard::guard(guard_settings settings) : settings_(settings)
+latency_guard::latency_guard(latency_guard_settings settings)
+    : settings_(settings)
 {
 }
 
 std::optional<guard_step>
-guard::on_report(std::vector<guarded_service> const& services,
-                 std::vector<guarded_task> const& batch,
-                 interference const& learned)
+latency_guard::on_report(std::vector<guarded_service> const& services,
+                         std::vector<guarded_task> const& batch,
+                         interference const& learned)
 {
     double const worst = worst_share(services);
-    troubled_ = worst > settings_.trouble_above ? troubled_ + 1 : 0;
-    well_ = worst < settings_.well_below ? well_ + 1 : 0;
+    troubled_ = worst > settings_.throttle_threshold ? troubled_ + 1 : 0;
+    well_ = worst < settings_.relax_threshold ? well_ + 1 : 0;
     if (!settings_.enabled || batch.empty())
     {
         return std::nullopt;
@@ -69,14 +70,15 @@
                 return disturbance(one, services, learned) <
                        disturbance(other, services, learned);
             });
-        if (most->permille <= settings_.least_permille)
+        if (most->cpu_limit_permille <= settings_.min_cpu_permille)
         {
-            return guard_step{guard_measure::evict, most->name, most->permille};
+            return guard_step{
+                guard_action::evict, most->name, most->cpu_limit_permille};
         }
         return guard_step{
-            guard_measure::throttle,
+            guard_action::throttle,
             most->name,
-            std::max(settings_.least_permille, most->permille / 2)};
+            std::max(settings_.min_cpu_permille, most->cpu_limit_permille / 2)};
     }
     if (well_ >= settings_.reports_to_relax)
     {
@@ -86,13 +88,14 @@
             batch.end(),
             [](guarded_task const& one, guarded_task const& other)
             {
-                return one.permille < other.permille;
+                return one.cpu_limit_permille < other.cpu_limit_permille;
             });
-        if (throttled->permille < 1000)
+        if (throttled->cpu_limit_permille < 1000)
         {
-            return guard_step{guard_measure::relax,
-                              throttled->name,
-                              std::min(1000U, throttled->permille * 2)};
+            return guard_step{
+                guard_action::relax,
+                throttled->name,
+                std::min(1000U, throttled->cpu_limit_permille * 2)};
         }
     }
     return std::nullopt;
--- a/src/core/placement/guard.hpp
+++ b/src/core/placement/latency_guard.hpp
@@ -11,20 +11,20 @@
 namespace fuchsia::core::placement
 {
 
-struct guard_settings
+struct latency_guard_settings
 {
     bool enabled = true;
     /// A service is in trouble above this share of its latency target, and
     /// well again below the lower one; between them nothing changes.
-    double trouble_above = 0.9;
-    double well_below = 0.6;
+    double throttle_threshold = 0.9;
+    double relax_threshold = 0.6;
     /// Reports in a row that must agree before anything is done: one late
     /// report is no wave.
     std::uint32_t reports_to_act = 2;
     std::uint32_t reports_to_relax = 5;
     /// A throttled task keeps at least this share of its cores; a worker that
     /// is still in trouble then loses it.
-    std::uint32_t least_permille = 250;
+    std::uint32_t min_cpu_permille = 250;
 };
 
 /// One batch task on the worker, as the guard sees it.
@@ -32,8 +32,8 @@
 {
     std::string name;
     std::uint16_t task_class = 0;
-    double share = 0; ///< Of the worker's cores, as last seen.
-    std::uint32_t permille = 1000;
+    double cpu_share = 0; ///< Of the worker's cores, as last seen.
+    std::uint32_t cpu_limit_permille = 1000;
 };
 
 /// One service on the worker: its tail and the target of its contract.
@@ -44,7 +44,7 @@
     std::uint64_t target_us = 0;
 };
 
-enum class guard_measure : std::uint8_t
+enum class guard_action : std::uint8_t
 {
     throttle,
     evict,
@@ -53,18 +53,18 @@
 
 struct guard_step
 {
-    guard_measure measure = guard_measure::throttle;
+    guard_action action = guard_action::throttle;
     std::string task;
-    std::uint32_t permille = 1000;
+    std::uint32_t cpu_limit_permille = 1000;
 };
 
 /// Guards the tails of one worker's services: at each report it takes at most
 /// one step, throttling first and evicting after, against the batch task that
 /// disturbs them most.
-class guard
+class latency_guard
 {
 public:
-    explicit guard(guard_settings settings);
+    explicit latency_guard(latency_guard_settings settings);
 
     std::optional<guard_step>
     on_report(std::vector<guarded_service> const& services,
@@ -72,7 +72,7 @@
               interference const& learned);
 
 private:
-    guard_settings settings_;
+    latency_guard_settings settings_;
     std::uint32_t troubled_ = 0; ///< Reports in a row.
     std::uint32_t well_ = 0;
 };
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -2,8 +2,8 @@
 
 #include "core/common/time.hpp"
 #include "core/config/configuration.hpp"
-#include "core/placement/guard.hpp"
 #include "core/placement/interference.hpp"
+#include "core/placement/latency_guard.hpp"
 #include "core/placement/policy.hpp"
 #include "core/tasks/cell_log.hpp"
 #include "core/tasks/load_board.hpp"
@@ -60,7 +60,7 @@
     std::uint32_t max_starts_per_tick = 64;
     placement::policy policy = placement::least_interference{};
     placement::limits limits;
-    placement::guard_settings guard;
+    placement::latency_guard_settings guard;
     cell_log_settings log;
 };
 
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -257,13 +257,13 @@
     {
         return;
     }
-    if (wanted->measure == placement::guard_measure::evict)
+    if (wanted->action == placement::guard_action::evict)
     {
         ++with.counters.evicted_guard;
         evict(with, *key, "guard");
         return;
     }
-    runs_.at(*key).asked_permille = wanted->permille;
+    runs_.at(*key).asked_permille = wanted->cpu_limit_permille;
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -107,7 +107,7 @@
             if (part.what.kind == job_kind::batch)
             {
                 // It may be throttled; relaxing it is the guard's business.
-                run.permille = with.settings.guard.least_permille;
+                run.permille = with.settings.guard.min_cpu_permille;
                 run.asked_permille = run.permille;
             }
         }
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -236,7 +236,7 @@
     bool held_ = false;
     std::map<task_key, attempt_run> runs_;
     std::map<std::string, renewal> renewals_;
-    std::map<std::string, placement::guard> guards_;
+    std::map<std::string, placement::latency_guard> guards_;
 
     std::vector<queued_task> queue_;
     /// The queue, or who uses what, may have changed.
--- a/tests/unit/placement/policy_test.cpp
+++ b/tests/unit/placement/policy_test.cpp
@@ -1,5 +1,5 @@
 #include "core/placement/bench.hpp"
-#include "core/placement/guard.hpp"
+#include "core/placement/latency_guard.hpp"
 #include "core/placement/policy.hpp"
 
 #include <gtest/gtest.h>
@@ -101,7 +101,7 @@
     auto const bids = learned.number_of("bids");
     auto const noisy = learned.number_of("noisy");
     learned.observe(bids, {{noisy, 0.5}}, 3);
-    guard watch({});
+    latency_guard watch({});
     std::vector<guarded_service> const bad{{bids, 240, 250}};
     std::vector<guarded_service> const good{{bids, 20, 250}};
     std::vector<guarded_task> batch{{"noisy", noisy, 0.5, 1000},
@@ -115,12 +115,12 @@
         auto const step = watch.on_report(bad, batch, learned);
         ASSERT_TRUE(step);
         EXPECT_EQ(step->task, "noisy");
-        if (step->measure == guard_measure::evict)
+        if (step->action == guard_action::evict)
         {
             break;
         }
-        batch[0].permille = step->permille;
-        permilles.push_back(step->permille);
+        batch[0].cpu_limit_permille = step->cpu_limit_permille;
+        permilles.push_back(step->cpu_limit_permille);
     }
     EXPECT_EQ(permilles, (std::vector<std::uint32_t>{500, 250}));
     for (int report = 0; report < 4; ++report)
@@ -129,8 +129,8 @@
     }
     auto const step = watch.on_report(good, batch, learned);
     ASSERT_TRUE(step);
-    EXPECT_EQ(step->measure, guard_measure::relax);
-    EXPECT_EQ(step->permille, 500U);
+    EXPECT_EQ(step->action, guard_action::relax);
+    EXPECT_EQ(step->cpu_limit_permille, 500U);
 }
 
 TEST(placement, decides_the_same_for_the_same_seed)
