--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -82,8 +82,8 @@
         placement::least_interference policy;
         policy.service_weight =
             table.number_or("service_weight", policy.service_weight, 0, 1000);
-        policy.fill_weight =
-            table.number_or("fill_weight", policy.fill_weight, 0, 1000);
+        policy.utilisation_weight =
+            table.number_or("fill_weight", policy.utilisation_weight, 0, 1000);
         cell.policy = policy;
     }
     else
--- a/src/core/placement/bench.cpp
+++ b/src/core/placement/bench.cpp
@@ -18,12 +18,12 @@
 class fleet
 {
 public:
-    explicit fleet(bench_settings const& settings)
+    explicit fleet(placement_benchmark_settings const& settings)
         : settings_(settings), random_(settings.seed), learned_({})
     {
         for (std::uint32_t number = 0; number < settings.classes; ++number)
         {
-            learned_.number_of("class-" + std::to_string(number));
+            learned_.class_index("class-" + std::to_string(number));
         }
         auto const racks = (settings.workers + settings.workers_per_rack - 1) /
                            settings.workers_per_rack;
@@ -42,7 +42,8 @@
         for (std::uint32_t number = 0; number < tries; ++number)
         {
             auto& rack = racks_[random_() % racks_.size()];
-            auto const chosen = choose(settings_.by, rack, task, learned_, {});
+            auto const chosen = choose_worker(
+                settings_.placement_policy, rack, task, learned_, {});
             note(chosen.value_or(rack.size()));
             if (chosen)
             {
@@ -65,7 +66,8 @@
         auto const last = worker.residents.back();
         worker.residents.pop_back();
         worker.committed -= last.declared;
-        worker.batch_millicores -= last.service ? 0 : last.declared.millicores;
+        worker.batch_millicores -=
+            last.is_service ? 0 : last.declared.millicores;
     }
 
     std::uint64_t signature() const noexcept
@@ -79,7 +81,7 @@
         placement_task task;
         task.task_class =
             static_cast<std::uint16_t>(random_() % settings_.classes);
-        task.service = service;
+        task.is_service = service;
         task.declared.millicores =
             500 + static_cast<std::int64_t>(random_() % 4000);
         task.declared.memory_mb =
@@ -90,10 +92,11 @@
     static void put(candidate& worker, placement_task const& task)
     {
         worker.committed += task.declared;
-        worker.batch_millicores += task.service ? 0 : task.declared.millicores;
+        worker.batch_millicores +=
+            task.is_service ? 0 : task.declared.millicores;
         worker.residents.push_back(
             {task.task_class,
-             task.service,
+             task.is_service,
              task.declared,
              static_cast<double>(task.declared.millicores) /
                  static_cast<double>(worker.capacity.millicores)});
@@ -104,10 +107,10 @@
         std::vector<neighbour> beside;
         for (auto const& other : worker.residents)
         {
-            beside.push_back({other.task_class, other.share});
+            beside.push_back({other.task_class, other.cpu_share});
         }
         auto const victim = worker.residents.front().task_class;
-        learned_.observe(
+        learned_.record_slowdown(
             victim, beside, 1 + static_cast<double>(random_() % 100) / 100);
     }
 
@@ -116,24 +119,25 @@
         signature_ = (signature_ ^ value) * 1099511628211ULL;
     }
 
-    bench_settings const& settings_;
+    placement_benchmark_settings const& settings_;
     std::mt19937_64 random_;
-    interference learned_;
+    interference_model learned_;
     std::vector<std::vector<candidate>> racks_;
     std::uint64_t signature_ = 1469598103934665603ULL;
 };
 
 } // namespace
 
-bench_result run_bench(bench_settings const& settings)
+placement_benchmark_result
+run_placement_benchmark(placement_benchmark_settings const& settings)
 {
     fleet all(settings);
-    bench_result out;
+    placement_benchmark_result out;
     for (std::uint32_t number = 0; number < settings.services; ++number)
     {
         out.resident += all.add(true) ? 1 : 0;
     }
-    for (std::uint32_t number = 0; number < settings.batch; ++number)
+    for (std::uint32_t number = 0; number < settings.batch_tasks; ++number)
     {
         out.resident += all.add(false) ? 1 : 0;
     }
--- a/src/core/placement/bench.hpp
+++ b/src/core/placement/bench.hpp
@@ -7,19 +7,19 @@
 namespace fuchsia::core::placement
 {
 
-struct bench_settings
+struct placement_benchmark_settings
 {
     std::uint32_t workers = 1000;
     std::uint32_t workers_per_rack = 8;
     std::uint32_t services = 5000;
-    std::uint32_t batch = 5900;
+    std::uint32_t batch_tasks = 5900;
     std::uint32_t classes = 24;
     std::uint32_t decisions = 100000;
     std::uint64_t seed = 1;
-    policy by = least_interference{};
+    policy placement_policy = least_interference{};
 };
 
-struct bench_result
+struct placement_benchmark_result
 {
     std::uint32_t resident = 0;  ///< Tasks placed before the count begins.
     std::uint32_t decisions = 0; ///< Tasks asked for while counting.
@@ -30,6 +30,7 @@
 
 /// Places tasks on a fleet that is full to the given size, ends as many, and
 /// learns from each. Deterministic; the caller takes the time.
-bench_result run_bench(bench_settings const& settings);
+placement_benchmark_result
+run_placement_benchmark(placement_benchmark_settings const& settings);
 
 } // namespace fuchsia::core::placement
--- a/src/core/placement/interference.cpp
+++ b/src/core/placement/interference.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-interference::interference(interference_settings settings)
+interference_model::interference_model(interference_settings settings)
     : settings_(settings),
       weights_(settings.max_classes * settings.max_classes, settings.prior),
       baselines_(settings.max_classes, 0)
 {
 }
 
-std::uint16_t interference::number_of(std::string_view task_class)
+std::uint16_t interference_model::class_index(std::string_view task_class)
 {
     auto const found = numbers_.find(task_class);
     if (found != numbers_.end())
@@ -38,40 +38,39 @@
     return number;
 }
 
-std::size_t interference::at(std::uint16_t victim,
-                             std::uint16_t aggressor) const noexcept
+std::size_t interference_model::at(std::uint16_t victim,
+                                   std::uint16_t aggressor) const noexcept
 {
     return victim * settings_.max_classes + aggressor;
 }
 
-double interference::weight(std::uint16_t victim,
-                            std::uint16_t aggressor) const noexcept
+double interference_model::weight(std::uint16_t victim,
+                                  std::uint16_t aggressor) const noexcept
 {
     return weights_[at(victim, aggressor)];
 }
 
-double
-interference::predicted(std::uint16_t victim,
-                        std::vector<neighbour> const& beside) const noexcept
+double interference_model::predicted_slowdown(
+    std::uint16_t victim, std::vector<neighbour> const& beside) const noexcept
 {
     double slowdown = 1;
     for (auto const& other : beside)
     {
-        slowdown += weights_[at(victim, other.task_class)] * other.share;
+        slowdown += weights_[at(victim, other.task_class)] * other.cpu_share;
     }
     return slowdown;
 }
 
-void interference::observe(std::uint16_t victim,
-                           std::vector<neighbour> const& beside,
-                           double slowdown)
+void interference_model::record_slowdown(std::uint16_t victim,
+                                         std::vector<neighbour> const& beside,
+                                         double slowdown)
 {
-    double const error =
-        std::clamp(slowdown, 1.0, max_slowdown) - predicted(victim, beside);
+    double const error = std::clamp(slowdown, 1.0, max_slowdown) -
+                         predicted_slowdown(victim, beside);
     double power = 0;
     for (auto const& other : beside)
     {
-        power += other.share * other.share;
+        power += other.cpu_share * other.cpu_share;
     }
     // Without a neighbour of some size nobody is to blame.
     if (power < 1e-4)
@@ -81,13 +80,14 @@
     for (auto const& other : beside)
     {
         auto& value = weights_[at(victim, other.task_class)];
-        value += settings_.learning_rate * error * other.share / power;
+        value += settings_.learning_rate * error * other.cpu_share / power;
         value -= settings_.decay * (value - settings_.prior);
         value = std::clamp(value, 0.0, max_weight);
     }
 }
 
-double interference::slowdown_of(std::uint16_t victim, std::uint64_t latency_us)
+double interference_model::record_latency(std::uint16_t victim,
+                                          std::uint64_t latency_us)
 {
     auto const latency = static_cast<double>(latency_us);
     auto& baseline = baselines_[victim];
@@ -99,7 +99,7 @@
     return latency / std::max(baseline, 1.0);
 }
 
-std::size_t interference::classes() const noexcept
+std::size_t interference_model::classes() const noexcept
 {
     return numbers_.size();
 }
--- a/src/core/placement/interference.hpp
+++ b/src/core/placement/interference.hpp
@@ -30,33 +30,34 @@
 struct neighbour
 {
     std::uint16_t task_class = 0;
-    double share = 0;
+    double cpu_share = 0;
 };
 
 /// How much each class of tasks slows each other class when both share a
 /// worker, learned from reports: slowdown = 1 + sum(weight x share).
-class interference
+class interference_model
 {
 public:
-    explicit interference(interference_settings settings);
+    explicit interference_model(interference_settings settings);
 
     /// A small number for a class's name; bounded by `max_classes`.
-    std::uint16_t number_of(std::string_view task_class);
+    std::uint16_t class_index(std::string_view task_class);
 
     /// Slowdown that `victim` is expected to suffer beside these; 1 is none.
-    double predicted(std::uint16_t victim,
-                     std::vector<neighbour> const& beside) const noexcept;
+    double
+    predicted_slowdown(std::uint16_t victim,
+                       std::vector<neighbour> const& beside) const noexcept;
     double weight(std::uint16_t victim, std::uint16_t aggressor) const noexcept;
 
     /// `victim` was seen at `slowdown` beside these: moves the weights of the
     /// pairs by their part in it.
-    void observe(std::uint16_t victim,
-                 std::vector<neighbour> const& beside,
-                 double slowdown);
+    void record_slowdown(std::uint16_t victim,
+                         std::vector<neighbour> const& beside,
+                         double slowdown);
 
     /// Best tail latency of a class so far, against which a service's slowdown
     /// is measured; rises slowly, so that a lucky minimum is forgotten.
-    double slowdown_of(std::uint16_t victim, std::uint64_t latency_us);
+    double record_latency(std::uint16_t victim, std::uint64_t latency_us);
 
     std::size_t classes() const noexcept;
 
--- a/src/core/placement/latency_guard.cpp
+++ b/src/core/placement/latency_guard.cpp
@@ -12,7 +12,7 @@
 // pair, or by size alone while nothing was.
 double disturbance(guarded_task const& task,
                    std::vector<guarded_service> const& services,
-                   interference const& learned)
+                   interference_model const& learned)
 {
     constexpr double unlearned = 0.05;
     double sum = 0;
@@ -50,7 +50,7 @@
 std::optional<guard_step>
 latency_guard::on_report(std::vector<guarded_service> const& services,
                          std::vector<guarded_task> const& batch,
-                         interference const& learned)
+                         interference_model const& learned)
 {
     double const worst = worst_share(services);
     troubled_ = worst > settings_.throttle_threshold ? troubled_ + 1 : 0;
--- a/src/core/placement/latency_guard.hpp
+++ b/src/core/placement/latency_guard.hpp
@@ -69,7 +69,7 @@
     std::optional<guard_step>
     on_report(std::vector<guarded_service> const& services,
               std::vector<guarded_task> const& batch,
-              interference const& learned);
+              interference_model const& learned);
 
 private:
     latency_guard_settings settings_;
--- a/src/core/placement/policy.cpp
+++ b/src/core/placement/policy.cpp
@@ -26,20 +26,20 @@
 double cost(least_interference const& by,
             candidate const& on,
             placement_task const& task,
-            interference const& learned) noexcept
+            interference_model const& learned) noexcept
 {
     double const own_share = share_of(task.declared, on.capacity);
-    double const own_weight = task.service ? by.service_weight : 1;
+    double const own_weight = task.is_service ? by.service_weight : 1;
     double sum = 0;
     for (auto const& other : on.residents)
     {
-        double const weight = other.service ? by.service_weight : 1;
+        double const weight = other.is_service ? by.service_weight : 1;
         sum += weight * learned.weight(other.task_class, task.task_class) *
                own_share;
         sum += own_weight * learned.weight(task.task_class, other.task_class) *
-               other.share;
+               other.cpu_share;
     }
-    return sum + by.fill_weight * share_of(on.committed, on.capacity);
+    return sum + by.utilisation_weight * share_of(on.committed, on.capacity);
 }
 
 struct chooser
@@ -47,7 +47,7 @@
     std::vector<candidate> const& workers;
     std::vector<std::size_t> const& able;
     placement_task const& task;
-    interference const& learned;
+    interference_model const& learned;
 
     std::size_t operator()(first_fit const&) const
     {
@@ -93,7 +93,7 @@
 
 bool fits(candidate const& on,
           placement_task const& task,
-          limits const& bounds) noexcept
+          placement_limits const& bounds) noexcept
 {
     auto room = on.capacity;
     room -= on.committed;
@@ -104,15 +104,15 @@
     }
     auto const batch_most =
         on.capacity.millicores * bounds.batch_guard_permille / 1000;
-    return task.service ||
+    return task.is_service ||
            on.batch_millicores + task.declared.millicores <= batch_most;
 }
 
-std::optional<std::size_t> choose(policy const& by,
-                                  std::vector<candidate> const& workers,
-                                  placement_task const& task,
-                                  interference const& learned,
-                                  limits const& bounds)
+std::optional<std::size_t> choose_worker(policy const& by,
+                                         std::vector<candidate> const& workers,
+                                         placement_task const& task,
+                                         interference_model const& learned,
+                                         placement_limits const& bounds)
 {
     std::vector<std::size_t> able;
     std::vector<std::size_t> avoided;
@@ -120,7 +120,7 @@
     {
         if (fits(workers[index], task, bounds))
         {
-            auto& list = workers[index].avoid ? avoided : able;
+            auto& list = workers[index].failed_before ? avoided : able;
             list.push_back(index);
         }
     }
--- a/src/core/placement/policy.hpp
+++ b/src/core/placement/policy.hpp
@@ -19,11 +19,11 @@
 struct resident
 {
     std::uint16_t task_class = 0;
-    bool service = false;
+    bool is_service = false;
     ports::resources declared;
     /// Share of the worker's cores that it was last seen to use, 0 to 1; the
     /// declared share until a report tells.
-    double share = 0;
+    double cpu_share = 0;
 };
 
 /// What a policy sees of one worker.
@@ -37,13 +37,14 @@
     /// to anyone else.
     std::int64_t memory_over_declared = 0;
     std::vector<resident> residents;
-    bool avoid = false; ///< The task failed there: only where nothing else is.
+    bool failed_before =
+        false; ///< The task failed there: only where nothing else is.
 };
 
 struct placement_task
 {
     std::uint16_t task_class = 0;
-    bool service = false;
+    bool is_service = false;
     ports::resources declared;
 };
 
@@ -59,7 +60,7 @@
     /// What a service's slowdown weighs against a batch task's.
     double service_weight = 4;
     /// What a full worker costs beside an empty one.
-    double fill_weight = 0.2;
+    double utilisation_weight = 0.2;
 };
 
 using policy = std::variant<first_fit, least_interference>;
@@ -67,7 +68,7 @@
 std::string_view name_of(policy const& value) noexcept;
 std::optional<policy> policy_from(std::string_view name) noexcept;
 
-struct limits
+struct placement_limits
 {
     /// Share of a worker's cores that batch may take while the guard of
     /// services' tails is on, in thousandths.
@@ -78,13 +79,13 @@
 /// declared capacity.
 bool fits(candidate const& on,
           placement_task const& task,
-          limits const& bounds) noexcept;
+          placement_limits const& bounds) noexcept;
 
 /// Index of the worker to take; empty where none holds the task.
-std::optional<std::size_t> choose(policy const& by,
-                                  std::vector<candidate> const& workers,
-                                  placement_task const& task,
-                                  interference const& learned,
-                                  limits const& bounds);
+std::optional<std::size_t> choose_worker(policy const& by,
+                                         std::vector<candidate> const& workers,
+                                         placement_task const& task,
+                                         interference_model const& learned,
+                                         placement_limits const& bounds);
 
 } // namespace fuchsia::core::placement
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -59,7 +59,7 @@
     std::uint32_t failed_workers_to_stop = 3;
     std::uint32_t max_starts_per_tick = 64;
     placement::policy policy = placement::least_interference{};
-    placement::limits limits;
+    placement::placement_limits limits;
     placement::latency_guard_settings guard;
     cell_log_settings log;
 };
@@ -99,7 +99,7 @@
     load_board& loads;
     store_calls& calls;
     worker_calls& worker_traffic;
-    placement::interference& learned;
+    placement::interference_model& learned;
     task_counters& counters;
     ports::actions& out;
 };
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -179,7 +179,7 @@
         bool const service = what.kind == job_kind::service;
         on.committed += what.declared;
         on.batch_millicores += service ? 0 : what.declared.millicores;
-        on.residents.push_back({with.learned.number_of(what.task_class),
+        on.residents.push_back({with.learned.class_index(what.task_class),
                                 service,
                                 what.declared,
                                 share_of(run, what.declared, on.capacity)});
@@ -272,22 +272,23 @@
     auto const& part = log_.state().jobs.at(key.job);
     auto const& task = part.tasks.at(key.index);
     placement::placement_task const wanted{
-        with.learned.number_of(part.what.task_class),
+        with.learned.class_index(part.what.task_class),
         part.what.kind == job_kind::service,
         part.what.declared};
     for (auto& worker : workers)
     {
-        worker.avoid = std::find(task.failed_on.begin(),
-                                 task.failed_on.end(),
-                                 *worker.worker) != task.failed_on.end();
+        worker.failed_before =
+            std::find(task.failed_on.begin(),
+                      task.failed_on.end(),
+                      *worker.worker) != task.failed_on.end();
     }
-    auto const chosen = placement::choose(with.settings.policy,
-                                          workers,
-                                          wanted,
-                                          with.learned,
-                                          with.settings.limits);
+    auto const chosen = placement::choose_worker(with.settings.policy,
+                                                 workers,
+                                                 wanted,
+                                                 with.learned,
+                                                 with.settings.limits);
     bool const tired =
-        chosen && workers[*chosen].avoid &&
+        chosen && workers[*chosen].failed_before &&
         with.now - queued_since_.at(key) < with.settings.avoid_time;
     if (!chosen || tired)
     {
@@ -307,7 +308,7 @@
     run.part = &part;
     run.start_before_ms = in(with.settings.start_window + view->report_lag);
     run.lease_until_ms = in(with.settings.lease);
-    bool const urgent = part.what.urgent || wanted.service;
+    bool const urgent = part.what.urgent || wanted.is_service;
     if (!commit(with,
                 attempt_started{key,
                                 run.attempt,
@@ -319,9 +320,9 @@
         return false;
     }
     on.committed += wanted.declared;
-    on.batch_millicores += wanted.service ? 0 : wanted.declared.millicores;
+    on.batch_millicores += wanted.is_service ? 0 : wanted.declared.millicores;
     on.residents.push_back({wanted.task_class,
-                            wanted.service,
+                            wanted.is_service,
                             wanted.declared,
                             share_of(run, wanted.declared, on.capacity)});
     add(use_[part.what.customer].in_use, part.what);
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -198,7 +198,7 @@
     all.reserve(present.size());
     for (auto const& [key, run] : present)
     {
-        all.push_back({with.learned.number_of(run->part->what.task_class),
+        all.push_back({with.learned.class_index(run->part->what.task_class),
                        share(run->used, on.info.capacity)});
     }
     for (std::size_t self = 0; self < present.size(); ++self)
@@ -211,10 +211,10 @@
         auto beside = all;
         beside.erase(beside.begin() + static_cast<std::ptrdiff_t>(self));
         auto const victim = all[self].task_class;
-        with.learned.observe(
+        with.learned.record_slowdown(
             victim,
             beside,
-            with.learned.slowdown_of(victim, run.latency_p99_us));
+            with.learned.record_latency(victim, run.latency_p99_us));
     }
 }
 
@@ -231,7 +231,7 @@
         {
             continue;
         }
-        auto const number = with.learned.number_of(what.task_class);
+        auto const number = with.learned.class_index(what.task_class);
         if (what.kind == job_kind::batch)
         {
             batch.push_back({task_name(*key),
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -135,7 +135,7 @@
     inbox inbox_;
     job_desk desk_;
     registry_sweep sweep_;
-    placement::interference learned_;
+    placement::interference_model learned_;
     task_counters counters_;
     std::map<std::string, std::unique_ptr<cell_runner>> cells_;
     std::set<std::string> releasing_; ///< Asked to hand over, not yet idle.
