--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -42,7 +42,7 @@
     /// move up to the limit.
     common::duration move_after = std::chrono::milliseconds(400);
     common::duration move_after_most = std::chrono::seconds(30);
-    std::uint32_t max_parcel_tasks = 64;
+    std::uint32_t max_tasks_per_message = 64;
     /// A task that failed on all workers with room waits this long for another
     /// cell before it is tried on one of them again.
     common::duration avoid_time = std::chrono::seconds(5);
--- a/src/core/tasks/cell_inbox.cpp
+++ b/src/core/tasks/cell_inbox.cpp
@@ -9,33 +9,34 @@
 namespace fuchsia::core::tasks
 {
 
-void cell_runner::on_inbox(cell_context& with, std::vector<inbox_item> items)
+void cell_runner::on_inbox(cell_context& with,
+                           std::vector<stored_inbox_message> items)
 {
-    inbox_.clear();
+    inbox_messages_.clear();
     for (auto& item : items)
     {
-        auto name = item.what.name;
-        inbox_.emplace(std::move(name), std::move(item));
+        auto name = item.message.name;
+        inbox_messages_.emplace(std::move(name), std::move(item));
     }
     if (!adopted_ || log_.lost())
     {
         return;
     }
-    for (auto const& [name, item] : inbox_)
+    for (auto const& [name, item] : inbox_messages_)
     {
-        auto const part = log_.state().jobs.find(item.what.what.id);
+        auto const part = log_.state().jobs.find(item.message.definition.id);
         bool const known = part != log_.state().jobs.end() &&
-                           part->second.parcels.count(name) != 0;
+                           part->second.accepted_messages.count(name) != 0;
         if (known || log_.state().jobs.size() >= with.settings.max_jobs)
         {
             continue;
         }
-        bool const urgent =
-            item.what.what.urgent || item.what.what.kind == job_kind::service;
-        if (commit(with, parcel_taken{item.what}, urgent))
+        bool const urgent = item.message.definition.urgent ||
+                            item.message.definition.kind == job_kind::service;
+        if (commit(with, message_accepted{item.message}, urgent))
         {
-            taking_.insert(name);
-            auto const& what = item.what.what;
+            accepting_.insert(name);
+            auto const& what = item.message.definition;
             if (!with.workers.all().empty() &&
                 !with.workers.ever_fits(what.declared, what.data_centre))
             {
@@ -52,12 +53,12 @@
 // before, a planner that died between the two would lose the job.
 void cell_runner::erase_inbox(cell_context& with)
 {
-    for (auto const& [name, item] : inbox_)
+    for (auto const& [name, item] : inbox_messages_)
     {
-        auto const part = log_.state().jobs.find(item.what.what.id);
+        auto const part = log_.state().jobs.find(item.message.definition.id);
         bool const known = part != log_.state().jobs.end() &&
-                           part->second.parcels.count(name) != 0;
-        if (!known || taking_.count(name) != 0 || erasing_.count(name) != 0)
+                           part->second.accepted_messages.count(name) != 0;
+        if (!known || accepting_.count(name) != 0 || erasing_.count(name) != 0)
         {
             continue;
         }
@@ -73,12 +74,12 @@
     }
 }
 
-void cell_runner::send_parcels(cell_context& with)
+void cell_runner::send_messages(cell_context& with)
 {
-    for (auto const& name : sendable_)
+    for (auto const& name : ready_to_send_)
     {
-        auto const found = log_.state().leaving.find(name);
-        if (found == log_.state().leaving.end() || sending_.count(name) != 0)
+        auto const found = log_.state().outgoing.find(name);
+        if (found == log_.state().outgoing.end() || sending_.count(name) != 0)
         {
             continue;
         }
@@ -87,10 +88,10 @@
             return;
         }
         sending_[name] = with.calls.send(
-            call_owner::parcel,
+            call_owner::inbox_message,
             cell_,
-            ports::store_write{inbox_key(found->second.to, name),
-                               to_json(found->second.what),
+            ports::store_write{inbox_key(found->second.target_cell, name),
+                               to_json(found->second.message),
                                0},
             with.out);
     }
@@ -125,13 +126,13 @@
     }
     if (tag.owner == call_owner::erase)
     {
-        inbox_.erase(name);
+        inbox_messages_.erase(name);
         return;
     }
     // A conflict: it is there already, since an answer was lost. The name is
     // this parcel's alone.
-    sendable_.erase(name);
-    commit(with, parcel_arrived{name}, false);
+    ready_to_send_.erase(name);
+    commit(with, transfer_completed{name}, false);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -63,7 +63,7 @@
             continue;
         }
         auto& tasks = leaving[task.key.job];
-        if (tasks.size() < with.settings.max_parcel_tasks)
+        if (tasks.size() < with.settings.max_tasks_per_message)
         {
             tasks.push_back(task.key.index);
         }
@@ -83,13 +83,13 @@
             continue;
         }
         auto const name = id + "~" + cell_ + "~" +
-                          std::to_string(log_.state().parcels_sent + 1);
+                          std::to_string(log_.state().messages_sent + 1);
         for (std::size_t count = 0; count < tasks.size(); ++count)
         {
             with.loads.reserve(*to, part.what.declared);
         }
         if (commit(with,
-                   parcel_left{name, *to, id, tasks, part.moves + 1},
+                   transfer_started{name, *to, id, tasks, part.moves + 1},
                    part.what.urgent || must))
         {
             with.counters.moved += tasks.size();
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -70,7 +70,7 @@
             place(with);
             move_on(with);
         }
-        send_parcels(with);
+        send_messages(with);
         erase_inbox(with);
         forget_jobs(with);
     }
@@ -112,9 +112,9 @@
             }
         }
     }
-    for (auto const& [name, leaving] : log_.state().leaving)
+    for (auto const& [name, leaving] : log_.state().outgoing)
     {
-        sendable_.insert(name);
+        ready_to_send_.insert(name);
     }
     queue_dirty_ = true;
     with.out.push_back(
@@ -130,13 +130,13 @@
 {
     for (auto const& item : log_.take_committed())
     {
-        if (auto const* taken = std::get_if<parcel_taken>(&item))
+        if (auto const* taken = std::get_if<message_accepted>(&item))
         {
-            taking_.erase(taken->what.name);
+            accepting_.erase(taken->message.name);
         }
-        else if (auto const* left = std::get_if<parcel_left>(&item))
+        else if (auto const* left = std::get_if<transfer_started>(&item))
         {
-            sendable_.insert(left->parcel);
+            ready_to_send_.insert(left->message_name);
         }
         else if (auto const* started = std::get_if<attempt_started>(&item))
         {
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -45,11 +45,11 @@
 };
 
 /// A parcel as it lies in this cell's inbox.
-struct inbox_item
+struct stored_inbox_message
 {
     std::string key;
     std::uint64_t version = 0;
-    parcel what;
+    inbox_message message;
 };
 
 /// Attempts and queued tasks, for the metrics and the status page.
@@ -83,7 +83,7 @@
     /// Only reports that the worker book took for new.
     void on_report(cell_context& with, ports::worker_report const& report);
     /// What now lies in this cell's inbox.
-    void on_inbox(cell_context& with, std::vector<inbox_item> items);
+    void on_inbox(cell_context& with, std::vector<stored_inbox_message> items);
     void stop_job(cell_context& with,
                   std::string const& job,
                   common::result_code code,
@@ -149,7 +149,7 @@
 
     // cell_inbox.cpp: parcels that come and leave.
     void erase_inbox(cell_context& with);
-    void send_parcels(cell_context& with);
+    void send_messages(cell_context& with);
 
     // cell_placement.cpp: from the queue to a worker, and back.
     void rebuild_queue(cell_context& with);
@@ -246,10 +246,12 @@
     std::map<std::string, customer_use> use_;
     std::set<task_key> short_of_room_; ///< Waits for room, not for quota.
 
-    std::map<std::string, inbox_item> inbox_;      ///< By parcel name.
-    std::set<std::string> taking_;                 ///< In commit.
+    std::map<std::string, stored_inbox_message>
+        inbox_messages_;                           ///< By parcel name.
+    std::set<std::string> accepting_;              ///< In commit.
     std::map<std::string, std::uint64_t> erasing_; ///< Parcel to call.
-    std::set<std::string> sendable_; ///< Parcels whose leaving is committed.
+    std::set<std::string>
+        ready_to_send_; ///< Parcels whose leaving is committed.
     std::map<std::string, std::uint64_t> sending_;
     std::map<std::string, common::time_point> ended_at_;
     common::time_point next_forget_{};
--- a/src/core/tasks/cell_state.cpp
+++ b/src/core/tasks/cell_state.cpp
@@ -43,23 +43,23 @@
     return fits ? task : nullptr;
 }
 
-bool take(cell_state& state, parcel_taken const& what)
+bool take(cell_state& state, message_accepted const& what)
 {
-    auto& part = state.jobs[what.what.what.id];
-    if (!part.parcels.insert(what.what.name).second)
+    auto& part = state.jobs[what.message.definition.id];
+    if (!part.accepted_messages.insert(what.message.name).second)
     {
         return false;
     }
-    part.what = what.what.what;
-    part.moves = std::max(part.moves, what.what.moves);
-    for (auto const& carried : what.what.tasks)
+    part.what = what.message.definition;
+    part.moves = std::max(part.moves, what.message.moves);
+    for (auto const& carried : what.message.tasks)
     {
         auto& task = part.tasks[carried.index];
         task = {};
         task.status = at_rest(part);
         task.attempt = carried.attempt;
         task.checkpoint = carried.checkpoint;
-        task.failed_on = carried.failed_on;
+        task.failed_on = carried.failed_workers;
     }
     return true;
 }
@@ -132,18 +132,19 @@
     return true;
 }
 
-bool leave(cell_state& state, parcel_left const& what)
+bool leave(cell_state& state, transfer_started const& what)
 {
     auto const found = state.jobs.find(what.job);
-    if (found == state.jobs.end() || state.leaving.count(what.parcel) != 0)
+    if (found == state.jobs.end() ||
+        state.outgoing.count(what.message_name) != 0)
     {
         return false;
     }
-    leaving_parcel leaving;
-    leaving.to = what.to;
-    leaving.what.name = what.parcel;
-    leaving.what.what = found->second.what;
-    leaving.what.moves = what.moves;
+    outgoing_transfer leaving;
+    leaving.target_cell = what.target_cell;
+    leaving.message.name = what.message_name;
+    leaving.message.definition = found->second.what;
+    leaving.message.moves = what.moves;
     for (auto const index : what.tasks)
     {
         auto const task = found->second.tasks.find(index);
@@ -152,36 +153,37 @@
         {
             return false;
         }
-        leaving.what.tasks.push_back({index,
-                                      task->second.attempt,
-                                      task->second.checkpoint,
-                                      task->second.failed_on});
+        leaving.message.tasks.push_back({index,
+                                         task->second.attempt,
+                                         task->second.checkpoint,
+                                         task->second.failed_on});
     }
     for (auto const index : what.tasks)
     {
         found->second.tasks[index].status = task_status::moving;
     }
-    ++state.parcels_sent;
-    state.leaving.emplace(what.parcel, std::move(leaving));
+    ++state.messages_sent;
+    state.outgoing.emplace(what.message_name, std::move(leaving));
     return true;
 }
 
-bool arrive(cell_state& state, parcel_arrived const& what)
+bool arrive(cell_state& state, transfer_completed const& what)
 {
-    auto const found = state.leaving.find(what.parcel);
-    if (found == state.leaving.end())
+    auto const found = state.outgoing.find(what.message_name);
+    if (found == state.outgoing.end())
     {
         return false;
     }
-    for (auto const& carried : found->second.what.tasks)
+    for (auto const& carried : found->second.message.tasks)
     {
-        auto* task = find(state, {found->second.what.what.id, carried.index});
+        auto* task =
+            find(state, {found->second.message.definition.id, carried.index});
         if (task != nullptr && task->status == task_status::moving)
         {
             task->status = task_status::moved;
         }
     }
-    state.leaving.erase(found);
+    state.outgoing.erase(found);
     return true;
 }
 
@@ -221,7 +223,7 @@
         tasks.emplace(std::to_string(index), encoded(task));
     }
     json::array parcels;
-    for (auto const& name : part.parcels)
+    for (auto const& name : part.accepted_messages)
     {
         parcels.emplace_back(name);
     }
@@ -284,7 +286,7 @@
     }
     for (auto const& name : object.at("parcels").as_array())
     {
-        part.parcels.emplace(name.as_string());
+        part.accepted_messages.emplace(name.as_string());
     }
     part.stopped = object.at("stopped").as_bool();
     part.stop_code = code_from(object.at("code").to_number<std::int64_t>());
@@ -298,7 +300,7 @@
     cell_state state;
     state.last_record = object.at("n").to_number<std::uint64_t>();
     state.epoch = object.at("e").to_number<std::uint64_t>();
-    state.parcels_sent = object.at("sent").to_number<std::uint64_t>();
+    state.messages_sent = object.at("sent").to_number<std::uint64_t>();
     for (auto const& item : object.at("jobs").as_object())
     {
         auto part = read_part(item.value().as_object(), reason);
@@ -311,15 +313,15 @@
     for (auto const& item : object.at("leaving").as_object())
     {
         auto const& inner = item.value().as_object();
-        auto what = parse_parcel(json::serialize(inner.at("p")), reason);
+        auto what = parse_inbox_message(json::serialize(inner.at("p")), reason);
         if (!what)
         {
             return std::nullopt;
         }
-        state.leaving.emplace(
+        state.outgoing.emplace(
             std::string(item.key()),
-            leaving_parcel{std::string(inner.at("to").as_string()),
-                           std::move(*what)});
+            outgoing_transfer{std::string(inner.at("to").as_string()),
+                              std::move(*what)});
     }
     return state;
 }
@@ -360,7 +362,7 @@
     struct visitor
     {
         cell_state& state;
-        bool operator()(parcel_taken const& item) const
+        bool operator()(message_accepted const& item) const
         {
             return take(state, item);
         }
@@ -380,11 +382,11 @@
         {
             return stop(state, item);
         }
-        bool operator()(parcel_left const& item) const
+        bool operator()(transfer_started const& item) const
         {
             return leave(state, item);
         }
-        bool operator()(parcel_arrived const& item) const
+        bool operator()(transfer_completed const& item) const
         {
             return arrive(state, item);
         }
@@ -404,15 +406,16 @@
         jobs.emplace(id, encoded(part));
     }
     json::object leaving;
-    for (auto const& [name, item] : state.leaving)
+    for (auto const& [name, item] : state.outgoing)
     {
-        leaving.emplace(name,
-                        json::object{{"to", item.to},
-                                     {"p", json::parse(to_json(item.what))}});
+        leaving.emplace(
+            name,
+            json::object{{"to", item.target_cell},
+                         {"p", json::parse(to_json(item.message))}});
     }
     return json::serialize(json::object{{"n", state.last_record},
                                         {"e", state.epoch},
-                                        {"sent", state.parcels_sent},
+                                        {"sent", state.messages_sent},
                                         {"jobs", std::move(jobs)},
                                         {"leaving", std::move(leaving)}});
 }
--- a/src/core/tasks/cell_state.hpp
+++ b/src/core/tasks/cell_state.hpp
@@ -48,7 +48,7 @@
     std::uint32_t moves = 0;
     std::map<std::uint32_t, task_record> tasks;
     /// Parcels taken in, so that a repeated one changes nothing.
-    std::set<std::string> parcels;
+    std::set<std::string> accepted_messages;
     bool stopped = false;
     common::result_code stop_code = common::result_code::ok;
     std::string stop_why;
@@ -60,12 +60,12 @@
 };
 
 /// A parcel that left and is not yet known to be in the other cell's inbox.
-struct leaving_parcel
+struct outgoing_transfer
 {
-    std::string to;
-    parcel what;
+    std::string target_cell;
+    inbox_message message;
 
-    bool operator==(leaving_parcel const&) const = default;
+    bool operator==(outgoing_transfer const&) const = default;
 };
 
 /// What the log of one cell adds up to.
@@ -73,9 +73,9 @@
 {
     std::uint64_t last_record = 0; ///< Number of the newest record in it.
     std::uint64_t epoch = 0;       ///< Of that record's writer.
-    std::uint64_t parcels_sent = 0;
+    std::uint64_t messages_sent = 0;
     std::map<std::string, job_part> jobs;
-    std::map<std::string, leaving_parcel> leaving;
+    std::map<std::string, outgoing_transfer> outgoing;
 
     bool operator==(cell_state const&) const = default;
 
--- a/src/core/tasks/change.cpp
+++ b/src/core/tasks/change.cpp
@@ -31,7 +31,7 @@
     return out;
 }
 
-json::object encoded(parcel const& value)
+json::object encoded(inbox_message const& value)
 {
     json::array tasks;
     for (auto const& task : value.tasks)
@@ -39,17 +39,17 @@
         tasks.emplace_back(json::object{{"i", task.index},
                                         {"a", task.attempt},
                                         {"c", task.checkpoint},
-                                        {"f", strings(task.failed_on)}});
+                                        {"f", strings(task.failed_workers)}});
     }
     return {{"name", value.name},
-            {"job", json::parse(to_json(value.what))},
+            {"job", json::parse(to_json(value.definition))},
             {"moves", value.moves},
             {"tasks", std::move(tasks)}};
 }
 
-json::object encoded(parcel_taken const& value)
+json::object encoded(message_accepted const& value)
 {
-    return {{"k", "taken"}, {"p", encoded(value.what)}};
+    return {{"k", "taken"}, {"p", encoded(value.message)}};
 }
 
 json::object encoded(attempt_started const& value)
@@ -87,19 +87,19 @@
             {"y", value.why}};
 }
 
-json::object encoded(parcel_left const& value)
+json::object encoded(transfer_started const& value)
 {
     return {{"k", "left"},
-            {"p", value.parcel},
-            {"to", value.to},
+            {"p", value.message_name},
+            {"to", value.target_cell},
             {"j", value.job},
             {"m", value.moves},
             {"t", json::value_from(value.tasks)}};
 }
 
-json::object encoded(parcel_arrived const& value)
+json::object encoded(transfer_completed const& value)
 {
-    return {{"k", "arrived"}, {"p", value.parcel}};
+    return {{"k", "arrived"}, {"p", value.message_name}};
 }
 
 json::object encoded(job_forgotten const& value)
@@ -138,8 +138,8 @@
     return static_cast<std::uint32_t>(reader.integer(key, 0, max_count));
 }
 
-std::optional<carried_task> read_task(json::value const& item,
-                                      common::failure& reason)
+std::optional<transferred_task> read_task(json::value const& item,
+                                          common::failure& reason)
 {
     if (!item.is_object())
     {
@@ -147,11 +147,11 @@
         return std::nullopt;
     }
     common::json_reader reader(item.as_object(), "parcel.tasks");
-    carried_task task;
+    transferred_task task;
     task.index = read_count(reader, "i");
     task.attempt = read_count(reader, "a");
     task.checkpoint = reader.text("c");
-    task.failed_on = read_strings(reader, "f");
+    task.failed_workers = read_strings(reader, "f");
     if (!reader.ok())
     {
         reason = reader.reason();
@@ -160,11 +160,11 @@
     return task;
 }
 
-std::optional<parcel> read_parcel(json::object const& object,
-                                  common::failure& reason)
+std::optional<inbox_message> read_parcel(json::object const& object,
+                                         common::failure& reason)
 {
     common::json_reader reader(object, "parcel");
-    parcel value;
+    inbox_message value;
     value.name = reader.text("name");
     value.moves = read_count(reader, "moves");
     auto const* job_object = reader.object("job");
@@ -182,7 +182,7 @@
     {
         return std::nullopt;
     }
-    value.what = std::move(*what);
+    value.definition = std::move(*what);
     for (auto const& item : *tasks)
     {
         auto task = read_task(item, reason);
@@ -274,7 +274,7 @@
         {
             return std::nullopt;
         }
-        out = parcel_taken{std::move(*taken)};
+        out = message_accepted{std::move(*taken)};
     }
     else if (kind == "started")
     {
@@ -303,15 +303,15 @@
     }
     else if (kind == "left")
     {
-        out = parcel_left{reader.text("p"),
-                          reader.text("to"),
-                          reader.text("j"),
-                          read_indexes(reader),
-                          read_count(reader, "m")};
+        out = transfer_started{reader.text("p"),
+                               reader.text("to"),
+                               reader.text("j"),
+                               read_indexes(reader),
+                               read_count(reader, "m")};
     }
     else if (kind == "arrived")
     {
-        out = parcel_arrived{reader.text("p")};
+        out = transfer_completed{reader.text("p")};
     }
     else if (kind == "forgotten")
     {
@@ -359,23 +359,23 @@
     return end_names[static_cast<std::size_t>(value)];
 }
 
-std::string to_json(parcel const& value)
+std::string to_json(inbox_message const& value)
 {
     return json::serialize(encoded(value));
 }
 
-std::optional<parcel> parse_parcel(std::string_view json,
-                                   common::failure& reason)
+std::optional<inbox_message> parse_inbox_message(std::string_view json,
+                                                 common::failure& reason)
 {
     auto const object = common::parse_json_object(json, "parcel", reason);
     return object ? read_parcel(*object, reason) : std::nullopt;
 }
 
-parcel submission_of(job const& what)
+inbox_message make_submission_message(job const& what)
 {
-    parcel out;
+    inbox_message out;
     out.name = what.id;
-    out.what = what;
+    out.definition = what;
     for (std::uint32_t index = 0; index < what.tasks; ++index)
     {
         out.tasks.push_back({index, 0, {}, {}});
--- a/src/core/tasks/change.hpp
+++ b/src/core/tasks/change.hpp
@@ -28,40 +28,40 @@
 std::optional<task_key> parse_task_name(std::string_view name);
 
 /// What of a task goes with it from cell to cell.
-struct carried_task
+struct transferred_task
 {
     std::uint32_t index = 0;
     std::uint32_t attempt = 0; ///< The last one; the next is one higher.
     std::string checkpoint;
-    std::vector<std::string> failed_on; ///< Different workers.
+    std::vector<std::string> failed_workers; ///< Different workers.
 
-    bool operator==(carried_task const&) const = default;
+    bool operator==(transferred_task const&) const = default;
 };
 
 /// Tasks of one job on their way into a cell: a submission, or a move from
 /// another cell. The name makes taking it in idempotent.
-struct parcel
+struct inbox_message
 {
     std::string name;
-    job what;
-    std::vector<carried_task> tasks;
+    job definition;
+    std::vector<transferred_task> tasks;
     std::uint32_t moves = 0;
 
-    bool operator==(parcel const&) const = default;
+    bool operator==(inbox_message const&) const = default;
 };
 
-std::string to_json(parcel const& value);
-std::optional<parcel> parse_parcel(std::string_view json,
-                                   common::failure& reason);
+std::string to_json(inbox_message const& value);
+std::optional<inbox_message> parse_inbox_message(std::string_view json,
+                                                 common::failure& reason);
 
 /// The whole job as submitted: all its tasks, none ever tried.
-parcel submission_of(job const& what);
+inbox_message make_submission_message(job const& what);
 
-struct parcel_taken
+struct message_accepted
 {
-    parcel what;
+    inbox_message message;
 
-    bool operator==(parcel_taken const&) const = default;
+    bool operator==(message_accepted const&) const = default;
 };
 
 /// Committed before the worker is told. Both times are on the worker's clock.
@@ -120,23 +120,23 @@
 
 /// Queued tasks leave for another cell: the first record of a move. The
 /// parcel is then written to that cell's inbox until it is known to be there.
-struct parcel_left
+struct transfer_started
 {
-    std::string parcel;
-    std::string to;
+    std::string message_name;
+    std::string target_cell;
     std::string job;
     std::vector<std::uint32_t> tasks;
     std::uint32_t moves = 0;
 
-    bool operator==(parcel_left const&) const = default;
+    bool operator==(transfer_started const&) const = default;
 };
 
 /// The parcel is in the other cell's inbox; this cell is done with it.
-struct parcel_arrived
+struct transfer_completed
 {
-    std::string parcel;
+    std::string message_name;
 
-    bool operator==(parcel_arrived const&) const = default;
+    bool operator==(transfer_completed const&) const = default;
 };
 
 /// An ended job whose time in the list is over.
@@ -147,13 +147,13 @@
     bool operator==(job_forgotten const&) const = default;
 };
 
-using change = std::variant<parcel_taken,
+using change = std::variant<message_accepted,
                             attempt_started,
                             attempt_ended,
                             checkpoint_taken,
                             job_stopped,
-                            parcel_left,
-                            parcel_arrived,
+                            transfer_started,
+                            transfer_completed,
                             job_forgotten>;
 
 /// One value of the log: the changes committed together, and who wrote them.
--- a/src/core/tasks/inbox.cpp
+++ b/src/core/tasks/inbox.cpp
@@ -63,9 +63,10 @@
         {"code", static_cast<std::uint16_t>(value.code)}, {"why", value.why}});
 }
 
-void sort_inbox(std::vector<ports::store_entry> const& entries,
-                std::map<std::string, std::vector<inbox_item>>& items,
-                std::vector<stop_notice>& notices)
+void parse_inbox_entries(
+    std::vector<ports::store_entry> const& entries,
+    std::map<std::string, std::vector<stored_inbox_message>>& items,
+    std::vector<stop_notice>& notices)
 {
     for (auto const& entry : entries)
     {
@@ -84,7 +85,7 @@
         auto const rest = entry.key.substr(jobs_prefix.size());
         auto const slash = rest.find('/');
         common::failure reason;
-        auto what = parse_parcel(entry.value, reason);
+        auto what = parse_inbox_message(entry.value, reason);
         if (slash != std::string::npos && what)
         {
             items[rest.substr(0, slash)].push_back(
@@ -132,7 +133,7 @@
     items_.clear();
     notices_.clear();
     size_ = reply.entries.size();
-    sort_inbox(reply.entries, items_, notices_);
+    parse_inbox_entries(reply.entries, items_, notices_);
     std::map<std::string, common::time_point> seen;
     for (auto const& notice : notices_)
     {
@@ -143,10 +144,11 @@
     return true;
 }
 
-std::vector<inbox_item> inbox::items_of(std::string const& cell) const
+std::vector<stored_inbox_message> inbox::items_of(std::string const& cell) const
 {
     auto const found = items_.find(cell);
-    return found == items_.end() ? std::vector<inbox_item>{} : found->second;
+    return found == items_.end() ? std::vector<stored_inbox_message>{}
+                                 : found->second;
 }
 
 std::vector<stop_notice> const& inbox::notices() const noexcept
@@ -159,12 +161,12 @@
     return size_;
 }
 
-bool inbox::known() const noexcept
+bool inbox::list_received() const noexcept
 {
     return known_;
 }
 
-std::optional<stop_notice> inbox::overdue(common::time_point now) const
+std::optional<stop_notice> inbox::expired_notice(common::time_point now) const
 {
     for (auto const& notice : notices_)
     {
--- a/src/core/tasks/inbox.hpp
+++ b/src/core/tasks/inbox.hpp
@@ -54,14 +54,14 @@
                         call_tag const& tag,
                         ports::store_reply const& reply);
 
-    std::vector<inbox_item> items_of(std::string const& cell) const;
+    std::vector<stored_inbox_message> items_of(std::string const& cell) const;
     std::vector<stop_notice> const& notices() const noexcept;
     std::size_t size() const noexcept;
     /// Whether a list has been read at least once.
-    bool known() const noexcept;
+    bool list_received() const noexcept;
 
     /// The notice that has stood longest beyond its time; at most one.
-    std::optional<stop_notice> overdue(common::time_point now) const;
+    std::optional<stop_notice> expired_notice(common::time_point now) const;
 
 private:
     inbox_settings settings_;
@@ -69,15 +69,16 @@
     std::uint64_t call_ = 0;
     bool known_ = false;
     common::time_point next_try_{};
-    std::map<std::string, std::vector<inbox_item>> items_;
+    std::map<std::string, std::vector<stored_inbox_message>> items_;
     std::vector<stop_notice> notices_;
     std::map<std::string, common::time_point> notice_seen_;
     std::size_t size_ = 0;
 };
 
 /// Sorts the entries below `inbox/`; used for lists that operators ask, too.
-void sort_inbox(std::vector<ports::store_entry> const& entries,
-                std::map<std::string, std::vector<inbox_item>>& items,
-                std::vector<stop_notice>& notices);
+void parse_inbox_entries(
+    std::vector<ports::store_entry> const& entries,
+    std::map<std::string, std::vector<stored_inbox_message>>& items,
+    std::vector<stop_notice>& notices);
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/job_desk.cpp
+++ b/src/core/tasks/job_desk.cpp
@@ -253,8 +253,10 @@
         operation = ports::store_list{"tasks/"};
         break;
     case step::delivering:
-        operation = ports::store_write{
-            inbox_key(of.cell, of.id), to_json(submission_of(of.submitted)), 0};
+        operation =
+            ports::store_write{inbox_key(of.cell, of.id),
+                               to_json(make_submission_message(of.submitted)),
+                               0};
         break;
     case step::posting:
         operation = ports::store_write{stop_key(of.id), to_json(of.notice), 0};
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -58,10 +58,10 @@
 
 void gather_parcel(std::map<std::string, gathered>& jobs,
                    std::string const& cell,
-                   parcel const& what)
+                   inbox_message const& what)
 {
-    auto& job = jobs[what.what.id];
-    job.what = what.what;
+    auto& job = jobs[what.definition.id];
+    job.what = what.definition;
     for (auto const& task : what.tasks)
     {
         add_task(job.tasks,
@@ -182,14 +182,14 @@
         config::configuration const& config)
 {
     std::map<std::string, gathered> jobs;
-    std::map<std::string, std::vector<inbox_item>> items;
+    std::map<std::string, std::vector<stored_inbox_message>> items;
     std::vector<stop_notice> notices;
-    sort_inbox(inboxes, items, notices);
+    parse_inbox_entries(inboxes, items, notices);
     for (auto const& [cell, list] : items)
     {
         for (auto const& item : list)
         {
-            gather_parcel(jobs, cell, item.what);
+            gather_parcel(jobs, cell, item.message);
         }
     }
     std::map<std::string, std::vector<ports::store_entry>> by_cell;
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -118,7 +118,8 @@
 // One planner, found by hashing, erases a notice that stood long enough.
 void planner_engine::erase_notices(common::time_point now, ports::actions& out)
 {
-    auto const due = notice_call_ == 0 ? inbox_.overdue(now) : std::nullopt;
+    auto const due =
+        notice_call_ == 0 ? inbox_.expired_notice(now) : std::nullopt;
     if (!due)
     {
         return;
--- a/src/core/tasks/planner_events.cpp
+++ b/src/core/tasks/planner_events.cpp
@@ -61,7 +61,7 @@
     {
     case call_owner::log:
     case call_owner::snapshot:
-    case call_owner::parcel:
+    case call_owner::inbox_message:
     case call_owner::erase:
         if (cell != cells_.end())
         {
--- a/src/core/tasks/store_calls.hpp
+++ b/src/core/tasks/store_calls.hpp
@@ -15,11 +15,11 @@
 /// Which module of the tasks part a store call belongs to.
 enum class call_owner : std::uint8_t
 {
-    log,      ///< A cell's log: take over, append, read back.
-    snapshot, ///< A cell's snapshot.
-    inbox,    ///< The watch on all inboxes.
-    parcel,   ///< A parcel's way into another cell's inbox.
-    desk,     ///< Submissions, cancellations and lists asked by operators.
+    log,           ///< A cell's log: take over, append, read back.
+    snapshot,      ///< A cell's snapshot.
+    inbox,         ///< The watch on all inboxes.
+    inbox_message, ///< A parcel's way into another cell's inbox.
+    desk,          ///< Submissions, cancellations and lists asked by operators.
     quota,
     load, ///< Free capacity published by every planner.
     erase,
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -80,17 +80,17 @@
 
 core::tasks::log_record log_record_sample()
 {
-    core::tasks::parcel parcel;
+    core::tasks::inbox_message parcel;
     parcel.name = "p";
-    parcel.what = task_job();
+    parcel.definition = task_job();
     parcel.tasks = {{0, 1, "c", {"w1"}}, {1, 0, "", {}}};
     core::tasks::log_record made;
     made.number = 3;
     made.epoch = 2;
     made.writer = "w";
-    made.changes = {core::tasks::parcel_taken{parcel},
-                    core::tasks::parcel_left{"p2", "b", "j", {1}, 2},
-                    core::tasks::parcel_arrived{"p2"},
+    made.changes = {core::tasks::message_accepted{parcel},
+                    core::tasks::transfer_started{"p2", "b", "j", {1}, 2},
+                    core::tasks::transfer_completed{"p2"},
                     core::tasks::job_forgotten{"j"}};
     return made;
 }
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -96,7 +96,7 @@
     {
     case 0:
     case 1:
-        return parcel_taken{submission_of(sample_job(key.job))};
+        return message_accepted{make_submission_message(sample_job(key.job))};
     case 2:
     case 3:
         return attempt_started{key, attempt + 1, worker, 10, 20};
@@ -111,13 +111,13 @@
                          key.job, result_code::job_cancelled, "asked"})
                    : change(job_forgotten{key.job});
     case 7:
-        return parcel_left{key.job + "~" + std::to_string(random() % 9),
-                           "other",
-                           key.job,
-                           {key.index},
-                           1};
+        return transfer_started{key.job + "~" + std::to_string(random() % 9),
+                                "other",
+                                key.job,
+                                {key.index},
+                                1};
     default:
-        return parcel_arrived{key.job + "~" + std::to_string(random() % 9)};
+        return transfer_completed{key.job + "~" + std::to_string(random() % 9)};
     }
 }
 
@@ -201,8 +201,9 @@
     cell_log second("cell", 8, 2, {});
     bench.start(second);
     ASSERT_TRUE(second.active());
-    first.change(
-        bench.now, parcel_taken{submission_of(sample_job("late"))}, true);
+    first.change(bench.now,
+                 message_accepted{make_submission_message(sample_job("late"))},
+                 true);
     bench.settle(first);
     EXPECT_TRUE(first.lost());
     EXPECT_TRUE(first.take_committed().empty());
@@ -225,7 +226,7 @@
         bench.start(log);
         ASSERT_TRUE(log.active()) << epoch;
         log.change(bench.now,
-                   parcel_taken{submission_of(
+                   message_accepted{make_submission_message(
                        sample_job("j" + std::to_string(epoch), 1))},
                    true);
         bench.settle(log);
