--- a/src/core/tasks/job_desk.cpp
+++ b/src/core/tasks/job_request_handler.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/job_desk.hpp"
+#include "core/tasks/job_request_handler.hpp"
 
 #include "core/common/json.hpp"
 #include "core/tasks/job_registration.hpp"
@@ -42,17 +42,18 @@
     return out;
 }
 
-job_desk::job_desk(std::uint64_t incarnation, job_desk_settings settings)
+job_request_handler::job_request_handler(std::uint64_t incarnation,
+                                         job_request_handler_settings settings)
     : writer_(std::to_string(incarnation) + ":"), settings_(settings)
 {
 }
 
-void job_desk::answer(desk_context& with,
-                      errand const& of,
-                      std::uint16_t status,
-                      std::string body)
+void job_request_handler::answer(job_request_context& with,
+                                 pending_request const& of,
+                                 std::uint16_t status,
+                                 std::string body)
 {
-    if (of.what == purpose::stop)
+    if (of.kind == request_kind::stop)
     {
         return;
     }
@@ -64,7 +65,8 @@
     with.out.emplace_back(std::move(out));
 }
 
-void job_desk::on_request(desk_context& with, job_request const& request)
+void job_request_handler::on_request(job_request_context& with,
+                                     job_request const& request)
 {
     std::string_view target = request.target;
     auto const mark = target.find('?');
@@ -81,7 +83,7 @@
             {result_code::unknown_path, request.target, "no such path"}));
         return;
     }
-    errand next;
+    pending_request next;
     next.caller = request.caller;
     next.id = id;
     if (all && request.method == "POST")
@@ -91,14 +93,14 @@
     }
     if (request.method == "GET")
     {
-        next.what = all ? purpose::list : purpose::show;
-        next.at = step::listing_inbox;
+        next.kind = all ? request_kind::list : request_kind::show;
+        next.current_step = step::listing_inbox;
         next.state = state_filter(query);
     }
     else if (!all && request.method == "DELETE")
     {
-        next.what = purpose::cancel;
-        next.at = step::reading_job;
+        next.kind = request_kind::cancel;
+        next.current_step = step::reading_job;
         next.notice = {"", 0, next.id, result_code::job_cancelled, ""};
     }
     else
@@ -111,25 +113,26 @@
     begin(with, std::move(next));
 }
 
-void job_desk::post_stop(desk_context& with, job_stopped const& what)
+void job_request_handler::publish_stop(job_request_context& with,
+                                       job_stopped const& what)
 {
-    errand next;
-    next.what = purpose::stop;
-    next.at = step::posting;
+    pending_request next;
+    next.kind = request_kind::stop;
+    next.current_step = step::publishing_stop;
     next.id = what.job;
     next.notice = {"", 0, what.job, what.code, what.why};
     begin(with, std::move(next));
 }
 
-std::optional<common::failure> job_desk::refusal(desk_context& with,
-                                                 job const& wanted) const
+std::optional<common::failure>
+job_request_handler::refusal(job_request_context& with, job const& wanted) const
 {
-    if (!with.taking)
+    if (!with.accepting)
     {
         return common::failure{
             result_code::draining, "", "this planner is stopping"};
     }
-    if (with.inbox_size >= settings_.max_inbox)
+    if (with.inbox_message_count >= settings_.max_inbox_messages)
     {
         return common::failure{
             result_code::queue_full, "inbox", "too many jobs wait"};
@@ -160,7 +163,8 @@
     return std::nullopt;
 }
 
-void job_desk::submit(desk_context& with, job_request const& request)
+void job_request_handler::submit(job_request_context& with,
+                                 job_request const& request)
 {
     common::failure reason;
     auto wanted = parse_job(request.body, reason);
@@ -199,43 +203,45 @@
     {
         with.loads.reserve(*cell, wanted->declared);
     }
-    errand next;
+    pending_request next;
     next.caller = request.caller;
-    next.what = purpose::submit;
-    next.at = step::registering;
+    next.kind = request_kind::submit;
+    next.current_step = step::registering;
     next.id = wanted->id;
     next.submitted = std::move(*wanted);
     next.cell = *cell;
     begin(with, std::move(next));
 }
 
-void job_desk::begin(desk_context& with, errand next)
+void job_request_handler::begin(job_request_context& with, pending_request next)
 {
-    if (errands_.size() >= settings_.max_requests && next.what != purpose::stop)
+    if (pending_requests_.size() >= settings_.max_requests &&
+        next.kind != request_kind::stop)
     {
         with.out.emplace_back(
             refuse(next.caller,
                    {result_code::queue_full, "", "too many requests wait"}));
         return;
     }
-    next.began = with.now;
-    next.writer = writer_ + std::to_string(++last_errand_);
-    auto& stored = errands_[last_errand_];
+    next.started_at = with.now;
+    next.writer = writer_ + std::to_string(++last_request_number_);
+    auto& stored = pending_requests_[last_request_number_];
     stored = std::move(next);
     send(with, stored);
 }
 
-void job_desk::send(desk_context& with, errand& of)
+void job_request_handler::send(job_request_context& with, pending_request& of)
 {
-    bool const writes = of.at == step::registering ||
-                        of.at == step::delivering || of.at == step::posting;
+    bool const writes = of.current_step == step::registering ||
+                        of.current_step == step::delivering ||
+                        of.current_step == step::publishing_stop;
     if (writes && !with.calls.may_write(with.now))
     {
-        of.next_try = with.now;
+        of.next_retry_at = with.now;
         return;
     }
     ports::store_operation operation;
-    switch (of.at)
+    switch (of.current_step)
     {
     case step::registering:
         operation = ports::store_write{
@@ -258,30 +264,33 @@
                                to_json(make_submission_message(of.submitted)),
                                0};
         break;
-    case step::posting:
+    case step::publishing_stop:
         operation = ports::store_write{stop_key(of.id), to_json(of.notice), 0};
         break;
     }
     of.call = with.calls.send(
-        call_owner::desk, of.id, std::move(operation), with.out);
+        call_owner::job_requests, of.id, std::move(operation), with.out);
 }
 
-void job_desk::tick(desk_context& with)
+void job_request_handler::tick(job_request_context& with)
 {
-    for (auto item = errands_.begin(); item != errands_.end();)
+    for (auto item = pending_requests_.begin();
+         item != pending_requests_.end();)
     {
         auto& of = item->second;
-        if (of.call == 0 && with.now - of.began >= settings_.give_up_after &&
-            of.what != purpose::stop)
+        if (of.call == 0 &&
+            with.now - of.started_at >= settings_.request_timeout &&
+            of.kind != request_kind::stop)
         {
-            auto const code = of.wrote ? result_code::store_unclear
-                                       : result_code::store_unavailable;
+            auto const code = of.write_may_have_applied
+                                  ? result_code::store_unclear
+                                  : result_code::store_unavailable;
             with.out.emplace_back(
                 refuse(of.caller, {code, of.id, "the store does not answer"}));
-            item = errands_.erase(item);
+            item = pending_requests_.erase(item);
             continue;
         }
-        if (of.call == 0 && with.now >= of.next_try)
+        if (of.call == 0 && with.now >= of.next_retry_at)
         {
             send(with, of);
         }
--- a/src/core/tasks/job_desk_replies.cpp
+++ b/src/core/tasks/job_request_replies.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/job_desk.hpp"
+#include "core/tasks/job_request_handler.hpp"
 
 #include "core/common/json.hpp"
 #include "core/tasks/job_registration.hpp"
@@ -25,33 +25,35 @@
 
 } // namespace
 
-void job_desk::on_store_reply(desk_context& with,
-                              call_tag const& tag,
-                              ports::store_reply const& reply)
+void job_request_handler::on_store_reply(job_request_context& with,
+                                         call_tag const& tag,
+                                         ports::store_reply const& reply)
 {
-    auto item = errands_.begin();
-    while (item != errands_.end() && item->second.call != tag.number)
+    auto item = pending_requests_.begin();
+    while (item != pending_requests_.end() && item->second.call != tag.number)
     {
         ++item;
     }
-    if (item == errands_.end())
+    if (item == pending_requests_.end())
     {
         return;
     }
     auto& of = item->second;
     of.call = 0;
-    of.next_try = with.now;
+    of.next_retry_at = with.now;
     if (reply.status == ports::store_status::unavailable ||
         reply.status == ports::store_status::unclear)
     {
         // A write is sent again as it was: where the first took effect the
         // second conflicts, and reading back shows whose the key is.
-        of.wrote = of.wrote || reply.status == ports::store_status::unclear;
-        of.next_try = with.now + settings_.retry_interval;
+        of.write_may_have_applied =
+            of.write_may_have_applied ||
+            reply.status == ports::store_status::unclear;
+        of.next_retry_at = with.now + settings_.retry_interval;
         return;
     }
     bool goes_on = false;
-    switch (of.at)
+    switch (of.current_step)
     {
     case step::registering:
         goes_on = on_registered(of, reply);
@@ -66,44 +68,45 @@
     case step::delivering:
         goes_on = on_delivered(with, of, reply);
         break;
-    case step::posting:
-        goes_on = on_posted(with, of, reply);
+    case step::publishing_stop:
+        goes_on = on_stop_published(with, of, reply);
         break;
     }
     if (!goes_on)
     {
-        errands_.erase(item);
+        pending_requests_.erase(item);
         return;
     }
     send(with, of);
 }
 
-bool job_desk::on_registered(errand& of, ports::store_reply const& reply)
+bool job_request_handler::on_registered(pending_request& of,
+                                        ports::store_reply const& reply)
 {
     bool const done = reply.status == ports::store_status::done;
-    of.wrote = of.wrote || done;
-    of.at = done ? step::delivering : step::reading_job;
+    of.write_may_have_applied = of.write_may_have_applied || done;
+    of.current_step = done ? step::delivering : step::reading_job;
     return true;
 }
 
-bool job_desk::on_job_read(desk_context& with,
-                           errand& of,
-                           ports::store_reply const& reply)
+bool job_request_handler::on_job_read(job_request_context& with,
+                                      pending_request& of,
+                                      ports::store_reply const& reply)
 {
     if (reply.entries.empty())
     {
-        if (of.what == purpose::submit)
+        if (of.kind == request_kind::submit)
         {
-            of.at = step::registering;
+            of.current_step = step::registering;
             return true;
         }
         with.out.emplace_back(
             refuse(of.caller, {result_code::not_found, of.id, "no such job"}));
         return false;
     }
-    if (of.what == purpose::cancel)
+    if (of.kind == request_kind::cancel)
     {
-        of.at = step::posting;
+        of.current_step = step::publishing_stop;
         return true;
     }
     common::failure reason;
@@ -118,34 +121,35 @@
     }
     of.cell = found->cell;
     // Our own registration, or a repeated submission: is it delivered?
-    of.at = found->writer == of.writer ? step::delivering : step::listing_inbox;
+    of.current_step =
+        found->writer == of.writer ? step::delivering : step::listing_inbox;
     return true;
 }
 
-bool job_desk::on_listed(desk_context& with,
-                         errand& of,
-                         ports::store_reply const& reply)
+bool job_request_handler::on_listed(job_request_context& with,
+                                    pending_request& of,
+                                    ports::store_reply const& reply)
 {
-    if (of.at == step::listing_inbox)
+    if (of.current_step == step::listing_inbox)
     {
         of.inboxes = reply.entries;
-        of.at = step::listing_tasks;
+        of.current_step = step::listing_tasks;
         return true;
     }
     auto const jobs = view_of(of.inboxes, reply.entries, with.config);
     auto const found = jobs.find(of.id);
-    switch (of.what)
+    switch (of.kind)
     {
-    case purpose::submit:
+    case request_kind::submit:
         if (found == jobs.end())
         {
             // Whoever registered it died before it was delivered.
-            of.at = step::delivering;
+            of.current_step = step::delivering;
             return true;
         }
         answer(with, of, 200, accepted_body(of.id));
         return false;
-    case purpose::show:
+    case request_kind::show:
         if (found == jobs.end())
         {
             with.out.emplace_back(refuse(
@@ -154,28 +158,28 @@
         }
         answer(with, of, 200, to_json(found->second, true));
         return false;
-    case purpose::list:
+    case request_kind::list:
         answer(with, of, 200, to_json(jobs, of.state));
         return false;
-    case purpose::cancel:
-    case purpose::stop:
+    case request_kind::cancel:
+    case request_kind::stop:
         return false;
     }
     return false;
 }
 
-bool job_desk::on_delivered(desk_context& with,
-                            errand& of,
-                            ports::store_reply const&)
+bool job_request_handler::on_delivered(job_request_context& with,
+                                       pending_request& of,
+                                       ports::store_reply const&)
 {
     // Done, or a conflict: it lies there already.
     answer(with, of, 200, accepted_body(of.id));
     return false;
 }
 
-bool job_desk::on_posted(desk_context& with,
-                         errand& of,
-                         ports::store_reply const&)
+bool job_request_handler::on_stop_published(job_request_context& with,
+                                            pending_request& of,
+                                            ports::store_reply const&)
 {
     answer(with, of, 200, cancelled_body(of.id));
     return false;
--- a/src/core/tasks/planner_cells.cpp
+++ b/src/core/tasks/planner_cells.cpp
@@ -157,8 +157,8 @@
     {
         for (auto const& job : cell->take_faulty())
         {
-            auto to_desk = desk(now, out);
-            desk_.post_stop(to_desk, job);
+            auto to_desk = make_request_context(now, out);
+            job_request_handler_.publish_stop(to_desk, job);
         }
     }
 }
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -22,7 +22,8 @@
       workers_(settings_.workers),
       quotas_(self.id.incarnation, settings_.quotas),
       loads_(self.id.name, seed ^ self.id.incarnation, settings_.loads),
-      inbox_(settings_.inboxes), desk_(self.id.incarnation, settings_.desk),
+      inbox_(settings_.inboxes),
+      job_request_handler_(self.id.incarnation, settings_.job_requests),
       sweep_(settings_.sweep), learned_(settings_.interference)
 {
 }
@@ -41,7 +42,8 @@
                settings_.membership.proof_lifetime;
 }
 
-desk_context planner_engine::desk(common::time_point now, ports::actions& out)
+job_request_context planner_engine::make_request_context(common::time_point now,
+                                                         ports::actions& out)
 {
     return {now,
             follower_.current(),
@@ -77,8 +79,8 @@
         inbox_.tick(now, calls_, out);
         loads_.tick(now, calls_, out);
     }
-    auto to_desk = desk(now, out);
-    desk_.tick(to_desk);
+    auto to_desk = make_request_context(now, out);
+    job_request_handler_.tick(to_desk);
     tick_cells(now, out);
     quotas_.tick(now, follower_.current().contracts, calls_, out);
     post_faulty(now, out);
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -5,7 +5,7 @@
 #include "core/membership/member.hpp"
 #include "core/tasks/cell_runner.hpp"
 #include "core/tasks/inbox.hpp"
-#include "core/tasks/job_desk.hpp"
+#include "core/tasks/job_request_handler.hpp"
 #include "core/tasks/registry_sweep.hpp"
 
 #include <cstdint>
@@ -28,7 +28,7 @@
     quota_settings quotas;
     load_board_settings loads;
     inbox_settings inboxes;
-    job_desk_settings desk;
+    job_request_handler_settings job_requests;
     sweep_settings sweep;
     cell_settings cell;
     placement::interference_settings interference;
@@ -97,7 +97,8 @@
 
 private:
     // planner_engine.cpp: composition, time, a planned stop.
-    desk_context desk(common::time_point now, ports::actions& out);
+    job_request_context make_request_context(common::time_point now,
+                                             ports::actions& out);
     bool config_fresh(common::time_point now) const noexcept;
     void pump(common::time_point now, ports::actions& out);
     void follow_stop(common::time_point now, ports::actions& out);
@@ -133,7 +134,7 @@
     quota_book quotas_;
     load_board loads_;
     inbox inbox_;
-    job_desk desk_;
+    job_request_handler job_request_handler_;
     registry_sweep sweep_;
     placement::interference_model learned_;
     task_counters counters_;
--- a/src/core/tasks/planner_events.cpp
+++ b/src/core/tasks/planner_events.cpp
@@ -55,7 +55,7 @@
         pump(now, out);
         return true;
     }
-    auto to_desk = desk(now, out);
+    auto to_desk = make_request_context(now, out);
     auto const cell = cells_.find(tag->name);
     switch (tag->owner)
     {
@@ -80,8 +80,8 @@
             touch_all();
         }
         break;
-    case call_owner::desk:
-        desk_.on_store_reply(to_desk, *tag, reply);
+    case call_owner::job_requests:
+        job_request_handler_.on_store_reply(to_desk, *tag, reply);
         break;
     case call_owner::quota:
         quotas_.on_store_reply(now, *tag, reply);
@@ -177,8 +177,8 @@
                                     job_request const& request,
                                     ports::actions& out)
 {
-    auto to_desk = desk(now, out);
-    desk_.on_request(to_desk, request);
+    auto to_desk = make_request_context(now, out);
+    job_request_handler_.on_request(to_desk, request);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/store_calls.hpp
+++ b/src/core/tasks/store_calls.hpp
@@ -19,7 +19,7 @@
     snapshot,      ///< A cell's snapshot.
     inbox,         ///< The watch on all inboxes.
     inbox_message, ///< A parcel's way into another cell's inbox.
-    desk,          ///< Submissions, cancellations and lists asked by operators.
+    job_requests,  ///< Submissions, cancellations and lists asked by operators.
     quota,
     load, ///< Free capacity published by every planner.
     erase,
