--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -6,7 +6,7 @@
 #include "core/placement/latency_guard.hpp"
 #include "core/placement/policy.hpp"
 #include "core/tasks/cell_log.hpp"
-#include "core/tasks/load_board.hpp"
+#include "core/tasks/load_table.hpp"
 #include "core/tasks/quota.hpp"
 #include "core/tasks/store_calls.hpp"
 #include "core/tasks/worker_book.hpp"
@@ -96,7 +96,7 @@
     config::configuration const& config;
     worker_book& workers;
     quota_book& quotas;
-    load_board& loads;
+    load_table& loads;
     store_calls& calls;
     worker_calls& worker_traffic;
     placement::interference_model& learned;
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -71,13 +71,13 @@
     for (auto const& [id, tasks] : leaving)
     {
         auto const& part = log_.state().jobs.at(id);
-        auto const to =
-            with.loads.choose({part.what.declared,
-                               part.what.data_centre,
-                               cell_,
-                               !must && !with.workers.in_rack(cell_).empty(),
-                               with.config.data_centres_out_of_service},
-                              with.workers);
+        auto const to = with.loads.choose_cell(
+            {part.what.declared,
+             part.what.data_centre,
+             cell_,
+             !must && !with.workers.in_rack(cell_).empty(),
+             with.config.data_centres_out_of_service},
+            with.workers);
         if (!to)
         {
             continue;
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -239,9 +239,9 @@
     for (auto const& [worker, room] : free)
     {
         load.free += room;
-        if (room.millicores > load.largest.millicores)
+        if (room.millicores > load.largest_free.millicores)
         {
-            load.largest = room;
+            load.largest_free = room;
         }
     }
     for (auto const& task : queue_)
--- a/src/core/tasks/job_request_handler.cpp
+++ b/src/core/tasks/job_request_handler.cpp
@@ -178,16 +178,17 @@
         with.out.emplace_back(refuse(request.caller, *why));
         return;
     }
-    auto cell = with.loads.choose({wanted->declared,
-                                   wanted->data_centre,
-                                   "",
-                                   false,
-                                   with.config.data_centres_out_of_service},
-                                  with.workers);
+    auto cell =
+        with.loads.choose_cell({wanted->declared,
+                                wanted->data_centre,
+                                "",
+                                false,
+                                with.config.data_centres_out_of_service},
+                               with.workers);
     if (!cell)
     {
         // Its data centre is out: it waits there until that comes back.
-        cell = with.loads.choose(
+        cell = with.loads.choose_cell(
             {wanted->declared, wanted->data_centre, "", false, {}},
             with.workers);
     }
--- a/src/core/tasks/job_request_handler.hpp
+++ b/src/core/tasks/job_request_handler.hpp
@@ -2,7 +2,7 @@
 
 #include "core/config/configuration.hpp"
 #include "core/tasks/job_view.hpp"
-#include "core/tasks/load_board.hpp"
+#include "core/tasks/load_table.hpp"
 #include "core/tasks/store_calls.hpp"
 #include "core/tasks/worker_book.hpp"
 #include "ports/actions.hpp"
@@ -43,7 +43,7 @@
     common::time_point now;
     config::configuration const& config;
     worker_book const& workers;
-    load_board& loads;
+    load_table& loads;
     store_calls& calls;
     std::size_t inbox_message_count = 0;
     bool accepting = true; ///< False while the planner stops.
--- a/src/core/tasks/load_board.cpp
+++ b/src/core/tasks/load_table.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/load_board.hpp"
+#include "core/tasks/load_table.hpp"
 
 #include "core/common/json.hpp"
 
@@ -21,9 +21,9 @@
     return {load.free.millicores,
             load.free.memory_mb,
             load.free.accelerators,
-            load.largest.millicores,
-            load.largest.memory_mb,
-            load.largest.accelerators,
+            load.largest_free.millicores,
+            load.largest_free.memory_mb,
+            load.largest_free.accelerators,
             load.queued_millicores,
             load.queued_tasks,
             load.running_tasks,
@@ -74,9 +74,9 @@
     {
         auto const& capacity = workers.find(id)->info.capacity;
         load.free += capacity;
-        if (capacity.millicores > load.largest.millicores)
+        if (capacity.millicores > load.largest_free.millicores)
         {
-            load.largest = capacity;
+            load.largest_free = capacity;
         }
     }
     return load;
@@ -98,25 +98,25 @@
 
 } // namespace
 
-load_board::load_board(std::string member,
+load_table::load_table(std::string member,
                        std::uint64_t seed,
-                       load_board_settings settings)
+                       load_table_settings settings)
     : member_(std::move(member)), random_(seed), settings_(settings)
 {
 }
 
-void load_board::set_own(std::string const& cell, cell_load const& load)
+void load_table::set_own(std::string const& cell, cell_load const& load)
 {
     own_[cell] = load;
     cells_[cell] = {load, member_};
 }
 
-void load_board::drop_own(std::string const& cell)
+void load_table::drop_own(std::string const& cell)
 {
     own_.erase(cell);
 }
 
-void load_board::tick(common::time_point now,
+void load_table::tick(common::time_point now,
                       store_calls& calls,
                       ports::actions& out)
 {
@@ -146,7 +146,7 @@
     }
 }
 
-void load_board::on_store_reply(common::time_point now,
+void load_table::on_store_reply(common::time_point now,
                                 call_tag const& tag,
                                 ports::store_reply const& reply)
 {
@@ -175,7 +175,7 @@
     {
         return;
     }
-    std::map<std::string, shown> cells;
+    std::map<std::string, published_load> cells;
     for (auto const& entry : reply.entries)
     {
         auto const by = entry.key.substr(load_prefix.size());
@@ -202,8 +202,8 @@
     cells_ = std::move(cells);
 }
 
-std::optional<std::string> load_board::choose(wish const& want,
-                                              worker_book const& workers)
+std::optional<std::string> load_table::choose_cell(cell_query const& want,
+                                                   worker_book const& workers)
 {
     std::vector<std::pair<std::string, cell_load>> roomy;
     std::vector<std::pair<std::string, cell_load>> rest;
@@ -212,8 +212,8 @@
         auto const data_centre = workers.data_centre_of(cell);
         bool const wished =
             want.data_centre.empty() || want.data_centre == data_centre;
-        if (cell == want.not_cell || !wished ||
-            want.out.count(data_centre) != 0 ||
+        if (cell == want.excluded_cell || !wished ||
+            want.unavailable_data_centres.count(data_centre) != 0 ||
             !could_hold(cell, want.declared, workers))
         {
             continue;
@@ -221,11 +221,11 @@
         auto const found = cells_.find(cell);
         auto const load = found == cells_.end() ? empty_cell(cell, workers)
                                                 : found->second.load;
-        auto& list = load.largest.covers(want.declared) ? roomy : rest;
+        auto& list = load.largest_free.covers(want.declared) ? roomy : rest;
         list.emplace_back(cell, load);
     }
     auto const& list = roomy.empty() ? rest : roomy;
-    if (list.empty() || (roomy.empty() && want.only_with_room))
+    if (list.empty() || (roomy.empty() && want.requires_capacity))
     {
         return std::nullopt;
     }
@@ -241,7 +241,7 @@
     return better(one.second, other.second) ? one.first : other.first;
 }
 
-cell_load load_board::totals() const noexcept
+cell_load load_table::totals() const noexcept
 {
     cell_load out;
     for (auto const& [cell, each] : cells_)
@@ -256,13 +256,13 @@
     return out;
 }
 
-void load_board::reserve(std::string const& cell, ports::resources const& sent)
+void load_table::reserve(std::string const& cell, ports::resources const& sent)
 {
     auto const found = cells_.find(cell);
     if (found != cells_.end())
     {
         found->second.load.free -= sent;
-        found->second.load.largest -= sent;
+        found->second.load.largest_free -= sent;
     }
 }
 
--- a/src/core/tasks/load_board.hpp
+++ b/src/core/tasks/load_table.hpp
@@ -18,8 +18,8 @@
 /// How full one cell is, as its owner last published it.
 struct cell_load
 {
-    ports::resources free;    ///< Summed over its workers.
-    ports::resources largest; ///< Free on the worker with most free cores.
+    ports::resources free;         ///< Summed over its workers.
+    ports::resources largest_free; ///< Free on the worker with most free cores.
     std::int64_t queued_millicores = 0;
     std::int64_t queued_tasks = 0;
     std::int64_t running_tasks = 0;
@@ -29,7 +29,7 @@
     bool operator==(cell_load const&) const = default;
 };
 
-struct load_board_settings
+struct load_table_settings
 {
     common::duration publish_interval = std::chrono::seconds(1);
     common::duration read_interval = std::chrono::seconds(2);
@@ -38,10 +38,10 @@
 /// `load/<member>`: each planner writes how full its cells are and reads the
 /// others', so that jobs and moved tasks go where there is room. A guess only:
 /// each cell checks for itself, and what does not fit moves on.
-class load_board
+class load_table
 {
 public:
-    load_board(std::string member, std::uint64_t seed, load_board_settings);
+    load_table(std::string member, std::uint64_t seed, load_table_settings);
 
     void set_own(std::string const& cell, cell_load const& load);
     void drop_own(std::string const& cell);
@@ -51,33 +51,34 @@
                         call_tag const& tag,
                         ports::store_reply const& reply);
 
-    struct wish
+    struct cell_query
     {
         ports::resources declared; ///< Of one task.
         std::string data_centre;   ///< Empty: any.
-        std::string not_cell;      ///< Empty: any.
-        bool only_with_room = false;
-        std::set<std::string, std::less<>> const& out; ///< Data centres.
+        std::string excluded_cell; ///< Empty: any.
+        bool requires_capacity = false;
+        std::set<std::string, std::less<>> const&
+            unavailable_data_centres; ///< Data centres.
     };
     /// A cell for tasks like this, the better of two random ones with room;
     /// empty where none fits the wish.
-    std::optional<std::string> choose(wish const& want,
-                                      worker_book const& workers);
+    std::optional<std::string> choose_cell(cell_query const& want,
+                                           worker_book const& workers);
     /// Sums over all cells, as last published; for the status page.
     cell_load totals() const noexcept;
     /// Counts work sent there as used until its owner publishes again.
     void reserve(std::string const& cell, ports::resources const& sent);
 
 private:
-    struct shown
+    struct published_load
     {
         cell_load load;
-        std::string by;
+        std::string publisher;
     };
 
     std::string member_;
     std::mt19937_64 random_;
-    load_board_settings settings_;
+    load_table_settings settings_;
     std::map<std::string, cell_load> own_;
     std::string written_;
     std::uint64_t version_ = 0;
@@ -86,7 +87,7 @@
     std::string in_flight_;
     common::time_point next_write_{};
     common::time_point next_read_{};
-    std::map<std::string, shown> cells_;
+    std::map<std::string, published_load> cells_;
 };
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -26,7 +26,7 @@
     store_call_settings store;
     worker_book_settings workers;
     quota_settings quotas;
-    load_board_settings loads;
+    load_table_settings loads;
     inbox_settings inboxes;
     job_request_handler_settings job_requests;
     sweep_settings sweep;
@@ -132,7 +132,7 @@
     worker_calls worker_calls_;
     worker_book workers_;
     quota_book quotas_;
-    load_board loads_;
+    load_table loads_;
     inbox inbox_;
     job_request_handler job_request_handler_;
     registry_sweep sweep_;
