--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -41,13 +41,14 @@
         "failed_workers_to_stop", cell.failed_workers_to_stop, 1, 100));
     cell.log.commit_interval = table.duration_or(
         "commit_interval_ms", cell.log.commit_interval, 0ms, 1s);
-    out.planner.workers.drift_permille = static_cast<std::uint32_t>(
-        table.integer_or("clock_drift_permille", cell.drift_permille, 0, 200));
-    cell.drift_permille = out.planner.workers.drift_permille;
+    out.planner.workers.clock_drift_permille =
+        static_cast<std::uint32_t>(table.integer_or(
+            "clock_drift_permille", cell.clock_drift_permille, 0, 200));
+    cell.clock_drift_permille = out.planner.workers.clock_drift_permille;
     out.planner.workers.report_lag = table.duration_or(
         "report_lag_ms", out.planner.workers.report_lag, 0s, 10s);
-    out.planner.workers.quarantine = table.duration_or(
-        "quarantine_ms", out.planner.workers.quarantine, 1s, 1h);
+    out.planner.workers.quarantine_duration = table.duration_or(
+        "quarantine_ms", out.planner.workers.quarantine_duration, 1s, 1h);
     if (cell.renew_interval * 2 > cell.lease)
     {
         table.fail(result_code::inconsistent,
--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -35,7 +35,7 @@
 // How long a lease sent now may stand, on our clock.
 common::duration longest_lease(cell_settings const& settings)
 {
-    return settings.lease * (1000 + settings.drift_permille) / 1000 +
+    return settings.lease * (1000 + settings.clock_drift_permille) / 1000 +
            settings.lease_margin;
 }
 
@@ -176,7 +176,8 @@
            with.config.contracts.count(part.what.customer) != 0 &&
            view != nullptr && view->listed &&
            view->info.state == ports::instance_state::live &&
-           with.workers.clock_at_least(with.now, *view) < run.start_before_ms;
+           with.workers.clock_lower_bound(with.now, *view) <
+               run.start_before_ms;
 }
 
 void cell_runner::send_start(cell_context& with,
@@ -197,8 +198,8 @@
     }
     auto const& part = log_.state().jobs.at(key.job);
     auto const& task = part.tasks.at(key.index);
-    auto const clock =
-        with.workers.clock_at_least(with.now, *with.workers.find(run.worker));
+    auto const clock = with.workers.clock_lower_bound(
+        with.now, *with.workers.find(run.worker));
     auto const in = [clock](common::duration length)
     {
         return clock +
@@ -298,7 +299,7 @@
         if (longer)
         {
             renewal.until_ms =
-                with.workers.clock_at_least(with.now, *view) +
+                with.workers.clock_lower_bound(with.now, *view) +
                 static_cast<std::uint64_t>(
                     common::to_milliseconds(with.settings.lease));
         }
@@ -367,11 +368,11 @@
     {
     case attempt_end::finished:
         ++counters.finished;
-        with.workers.note_success(run.worker);
+        with.workers.record_success(run.worker);
         break;
     case attempt_end::failed:
         ++counters.failed;
-        with.workers.note_failure(with.now, run.worker, task.job);
+        with.workers.record_failure(with.now, run.worker, task.job);
         after_failure(with, task);
         break;
     case attempt_end::refused:
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -9,8 +9,8 @@
 #include "core/tasks/load_table.hpp"
 #include "core/tasks/quota.hpp"
 #include "core/tasks/store_calls.hpp"
-#include "core/tasks/worker_book.hpp"
 #include "core/tasks/worker_calls.hpp"
+#include "core/tasks/worker_registry.hpp"
 
 #include <cstdint>
 
@@ -26,7 +26,7 @@
     common::duration renew_interval = std::chrono::seconds(4);
     /// Added to a lease before it counts as run out.
     common::duration lease_margin = std::chrono::milliseconds(500);
-    std::uint32_t drift_permille = 30;
+    std::uint32_t clock_drift_permille = 30;
     /// From the decision to the last moment at which the worker takes it; the
     /// lag of its reports comes on top.
     common::duration start_window = std::chrono::seconds(4);
@@ -94,7 +94,7 @@
     bool may_start = false;
     cell_settings const& settings;
     config::configuration const& config;
-    worker_book& workers;
+    worker_registry& workers;
     quota_book& quotas;
     load_table& loads;
     store_calls& calls;
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -296,7 +296,7 @@
     }
     auto& on = workers[*chosen];
     auto const* view = with.workers.find(*on.worker);
-    auto const clock = with.workers.clock_at_least(with.now, *view);
+    auto const clock = with.workers.clock_lower_bound(with.now, *view);
     auto const in = [clock](common::duration length)
     {
         return clock +
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -62,7 +62,7 @@
     {
     case ports::worker_status::done:
         step(run, attempt_event::seen_running);
-        with.workers.note_accepted(run.worker);
+        with.workers.record_acceptance(run.worker);
         ++with.counters.started;
         if (!log_.state().find(key)->checkpoint.empty())
         {
@@ -78,7 +78,7 @@
             send_stop(with, key, run);
             return;
         }
-        with.workers.note_refusal(with.now, run.worker);
+        with.workers.record_refusal(with.now, run.worker);
         end(with, key, attempt_end::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -90,7 +90,7 @@
         run.latency_p99_us = said.latency_p99_us;
         if (++run.reports == reports_to_prove)
         {
-            with.workers.note_success(run.worker);
+            with.workers.record_success(run.worker);
         }
         break;
     case ports::attempt_state::finished:
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -85,8 +85,8 @@
 {
     adopted_ = true;
     ++with.counters.takeovers;
-    auto const lease =
-        with.settings.lease * (1000 + with.settings.drift_permille) / 1000;
+    auto const lease = with.settings.lease *
+                       (1000 + with.settings.clock_drift_permille) / 1000;
     for (auto const& [id, part] : log_.state().jobs)
     {
         for (auto const& [index, task] : part.tasks)
--- a/src/core/tasks/job_request_handler.hpp
+++ b/src/core/tasks/job_request_handler.hpp
@@ -4,7 +4,7 @@
 #include "core/tasks/job_view.hpp"
 #include "core/tasks/load_table.hpp"
 #include "core/tasks/store_calls.hpp"
-#include "core/tasks/worker_book.hpp"
+#include "core/tasks/worker_registry.hpp"
 #include "ports/actions.hpp"
 
 #include <cstdint>
@@ -42,7 +42,7 @@
 {
     common::time_point now;
     config::configuration const& config;
-    worker_book const& workers;
+    worker_registry const& workers;
     load_table& loads;
     store_calls& calls;
     std::size_t inbox_message_count = 0;
--- a/src/core/tasks/load_table.cpp
+++ b/src/core/tasks/load_table.cpp
@@ -67,7 +67,7 @@
 }
 
 // The load of a cell that nobody has published: all of it is free.
-cell_load empty_cell(std::string const& cell, worker_book const& workers)
+cell_load empty_cell(std::string const& cell, worker_registry const& workers)
 {
     cell_load load;
     for (auto const& id : workers.in_rack(cell))
@@ -84,7 +84,7 @@
 
 bool could_hold(std::string const& cell,
                 ports::resources const& declared,
-                worker_book const& workers)
+                worker_registry const& workers)
 {
     auto const& ids = workers.in_rack(cell);
     return std::any_of(ids.begin(),
@@ -202,8 +202,8 @@
     cells_ = std::move(cells);
 }
 
-std::optional<std::string> load_table::choose_cell(cell_query const& want,
-                                                   worker_book const& workers)
+std::optional<std::string>
+load_table::choose_cell(cell_query const& want, worker_registry const& workers)
 {
     std::vector<std::pair<std::string, cell_load>> roomy;
     std::vector<std::pair<std::string, cell_load>> rest;
--- a/src/core/tasks/load_table.hpp
+++ b/src/core/tasks/load_table.hpp
@@ -2,7 +2,7 @@
 
 #include "core/common/time.hpp"
 #include "core/tasks/store_calls.hpp"
-#include "core/tasks/worker_book.hpp"
+#include "core/tasks/worker_registry.hpp"
 #include "ports/workers.hpp"
 
 #include <cstdint>
@@ -63,7 +63,7 @@
     /// A cell for tasks like this, the better of two random ones with room;
     /// empty where none fits the wish.
     std::optional<std::string> choose_cell(cell_query const& want,
-                                           worker_book const& workers);
+                                           worker_registry const& workers);
     /// Sums over all cells, as last published; for the status page.
     cell_load totals() const noexcept;
     /// Counts work sent there as used until its owner publishes again.
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -201,7 +201,7 @@
     return claims_;
 }
 
-worker_book const& planner_engine::workers() const noexcept
+worker_registry const& planner_engine::workers() const noexcept
 {
     return workers_;
 }
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -24,7 +24,7 @@
     membership::settings membership;
     config::follower_settings follower;
     store_call_settings store;
-    worker_book_settings workers;
+    worker_registry_settings workers;
     quota_settings quotas;
     load_table_settings loads;
     inbox_settings inboxes;
@@ -85,7 +85,7 @@
     membership::member const& members() const noexcept;
     config::configuration_follower& follower() noexcept;
     claims::claim_table const& claims() const noexcept;
-    worker_book const& workers() const noexcept;
+    worker_registry const& workers() const noexcept;
     task_counters const& counters() const noexcept;
     store_calls const& calls() const noexcept;
     std::map<std::string, std::unique_ptr<cell_runner>> const&
@@ -130,7 +130,7 @@
     config::configuration_follower follower_;
     store_calls calls_;
     worker_calls worker_calls_;
-    worker_book workers_;
+    worker_registry workers_;
     quota_book quotas_;
     load_table loads_;
     inbox inbox_;
--- a/src/core/tasks/worker_book.cpp
+++ b/src/core/tasks/worker_registry.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/worker_book.hpp"
+#include "core/tasks/worker_registry.hpp"
 
 #include <algorithm>
 
@@ -12,11 +12,12 @@
 
 } // namespace
 
-worker_book::worker_book(worker_book_settings settings) : settings_(settings)
+worker_registry::worker_registry(worker_registry_settings settings)
+    : settings_(settings)
 {
 }
 
-void worker_book::on_list(ports::worker_list const& list)
+void worker_registry::on_list(ports::worker_list const& list)
 {
     for (auto& [id, view] : workers_)
     {
@@ -41,8 +42,8 @@
     }
 }
 
-bool worker_book::on_report(common::time_point now,
-                            ports::worker_report const& report)
+bool worker_registry::on_report(common::time_point now,
+                                ports::worker_report const& report)
 {
     auto const found = workers_.find(report.worker);
     if (found == workers_.end())
@@ -53,31 +54,32 @@
     if (report.sequence <= view.sequence && view.clock_ms != 0)
     {
         bool const repeated = report.sequence == view.sequence;
-        view.stale = repeated ? 0 : view.stale + 1;
-        if (view.stale < settings_.stale_reports)
+        view.stale_reports = repeated ? 0 : view.stale_reports + 1;
+        if (view.stale_reports < settings_.stale_reports_before_reset)
         {
             return false;
         }
     }
-    view.stale = 0;
+    view.stale_reports = 0;
     view.sequence = report.sequence;
     view.clock_ms = report.clock_ms;
-    view.reported = now;
+    view.report_received = now;
     return true;
 }
 
-worker_view const* worker_book::find(std::string const& worker) const noexcept
+worker_view const*
+worker_registry::find(std::string const& worker) const noexcept
 {
     auto const found = workers_.find(worker);
     return found == workers_.end() ? nullptr : &found->second;
 }
 
-std::map<std::string, worker_view> const& worker_book::all() const noexcept
+std::map<std::string, worker_view> const& worker_registry::all() const noexcept
 {
     return workers_;
 }
 
-std::vector<std::string> worker_book::racks() const
+std::vector<std::string> worker_registry::racks() const
 {
     std::vector<std::string> out;
     out.reserve(racks_.size());
@@ -89,39 +91,42 @@
 }
 
 std::vector<std::string> const&
-worker_book::in_rack(std::string const& rack) const
+worker_registry::in_rack(std::string const& rack) const
 {
     auto const found = racks_.find(rack);
     return found == racks_.end() ? no_workers : found->second;
 }
 
-std::string worker_book::data_centre_of(std::string const& rack) const
+std::string worker_registry::data_centre_of(std::string const& rack) const
 {
     auto const& workers = in_rack(rack);
     return workers.empty() ? std::string()
                            : workers_.at(workers.front()).info.data_centre;
 }
 
-std::uint64_t worker_book::clock_at_least(common::time_point now,
-                                          worker_view const& of) const noexcept
+std::uint64_t
+worker_registry::clock_lower_bound(common::time_point now,
+                                   worker_view const& of) const noexcept
 {
-    auto const passed = common::to_milliseconds(now - of.reported);
+    auto const passed = common::to_milliseconds(now - of.report_received);
     auto const sure =
         std::max<std::int64_t>(0, passed) *
-        (1000 - static_cast<std::int64_t>(settings_.drift_permille)) / 1000;
+        (1000 - static_cast<std::int64_t>(settings_.clock_drift_permille)) /
+        1000;
     return of.clock_ms + static_cast<std::uint64_t>(sure);
 }
 
-bool worker_book::may_start(common::time_point now,
-                            worker_view const& of) const noexcept
+bool worker_registry::may_start(common::time_point now,
+                                worker_view const& of) const noexcept
 {
     return of.listed && of.info.state == ports::instance_state::live &&
-           of.clock_ms != 0 && now - of.reported < settings_.report_age_limit &&
+           of.clock_ms != 0 &&
+           now - of.report_received < settings_.report_age_limit &&
            (!of.quarantined_until || now >= *of.quarantined_until);
 }
 
-bool worker_book::ever_fits(ports::resources const& declared,
-                            std::string const& data_centre) const noexcept
+bool worker_registry::ever_fits(ports::resources const& declared,
+                                std::string const& data_centre) const noexcept
 {
     return std::any_of(workers_.begin(),
                        workers_.end(),
@@ -134,8 +139,8 @@
                        });
 }
 
-void worker_book::note_refusal(common::time_point now,
-                               std::string const& worker)
+void worker_registry::record_refusal(common::time_point now,
+                                     std::string const& worker)
 {
     auto const found = workers_.find(worker);
     if (found == workers_.end())
@@ -143,34 +148,35 @@
         return;
     }
     auto& view = found->second;
-    auto const doublings = std::min<std::uint32_t>(view.refusals, 10);
-    ++view.refusals;
+    auto const doublings =
+        std::min<std::uint32_t>(view.consecutive_refusals, 10);
+    ++view.consecutive_refusals;
     view.closed_until =
         now + std::min(settings_.refusal_pause * (1 << doublings),
-                       settings_.refusal_pause_most);
+                       settings_.max_refusal_pause);
     view.report_lag =
-        std::min(view.report_lag * 3 / 2, settings_.report_lag_most);
+        std::min(view.report_lag * 3 / 2, settings_.max_report_lag);
 }
 
-void worker_book::note_accepted(std::string const& worker)
+void worker_registry::record_acceptance(std::string const& worker)
 {
     auto const found = workers_.find(worker);
     if (found != workers_.end())
     {
         auto& view = found->second;
-        view.refusals = 0;
+        view.consecutive_refusals = 0;
         view.report_lag =
             std::max(view.report_lag * 99 / 100, settings_.report_lag);
     }
 }
 
-void worker_book::note_success(std::string const& worker)
+void worker_registry::record_success(std::string const& worker)
 {
     auto const found = workers_.find(worker);
     if (found != workers_.end())
     {
         auto& view = found->second;
-        view.failures = 0;
+        view.consecutive_failures = 0;
         view.last_failed_job.clear();
         view.proven = true;
         view.quarantines = 0;
@@ -179,9 +185,9 @@
     }
 }
 
-void worker_book::note_failure(common::time_point now,
-                               std::string const& worker,
-                               std::string const& job)
+void worker_registry::record_failure(common::time_point now,
+                                     std::string const& worker,
+                                     std::string const& job)
 {
     auto const found = workers_.find(worker);
     if (found == workers_.end() || found->second.last_failed_job == job)
@@ -190,22 +196,24 @@
     }
     auto& view = found->second;
     view.last_failed_job = job;
-    ++view.failures;
-    if (view.failures < settings_.failures_to_quarantine && !view.probing)
+    ++view.consecutive_failures;
+    if (view.consecutive_failures < settings_.failures_to_quarantine &&
+        !view.probing)
     {
         return;
     }
     auto const doublings = std::min<std::uint32_t>(view.quarantines, 10);
-    auto const length = std::min(settings_.quarantine * (1 << doublings),
-                                 settings_.quarantine_most);
+    auto const length =
+        std::min(settings_.quarantine_duration * (1 << doublings),
+                 settings_.max_quarantine_duration);
     view.quarantined_until = now + length;
     view.probing = true;
     view.proven = false;
     ++view.quarantines;
 }
 
-bool worker_book::suspect(common::time_point now,
-                          std::string const& worker) const
+bool worker_registry::suspect(common::time_point now,
+                              std::string const& worker) const
 {
     auto const* view = find(worker);
     if (view == nullptr)
@@ -214,11 +222,11 @@
     }
     bool const quarantined =
         view->quarantined_until && now < *view->quarantined_until;
-    return quarantined || (view->failures >= 2 && !view->proven);
+    return quarantined || (view->consecutive_failures >= 2 && !view->proven);
 }
 
-void worker_book::set_memory_over_declared(std::string const& worker,
-                                           std::int64_t mb)
+void worker_registry::set_memory_over_declared(std::string const& worker,
+                                               std::int64_t mb)
 {
     auto const found = workers_.find(worker);
     if (found != workers_.end())
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -2,7 +2,7 @@
 #include "core/tasks/job.hpp"
 #include "core/tasks/life_cycle.hpp"
 #include "core/tasks/quota.hpp"
-#include "core/tasks/worker_book.hpp"
+#include "core/tasks/worker_registry.hpp"
 #include "unit/tasks/planner_system.hpp"
 
 #include <gtest/gtest.h>
@@ -262,35 +262,35 @@
 
 TEST(worker_book, quarantines_a_worker_by_failures_of_different_jobs)
 {
-    worker_book book({});
+    worker_registry book({});
     ports::worker_instance info{"w", "r", "dc", {8000, 8000, 0}};
     book.on_list({{info}, {}});
     time_point now{1h};
     book.on_report(now, {"w", 1, 5000, {}});
     for (int round = 0; round < 9; ++round)
     {
-        book.note_failure(now, "w", "same");
+        book.record_failure(now, "w", "same");
     }
     EXPECT_TRUE(book.may_start(now, *book.find("w")));
     for (auto const* job : {"a", "b", "c"})
     {
-        book.note_failure(now, "w", job);
+        book.record_failure(now, "w", job);
     }
     EXPECT_FALSE(book.may_start(now, *book.find("w")));
     now += 25s;
     book.on_report(now, {"w", 2, 30000, {}});
     EXPECT_TRUE(book.may_start(now, *book.find("w")));
     EXPECT_TRUE(book.find("w")->probing);
-    book.note_success("w");
+    book.record_success("w");
     EXPECT_FALSE(book.find("w")->probing);
 }
 
 TEST(worker_book, never_reads_a_clock_ahead_of_its_worker)
 {
-    worker_book book({});
+    worker_registry book({});
     book.on_list({{{"w", "r", "dc", {}}}, {}});
     time_point const now{1h};
     book.on_report(now, {"w", 1, 5000, {}});
     EXPECT_FALSE(book.on_report(now + 1s, {"w", 1, 5000, {}}));
-    EXPECT_EQ(book.clock_at_least(now + 10s, *book.find("w")), 14700U);
+    EXPECT_EQ(book.clock_lower_bound(now + 10s, *book.find("w")), 14700U);
 }
