--- a/src/core/tasks/allowance.cpp
+++ b/src/core/tasks/allowance.cpp
@@ -7,7 +7,7 @@
 
 using ports::resources;
 
-resources least(resources const& one, resources const& other)
+resources component_min(resources const& one, resources const& other)
 {
     resources out;
     for (auto const part : resource_parts)
@@ -17,7 +17,7 @@
     return out;
 }
 
-resources most(resources const& one, resources const& other)
+resources component_max(resources const& one, resources const& other)
 {
     resources out;
     for (auto const part : resource_parts)
@@ -27,9 +27,9 @@
     return out;
 }
 
-bool holds(allowance const& room, allowance const& wanted)
+bool covers(allowance const& room, allowance const& wanted)
 {
-    return room.all.covers(wanted.all) && room.batch.covers(wanted.batch);
+    return room.total.covers(wanted.total) && room.batch.covers(wanted.batch);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -95,7 +95,7 @@
     cell_settings const& settings;
     config::configuration const& config;
     worker_registry& workers;
-    quota_book& quotas;
+    quota_manager& quotas;
     load_table& loads;
     store_calls& calls;
     worker_calls& worker_traffic;
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -15,7 +15,7 @@
 
 void add(allowance& sum, job const& what)
 {
-    sum.all += what.declared;
+    sum.total += what.declared;
     if (what.kind == job_kind::batch)
     {
         sum.batch += what.declared;
@@ -24,7 +24,7 @@
 
 void take_off(allowance& sum, job const& what)
 {
-    sum.all -= what.declared;
+    sum.total -= what.declared;
     if (what.kind == job_kind::batch)
     {
         sum.batch -= what.declared;
@@ -143,8 +143,8 @@
     for (auto const& [customer, use] : use_)
     {
         cell_need need{epoch_, use.in_use, use.in_use, use.unit};
-        need.wanted.all += use.queued.all;
-        need.wanted.batch += use.queued.batch;
+        need.requested.total += use.queued.total;
+        need.requested.batch += use.queued.batch;
         with.quotas.set_need(customer, cell_, need);
     }
 }
@@ -202,8 +202,8 @@
     }
     auto next = use_[what.customer].in_use;
     add(next, what);
-    return holds(with.quotas.allowed(what.customer, cell_, contract->second),
-                 next);
+    return covers(with.quotas.allowed(what.customer, cell_, contract->second),
+                  next);
 }
 
 // After a data centre came back everybody would start there at once; a slow
@@ -358,7 +358,7 @@
         }
         auto const contract = with.config.contracts.find(customer);
         if (contract != with.config.contracts.end() &&
-            with.quotas.known(customer, cell_))
+            with.quotas.grant_known(customer, cell_))
         {
             evict_overage(
                 with,
@@ -374,7 +374,7 @@
                                 allowance const& allowed)
 {
     auto staying = use_[customer].staying;
-    if (holds(allowed, staying))
+    if (covers(allowed, staying))
     {
         return;
     }
@@ -403,12 +403,12 @@
               });
     for (auto const& [key, what] : own)
     {
-        if (holds(allowed, staying))
+        if (covers(allowed, staying))
         {
             return;
         }
-        bool const helps =
-            !allowed.all.covers(staying.all) || what->kind == job_kind::batch;
+        bool const helps = !allowed.total.covers(staying.total) ||
+                           what->kind == job_kind::batch;
         if (helps)
         {
             take_off(staying, *what);
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -131,7 +131,7 @@
     store_calls calls_;
     worker_calls worker_calls_;
     worker_registry workers_;
-    quota_book quotas_;
+    quota_manager quotas_;
     load_table loads_;
     inbox inbox_;
     job_request_handler job_request_handler_;
--- a/src/core/tasks/quota.cpp
+++ b/src/core/tasks/quota.cpp
@@ -17,27 +17,27 @@
                     contracts::contract const& contract)
 {
     auto wanted = need.in_use;
-    wanted.all += need.unit.all;
-    wanted.batch += need.unit.batch;
+    wanted.total += need.next_task.total;
+    wanted.batch += need.next_task.batch;
     document.cells[cell] = after;
-    return holds(scaled(document, cell, contract), wanted);
+    return covers(scaled_grant(document, cell, contract), wanted);
 }
 
 } // namespace
 
-quota_book::quota_book(std::uint64_t incarnation, quota_settings settings)
+quota_manager::quota_manager(std::uint64_t incarnation, quota_settings settings)
     : writer_(std::to_string(incarnation) + ":"), settings_(settings)
 {
 }
 
-void quota_book::set_need(std::string const& customer,
-                          std::string const& cell,
-                          cell_need const& need)
+void quota_manager::set_need(std::string const& customer,
+                             std::string const& cell,
+                             cell_need const& need)
 {
     accounts_[customer].needs[cell] = need;
 }
 
-void quota_book::drop_cell(std::string const& cell)
+void quota_manager::drop_cell(std::string const& cell)
 {
     for (auto& [customer, of] : accounts_)
     {
@@ -45,7 +45,7 @@
     }
 }
 
-void quota_book::refresh()
+void quota_manager::refresh()
 {
     for (auto& [customer, of] : accounts_)
     {
@@ -54,9 +54,9 @@
     }
 }
 
-allowance quota_book::allowed(std::string const& customer,
-                              std::string const& cell,
-                              contracts::contract const& contract) const
+allowance quota_manager::allowed(std::string const& customer,
+                                 std::string const& cell,
+                                 contracts::contract const& contract) const
 {
     auto const found = accounts_.find(customer);
     if (found == accounts_.end())
@@ -71,18 +71,18 @@
     {
         return {};
     }
-    auto out = scaled(of.stored, cell, contract);
+    auto out = scaled_grant(of.stored, cell, contract);
     auto const doubt = of.doubtful.find(cell);
     if (doubt != of.doubtful.end())
     {
-        out.all = least(out.all, doubt->second.granted.all);
-        out.batch = least(out.batch, doubt->second.granted.batch);
+        out.total = component_min(out.total, doubt->second.granted.total);
+        out.batch = component_min(out.batch, doubt->second.granted.batch);
     }
     return out;
 }
 
-bool quota_book::known(std::string const& customer,
-                       std::string const& cell) const
+bool quota_manager::grant_known(std::string const& customer,
+                                std::string const& cell) const
 {
     auto const found = accounts_.find(customer);
     if (found == accounts_.end())
@@ -96,10 +96,10 @@
            grant->second.epoch == need->second.epoch;
 }
 
-void quota_book::send_read(std::string const& customer,
-                           account& of,
-                           store_calls& calls,
-                           ports::actions& out)
+void quota_manager::send_read(std::string const& customer,
+                              account& of,
+                              store_calls& calls,
+                              ports::actions& out)
 {
     of.call_writes = false;
     of.call = calls.send(call_owner::quota,
@@ -110,37 +110,39 @@
 
 // What the document should be; empty where nothing is to be changed.
 std::optional<quota_document>
-quota_book::wished(common::time_point now,
-                   account& of,
-                   contracts::contract const& contract) const
+quota_manager::next_document(common::time_point now,
+                             account& of,
+                             contracts::contract const& contract) const
 {
     auto next = of.stored;
     bool shrinks = false;
     bool urgent = !of.doubtful.empty();
     for (auto const& [cell, need] : of.needs)
     {
-        bool const used = need.wanted != allowance{};
+        bool const used = need.requested != allowance{};
         if (!used && next.cells.count(cell) == 0)
         {
             continue;
         }
         auto const before = next.cells[cell];
-        auto after = grown(next, cell, need.wanted, contract);
+        auto after = grow_grant(next, cell, need.requested, contract);
         if (!holds_one_more(next, cell, after, need, contract))
         {
-            after.granted.all = least(before.granted.all, need.in_use.all);
+            after.granted.total =
+                component_min(before.granted.total, need.in_use.total);
             after.granted.batch =
-                least(before.granted.batch, need.in_use.batch);
+                component_min(before.granted.batch, need.in_use.batch);
         }
         // Never below what is in use: that is the evictions' business.
-        after.granted.all =
-            most(after.granted.all, least(need.in_use.all, before.granted.all));
-        after.granted.batch =
-            most(after.granted.batch,
-                 least(need.in_use.batch, before.granted.batch));
+        after.granted.total = component_max(
+            after.granted.total,
+            component_min(need.in_use.total, before.granted.total));
+        after.granted.batch = component_max(
+            after.granted.batch,
+            component_min(need.in_use.batch, before.granted.batch));
         after.epoch = need.epoch;
-        bool const less = !holds(after.granted, before.granted);
-        bool const more = !holds(before.granted, after.granted);
+        bool const less = !covers(after.granted, before.granted);
+        bool const more = !covers(before.granted, after.granted);
         shrinks = shrinks || less;
         urgent = urgent || more || after.epoch != before.epoch;
         next.cells[cell] = after;
@@ -162,7 +164,7 @@
     return urgent || idle ? std::optional(next) : std::nullopt;
 }
 
-void quota_book::tick(
+void quota_manager::tick(
     common::time_point now,
     std::map<std::string, contracts::contract, std::less<>> const& contracts,
     store_calls& calls,
@@ -182,7 +184,7 @@
         auto const found = contracts.find(customer);
         contracts::contract const contract =
             found == contracts.end() ? contracts::contract{} : found->second;
-        auto next = wished(now, of, contract);
+        auto next = next_document(now, of, contract);
         if (next && calls.may_write(now))
         {
             send_write(customer, of, std::move(*next), calls, out);
@@ -196,7 +198,7 @@
     }
 }
 
-bool quota_book::is_short(account const& of)
+bool quota_manager::is_short(account const& of)
 {
     for (auto const& [cell, need] : of.needs)
     {
@@ -204,7 +206,7 @@
         auto const granted = grant == of.stored.cells.end()
                                  ? allowance{}
                                  : grant->second.granted;
-        if (!holds(granted, need.wanted))
+        if (!covers(granted, need.requested))
         {
             return true;
         }
@@ -212,11 +214,11 @@
     return false;
 }
 
-void quota_book::send_write(std::string const& customer,
-                            account& of,
-                            quota_document next,
-                            store_calls& calls,
-                            ports::actions& out)
+void quota_manager::send_write(std::string const& customer,
+                               account& of,
+                               quota_document next,
+                               store_calls& calls,
+                               ports::actions& out)
 {
     next.writer = writer_ + std::to_string(++writes_);
     // Until the answer is known each cell counts on the lesser of what stands
@@ -227,8 +229,10 @@
         auto const value =
             grant == next.cells.end() ? cell_grant{} : grant->second;
         auto& doubt = of.doubtful.try_emplace(cell, value).first->second;
-        doubt.granted.all = least(doubt.granted.all, value.granted.all);
-        doubt.granted.batch = least(doubt.granted.batch, value.granted.batch);
+        doubt.granted.total =
+            component_min(doubt.granted.total, value.granted.total);
+        doubt.granted.batch =
+            component_min(doubt.granted.batch, value.granted.batch);
     }
     of.call_writes = true;
     of.idle_since.reset();
@@ -240,9 +244,9 @@
     of.attempted = std::move(next);
 }
 
-void quota_book::taken(account& of,
-                       quota_document document,
-                       std::uint64_t version)
+void quota_manager::accept_document(account& of,
+                                    quota_document document,
+                                    std::uint64_t version)
 {
     of.stored = std::move(document);
     of.version = version;
@@ -250,9 +254,9 @@
     of.doubtful.clear();
 }
 
-void quota_book::on_store_reply(common::time_point now,
-                                call_tag const& tag,
-                                ports::store_reply const& reply)
+void quota_manager::on_store_reply(common::time_point now,
+                                   call_tag const& tag,
+                                   ports::store_reply const& reply)
 {
     auto const found = accounts_.find(tag.name);
     if (found == accounts_.end() || found->second.call != tag.number)
@@ -264,7 +268,7 @@
     bool const wrote = std::exchange(of.call_writes, false);
     if (wrote && reply.status == ports::store_status::done)
     {
-        taken(of, std::move(of.attempted), reply.index);
+        accept_document(of, std::move(of.attempted), reply.index);
         return;
     }
     if (wrote && reply.status == ports::store_status::unavailable)
@@ -308,7 +312,7 @@
         of.read = true;
         return;
     }
-    taken(of, std::move(*document), version);
+    accept_document(of, std::move(*document), version);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/quota.hpp
+++ b/src/core/tasks/quota.hpp
@@ -21,10 +21,10 @@
 {
     std::uint64_t epoch = 0;
     allowance in_use;
-    allowance wanted; ///< `in_use` and what is queued.
+    allowance requested; ///< `in_use` and what is queued.
     /// Of the next queued task. A grant that can't hold one more is given
     /// back, or cells could share a contract in parts too small for any task.
-    allowance unit;
+    allowance next_task;
 };
 
 struct quota_settings
@@ -39,10 +39,10 @@
 };
 
 /// The grants of this planner's cells.
-class quota_book
+class quota_manager
 {
 public:
-    quota_book(std::uint64_t incarnation, quota_settings settings);
+    quota_manager(std::uint64_t incarnation, quota_settings settings);
 
     /// Tells the need of one cell, whenever it changes.
     void set_need(std::string const& customer,
@@ -59,7 +59,8 @@
                       std::string const& cell,
                       contracts::contract const& contract) const;
     /// Whether the grant is known, so that use above it is an overage.
-    bool known(std::string const& customer, std::string const& cell) const;
+    bool grant_known(std::string const& customer,
+                     std::string const& cell) const;
 
     void tick(common::time_point now,
               std::map<std::string, contracts::contract, std::less<>> const&
@@ -98,11 +99,12 @@
     /// Some cell hopes for more than its grant.
     static bool is_short(account const& of);
     std::optional<quota_document>
-    wished(common::time_point now,
-           account& of,
-           contracts::contract const& contract) const;
-    static void
-    taken(account& of, quota_document document, std::uint64_t version);
+    next_document(common::time_point now,
+                  account& of,
+                  contracts::contract const& contract) const;
+    static void accept_document(account& of,
+                                quota_document document,
+                                std::uint64_t version);
 
     std::string writer_;
     quota_settings settings_;
--- a/src/core/tasks/quota_document.cpp
+++ b/src/core/tasks/quota_document.cpp
@@ -53,7 +53,7 @@
 // What of a grant is for batch, and what is left for services.
 std::int64_t batch_part(allowance const& granted, std::int64_t resources::*part)
 {
-    return std::min(granted.batch.*part, granted.all.*part);
+    return std::min(granted.batch.*part, granted.total.*part);
 }
 
 // Moves `granted` to `need`, up by no more than `room` in each part.
@@ -74,7 +74,7 @@
     allowance sum;
     for (auto const& [cell, grant] : document.cells)
     {
-        sum.all += grant.granted.all;
+        sum.total += grant.granted.total;
         sum.batch += grant.granted.batch;
     }
     return sum;
@@ -95,7 +95,7 @@
     {
         cells.emplace(cell,
                       json::object{{"e", grant.epoch},
-                                   {"all", encoded(grant.granted.all)},
+                                   {"all", encoded(grant.granted.total)},
                                    {"batch", encoded(grant.granted.batch)}});
     }
     return json::serialize(
@@ -134,9 +134,9 @@
 // Services keep their grants as long as the contract holds these alone; what
 // they leave is shared out to batch. Were all grants scaled alike, a cell with
 // services only would stop one while batch goes on in other cells.
-allowance scaled(quota_document const& document,
-                 std::string const& cell,
-                 contracts::contract const& contract)
+allowance scaled_grant(quota_document const& document,
+                       std::string const& cell,
+                       contracts::contract const& contract)
 {
     auto const found = document.cells.find(cell);
     if (found == document.cells.end())
@@ -154,31 +154,32 @@
         {
             auto const of_batch = batch_part(grant.granted, part);
             batch += of_batch;
-            services += grant.granted.all.*part - of_batch;
+            services += grant.granted.total.*part - of_batch;
         }
         auto const limit = contract.capacity.*part;
         auto const left = std::min(batch_most.*part,
                                    std::max<std::int64_t>(0, limit - services));
         auto const own_batch = batch_part(own, part);
         out.batch.*part = share_of(own_batch, batch, left);
-        out.all.*part = share_of(own.all.*part - own_batch, services, limit) +
-                        out.batch.*part;
+        out.total.*part =
+            share_of(own.total.*part - own_batch, services, limit) +
+            out.batch.*part;
     }
     return out;
 }
 
-cell_grant grown(quota_document const& document,
-                 std::string const& cell,
-                 allowance const& need,
-                 contracts::contract const& contract)
+cell_grant grow_grant(quota_document const& document,
+                      std::string const& cell,
+                      allowance const& need,
+                      contracts::contract const& contract)
 {
     auto const found = document.cells.find(cell);
     cell_grant const before =
         found == document.cells.end() ? cell_grant{} : found->second;
     auto const sum = sum_of(document);
     cell_grant out = before;
-    out.granted.all =
-        moved(before.granted.all, need.all, minus(contract.capacity, sum.all));
+    out.granted.total = moved(
+        before.granted.total, need.total, minus(contract.capacity, sum.total));
     out.granted.batch = moved(before.granted.batch,
                               need.batch,
                               minus(batch_share(contract), sum.batch));
--- a/src/core/tasks/quota_document.hpp
+++ b/src/core/tasks/quota_document.hpp
@@ -36,15 +36,15 @@
 /// What `contract` leaves of a cell's grant where the sum of all grants is
 /// above it: services first, then batch, each in proportion. So a lowered
 /// contract binds before any grant is changed.
-allowance scaled(quota_document const& document,
-                 std::string const& cell,
-                 contracts::contract const& contract);
+allowance scaled_grant(quota_document const& document,
+                       std::string const& cell,
+                       contracts::contract const& contract);
 
 /// The document with one cell's grant moved to what it needs, as far as the
 /// contract leaves room.
-cell_grant grown(quota_document const& document,
-                 std::string const& cell,
-                 allowance const& need,
-                 contracts::contract const& contract);
+cell_grant grow_grant(quota_document const& document,
+                      std::string const& cell,
+                      allowance const& need,
+                      contracts::contract const& contract);
 
 } // namespace fuchsia::core::tasks
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -241,23 +241,23 @@
     contract.batch_permille = 500;
     quota_document document;
     allowance const need{{8000, 1000, 0}, {8000, 1000, 0}};
-    document.cells["a"] = grown(document, "a", need, contract);
-    EXPECT_EQ(document.cells["a"].granted.all.millicores, 8000);
+    document.cells["a"] = grow_grant(document, "a", need, contract);
+    EXPECT_EQ(document.cells["a"].granted.total.millicores, 8000);
     EXPECT_EQ(document.cells["a"].granted.batch.millicores, 5000);
-    document.cells["b"] = grown(document, "b", need, contract);
-    EXPECT_EQ(document.cells["b"].granted.all.millicores, 2000);
+    document.cells["b"] = grow_grant(document, "b", need, contract);
+    EXPECT_EQ(document.cells["b"].granted.total.millicores, 2000);
     EXPECT_EQ(document.cells["b"].granted.batch.millicores, 0);
     contract.capacity = {5000, 100000, 0};
     // Of a's 8 cores 3 are for services; with b's 2 they fill the contract.
-    EXPECT_EQ(scaled(document, "a", contract).all.millicores, 3000);
-    EXPECT_EQ(scaled(document, "b", contract).all.millicores, 2000);
-    EXPECT_EQ(scaled(document, "a", contract).batch.millicores, 0);
+    EXPECT_EQ(scaled_grant(document, "a", contract).total.millicores, 3000);
+    EXPECT_EQ(scaled_grant(document, "b", contract).total.millicores, 2000);
+    EXPECT_EQ(scaled_grant(document, "a", contract).batch.millicores, 0);
     contract.capacity = {7000, 100000, 0};
-    EXPECT_EQ(scaled(document, "a", contract).all.millicores, 5000);
-    EXPECT_EQ(scaled(document, "a", contract).batch.millicores, 2000);
+    EXPECT_EQ(scaled_grant(document, "a", contract).total.millicores, 5000);
+    EXPECT_EQ(scaled_grant(document, "a", contract).batch.millicores, 2000);
     contract.capacity = {2500, 100000, 0};
-    EXPECT_EQ(scaled(document, "a", contract).all.millicores, 1500);
-    EXPECT_EQ(scaled(document, "b", contract).all.millicores, 1000);
+    EXPECT_EQ(scaled_grant(document, "a", contract).total.millicores, 1500);
+    EXPECT_EQ(scaled_grant(document, "b", contract).total.millicores, 1000);
 }
 
 TEST(worker_book, quarantines_a_worker_by_failures_of_different_jobs)
