--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -21,15 +21,16 @@
 void read_tasks(toml_table table, planner_daemon_settings& out)
 {
     auto& cell = out.planner.cell;
-    cell.lease = table.duration_or("lease_ms", cell.lease, 1s, 600s);
+    cell.lease_duration =
+        table.duration_or("lease_ms", cell.lease_duration, 1s, 600s);
     cell.renew_interval =
         table.duration_or("renew_interval_ms", cell.renew_interval, 100ms, 60s);
     cell.start_window =
         table.duration_or("start_window_ms", cell.start_window, 500ms, 60s);
     cell.send_window =
         table.duration_or("send_window_ms", cell.send_window, 100ms, 10s);
-    cell.settle_limit =
-        table.duration_or("settle_limit_ms", cell.settle_limit, 1s, 120s);
+    cell.final_report_timeout = table.duration_or(
+        "settle_limit_ms", cell.final_report_timeout, 1s, 120s);
     cell.move_after =
         table.duration_or("move_after_ms", cell.move_after, 50ms, 60s);
     cell.retention =
@@ -49,14 +50,14 @@
         "report_lag_ms", out.planner.workers.report_lag, 0s, 10s);
     out.planner.workers.quarantine_duration = table.duration_or(
         "quarantine_ms", out.planner.workers.quarantine_duration, 1s, 1h);
-    if (cell.renew_interval * 2 > cell.lease)
+    if (cell.renew_interval * 2 > cell.lease_duration)
     {
         table.fail(result_code::inconsistent,
                    "lease_ms",
                    "a lease must last at least two renewals, or one lost "
                    "renewal ends its task");
     }
-    if (cell.lease - cell.renew_interval <
+    if (cell.lease_duration - cell.renew_interval <
         out.daemon.membership.fencing_delay + takeover_time)
     {
         table.fail(result_code::inconsistent,
--- a/src/core/tasks/life_cycle.cpp
+++ b/src/core/tasks/attempt_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/life_cycle.hpp"
+#include "core/tasks/attempt_lifecycle.hpp"
 
 #include <array>
 #include <boost/msm/back/state_machine.hpp>
@@ -51,22 +51,22 @@
     // clang-format off
     struct transition_table : boost::mpl::vector<
         step<in<committing_start>, on<start_committed>, in<starting>>,
-        step<in<committing_start>, on<ended>, in<over>>,
-        step<in<starting>, on<seen_running>, in<running>>,
+        step<in<committing_start>, on<ended>, in<ended>>,
+        step<in<starting>, on<running_observed>, in<running>>,
         step<in<starting>, on<stop>, in<stopping>>,
-        step<in<starting>, on<ended>, in<over>>,
+        step<in<starting>, on<ended>, in<ended>>,
         step<in<running>, on<evict>, in<checkpointing>>,
         step<in<running>, on<stop>, in<stopping>>,
-        step<in<running>, on<ended>, in<over>>,
+        step<in<running>, on<ended>, in<ended>>,
         step<in<checkpointing>, on<checkpoint_made>, in<committing_checkpoint>>,
         step<in<checkpointing>, on<checkpoint_impossible>, in<stopping>>,
         step<in<checkpointing>, on<stop>, in<stopping>>,
-        step<in<checkpointing>, on<ended>, in<over>>,
+        step<in<checkpointing>, on<ended>, in<ended>>,
         step<in<committing_checkpoint>, on<checkpoint_committed>, in<stopping>>,
-        step<in<committing_checkpoint>, on<ended>, in<over>>,
-        step<in<stopping>, on<stop_confirmed>, in<settling>>,
-        step<in<stopping>, on<ended>, in<over>>,
-        step<in<settling>, on<ended>, in<over>>
+        step<in<committing_checkpoint>, on<ended>, in<ended>>,
+        step<in<stopping>, on<stop_confirmed>, in<awaiting_final_report>>,
+        step<in<stopping>, on<ended>, in<ended>>,
+        step<in<awaiting_final_report>, on<ended>, in<ended>>
     > {};
     // clang-format on
 
@@ -87,7 +87,7 @@
 using feeder = bool (*)(machine&);
 constexpr std::array<feeder, event_count> feeders{
     feed<attempt_event::start_committed>,
-    feed<attempt_event::seen_running>,
+    feed<attempt_event::running_observed>,
     feed<attempt_event::evict>,
     feed<attempt_event::stop>,
     feed<attempt_event::checkpoint_made>,
@@ -102,7 +102,7 @@
 template<attempt_phase... Phase>
 attempt_phase phase_of(machine& target)
 {
-    auto result = attempt_phase::over;
+    auto result = attempt_phase::ended;
     int const current = target.current_state()[0];
     using states = machine::stt;
     ((msm::back::get_state_id<states, in<Phase>>::type::value == current
@@ -121,8 +121,8 @@
                     checkpointing,
                     committing_checkpoint,
                     stopping,
-                    settling,
-                    over>(target);
+                    awaiting_final_report,
+                    ended>(target);
 }
 
 using phase_table =
--- a/src/core/tasks/life_cycle.hpp
+++ b/src/core/tasks/attempt_lifecycle.hpp
@@ -18,16 +18,17 @@
     checkpointing,         ///< Evicted: the worker was asked to checkpoint.
     committing_checkpoint, ///< The checkpoint's id is not yet in the store.
     stopping,              ///< The worker was told to stop.
-    settling, ///< Stopped; a report is to say whether it finished before.
-    over,
+    awaiting_final_report, ///< Stopped; a report is to say whether it finished
+                           ///< before.
+    ended,
 };
 
 enum class attempt_event : std::uint8_t
 {
     start_committed,
-    seen_running, ///< By the answer to the start, or by a report.
-    evict,        ///< With a checkpoint first.
-    stop,         ///< Without one.
+    running_observed, ///< By the answer to the start, or by a report.
+    evict,            ///< With a checkpoint first.
+    stop,             ///< Without one.
     checkpoint_made,
     checkpoint_committed,
     checkpoint_impossible,
--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -15,40 +15,42 @@
 worker_call_tag tag_of(worker_call_kind kind,
                        std::string const& cell,
                        task_key const& key,
-                       attempt_run const& run)
+                       active_attempt const& run)
 {
     return {kind, cell, run.worker, key, run.attempt, 0};
 }
 
-ports::task_attempt attempt_of(task_key const& key, attempt_run const& run)
+ports::task_attempt attempt_of(task_key const& key, active_attempt const& run)
 {
     return {task_name(key), run.attempt};
 }
 
-bool is_renewed(attempt_run const& run)
+bool is_renewed(active_attempt const& run)
 {
-    return !run.gone && (run.phase == attempt_phase::running ||
-                         run.phase == attempt_phase::checkpointing ||
-                         run.phase == attempt_phase::committing_checkpoint);
+    return !run.unknown_to_worker &&
+           (run.phase == attempt_phase::running ||
+            run.phase == attempt_phase::checkpointing ||
+            run.phase == attempt_phase::committing_checkpoint);
 }
 
 // How long a lease sent now may stand, on our clock.
 common::duration longest_lease(cell_settings const& settings)
 {
-    return settings.lease * (1000 + settings.clock_drift_permille) / 1000 +
+    return settings.lease_duration * (1000 + settings.clock_drift_permille) /
+               1000 +
            settings.lease_margin;
 }
 
 } // namespace
 
-bool cell_runner::step(attempt_run& run, attempt_event event)
+bool cell_runner::step(active_attempt& run, attempt_event event)
 {
     auto const next = next_phase(run.phase, event);
     if (next)
     {
         run.phase = *next;
         run.tries = 0;
-        run.next_try = {};
+        run.next_retry_at = {};
     }
     return next.has_value();
 }
@@ -60,7 +62,7 @@
         return;
     }
     // An attempt that ends is taken out of the map; the next one stays valid.
-    for (auto next = runs_.begin(); next != runs_.end();)
+    for (auto next = active_attempts_.begin(); next != active_attempts_.end();)
     {
         auto const current = next++;
         drive_one(with, current->first, current->second);
@@ -72,26 +74,28 @@
 // tell of it have yet to come.
 void cell_runner::end_expired(cell_context& with,
                               task_key const& key,
-                              attempt_run& run)
+                              active_attempt& run)
 {
-    bool const waits = run.part->what.kind == job_kind::batch;
-    if (waits && !run.settle_until)
+    bool const waits = run.part->definition.kind == job_kind::batch;
+    if (waits && !run.final_report_deadline)
     {
-        run.settle_until = with.now + with.settings.settle_limit;
+        run.final_report_deadline =
+            with.now + with.settings.final_report_timeout;
     }
-    if (!waits || with.now >= *run.settle_until)
+    if (!waits || with.now >= *run.final_report_deadline)
     {
-        end(with, key, attempt_end::lost, "its lease ran out");
+        end(with, key, attempt_outcome::lost, "its lease ran out");
     }
 }
 
 void cell_runner::drive_running(cell_context& with,
                                 task_key const& key,
-                                attempt_run& run,
+                                active_attempt& run,
                                 bool saves)
 {
-    bool const evicted = !run.evicted_for.empty();
-    if (evicted && saves && !run.gone && step(run, attempt_event::evict))
+    bool const evicted = !run.eviction_reason.empty();
+    if (evicted && saves && !run.unknown_to_worker &&
+        step(run, attempt_event::evict))
     {
         send_checkpoint(with, key, run);
     }
@@ -99,36 +103,37 @@
     {
         send_stop(with, key, run);
     }
-    else if (run.asked_permille != run.permille)
+    else if (run.requested_speed_limit_permille != run.speed_limit_permille)
     {
         ++with.counters.throttled;
-        run.call = with.worker_traffic.send(
+        run.call_in_flight = with.worker_traffic.send(
             tag_of(worker_call_kind::throttle, cell_, key, run),
-            ports::worker_throttle{attempt_of(key, run), run.asked_permille},
+            ports::worker_throttle{attempt_of(key, run),
+                                   run.requested_speed_limit_permille},
             with.out);
     }
 }
 
 void cell_runner::drive_one(cell_context& with,
                             task_key const& key,
-                            attempt_run& run)
+                            active_attempt& run)
 {
     auto const& part = *run.part;
-    if (run.maybe_sent && with.now >= run.lease_over)
+    if (run.start_possibly_sent && with.now >= run.lease_expired_at)
     {
         end_expired(with, key, run);
         return;
     }
-    if (part.stopped && run.evicted_for.empty())
+    if (part.stopped && run.eviction_reason.empty())
     {
-        run.evicted_for = "job_stopped";
+        run.eviction_reason = "job_stopped";
     }
-    if (run.call != 0 || with.now < run.next_try)
+    if (run.call_in_flight != 0 || with.now < run.next_retry_at)
     {
         return;
     }
-    bool const saves = part.what.kind == job_kind::batch &&
-                       part.what.checkpointable && !part.stopped;
+    bool const saves = part.definition.kind == job_kind::batch &&
+                       part.definition.checkpointable && !part.stopped;
     switch (run.phase)
     {
     case attempt_phase::starting:
@@ -151,15 +156,15 @@
     case attempt_phase::stopping:
         send_stop(with, key, run);
         break;
-    case attempt_phase::settling:
-        if (run.settle_until && with.now >= *run.settle_until)
+    case attempt_phase::awaiting_final_report:
+        if (run.final_report_deadline && with.now >= *run.final_report_deadline)
         {
-            end(with, key, attempt_end::stopped, run.evicted_for);
+            end(with, key, attempt_outcome::stopped, run.eviction_reason);
         }
         break;
     case attempt_phase::committing_start:
     case attempt_phase::committing_checkpoint:
-    case attempt_phase::over:
+    case attempt_phase::ended:
         break;
     }
 }
@@ -167,13 +172,13 @@
 // Asked again right before the worker is told: between the decision and its
 // commit the data centre may have gone out, the contract may have been
 // withdrawn, and the proof may have run out.
-bool cell_runner::start_allowed(cell_context& with, attempt_run const& run)
+bool cell_runner::start_allowed(cell_context& with, active_attempt const& run)
 {
     auto const* view = with.workers.find(run.worker);
     auto const& part = *run.part;
     return with.may_act && with.may_start && !held_ && !part.stopped &&
-           run.evicted_for.empty() && !data_centre_out(with) &&
-           with.config.contracts.count(part.what.customer) != 0 &&
+           run.eviction_reason.empty() && !data_centre_out(with) &&
+           with.config.contracts.count(part.definition.customer) != 0 &&
            view != nullptr && view->listed &&
            view->info.state == ports::instance_state::live &&
            with.workers.clock_lower_bound(with.now, *view) <
@@ -182,13 +187,16 @@
 
 void cell_runner::send_start(cell_context& with,
                              task_key const& key,
-                             attempt_run& run)
+                             active_attempt& run)
 {
     if (!start_allowed(with, run))
     {
-        if (!run.maybe_sent)
+        if (!run.start_possibly_sent)
         {
-            end(with, key, attempt_end::unsent, "no longer allowed to start");
+            end(with,
+                key,
+                attempt_outcome::unsent,
+                "no longer allowed to start");
         }
         else if (step(run, attempt_event::stop))
         {
@@ -207,37 +215,37 @@
     };
     ports::worker_start start;
     start.attempt_id = attempt_of(key, run);
-    start.declared = part.what.declared;
-    start.task_class = part.what.task_class;
-    start.service = part.what.kind == job_kind::service;
-    start.work_ms = part.what.work_ms;
+    start.declared = part.definition.declared;
+    start.task_class = part.definition.task_class;
+    start.service = part.definition.kind == job_kind::service;
+    start.work_ms = part.definition.work_ms;
     start.checkpoint = task.checkpoint;
     start.start_before_ms =
         std::min(run.start_before_ms,
                  in(with.settings.send_window +
                     with.workers.find(run.worker)->report_lag));
-    start.lease_until_ms = in(with.settings.lease);
+    start.lease_until_ms = in(with.settings.lease_duration);
     run.lease_until_ms = std::max(run.lease_until_ms, start.lease_until_ms);
-    run.lease_over = with.now + longest_lease(with.settings);
+    run.lease_expired_at = with.now + longest_lease(with.settings);
     ++run.tries;
-    run.call = with.worker_traffic.send(
+    run.call_in_flight = with.worker_traffic.send(
         tag_of(worker_call_kind::start, cell_, key, run),
         std::move(start),
         with.out);
     // From here on the start may arrive, whatever the answer says.
-    run.maybe_sent = true;
+    run.start_possibly_sent = true;
 }
 
 void cell_runner::send_stop(cell_context& with,
                             task_key const& key,
-                            attempt_run& run)
+                            active_attempt& run)
 {
-    if (!with.may_act || run.call != 0)
+    if (!with.may_act || run.call_in_flight != 0)
     {
         return;
     }
     ++run.tries;
-    run.call = with.worker_traffic.send(
+    run.call_in_flight = with.worker_traffic.send(
         tag_of(worker_call_kind::stop, cell_, key, run),
         ports::worker_stop{attempt_of(key, run)},
         with.out);
@@ -245,10 +253,10 @@
 
 void cell_runner::send_checkpoint(cell_context& with,
                                   task_key const& key,
-                                  attempt_run& run)
+                                  active_attempt& run)
 {
     ++run.tries;
-    run.call = with.worker_traffic.send(
+    run.call_in_flight = with.worker_traffic.send(
         tag_of(worker_call_kind::checkpoint, cell_, key, run),
         ports::worker_checkpoint{attempt_of(key, run)},
         with.out);
@@ -264,7 +272,7 @@
         return;
     }
     std::map<std::string, std::vector<task_key>> by_worker;
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
         if (is_renewed(run))
         {
@@ -288,26 +296,27 @@
         }
         // The attempts whose renewal was not acknowledged may all have ended;
         // waiting for it would then leave newer ones without renewals.
-        bool const owed = std::any_of(keys.begin(),
-                                      keys.end(),
-                                      [&](task_key const& key)
-                                      {
-                                          return runs_.at(key).lease_until_ms <=
-                                                 renewal.until_ms;
-                                      });
+        bool const owed =
+            std::any_of(keys.begin(),
+                        keys.end(),
+                        [&](task_key const& key)
+                        {
+                            return active_attempts_.at(key).lease_until_ms <=
+                                   renewal.until_ms;
+                        });
         bool const longer = renewal.acknowledged || !owed;
         if (longer)
         {
             renewal.until_ms =
                 with.workers.clock_lower_bound(with.now, *view) +
                 static_cast<std::uint64_t>(
-                    common::to_milliseconds(with.settings.lease));
+                    common::to_milliseconds(with.settings.lease_duration));
         }
         ports::worker_renew call;
         call.lease_until_ms = renewal.until_ms;
         for (auto const& key : keys)
         {
-            auto& run = runs_.at(key);
+            auto& run = active_attempts_.at(key);
             if (!longer && run.lease_until_ms > renewal.until_ms)
             {
                 continue; // Never shorten a lease.
@@ -317,8 +326,8 @@
             {
                 run.lease_until_ms =
                     std::max(run.lease_until_ms, renewal.until_ms);
-                run.lease_over = with.now + longest_lease(with.settings);
-                run.settle_until.reset();
+                run.lease_expired_at = with.now + longest_lease(with.settings);
+                run.final_report_deadline.reset();
             }
         }
         renewal.acknowledged = false;
@@ -334,12 +343,12 @@
                         task_key const& key,
                         std::string why)
 {
-    auto& run = runs_.at(key);
-    if (!run.evicted_for.empty())
+    auto& run = active_attempts_.at(key);
+    if (!run.eviction_reason.empty())
     {
         return;
     }
-    run.evicted_for = std::move(why);
+    run.eviction_reason = std::move(why);
     queue_dirty_ = true;
     with.out.push_back(event_of(ports::severity::info,
                                 "eviction",
@@ -347,44 +356,44 @@
                                  {"task", task_name(key)},
                                  {"attempt", std::to_string(run.attempt)},
                                  {"worker", run.worker},
-                                 {"why", run.evicted_for}}));
+                                 {"why", run.eviction_reason}}));
 }
 
 // `key` is a copy wherever the caller still needs it: the run is erased.
 void cell_runner::end(cell_context& with,
                       task_key const& key,
-                      attempt_end how,
+                      attempt_outcome how,
                       std::string why)
 {
-    auto const found = runs_.find(key);
+    auto const found = active_attempts_.find(key);
     task_key const task = key;
     auto const run = found->second;
-    runs_.erase(found);
+    active_attempts_.erase(found);
     commit(with,
            attempt_ended{task, run.attempt, how, std::move(why)},
-           how != attempt_end::finished);
+           how != attempt_outcome::finished);
     auto& counters = with.counters;
     switch (how)
     {
-    case attempt_end::finished:
+    case attempt_outcome::finished:
         ++counters.finished;
         with.workers.record_success(run.worker);
         break;
-    case attempt_end::failed:
+    case attempt_outcome::failed:
         ++counters.failed;
         with.workers.record_failure(with.now, run.worker, task.job);
         after_failure(with, task);
         break;
-    case attempt_end::refused:
+    case attempt_outcome::refused:
         ++counters.refused;
         break;
-    case attempt_end::stopped:
+    case attempt_outcome::stopped:
         ++counters.stopped;
         break;
-    case attempt_end::lost:
+    case attempt_outcome::lost:
         ++counters.lost;
         break;
-    case attempt_end::unsent:
+    case attempt_outcome::unsent:
         ++counters.unsent;
         break;
     }
@@ -398,7 +407,7 @@
     std::set<std::string> workers;
     for (auto const& [index, task] : part.tasks)
     {
-        workers.insert(task.failed_on.begin(), task.failed_on.end());
+        workers.insert(task.failed_workers.begin(), task.failed_workers.end());
     }
     auto const at_fault =
         std::count_if(workers.begin(),
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -22,7 +22,7 @@
     /// A lease that was renewed just before its planner died must outlast the
     /// planner's burial and the takeover, or every failed planner would end
     /// the services of its cells.
-    common::duration lease = std::chrono::seconds(15);
+    common::duration lease_duration = std::chrono::seconds(15);
     common::duration renew_interval = std::chrono::seconds(4);
     /// Added to a lease before it counts as run out.
     common::duration lease_margin = std::chrono::milliseconds(500);
@@ -37,7 +37,7 @@
     std::uint32_t checkpoint_tries = 5;
     /// A stopped batch attempt waits this long for a report that says whether
     /// it had finished before it was stopped.
-    common::duration settle_limit = std::chrono::seconds(10);
+    common::duration final_report_timeout = std::chrono::seconds(10);
     /// A task that finds no room here moves on after this, doubled with each
     /// move up to the limit.
     common::duration move_after = std::chrono::milliseconds(400);
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -25,11 +25,11 @@
                      [&](std::string const& id)
                      {
                          return with.workers.find(id)->info.capacity.covers(
-                             part.what.declared);
+                             part.definition.declared);
                      });
     bool const elsewhere =
-        !part.what.data_centre.empty() &&
-        part.what.data_centre != with.workers.data_centre_of(cell_);
+        !part.definition.data_centre.empty() &&
+        part.definition.data_centre != with.workers.data_centre_of(cell_);
     if (data_centre_out(with) || never_here || elsewhere)
     {
         return true;
@@ -72,8 +72,8 @@
     {
         auto const& part = log_.state().jobs.at(id);
         auto const to = with.loads.choose_cell(
-            {part.what.declared,
-             part.what.data_centre,
+            {part.definition.declared,
+             part.definition.data_centre,
              cell_,
              !must && !with.workers.in_rack(cell_).empty(),
              with.config.data_centres_out_of_service},
@@ -86,11 +86,11 @@
                           std::to_string(log_.state().messages_sent + 1);
         for (std::size_t count = 0; count < tasks.size(); ++count)
         {
-            with.loads.reserve(*to, part.what.declared);
+            with.loads.reserve(*to, part.definition.declared);
         }
         if (commit(with,
                    transfer_started{name, *to, id, tasks, part.moves + 1},
-                   part.what.urgent || must))
+                   part.definition.urgent || must))
         {
             with.counters.moved += tasks.size();
         }
@@ -111,21 +111,21 @@
         return;
     }
     // Those that only wait for a report to tell their end burden nobody.
-    auto under_way = static_cast<std::uint32_t>(
-        std::count_if(runs_.begin(),
-                      runs_.end(),
-                      [](auto const& item)
-                      {
-                          return !item.second.evicted_for.empty() &&
-                                 item.second.phase != attempt_phase::settling;
-                      }));
-    for (auto const& [key, run] : runs_)
+    auto under_way = static_cast<std::uint32_t>(std::count_if(
+        active_attempts_.begin(),
+        active_attempts_.end(),
+        [](auto const& item)
+        {
+            return !item.second.evicted_for.empty() &&
+                   item.second.phase != attempt_phase::awaiting_final_report;
+        }));
+    for (auto const& [key, run] : active_attempts_)
     {
         if (under_way >= with.settings.max_draining)
         {
             return;
         }
-        if (run.evicted_for.empty())
+        if (run.eviction_reason.empty())
         {
             ++under_way;
             ++with.counters.evicted_data_centre;
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -31,12 +31,12 @@
     }
 }
 
-double share_of(attempt_run const& run,
+double share_of(active_attempt const& run,
                 ports::resources const& declared,
                 ports::resources const& capacity)
 {
     auto const cores =
-        run.reports == 0 ? declared.millicores : run.used.millicores;
+        run.report_count == 0 ? declared.millicores : run.used.millicores;
     return capacity.millicores == 0
                ? 0
                : static_cast<double>(cores) /
@@ -87,7 +87,7 @@
             auto const at =
                 before == queued_since_.end() ? with.now : before->second;
             since.emplace(key, at);
-            queue_.push_back({std::move(key), rank_of(part.what), at});
+            queue_.push_back({std::move(key), rank_of(part.definition), at});
         }
     }
     queued_since_ = std::move(since);
@@ -113,12 +113,12 @@
     {
         free += with.workers.find(id)->info.capacity;
     }
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
-        auto const& what = run.part->what;
+        auto const& what = run.part->definition;
         auto& use = use_[what.customer];
         add(use.in_use, what);
-        if (run.evicted_for.empty())
+        if (run.eviction_reason.empty())
         {
             add(use.staying, what);
         }
@@ -127,7 +127,7 @@
     bool const open = with.may_start && !held_ && !data_centre_out(with);
     for (auto const& task : queue_)
     {
-        auto const& what = log_.state().jobs.at(task.key.job).what;
+        auto const& what = log_.state().jobs.at(task.key.job).definition;
         if (!open || !free.covers(what.declared))
         {
             continue;
@@ -167,7 +167,7 @@
             out.push_back(std::move(next));
         }
     }
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
         auto const place = places.find(run.worker);
         if (place == places.end())
@@ -175,7 +175,7 @@
             continue;
         }
         auto& on = out[place->second];
-        auto const& what = run.part->what;
+        auto const& what = run.part->definition;
         bool const service = what.kind == job_kind::service;
         on.committed += what.declared;
         on.batch_millicores += service ? 0 : what.declared.millicores;
@@ -239,7 +239,7 @@
         {
             return;
         }
-        auto const& what = log_.state().jobs.at(task.key.job).what;
+        auto const& what = log_.state().jobs.at(task.key.job).definition;
         if (!what.data_centre.empty() &&
             what.data_centre != with.workers.data_centre_of(cell_))
         {
@@ -272,15 +272,15 @@
     auto const& part = log_.state().jobs.at(key.job);
     auto const& task = part.tasks.at(key.index);
     placement::placement_task const wanted{
-        with.learned.class_index(part.what.task_class),
-        part.what.kind == job_kind::service,
-        part.what.declared};
+        with.learned.class_index(part.definition.task_class),
+        part.definition.kind == job_kind::service,
+        part.definition.declared};
     for (auto& worker : workers)
     {
         worker.failed_before =
-            std::find(task.failed_on.begin(),
-                      task.failed_on.end(),
-                      *worker.worker) != task.failed_on.end();
+            std::find(task.failed_workers.begin(),
+                      task.failed_workers.end(),
+                      *worker.worker) != task.failed_workers.end();
     }
     auto const chosen = placement::choose_worker(with.settings.policy,
                                                  workers,
@@ -302,13 +302,13 @@
         return clock +
                static_cast<std::uint64_t>(common::to_milliseconds(length));
     };
-    attempt_run run;
+    active_attempt run;
     run.attempt = task.attempt + 1;
     run.worker = *on.worker;
     run.part = &part;
     run.start_before_ms = in(with.settings.start_window + view->report_lag);
-    run.lease_until_ms = in(with.settings.lease);
-    bool const urgent = part.what.urgent || wanted.is_service;
+    run.lease_until_ms = in(with.settings.lease_duration);
+    bool const urgent = part.definition.urgent || wanted.is_service;
     if (!commit(with,
                 attempt_started{key,
                                 run.attempt,
@@ -325,8 +325,8 @@
                             wanted.is_service,
                             wanted.declared,
                             share_of(run, wanted.declared, on.capacity)});
-    add(use_[part.what.customer].in_use, part.what);
-    runs_[key] = std::move(run);
+    add(use_[part.definition.customer].in_use, part.definition);
+    active_attempts_[key] = std::move(run);
     if (view->probing)
     {
         workers.erase(workers.begin() + static_cast<std::ptrdiff_t>(*chosen));
@@ -346,7 +346,7 @@
         {
             for (auto const& [id, part] : log_.state().jobs)
             {
-                if (part.what.customer == customer && !part.stopped)
+                if (part.definition.customer == customer && !part.stopped)
                 {
                     stop_job(with,
                              id,
@@ -379,28 +379,28 @@
         return;
     }
     std::vector<std::pair<task_key, job const*>> own;
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
-        auto const& what = run.part->what;
-        if (what.customer == customer && run.evicted_for.empty())
+        auto const& what = run.part->definition;
+        if (what.customer == customer && run.eviction_reason.empty())
         {
             own.emplace_back(key, &what);
         }
     }
-    std::sort(own.begin(),
-              own.end(),
-              [this](auto const& one, auto const& other)
-              {
-                  auto const order = [this](auto const& item)
-                  {
-                      bool const service =
-                          item.second->kind == job_kind::service;
-                      return std::tuple(service,
-                                        runs_.at(item.first).work_done_ms,
-                                        item.first);
-                  };
-                  return order(one) < order(other);
-              });
+    std::sort(
+        own.begin(),
+        own.end(),
+        [this](auto const& one, auto const& other)
+        {
+            auto const order = [this](auto const& item)
+            {
+                bool const service = item.second->kind == job_kind::service;
+                return std::tuple(service,
+                                  active_attempts_.at(item.first).work_done_ms,
+                                  item.first);
+            };
+            return order(one) < order(other);
+        });
     for (auto const& [key, what] : own)
     {
         if (covers(allowed, staying))
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -13,15 +13,16 @@
         on_renewed(with, tag, reply);
         return;
     }
-    auto const found = runs_.find(tag.task);
-    if (tag.kind == worker_call_kind::stray_stop || found == runs_.end() ||
-        found->second.call != tag.number)
+    auto const found = active_attempts_.find(tag.task);
+    if (tag.kind == worker_call_kind::stray_stop ||
+        found == active_attempts_.end() ||
+        found->second.call_in_flight != tag.number)
     {
         return;
     }
     auto& run = found->second;
-    run.call = 0;
-    run.next_try = with.now + with.settings.retry_interval;
+    run.call_in_flight = 0;
+    run.next_retry_at = with.now + with.settings.retry_interval;
     switch (tag.kind)
     {
     case worker_call_kind::start:
@@ -36,11 +37,11 @@
     case worker_call_kind::throttle:
         if (reply.status == ports::worker_status::done)
         {
-            run.permille = run.asked_permille;
+            run.speed_limit_permille = run.requested_speed_limit_permille;
         }
         else if (reply.status == ports::worker_status::refused)
         {
-            run.asked_permille = run.permille;
+            run.requested_speed_limit_permille = run.speed_limit_permille;
         }
         break;
     case worker_call_kind::renew:
@@ -51,7 +52,7 @@
 
 void cell_runner::on_start_reply(cell_context& with,
                                  task_key const& key,
-                                 attempt_run& run,
+                                 active_attempt& run,
                                  ports::worker_reply const& reply)
 {
     if (run.phase != attempt_phase::starting)
@@ -61,7 +62,7 @@
     switch (reply.status)
     {
     case ports::worker_status::done:
-        step(run, attempt_event::seen_running);
+        step(run, attempt_event::running_observed);
         with.workers.record_acceptance(run.worker);
         ++with.counters.started;
         if (!log_.state().find(key)->checkpoint.empty())
@@ -79,12 +80,12 @@
             return;
         }
         with.workers.record_refusal(with.now, run.worker);
-        end(with, key, attempt_end::refused, reply.reason);
+        end(with, key, attempt_outcome::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
         if (run.tries == 1)
         {
-            run.maybe_sent = false;
+            run.start_possibly_sent = false;
             run.tries = 0;
         }
         break;
@@ -95,7 +96,7 @@
 
 void cell_runner::on_stop_reply(cell_context& with,
                                 task_key const& key,
-                                attempt_run& run,
+                                active_attempt& run,
                                 ports::worker_reply const& reply)
 {
     bool const over = reply.status == ports::worker_status::done ||
@@ -105,22 +106,23 @@
         return;
     }
     auto const& part = *run.part;
-    if (part.what.kind == job_kind::service || part.stopped)
+    if (part.definition.kind == job_kind::service || part.stopped)
     {
-        end(with, key, attempt_end::stopped, run.evicted_for);
+        end(with, key, attempt_outcome::stopped, run.eviction_reason);
         return;
     }
     // It may have finished before the stop came in; running it again would
     // do the work twice. A report of the worker tells.
     if (step(run, attempt_event::stop_confirmed))
     {
-        run.settle_until = with.now + with.settings.settle_limit;
+        run.final_report_deadline =
+            with.now + with.settings.final_report_timeout;
     }
 }
 
 void cell_runner::on_checkpoint_reply(cell_context& with,
                                       task_key const& key,
-                                      attempt_run& run,
+                                      active_attempt& run,
                                       ports::worker_reply const& reply)
 {
     if (run.phase != attempt_phase::checkpointing)
@@ -165,11 +167,13 @@
     for (auto const& gone : reply.unknown_attempts)
     {
         auto const key = parse_task_name(gone.task);
-        auto const run = key ? runs_.find(*key) : runs_.end();
-        if (run != runs_.end() && run->second.attempt == gone.attempt)
+        auto const run =
+            key ? active_attempts_.find(*key) : active_attempts_.end();
+        if (run != active_attempts_.end() &&
+            run->second.attempt == gone.attempt)
         {
             // A report says how it ended; without one its lease runs out.
-            run->second.gone = true;
+            run->second.unknown_to_worker = true;
         }
     }
 }
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -53,9 +53,9 @@
     {
         return;
     }
-    auto const found = runs_.find(*key);
+    auto const found = active_attempts_.find(*key);
     bool const running = said.state == ports::attempt_state::running;
-    if (found == runs_.end() ||
+    if (found == active_attempts_.end() ||
         found->second.attempt != said.attempt_id.attempt ||
         found->second.worker != report.worker)
     {
@@ -85,25 +85,25 @@
     switch (said.state)
     {
     case ports::attempt_state::running:
-        step(run, attempt_event::seen_running);
+        step(run, attempt_event::running_observed);
         run.used = said.used;
         run.latency_p99_us = said.latency_p99_us;
-        if (++run.reports == reports_to_prove)
+        if (++run.report_count == reports_to_prove)
         {
             with.workers.record_success(run.worker);
         }
         break;
     case ports::attempt_state::finished:
-        end(with, *key, attempt_end::finished, said.reason);
+        end(with, *key, attempt_outcome::finished, said.reason);
         break;
     case ports::attempt_state::failed:
-        end(with, *key, attempt_end::failed, said.reason);
+        end(with, *key, attempt_outcome::failed, said.reason);
         break;
     case ports::attempt_state::stopped:
-        end(with, *key, attempt_end::stopped, run.evicted_for);
+        end(with, *key, attempt_outcome::stopped, run.eviction_reason);
         break;
     case ports::attempt_state::lease_expired:
-        end(with, *key, attempt_end::lost, "its lease ran out");
+        end(with, *key, attempt_outcome::lost, "its lease ran out");
         break;
     }
 }
@@ -114,7 +114,7 @@
                              ports::worker_report const& report)
 {
     std::vector<std::pair<task_key, attempt_phase>> absent;
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
         if (run.worker != report.worker ||
             run.phase == attempt_phase::committing_start ||
@@ -137,11 +137,11 @@
     }
     for (auto const& [key, phase] : absent)
     {
-        bool const stopped = phase == attempt_phase::settling ||
+        bool const stopped = phase == attempt_phase::awaiting_final_report ||
                              phase == attempt_phase::stopping;
         end(with,
             key,
-            stopped ? attempt_end::stopped : attempt_end::lost,
+            stopped ? attempt_outcome::stopped : attempt_outcome::lost,
             "not on its worker");
     }
 }
@@ -150,9 +150,9 @@
 cell_runner::reported_on(std::string const& worker)
 {
     std::vector<resident> out;
-    for (auto& [key, run] : runs_)
+    for (auto& [key, run] : active_attempts_)
     {
-        if (run.worker == worker && run.reports != 0)
+        if (run.worker == worker && run.report_count != 0)
         {
             out.push_back({&key, &run});
         }
@@ -170,12 +170,12 @@
     task_key const* worst = nullptr;
     for (auto const& [key, run] : present)
     {
-        auto const& what = run->part->what;
+        auto const& what = run->part->definition;
         auto const excess = run->used.memory_mb - what.declared.memory_mb;
         used += run->used.memory_mb;
         over += std::max<std::int64_t>(0, excess);
         if (what.kind == job_kind::batch && excess > most &&
-            run->evicted_for.empty())
+            run->eviction_reason.empty())
         {
             most = excess;
             worst = key;
@@ -198,13 +198,15 @@
     all.reserve(present.size());
     for (auto const& [key, run] : present)
     {
-        all.push_back({with.learned.class_index(run->part->what.task_class),
-                       share(run->used, on.info.capacity)});
+        all.push_back(
+            {with.learned.class_index(run->part->definition.task_class),
+             share(run->used, on.info.capacity)});
     }
     for (std::size_t self = 0; self < present.size(); ++self)
     {
         auto const& run = *present[self].run;
-        if (run.part->what.kind != job_kind::service || run.latency_p99_us == 0)
+        if (run.part->definition.kind != job_kind::service ||
+            run.latency_p99_us == 0)
         {
             continue;
         }
@@ -226,8 +228,9 @@
     std::vector<placement::guarded_task> batch;
     for (auto const& [key, run] : present)
     {
-        auto const& what = run->part->what;
-        if (run->phase != attempt_phase::running || !run->evicted_for.empty())
+        auto const& what = run->part->definition;
+        if (run->phase != attempt_phase::running ||
+            !run->eviction_reason.empty())
         {
             continue;
         }
@@ -237,7 +240,7 @@
             batch.push_back({task_name(*key),
                              number,
                              share(run->used, on.info.capacity),
-                             run->permille});
+                             run->speed_limit_permille});
             continue;
         }
         auto const contract = with.config.contracts.find(what.customer);
@@ -263,7 +266,8 @@
         evict(with, *key, "guard");
         return;
     }
-    runs_.at(*key).asked_permille = wanted->cpu_limit_permille;
+    active_attempts_.at(*key).requested_speed_limit_permille =
+        wanted->cpu_limit_permille;
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -85,7 +85,7 @@
 {
     adopted_ = true;
     ++with.counters.takeovers;
-    auto const lease = with.settings.lease *
+    auto const lease = with.settings.lease_duration *
                        (1000 + with.settings.clock_drift_permille) / 1000;
     for (auto const& [id, part] : log_.state().jobs)
     {
@@ -95,20 +95,21 @@
             {
                 continue;
             }
-            auto& run = runs_[{id, index}];
+            auto& run = active_attempts_[{id, index}];
             run.attempt = task.attempt;
             run.worker = task.worker;
             run.part = &part;
             run.phase = attempt_phase::running;
             run.start_before_ms = task.start_before_ms;
             run.lease_until_ms = task.lease_until_ms;
-            run.lease_over = with.now + lease + with.settings.lease_margin;
-            run.maybe_sent = true;
-            if (part.what.kind == job_kind::batch)
+            run.lease_expired_at =
+                with.now + lease + with.settings.lease_margin;
+            run.start_possibly_sent = true;
+            if (part.definition.kind == job_kind::batch)
             {
                 // It may be throttled; relaxing it is the guard's business.
-                run.permille = with.settings.guard.min_cpu_permille;
-                run.asked_permille = run.permille;
+                run.speed_limit_permille = with.settings.guard.min_cpu_permille;
+                run.requested_speed_limit_permille = run.speed_limit_permille;
             }
         }
     }
@@ -123,7 +124,7 @@
                  {{"cell", cell_},
                   {"epoch", std::to_string(epoch_)},
                   {"jobs", std::to_string(log_.state().jobs.size())},
-                  {"attempts", std::to_string(runs_.size())}}));
+                  {"attempts", std::to_string(active_attempts_.size())}}));
 }
 
 void cell_runner::take_commits(cell_context& with)
@@ -140,8 +141,8 @@
         }
         else if (auto const* started = std::get_if<attempt_started>(&item))
         {
-            auto const found = runs_.find(started->task);
-            if (found != runs_.end() &&
+            auto const found = active_attempts_.find(started->task);
+            if (found != active_attempts_.end() &&
                 found->second.attempt == started->attempt &&
                 step(found->second, attempt_event::start_committed))
             {
@@ -150,8 +151,8 @@
         }
         else if (auto const* made = std::get_if<checkpoint_taken>(&item))
         {
-            auto const found = runs_.find(made->task);
-            if (found != runs_.end() &&
+            auto const found = active_attempts_.find(made->task);
+            if (found != active_attempts_.end() &&
                 found->second.attempt == made->attempt &&
                 step(found->second, attempt_event::checkpoint_committed))
             {
@@ -212,7 +213,7 @@
     for (auto const& id : due)
     {
         ended_at_.erase(id);
-        commit(with, job_forgotten{id}, false);
+        commit(with, job_removed{id}, false);
     }
 }
 
@@ -228,12 +229,12 @@
             free.emplace(view->info.id, view->info.capacity);
         }
     }
-    for (auto const& [key, run] : runs_)
+    for (auto const& [key, run] : active_attempts_)
     {
         auto const found = free.find(run.worker);
         if (found != free.end())
         {
-            found->second -= run.part->what.declared;
+            found->second -= run.part->definition.declared;
         }
     }
     for (auto const& [worker, room] : free)
@@ -247,10 +248,10 @@
     for (auto const& task : queue_)
     {
         load.queued_millicores +=
-            log_.state().jobs.at(task.key.job).what.declared.millicores;
+            log_.state().jobs.at(task.key.job).definition.declared.millicores;
     }
     load.queued_tasks = static_cast<std::int64_t>(queue_.size());
-    load.running_tasks = static_cast<std::int64_t>(runs_.size());
+    load.running_tasks = static_cast<std::int64_t>(active_attempts_.size());
     load.ended_jobs = static_cast<std::int64_t>(ended_at_.size());
     load.live_jobs =
         static_cast<std::int64_t>(log_.state().jobs.size()) - load.ended_jobs;
@@ -276,8 +277,8 @@
 bool cell_runner::idle() const noexcept
 {
     bool const starting = std::any_of(
-        runs_.begin(),
-        runs_.end(),
+        active_attempts_.begin(),
+        active_attempts_.end(),
         [](auto const& item)
         {
             return item.second.phase == attempt_phase::committing_start ||
@@ -312,16 +313,17 @@
     return log_.state();
 }
 
-std::map<task_key, attempt_run> const& cell_runner::runs() const noexcept
+std::map<task_key, active_attempt> const&
+cell_runner::active_attempts() const noexcept
 {
-    return runs_;
+    return active_attempts_;
 }
 
 cell_counts cell_runner::counts() const
 {
     cell_counts out;
     out.queued = queue_.size();
-    out.running = runs_.size();
+    out.running = active_attempts_.size();
     out.jobs = log_.state().jobs.size();
     out.ended = ended_at_.size();
     return out;
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "core/tasks/attempt_lifecycle.hpp"
 #include "core/tasks/cell_context.hpp"
 #include "core/tasks/cell_log.hpp"
-#include "core/tasks/life_cycle.hpp"
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 {
 
 /// One attempt from its decision to the commit of its end.
-struct attempt_run
+struct active_attempt
 {
     std::uint32_t attempt = 0;
     std::string worker;
@@ -25,23 +25,24 @@
     std::uint64_t start_before_ms = 0;
     std::uint64_t lease_until_ms = 0; ///< The longest that was sent.
     /// On our clock: no lease that was sent can stand any longer.
-    common::time_point lease_over{};
-    bool maybe_sent = false; ///< A start of it may have reached the worker.
-    bool gone = false;       ///< The worker does not know it any more.
-    std::uint64_t call = 0;  ///< In flight; 0: none.
-    common::time_point next_try{};
+    common::time_point lease_expired_at{};
+    bool start_possibly_sent =
+        false; ///< A start of it may have reached the worker.
+    bool unknown_to_worker = false;   ///< The worker does not know it any more.
+    std::uint64_t call_in_flight = 0; ///< In flight; 0: none.
+    common::time_point next_retry_at{};
     std::uint32_t tries = 0;
-    std::optional<common::time_point> settle_until;
-    std::uint32_t permille = 1000;
-    std::uint32_t asked_permille = 1000;
-    std::string evicted_for; ///< Why it is being ended; empty: it is not.
+    std::optional<common::time_point> final_report_deadline;
+    std::uint32_t speed_limit_permille = 1000;
+    std::uint32_t requested_speed_limit_permille = 1000;
+    std::string eviction_reason; ///< Why it is being ended; empty: it is not.
 
     // From the newest report.
-    std::uint32_t reports = 0;
+    std::uint32_t report_count = 0;
     ports::resources used;
     std::uint64_t latency_p99_us = 0;
     std::uint64_t work_done_ms = 0;
-    std::uint64_t work_seen_at_ms = 0;
+    std::uint64_t work_reported_at_ms = 0;
 };
 
 /// A parcel as it lies in this cell's inbox.
@@ -100,7 +101,7 @@
     std::uint64_t epoch() const noexcept;
     std::string const& name() const noexcept;
     cell_state const& state() const noexcept;
-    std::map<task_key, attempt_run> const& runs() const noexcept;
+    std::map<task_key, active_attempt> const& active_attempts() const noexcept;
     cell_counts counts() const;
 
     /// Jobs that this cell found to be at fault; other cells must stop them.
@@ -136,7 +137,7 @@
     struct resident
     {
         task_key const* key = nullptr;
-        attempt_run* run = nullptr;
+        active_attempt* run = nullptr;
     };
 
     // cell_runner.cpp: the cell as a whole.
@@ -175,38 +176,43 @@
 
     // cell_attempts.cpp: one attempt's life.
     void drive(cell_context& with);
-    void drive_one(cell_context& with, task_key const& key, attempt_run& run);
-    void end_expired(cell_context& with, task_key const& key, attempt_run& run);
+    void
+    drive_one(cell_context& with, task_key const& key, active_attempt& run);
+    void
+    end_expired(cell_context& with, task_key const& key, active_attempt& run);
     void drive_running(cell_context& with,
                        task_key const& key,
-                       attempt_run& run,
+                       active_attempt& run,
                        bool saves);
-    void send_start(cell_context& with, task_key const& key, attempt_run& run);
-    bool start_allowed(cell_context& with, attempt_run const& run);
-    void send_stop(cell_context& with, task_key const& key, attempt_run& run);
     void
-    send_checkpoint(cell_context& with, task_key const& key, attempt_run& run);
+    send_start(cell_context& with, task_key const& key, active_attempt& run);
+    bool start_allowed(cell_context& with, active_attempt const& run);
+    void
+    send_stop(cell_context& with, task_key const& key, active_attempt& run);
+    void send_checkpoint(cell_context& with,
+                         task_key const& key,
+                         active_attempt& run);
     void renew(cell_context& with);
     void evict(cell_context& with, task_key const& key, std::string why);
     void end(cell_context& with,
              task_key const& key,
-             attempt_end how,
+             attempt_outcome how,
              std::string why);
     void after_failure(cell_context& with, task_key const& key);
-    static bool step(attempt_run& run, attempt_event event);
+    static bool step(active_attempt& run, attempt_event event);
 
     // cell_replies.cpp: what workers answer.
     void on_start_reply(cell_context& with,
                         task_key const& key,
-                        attempt_run& run,
+                        active_attempt& run,
                         ports::worker_reply const& reply);
     void on_stop_reply(cell_context& with,
                        task_key const& key,
-                       attempt_run& run,
+                       active_attempt& run,
                        ports::worker_reply const& reply);
     void on_checkpoint_reply(cell_context& with,
                              task_key const& key,
-                             attempt_run& run,
+                             active_attempt& run,
                              ports::worker_reply const& reply);
     void on_renewed(cell_context& with,
                     worker_call_tag const& tag,
@@ -234,7 +240,7 @@
     cell_log log_;
     bool adopted_ = false;
     bool held_ = false;
-    std::map<task_key, attempt_run> runs_;
+    std::map<task_key, active_attempt> active_attempts_;
     std::map<std::string, renewal> renewals_;
     std::map<std::string, placement::latency_guard> guards_;
 
--- a/src/core/tasks/cell_state.cpp
+++ b/src/core/tasks/cell_state.cpp
@@ -50,7 +50,7 @@
     {
         return false;
     }
-    part.what = what.message.definition;
+    part.definition = what.message.definition;
     part.moves = std::max(part.moves, what.message.moves);
     for (auto const& carried : what.message.tasks)
     {
@@ -59,7 +59,7 @@
         task.status = at_rest(part);
         task.attempt = carried.attempt;
         task.checkpoint = carried.checkpoint;
-        task.failed_on = carried.failed_workers;
+        task.failed_workers = carried.failed_workers;
     }
     return true;
 }
@@ -88,14 +88,14 @@
         return false;
     }
     task->why = what.why;
-    bool const known = std::find(task->failed_on.begin(),
-                                 task->failed_on.end(),
-                                 task->worker) != task->failed_on.end();
-    if (what.how == attempt_end::failed && !known)
+    bool const known = std::find(task->failed_workers.begin(),
+                                 task->failed_workers.end(),
+                                 task->worker) != task->failed_workers.end();
+    if (what.outcome == attempt_outcome::failed && !known)
     {
-        task->failed_on.push_back(task->worker);
+        task->failed_workers.push_back(task->worker);
     }
-    task->status = what.how == attempt_end::finished
+    task->status = what.outcome == attempt_outcome::finished
                        ? task_status::finished
                        : at_rest(state.jobs.at(what.task.job));
     return true;
@@ -143,7 +143,7 @@
     outgoing_transfer leaving;
     leaving.target_cell = what.target_cell;
     leaving.message.name = what.message_name;
-    leaving.message.definition = found->second.what;
+    leaving.message.definition = found->second.definition;
     leaving.message.moves = what.moves;
     for (auto const index : what.tasks)
     {
@@ -156,7 +156,7 @@
         leaving.message.tasks.push_back({index,
                                          task->second.attempt,
                                          task->second.checkpoint,
-                                         task->second.failed_on});
+                                         task->second.failed_workers});
     }
     for (auto const index : what.tasks)
     {
@@ -187,7 +187,7 @@
     return true;
 }
 
-bool forget(cell_state& state, job_forgotten const& what)
+bool forget(cell_state& state, job_removed const& what)
 {
     auto const found = state.jobs.find(what.job);
     if (found == state.jobs.end() || !found->second.ended())
@@ -201,7 +201,7 @@
 json::object encoded(task_record const& task)
 {
     json::array failed_on;
-    for (auto const& worker : task.failed_on)
+    for (auto const& worker : task.failed_workers)
     {
         failed_on.emplace_back(worker);
     }
@@ -227,7 +227,7 @@
     {
         parcels.emplace_back(name);
     }
-    return {{"job", json::parse(to_json(part.what))},
+    return {{"job", json::parse(to_json(part.definition))},
             {"moves", part.moves},
             {"tasks", std::move(tasks)},
             {"parcels", std::move(parcels)},
@@ -249,7 +249,7 @@
     task.checkpoint = object.at("c").as_string();
     for (auto const& worker : object.at("f").as_array())
     {
-        task.failed_on.emplace_back(worker.as_string());
+        task.failed_workers.emplace_back(worker.as_string());
     }
     task.why = object.at("y").as_string();
     return task;
@@ -276,7 +276,7 @@
     {
         return std::nullopt;
     }
-    part.what = std::move(*what);
+    part.definition = std::move(*what);
     part.moves = object.at("moves").to_number<std::uint32_t>();
     for (auto const& item : object.at("tasks").as_object())
     {
@@ -390,7 +390,7 @@
         {
             return arrive(state, item);
         }
-        bool operator()(job_forgotten const& item) const
+        bool operator()(job_removed const& item) const
         {
             return forget(state, item);
         }
--- a/src/core/tasks/cell_state.hpp
+++ b/src/core/tasks/cell_state.hpp
@@ -35,7 +35,7 @@
     std::uint64_t start_before_ms = 0;
     std::uint64_t lease_until_ms = 0;
     std::string checkpoint; ///< Where the next attempt resumes.
-    std::vector<std::string> failed_on;
+    std::vector<std::string> failed_workers;
     std::string why; ///< Of the last end.
 
     bool operator==(task_record const&) const = default;
@@ -44,7 +44,7 @@
 /// The tasks of one job that this cell has, or had.
 struct job_part
 {
-    job what;
+    job definition;
     std::uint32_t moves = 0;
     std::map<std::uint32_t, task_record> tasks;
     /// Parcels taken in, so that a repeated one changes nothing.
--- a/src/core/tasks/change.cpp
+++ b/src/core/tasks/change.cpp
@@ -67,7 +67,7 @@
     return {{"k", "ended"},
             {"t", task_name(value.task)},
             {"a", value.attempt},
-            {"h", name_of(value.how)},
+            {"h", name_of(value.outcome)},
             {"y", value.why}};
 }
 
@@ -102,7 +102,7 @@
     return {{"k", "arrived"}, {"p", value.message_name}};
 }
 
-json::object encoded(job_forgotten const& value)
+json::object encoded(job_removed const& value)
 {
     return {{"k", "forgotten"}, {"j", value.job}};
 }
@@ -206,7 +206,7 @@
     return *key;
 }
 
-attempt_end read_end(common::json_reader& reader)
+attempt_outcome read_end(common::json_reader& reader)
 {
     std::string const name = reader.text("h");
     auto const* const found =
@@ -214,9 +214,9 @@
     if (found == end_names.end())
     {
         reader.fail(common::result_code::out_of_range, "h", "unknown end");
-        return attempt_end::lost;
+        return attempt_outcome::lost;
     }
-    return static_cast<attempt_end>(found - end_names.begin());
+    return static_cast<attempt_outcome>(found - end_names.begin());
 }
 
 common::result_code read_code(common::json_reader& reader)
@@ -315,7 +315,7 @@
     }
     else if (kind == "forgotten")
     {
-        out = job_forgotten{reader.text("j")};
+        out = job_removed{reader.text("j")};
     }
     else
     {
@@ -354,7 +354,7 @@
     return key;
 }
 
-std::string_view name_of(attempt_end value) noexcept
+std::string_view name_of(attempt_outcome value) noexcept
 {
     return end_names[static_cast<std::size_t>(value)];
 }
--- a/src/core/tasks/change.hpp
+++ b/src/core/tasks/change.hpp
@@ -76,7 +76,7 @@
     bool operator==(attempt_started const&) const = default;
 };
 
-enum class attempt_end : std::uint8_t
+enum class attempt_outcome : std::uint8_t
 {
     finished,
     failed,  ///< The task itself failed on the worker.
@@ -86,13 +86,13 @@
     unsent,  ///< The worker was never told.
 };
 
-std::string_view name_of(attempt_end value) noexcept;
+std::string_view name_of(attempt_outcome value) noexcept;
 
 struct attempt_ended
 {
     task_key task;
     std::uint32_t attempt = 0;
-    attempt_end how = attempt_end::finished;
+    attempt_outcome outcome = attempt_outcome::finished;
     std::string why;
 
     bool operator==(attempt_ended const&) const = default;
@@ -140,11 +140,11 @@
 };
 
 /// An ended job whose time in the list is over.
-struct job_forgotten
+struct job_removed
 {
     std::string job;
 
-    bool operator==(job_forgotten const&) const = default;
+    bool operator==(job_removed const&) const = default;
 };
 
 using change = std::variant<message_accepted,
@@ -154,7 +154,7 @@
                             job_stopped,
                             transfer_started,
                             transfer_completed,
-                            job_forgotten>;
+                            job_removed>;
 
 /// One value of the log: the changes committed together, and who wrote them.
 struct log_record
--- a/src/core/tasks/job_request_replies.cpp
+++ b/src/core/tasks/job_request_replies.cpp
@@ -136,7 +136,7 @@
         of.current_step = step::listing_tasks;
         return true;
     }
-    auto const jobs = view_of(of.inboxes, reply.entries, with.config);
+    auto const jobs = build_job_views(of.inboxes, reply.entries, with.config);
     auto const found = jobs.find(of.id);
     switch (of.kind)
     {
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -82,7 +82,7 @@
     for (auto const& [id, part] : state.jobs)
     {
         auto& job = jobs[id];
-        job.what = part.what;
+        job.what = part.definition;
         if (part.stopped)
         {
             job.stop_why =
@@ -110,19 +110,20 @@
                       std::map<std::string, ports::resources> const& in_use,
                       config::configuration const& config)
 {
-    auto const contract = config.contracts.find(view.what.customer);
+    auto const contract = config.contracts.find(view.definition.customer);
     if (contract == config.contracts.end())
     {
         return "the customer has no contract";
     }
-    auto const use = in_use.find(view.what.customer);
+    auto const use = in_use.find(view.definition.customer);
     auto next = use == in_use.end() ? ports::resources{} : use->second;
-    next += view.what.declared;
+    next += view.definition.declared;
     if (!contract->second.capacity.covers(next))
     {
         return "the contract is used up";
     }
-    if (config.data_centres_out_of_service.count(view.what.data_centre) != 0)
+    if (config.data_centres_out_of_service.count(view.definition.data_centre) !=
+        0)
     {
         return "its data centre is out";
     }
@@ -160,12 +161,12 @@
 
 json::object encoded(job_view const& value)
 {
-    return {{"id", value.what.id},
-            {"customer", value.what.customer},
-            {"kind", name_of(value.what.kind)},
-            {"class", value.what.task_class},
+    return {{"id", value.definition.id},
+            {"customer", value.definition.customer},
+            {"kind", name_of(value.definition.kind)},
+            {"class", value.definition.task_class},
             {"state", value.state},
-            {"tasks", value.what.tasks},
+            {"tasks", value.definition.tasks},
             {"queued", value.queued},
             {"running", value.running},
             {"finished", value.finished},
@@ -177,9 +178,9 @@
 } // namespace
 
 std::map<std::string, job_view>
-view_of(std::vector<ports::store_entry> const& inboxes,
-        std::vector<ports::store_entry> const& cells,
-        config::configuration const& config)
+build_job_views(std::vector<ports::store_entry> const& inboxes,
+                std::vector<ports::store_entry> const& cells,
+                config::configuration const& config)
 {
     std::map<std::string, gathered> jobs;
     std::map<std::string, std::vector<stored_inbox_message>> items;
@@ -216,13 +217,13 @@
     for (auto& [id, job] : jobs)
     {
         auto& view = out[id];
-        view.what = job.what;
+        view.definition = job.what;
         view.why = job.stop_why;
         for (auto& [index, task] : job.tasks)
         {
             if (task.state == "running")
             {
-                in_use[view.what.customer] += view.what.declared;
+                in_use[view.definition.customer] += view.definition.declared;
             }
             view.tasks.push_back(std::move(task));
         }
@@ -255,13 +256,13 @@
                                             {"why", task.why}});
         }
         out["task_list"] = std::move(tasks);
-        out["declared"] =
-            json::object{{"millicores", value.what.declared.millicores},
-                         {"memory_mb", value.what.declared.memory_mb},
-                         {"accelerators", value.what.declared.accelerators}};
-        out["urgent"] = value.what.urgent;
-        out["checkpointable"] = value.what.checkpointable;
-        out["data_centre"] = value.what.data_centre;
+        out["declared"] = json::object{
+            {"millicores", value.definition.declared.millicores},
+            {"memory_mb", value.definition.declared.memory_mb},
+            {"accelerators", value.definition.declared.accelerators}};
+        out["urgent"] = value.definition.urgent;
+        out["checkpointable"] = value.definition.checkpointable;
+        out["data_centre"] = value.definition.data_centre;
     }
     return json::serialize(out);
 }
--- a/src/core/tasks/job_view.hpp
+++ b/src/core/tasks/job_view.hpp
@@ -27,7 +27,7 @@
 
 struct job_view
 {
-    job what;
+    job definition;
     std::string state; ///< queued, running, finished, failed or cancelled.
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
@@ -42,9 +42,9 @@
 /// reading: a job that was taken in between is then seen twice rather than
 /// not at all.
 std::map<std::string, job_view>
-view_of(std::vector<ports::store_entry> const& inboxes,
-        std::vector<ports::store_entry> const& cells,
-        config::configuration const& config);
+build_job_views(std::vector<ports::store_entry> const& inboxes,
+                std::vector<ports::store_entry> const& cells,
+                config::configuration const& config);
 
 std::string to_json(job_view const& value, bool with_tasks);
 std::string to_json(std::map<std::string, job_view> const& jobs,
--- a/src/core/tasks/registry_sweep.cpp
+++ b/src/core/tasks/registry_sweep.cpp
@@ -105,7 +105,7 @@
         step_ = step::listing_inbox;
         break;
     case step::listing_inbox:
-        for (auto const& [id, view] : view_of(reply.entries, {}, {}))
+        for (auto const& [id, view] : build_job_views(reply.entries, {}, {}))
         {
             known_.insert(id);
         }
@@ -123,7 +123,7 @@
 
 void registry_sweep::compare(std::vector<ports::store_entry> const& cells)
 {
-    for (auto const& [id, view] : view_of({}, cells, {}))
+    for (auto const& [id, view] : build_job_views({}, cells, {}))
     {
         known_.insert(id);
     }
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -91,7 +91,7 @@
     made.changes = {core::tasks::message_accepted{parcel},
                     core::tasks::transfer_started{"p2", "b", "j", {1}, 2},
                     core::tasks::transfer_completed{"p2"},
-                    core::tasks::job_forgotten{"j"}};
+                    core::tasks::job_removed{"j"}};
     return made;
 }
 
--- a/tests/session/planner_settings_test.cpp
+++ b/tests/session/planner_settings_test.cpp
@@ -43,7 +43,8 @@
     ASSERT_TRUE(plain) << to_string(reason);
     auto const whole = parse_planner_settings(whole_example(), "all", reason);
     ASSERT_TRUE(whole) << to_string(reason);
-    EXPECT_EQ(plain->planner.cell.lease, whole->planner.cell.lease);
+    EXPECT_EQ(plain->planner.cell.lease_duration,
+              whole->planner.cell.lease_duration);
     EXPECT_EQ(plain->planner.cell.ramp_time, whole->planner.cell.ramp_time);
     EXPECT_EQ(plain->planner.cell.policy.index(),
               whole->planner.cell.policy.index());
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -1,6 +1,6 @@
+#include "core/tasks/attempt_lifecycle.hpp"
 #include "core/tasks/cell_log.hpp"
 #include "core/tasks/job.hpp"
-#include "core/tasks/life_cycle.hpp"
 #include "core/tasks/quota.hpp"
 #include "core/tasks/worker_registry.hpp"
 #include "unit/tasks/planner_system.hpp"
@@ -102,14 +102,14 @@
         return attempt_started{key, attempt + 1, worker, 10, 20};
     case 4:
         return attempt_ended{
-            key, attempt, static_cast<attempt_end>(random() % 6), "why"};
+            key, attempt, static_cast<attempt_outcome>(random() % 6), "why"};
     case 5:
         return checkpoint_taken{key, attempt, "cp"};
     case 6:
         return random() % 4 == 0
                    ? change(job_stopped{
                          key.job, result_code::job_cancelled, "asked"})
-                   : change(job_forgotten{key.job});
+                   : change(job_removed{key.job});
     case 7:
         return transfer_started{key.job + "~" + std::to_string(random() % 9),
                                 "other",
@@ -153,17 +153,17 @@
     using enum attempt_phase;
     using enum attempt_event;
     EXPECT_EQ(next_phase(committing_start, start_committed), starting);
-    EXPECT_EQ(next_phase(starting, seen_running), running);
+    EXPECT_EQ(next_phase(starting, running_observed), running);
     EXPECT_EQ(next_phase(running, evict), checkpointing);
     EXPECT_EQ(next_phase(checkpointing, checkpoint_made),
               committing_checkpoint);
     EXPECT_EQ(next_phase(committing_checkpoint, checkpoint_committed),
               stopping);
-    EXPECT_EQ(next_phase(stopping, stop_confirmed), settling);
-    EXPECT_EQ(next_phase(settling, ended), over);
-    EXPECT_FALSE(next_phase(committing_start, seen_running));
+    EXPECT_EQ(next_phase(stopping, stop_confirmed), awaiting_final_report);
+    EXPECT_EQ(next_phase(awaiting_final_report, ended), ended);
+    EXPECT_FALSE(next_phase(committing_start, running_observed));
     EXPECT_FALSE(next_phase(checkpointing, checkpoint_committed));
-    EXPECT_FALSE(next_phase(over, seen_running));
+    EXPECT_FALSE(next_phase(ended, running_observed));
 }
 
 TEST(cell_log, replays_to_the_state_that_was_committed)
