--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -31,15 +31,17 @@
         table.duration_or("send_window_ms", cell.send_window, 100ms, 10s);
     cell.final_report_timeout = table.duration_or(
         "settle_limit_ms", cell.final_report_timeout, 1s, 120s);
-    cell.move_after =
-        table.duration_or("move_after_ms", cell.move_after, 50ms, 60s);
+    cell.move_delay =
+        table.duration_or("move_after_ms", cell.move_delay, 50ms, 60s);
     cell.retention =
         table.duration_or("retention_ms", cell.retention, 10s, 24h);
-    cell.ramp_time = table.duration_or("ramp_time_ms", cell.ramp_time, 0s, 1h);
-    cell.ramp_starts_per_second = table.number_or(
-        "ramp_starts_per_second", cell.ramp_starts_per_second, 0.1, 10000);
-    cell.failed_workers_to_stop = static_cast<std::uint32_t>(table.integer_or(
-        "failed_workers_to_stop", cell.failed_workers_to_stop, 1, 100));
+    cell.ramp_up_duration =
+        table.duration_or("ramp_time_ms", cell.ramp_up_duration, 0s, 1h);
+    cell.ramp_up_starts_per_second = table.number_or(
+        "ramp_starts_per_second", cell.ramp_up_starts_per_second, 0.1, 10000);
+    cell.failed_workers_before_stop =
+        static_cast<std::uint32_t>(table.integer_or(
+            "failed_workers_to_stop", cell.failed_workers_before_stop, 1, 100));
     cell.log.commit_interval = table.duration_or(
         "commit_interval_ms", cell.log.commit_interval, 0ms, 1s);
     out.planner.workers.clock_drift_permille =
--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-bool cell_runner::step(active_attempt& run, attempt_event event)
+bool cell_runner::apply_event(active_attempt& run, attempt_event event)
 {
     auto const next = next_phase(run.phase, event);
     if (next)
@@ -55,7 +55,7 @@
     return next.has_value();
 }
 
-void cell_runner::drive(cell_context& with)
+void cell_runner::advance_attempts(cell_context& with)
 {
     if (!with.may_act)
     {
@@ -65,7 +65,7 @@
     for (auto next = active_attempts_.begin(); next != active_attempts_.end();)
     {
         auto const current = next++;
-        drive_one(with, current->first, current->second);
+        advance_attempt(with, current->first, current->second);
     }
 }
 
@@ -84,29 +84,29 @@
     }
     if (!waits || with.now >= *run.final_report_deadline)
     {
-        end(with, key, attempt_outcome::lost, "its lease ran out");
+        end_attempt(with, key, attempt_outcome::lost, "its lease ran out");
     }
 }
 
-void cell_runner::drive_running(cell_context& with,
-                                task_key const& key,
-                                active_attempt& run,
-                                bool saves)
+void cell_runner::advance_running_attempt(cell_context& with,
+                                          task_key const& key,
+                                          active_attempt& run,
+                                          bool saves)
 {
     bool const evicted = !run.eviction_reason.empty();
     if (evicted && saves && !run.unknown_to_worker &&
-        step(run, attempt_event::evict))
+        apply_event(run, attempt_event::evict))
     {
         send_checkpoint(with, key, run);
     }
-    else if (evicted && step(run, attempt_event::stop))
+    else if (evicted && apply_event(run, attempt_event::stop))
     {
         send_stop(with, key, run);
     }
     else if (run.requested_speed_limit_permille != run.speed_limit_permille)
     {
         ++with.counters.throttled;
-        run.call_in_flight = with.worker_traffic.send(
+        run.call_in_flight = with.calls_to_workers.send(
             tag_of(worker_call_kind::throttle, cell_, key, run),
             ports::worker_throttle{attempt_of(key, run),
                                    run.requested_speed_limit_permille},
@@ -114,9 +114,9 @@
     }
 }
 
-void cell_runner::drive_one(cell_context& with,
-                            task_key const& key,
-                            active_attempt& run)
+void cell_runner::advance_attempt(cell_context& with,
+                                  task_key const& key,
+                                  active_attempt& run)
 {
     auto const& part = *run.part;
     if (run.start_possibly_sent && with.now >= run.lease_expired_at)
@@ -140,11 +140,11 @@
         send_start(with, key, run);
         break;
     case attempt_phase::running:
-        drive_running(with, key, run, saves);
+        advance_running_attempt(with, key, run, saves);
         break;
     case attempt_phase::checkpointing:
         if ((!saves || run.tries >= with.settings.checkpoint_tries) &&
-            step(run, attempt_event::checkpoint_impossible))
+            apply_event(run, attempt_event::checkpoint_impossible))
         {
             send_stop(with, key, run);
         }
@@ -159,7 +159,8 @@
     case attempt_phase::awaiting_final_report:
         if (run.final_report_deadline && with.now >= *run.final_report_deadline)
         {
-            end(with, key, attempt_outcome::stopped, run.eviction_reason);
+            end_attempt(
+                with, key, attempt_outcome::stopped, run.eviction_reason);
         }
         break;
     case attempt_phase::committing_start:
@@ -176,7 +177,7 @@
 {
     auto const* view = with.workers.find(run.worker);
     auto const& part = *run.part;
-    return with.may_act && with.may_start && !held_ && !part.stopped &&
+    return with.may_act && with.may_start && !handing_over_ && !part.stopped &&
            run.eviction_reason.empty() && !data_centre_out(with) &&
            with.config.contracts.count(part.definition.customer) != 0 &&
            view != nullptr && view->listed &&
@@ -193,12 +194,12 @@
     {
         if (!run.start_possibly_sent)
         {
-            end(with,
-                key,
-                attempt_outcome::unsent,
-                "no longer allowed to start");
+            end_attempt(with,
+                        key,
+                        attempt_outcome::unsent,
+                        "no longer allowed to start");
         }
-        else if (step(run, attempt_event::stop))
+        else if (apply_event(run, attempt_event::stop))
         {
             send_stop(with, key, run);
         }
@@ -228,7 +229,7 @@
     run.lease_until_ms = std::max(run.lease_until_ms, start.lease_until_ms);
     run.lease_expired_at = with.now + longest_lease(with.settings);
     ++run.tries;
-    run.call_in_flight = with.worker_traffic.send(
+    run.call_in_flight = with.calls_to_workers.send(
         tag_of(worker_call_kind::start, cell_, key, run),
         std::move(start),
         with.out);
@@ -245,7 +246,7 @@
         return;
     }
     ++run.tries;
-    run.call_in_flight = with.worker_traffic.send(
+    run.call_in_flight = with.calls_to_workers.send(
         tag_of(worker_call_kind::stop, cell_, key, run),
         ports::worker_stop{attempt_of(key, run)},
         with.out);
@@ -256,7 +257,7 @@
                                   active_attempt& run)
 {
     ++run.tries;
-    run.call_in_flight = with.worker_traffic.send(
+    run.call_in_flight = with.calls_to_workers.send(
         tag_of(worker_call_kind::checkpoint, cell_, key, run),
         ports::worker_checkpoint{attempt_of(key, run)},
         with.out);
@@ -265,7 +266,7 @@
 // One call per worker renews all its leases. A lease is made longer only
 // after the last renewal was acknowledged: on a worker that can't be reached
 // the leases must run out, or its services would never start elsewhere.
-void cell_runner::renew(cell_context& with)
+void cell_runner::renew_leases(cell_context& with)
 {
     if (!with.may_act)
     {
@@ -332,7 +333,7 @@
         }
         renewal.acknowledged = false;
         renewal.next = with.now + with.settings.renew_interval;
-        renewal.call = with.worker_traffic.send(
+        renewal.call = with.calls_to_workers.send(
             {worker_call_kind::renew, cell_, worker, {}, 0, 0},
             std::move(call),
             with.out);
@@ -350,20 +351,20 @@
     }
     run.eviction_reason = std::move(why);
     queue_dirty_ = true;
-    with.out.push_back(event_of(ports::severity::info,
-                                "eviction",
-                                {{"cell", cell_},
-                                 {"task", task_name(key)},
-                                 {"attempt", std::to_string(run.attempt)},
-                                 {"worker", run.worker},
-                                 {"why", run.eviction_reason}}));
+    with.out.push_back(make_log_event(ports::severity::info,
+                                      "eviction",
+                                      {{"cell", cell_},
+                                       {"task", task_name(key)},
+                                       {"attempt", std::to_string(run.attempt)},
+                                       {"worker", run.worker},
+                                       {"why", run.eviction_reason}}));
 }
 
 // `key` is a copy wherever the caller still needs it: the run is erased.
-void cell_runner::end(cell_context& with,
-                      task_key const& key,
-                      attempt_outcome how,
-                      std::string why)
+void cell_runner::end_attempt(cell_context& with,
+                              task_key const& key,
+                              attempt_outcome how,
+                              std::string why)
 {
     auto const found = active_attempts_.find(key);
     task_key const task = key;
@@ -382,7 +383,7 @@
     case attempt_outcome::failed:
         ++counters.failed;
         with.workers.record_failure(with.now, run.worker, task.job);
-        after_failure(with, task);
+        handle_failure(with, task);
         break;
     case attempt_outcome::refused:
         ++counters.refused;
@@ -401,7 +402,7 @@
 
 // A job whose tasks fail on several workers, none of which is known to fail
 // whatever it starts, is at fault itself.
-void cell_runner::after_failure(cell_context& with, task_key const& key)
+void cell_runner::handle_failure(cell_context& with, task_key const& key)
 {
     auto const& part = log_.state().jobs.at(key.job);
     std::set<std::string> workers;
@@ -416,8 +417,9 @@
                       {
                           return !with.workers.suspect(with.now, worker);
                       });
-    if (part.stopped || at_fault < static_cast<std::ptrdiff_t>(
-                                       with.settings.failed_workers_to_stop))
+    if (part.stopped ||
+        at_fault < static_cast<std::ptrdiff_t>(
+                       with.settings.failed_workers_before_stop))
     {
         return;
     }
@@ -427,7 +429,7 @@
         "failed on " + std::to_string(workers.size()) +
             " workers, last: " + part.tasks.at(key.index).why};
     stop_job(with, stop.job, stop.code, stop.why);
-    faulty_.push_back(stop);
+    faulty_jobs_.push_back(stop);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -40,8 +40,8 @@
     common::duration final_report_timeout = std::chrono::seconds(10);
     /// A task that finds no room here moves on after this, doubled with each
     /// move up to the limit.
-    common::duration move_after = std::chrono::milliseconds(400);
-    common::duration move_after_most = std::chrono::seconds(30);
+    common::duration move_delay = std::chrono::milliseconds(400);
+    common::duration max_move_delay = std::chrono::seconds(30);
     std::uint32_t max_tasks_per_message = 64;
     /// A task that failed on all workers with room waits this long for another
     /// cell before it is tried on one of them again.
@@ -53,10 +53,10 @@
     std::uint32_t max_draining = 64;
     /// After a data centre comes back: starts a second at first, and how long
     /// until there is no bound.
-    double ramp_starts_per_second = 4;
-    common::duration ramp_time = std::chrono::seconds(20);
+    double ramp_up_starts_per_second = 4;
+    common::duration ramp_up_duration = std::chrono::seconds(20);
     /// A job that failed on this many different workers is at fault itself.
-    std::uint32_t failed_workers_to_stop = 3;
+    std::uint32_t failed_workers_before_stop = 3;
     std::uint32_t max_starts_per_tick = 64;
     placement::policy policy = placement::least_interference{};
     placement::placement_limits limits;
@@ -98,8 +98,8 @@
     quota_manager& quotas;
     load_table& loads;
     store_calls& calls;
-    worker_calls& worker_traffic;
-    placement::interference_model& learned;
+    worker_calls& calls_to_workers;
+    placement::interference_model& interference_estimates;
     task_counters& counters;
     ports::actions& out;
 };
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -35,13 +35,13 @@
         return true;
     }
     auto const doublings = std::min<std::uint32_t>(part.moves, 10);
-    auto const patience = std::min(with.settings.move_after * (1 << doublings),
-                                   with.settings.move_after_most);
-    return short_of_room_.count(task.key) != 0 &&
+    auto const patience = std::min(with.settings.move_delay * (1 << doublings),
+                                   with.settings.max_move_delay);
+    return waiting_for_capacity_.count(task.key) != 0 &&
            with.now - task.since >= patience;
 }
 
-void cell_runner::move_on(cell_context& with)
+void cell_runner::move_tasks(cell_context& with)
 {
     if (with.now < next_move_ || with.workers.all().empty() ||
         log_.waiting() >= max_waiting_changes)
@@ -97,15 +97,15 @@
     }
 }
 
-void cell_runner::drain(cell_context& with)
+void cell_runner::drain_data_centre(cell_context& with)
 {
     bool const out = data_centre_out(with);
-    if (was_out_ && !out)
+    if (data_centre_was_out_ && !out)
     {
-        back_since_ = with.now;
-        starts_since_back_ = 0;
+        data_centre_back_since_ = with.now;
+        starts_since_data_centre_back_ = 0;
     }
-    was_out_ = out;
+    data_centre_was_out_ = out;
     if (!out)
     {
         return;
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -102,9 +102,9 @@
 
 // Tells the quota book what each customer uses and could use here: no more
 // than the cell has room for, so that no grant is held for work that waits.
-void cell_runner::count_use(cell_context& with)
+void cell_runner::compute_usage(cell_context& with)
 {
-    for (auto& [customer, use] : use_)
+    for (auto& [customer, use] : customer_usage_)
     {
         use = {};
     }
@@ -116,15 +116,16 @@
     for (auto const& [key, run] : active_attempts_)
     {
         auto const& what = run.part->definition;
-        auto& use = use_[what.customer];
+        auto& use = customer_usage_[what.customer];
         add(use.in_use, what);
         if (run.eviction_reason.empty())
         {
-            add(use.staying, what);
+            add(use.retained, what);
         }
         free -= what.declared;
     }
-    bool const open = with.may_start && !held_ && !data_centre_out(with);
+    bool const open =
+        with.may_start && !handing_over_ && !data_centre_out(with);
     for (auto const& task : queue_)
     {
         auto const& what = log_.state().jobs.at(task.key.job).definition;
@@ -133,16 +134,16 @@
             continue;
         }
         free -= what.declared;
-        auto& use = use_[what.customer];
+        auto& use = customer_usage_[what.customer];
         add(use.queued, what);
         if (!std::exchange(use.has_queued, true))
         {
-            add(use.unit, what);
+            add(use.next_task, what);
         }
     }
-    for (auto const& [customer, use] : use_)
+    for (auto const& [customer, use] : customer_usage_)
     {
-        cell_need need{epoch_, use.in_use, use.in_use, use.unit};
+        cell_need need{epoch_, use.in_use, use.in_use, use.next_task};
         need.requested.total += use.queued.total;
         need.requested.batch += use.queued.batch;
         with.quotas.set_need(customer, cell_, need);
@@ -179,10 +180,11 @@
         bool const service = what.kind == job_kind::service;
         on.committed += what.declared;
         on.batch_millicores += service ? 0 : what.declared.millicores;
-        on.residents.push_back({with.learned.class_index(what.task_class),
-                                service,
-                                what.declared,
-                                share_of(run, what.declared, on.capacity)});
+        on.residents.push_back(
+            {with.interference_estimates.class_index(what.task_class),
+             service,
+             what.declared,
+             share_of(run, what.declared, on.capacity)});
     }
     std::erase_if(out,
                   [&with](placement::candidate const& one)
@@ -200,7 +202,7 @@
     {
         return false;
     }
-    auto next = use_[what.customer].in_use;
+    auto next = customer_usage_[what.customer].in_use;
     add(next, what);
     return covers(with.quotas.allowed(what.customer, cell_, contract->second),
                   next);
@@ -210,20 +212,22 @@
 // rise lets the grants, reports and neighbours follow.
 bool cell_runner::ramp_allows(cell_context& with) const
 {
-    if (!back_since_ || with.now - *back_since_ >= with.settings.ramp_time)
+    if (!data_centre_back_since_ ||
+        with.now - *data_centre_back_since_ >= with.settings.ramp_up_duration)
     {
         return true;
     }
     double const seconds =
-        std::chrono::duration<double>(with.now - *back_since_).count();
+        std::chrono::duration<double>(with.now - *data_centre_back_since_)
+            .count();
     double const allowed =
-        with.settings.ramp_starts_per_second * seconds * (1 + seconds);
-    return static_cast<double>(starts_since_back_) < allowed;
+        with.settings.ramp_up_starts_per_second * seconds * (1 + seconds);
+    return static_cast<double>(starts_since_data_centre_back_) < allowed;
 }
 
 void cell_runner::place(cell_context& with)
 {
-    short_of_room_.clear();
+    waiting_for_capacity_.clear();
     if (!with.may_start || data_centre_out(with) || queue_.empty())
     {
         return;
@@ -255,11 +259,11 @@
         if (room && place_one(with, task.key, workers))
         {
             ++starts;
-            ++starts_since_back_;
+            ++starts_since_data_centre_back_;
         }
         else
         {
-            short_of_room_.insert(task.key);
+            waiting_for_capacity_.insert(task.key);
             ++misses;
         }
     }
@@ -272,7 +276,7 @@
     auto const& part = log_.state().jobs.at(key.job);
     auto const& task = part.tasks.at(key.index);
     placement::placement_task const wanted{
-        with.learned.class_index(part.definition.task_class),
+        with.interference_estimates.class_index(part.definition.task_class),
         part.definition.kind == job_kind::service,
         part.definition.declared};
     for (auto& worker : workers)
@@ -285,7 +289,7 @@
     auto const chosen = placement::choose_worker(with.settings.policy,
                                                  workers,
                                                  wanted,
-                                                 with.learned,
+                                                 with.interference_estimates,
                                                  with.settings.limits);
     bool const tired =
         chosen && workers[*chosen].failed_before &&
@@ -325,7 +329,7 @@
                             wanted.is_service,
                             wanted.declared,
                             share_of(run, wanted.declared, on.capacity)});
-    add(use_[part.definition.customer].in_use, part.definition);
+    add(customer_usage_[part.definition.customer].in_use, part.definition);
     active_attempts_[key] = std::move(run);
     if (view->probing)
     {
@@ -340,7 +344,7 @@
     {
         return;
     }
-    for (auto const& [customer, use] : use_)
+    for (auto const& [customer, use] : customer_usage_)
     {
         if (with.config.withdrawn.count(customer) != 0)
         {
@@ -373,7 +377,7 @@
                                 std::string const& customer,
                                 allowance const& allowed)
 {
-    auto staying = use_[customer].staying;
+    auto staying = customer_usage_[customer].retained;
     if (covers(allowed, staying))
     {
         return;
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -62,7 +62,7 @@
     switch (reply.status)
     {
     case ports::worker_status::done:
-        step(run, attempt_event::running_observed);
+        apply_event(run, attempt_event::running_observed);
         with.workers.record_acceptance(run.worker);
         ++with.counters.started;
         if (!log_.state().find(key)->checkpoint.empty())
@@ -75,12 +75,12 @@
         // have come after the window, or the attempt may have ended.
         if (run.tries > 1)
         {
-            step(run, attempt_event::stop);
+            apply_event(run, attempt_event::stop);
             send_stop(with, key, run);
             return;
         }
         with.workers.record_refusal(with.now, run.worker);
-        end(with, key, attempt_outcome::refused, reply.reason);
+        end_attempt(with, key, attempt_outcome::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
         if (run.tries == 1)
@@ -108,12 +108,12 @@
     auto const& part = *run.part;
     if (part.definition.kind == job_kind::service || part.stopped)
     {
-        end(with, key, attempt_outcome::stopped, run.eviction_reason);
+        end_attempt(with, key, attempt_outcome::stopped, run.eviction_reason);
         return;
     }
     // It may have finished before the stop came in; running it again would
     // do the work twice. A report of the worker tells.
-    if (step(run, attempt_event::stop_confirmed))
+    if (apply_event(run, attempt_event::stop_confirmed))
     {
         run.final_report_deadline =
             with.now + with.settings.final_report_timeout;
@@ -131,7 +131,7 @@
     }
     if (reply.status == ports::worker_status::done && !reply.checkpoint.empty())
     {
-        if (step(run, attempt_event::checkpoint_made))
+        if (apply_event(run, attempt_event::checkpoint_made))
         {
             commit(with,
                    checkpoint_taken{key, run.attempt, reply.checkpoint},
@@ -141,7 +141,7 @@
     else if (reply.status == ports::worker_status::done ||
              reply.status == ports::worker_status::refused)
     {
-        if (step(run, attempt_event::checkpoint_impossible))
+        if (apply_event(run, attempt_event::checkpoint_impossible))
         {
             send_stop(with, key, run);
         }
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -28,7 +28,7 @@
 void cell_runner::on_report(cell_context& with,
                             ports::worker_report const& report)
 {
-    if (!adopted_ || log_.lost())
+    if (!attempts_restored_ || log_.lost())
     {
         return;
     }
@@ -38,9 +38,9 @@
     }
     end_absent(with, report);
     auto const* view = with.workers.find(report.worker);
-    auto const present = reported_on(report.worker);
-    watch_memory(with, *view, present);
-    learn(with, *view, present);
+    auto const present = reported_attempts(report.worker);
+    check_memory_use(with, *view, present);
+    learn_interference(with, *view, present);
     guard_services(with, *view, present);
 }
 
@@ -66,14 +66,14 @@
             task == nullptr || said.attempt_id.attempt <= task->attempt;
         if (running && over && with.may_act)
         {
-            with.worker_traffic.send({worker_call_kind::stray_stop,
-                                      cell_,
-                                      report.worker,
-                                      *key,
-                                      said.attempt_id.attempt,
-                                      0},
-                                     ports::worker_stop{said.attempt_id},
-                                     with.out);
+            with.calls_to_workers.send({worker_call_kind::stray_stop,
+                                        cell_,
+                                        report.worker,
+                                        *key,
+                                        said.attempt_id.attempt,
+                                        0},
+                                       ports::worker_stop{said.attempt_id},
+                                       with.out);
         }
         return;
     }
@@ -85,7 +85,7 @@
     switch (said.state)
     {
     case ports::attempt_state::running:
-        step(run, attempt_event::running_observed);
+        apply_event(run, attempt_event::running_observed);
         run.used = said.used;
         run.latency_p99_us = said.latency_p99_us;
         if (++run.report_count == reports_to_prove)
@@ -94,16 +94,16 @@
         }
         break;
     case ports::attempt_state::finished:
-        end(with, *key, attempt_outcome::finished, said.reason);
+        end_attempt(with, *key, attempt_outcome::finished, said.reason);
         break;
     case ports::attempt_state::failed:
-        end(with, *key, attempt_outcome::failed, said.reason);
+        end_attempt(with, *key, attempt_outcome::failed, said.reason);
         break;
     case ports::attempt_state::stopped:
-        end(with, *key, attempt_outcome::stopped, run.eviction_reason);
+        end_attempt(with, *key, attempt_outcome::stopped, run.eviction_reason);
         break;
     case ports::attempt_state::lease_expired:
-        end(with, *key, attempt_outcome::lost, "its lease ran out");
+        end_attempt(with, *key, attempt_outcome::lost, "its lease ran out");
         break;
     }
 }
@@ -139,17 +139,17 @@
     {
         bool const stopped = phase == attempt_phase::awaiting_final_report ||
                              phase == attempt_phase::stopping;
-        end(with,
-            key,
-            stopped ? attempt_outcome::stopped : attempt_outcome::lost,
-            "not on its worker");
+        end_attempt(with,
+                    key,
+                    stopped ? attempt_outcome::stopped : attempt_outcome::lost,
+                    "not on its worker");
     }
 }
 
-std::vector<cell_runner::resident>
-cell_runner::reported_on(std::string const& worker)
+std::vector<cell_runner::reported_attempt>
+cell_runner::reported_attempts(std::string const& worker)
 {
-    std::vector<resident> out;
+    std::vector<reported_attempt> out;
     for (auto& [key, run] : active_attempts_)
     {
         if (run.worker == worker && run.report_count != 0)
@@ -160,9 +160,9 @@
     return out;
 }
 
-void cell_runner::watch_memory(cell_context& with,
-                               worker_view const& on,
-                               std::vector<resident> const& present)
+void cell_runner::check_memory_use(cell_context& with,
+                                   worker_view const& on,
+                                   std::vector<reported_attempt> const& present)
 {
     std::int64_t used = 0;
     std::int64_t over = 0;
@@ -190,17 +190,18 @@
     }
 }
 
-void cell_runner::learn(cell_context& with,
-                        worker_view const& on,
-                        std::vector<resident> const& present)
+void cell_runner::learn_interference(
+    cell_context& with,
+    worker_view const& on,
+    std::vector<reported_attempt> const& present)
 {
     std::vector<placement::neighbour> all;
     all.reserve(present.size());
     for (auto const& [key, run] : present)
     {
-        all.push_back(
-            {with.learned.class_index(run->part->definition.task_class),
-             share(run->used, on.info.capacity)});
+        all.push_back({with.interference_estimates.class_index(
+                           run->part->definition.task_class),
+                       share(run->used, on.info.capacity)});
     }
     for (std::size_t self = 0; self < present.size(); ++self)
     {
@@ -213,16 +214,17 @@
         auto beside = all;
         beside.erase(beside.begin() + static_cast<std::ptrdiff_t>(self));
         auto const victim = all[self].task_class;
-        with.learned.record_slowdown(
+        with.interference_estimates.record_slowdown(
             victim,
             beside,
-            with.learned.record_latency(victim, run.latency_p99_us));
+            with.interference_estimates.record_latency(victim,
+                                                       run.latency_p99_us));
     }
 }
 
 void cell_runner::guard_services(cell_context& with,
                                  worker_view const& on,
-                                 std::vector<resident> const& present)
+                                 std::vector<reported_attempt> const& present)
 {
     std::vector<placement::guarded_service> services;
     std::vector<placement::guarded_task> batch;
@@ -234,7 +236,8 @@
         {
             continue;
         }
-        auto const number = with.learned.class_index(what.task_class);
+        auto const number =
+            with.interference_estimates.class_index(what.task_class);
         if (what.kind == job_kind::batch)
         {
             batch.push_back({task_name(*key),
@@ -254,7 +257,8 @@
     }
     auto& guard =
         guards_.try_emplace(on.info.id, with.settings.guard).first->second;
-    auto const wanted = guard.on_report(services, batch, with.learned);
+    auto const wanted =
+        guard.on_report(services, batch, with.interference_estimates);
     auto const key = wanted ? parse_task_name(wanted->task) : std::nullopt;
     if (!key)
     {
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-ports::log_event event_of(ports::severity level,
-                          std::string name,
-                          std::vector<ports::header> fields)
+ports::log_event make_log_event(ports::severity level,
+                                std::string name,
+                                std::vector<ports::header> fields)
 {
     return {level, std::move(name), std::move(fields)};
 }
@@ -46,33 +46,33 @@
 
 void cell_runner::tick(cell_context& with)
 {
-    if (log_.active() && !adopted_)
+    if (log_.active() && !attempts_restored_)
     {
-        adopt(with);
+        restore_attempts(with);
     }
-    if (adopted_ && !log_.lost())
+    if (attempts_restored_ && !log_.lost())
     {
-        take_commits(with);
-        drive(with);
-        renew(with);
-        if (queue_dirty_ || with.now >= next_count_)
+        process_commits(with);
+        advance_attempts(with);
+        renew_leases(with);
+        if (queue_dirty_ || with.now >= next_usage_computation_)
         {
-            next_count_ = with.now + count_interval;
+            next_usage_computation_ = with.now + count_interval;
             queue_dirty_ = false;
             rebuild_queue(with);
-            count_use(with);
+            compute_usage(with);
             enforce_contracts(with);
-            drain(with);
+            drain_data_centre(with);
             publish_load(with);
         }
-        if (!held_)
+        if (!handing_over_)
         {
             place(with);
-            move_on(with);
+            move_tasks(with);
         }
         send_messages(with);
         erase_inbox(with);
-        forget_jobs(with);
+        remove_expired_jobs(with);
     }
     log_.tick(with.now, with.calls, with.out);
 }
@@ -81,9 +81,9 @@
 // predecessor's proof ended, so before now, and for no longer than a lease
 // from then. Whether it runs is told by the renewal that follows, by a report,
 // or by the end of that time.
-void cell_runner::adopt(cell_context& with)
+void cell_runner::restore_attempts(cell_context& with)
 {
-    adopted_ = true;
+    attempts_restored_ = true;
     ++with.counters.takeovers;
     auto const lease = with.settings.lease_duration *
                        (1000 + with.settings.clock_drift_permille) / 1000;
@@ -118,16 +118,16 @@
         ready_to_send_.insert(name);
     }
     queue_dirty_ = true;
-    with.out.push_back(
-        event_of(ports::severity::info,
-                 "cell_taken_over",
-                 {{"cell", cell_},
-                  {"epoch", std::to_string(epoch_)},
-                  {"jobs", std::to_string(log_.state().jobs.size())},
-                  {"attempts", std::to_string(active_attempts_.size())}}));
+    with.out.push_back(make_log_event(
+        ports::severity::info,
+        "cell_taken_over",
+        {{"cell", cell_},
+         {"epoch", std::to_string(epoch_)},
+         {"jobs", std::to_string(log_.state().jobs.size())},
+         {"attempts", std::to_string(active_attempts_.size())}}));
 }
 
-void cell_runner::take_commits(cell_context& with)
+void cell_runner::process_commits(cell_context& with)
 {
     for (auto const& item : log_.take_committed())
     {
@@ -144,7 +144,7 @@
             auto const found = active_attempts_.find(started->task);
             if (found != active_attempts_.end() &&
                 found->second.attempt == started->attempt &&
-                step(found->second, attempt_event::start_committed))
+                apply_event(found->second, attempt_event::start_committed))
             {
                 send_start(with, started->task, found->second);
             }
@@ -154,7 +154,7 @@
             auto const found = active_attempts_.find(made->task);
             if (found != active_attempts_.end() &&
                 found->second.attempt == made->attempt &&
-                step(found->second, attempt_event::checkpoint_committed))
+                apply_event(found->second, attempt_event::checkpoint_committed))
             {
                 send_stop(with, made->task, found->second);
             }
@@ -167,7 +167,7 @@
                            common::result_code code,
                            std::string const& why)
 {
-    if (!adopted_ || log_.lost())
+    if (!attempts_restored_ || log_.lost())
     {
         return;
     }
@@ -175,7 +175,7 @@
     if (part != log_.state().jobs.end() && !part->second.ended() &&
         commit(with, job_stopped{job, code, why}, false))
     {
-        with.out.push_back(event_of(
+        with.out.push_back(make_log_event(
             ports::severity::info,
             "job_stopped",
             {{"cell", cell_},
@@ -185,13 +185,13 @@
     }
 }
 
-void cell_runner::forget_jobs(cell_context& with)
+void cell_runner::remove_expired_jobs(cell_context& with)
 {
-    if (with.now < next_forget_)
+    if (with.now < next_job_removal_)
     {
         return;
     }
-    next_forget_ = with.now + forget_interval;
+    next_job_removal_ = with.now + forget_interval;
     std::vector<std::string> due;
     bool const crowded =
         log_.state().jobs.size() >= with.settings.max_jobs * 9 / 10;
@@ -264,14 +264,14 @@
     return with.config.data_centres_out_of_service.count(name) != 0;
 }
 
-void cell_runner::hold() noexcept
+void cell_runner::begin_handover() noexcept
 {
-    held_ = true;
+    handing_over_ = true;
 }
 
-bool cell_runner::held() const noexcept
+bool cell_runner::handing_over() const noexcept
 {
-    return held_;
+    return handing_over_;
 }
 
 bool cell_runner::idle() const noexcept
@@ -290,10 +290,10 @@
 
 bool cell_runner::active() const noexcept
 {
-    return adopted_ && !log_.lost();
+    return attempts_restored_ && !log_.lost();
 }
 
-bool cell_runner::lost() const noexcept
+bool cell_runner::ownership_lost() const noexcept
 {
     return log_.lost();
 }
@@ -329,9 +329,9 @@
     return out;
 }
 
-std::vector<job_stopped> cell_runner::take_faulty()
+std::vector<job_stopped> cell_runner::take_faulty_jobs()
 {
-    return std::exchange(faulty_, {});
+    return std::exchange(faulty_jobs_, {});
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -91,13 +91,13 @@
                   std::string const& why);
 
     /// From now on starts and moves nothing: the cell is to be handed over.
-    void hold() noexcept;
-    bool held() const noexcept;
+    void begin_handover() noexcept;
+    bool handing_over() const noexcept;
     /// Nothing is in commit and no call of a start is under way.
     bool idle() const noexcept;
 
     bool active() const noexcept;
-    bool lost() const noexcept;
+    bool ownership_lost() const noexcept;
     std::uint64_t epoch() const noexcept;
     std::string const& name() const noexcept;
     cell_state const& state() const noexcept;
@@ -105,7 +105,7 @@
     cell_counts counts() const;
 
     /// Jobs that this cell found to be at fault; other cells must stop them.
-    std::vector<job_stopped> take_faulty();
+    std::vector<job_stopped> take_faulty_jobs();
 
 private:
     struct renewal
@@ -121,12 +121,12 @@
         std::uint32_t rank = 0;
         common::time_point since{};
     };
-    struct customer_use
+    struct customer_usage
     {
         allowance in_use;
-        allowance staying; ///< Without those that are being ended.
+        allowance retained; ///< Without those that are being ended.
         allowance queued;
-        allowance unit;
+        allowance next_task;
         bool has_queued = false;
     };
 
@@ -134,16 +134,16 @@
     static constexpr std::size_t max_waiting_changes = 2000;
 
     /// An attempt on the worker whose report is looked at.
-    struct resident
+    struct reported_attempt
     {
         task_key const* key = nullptr;
         active_attempt* run = nullptr;
     };
 
     // cell_runner.cpp: the cell as a whole.
-    void adopt(cell_context& with);
-    void take_commits(cell_context& with);
-    void forget_jobs(cell_context& with);
+    void restore_attempts(cell_context& with);
+    void process_commits(cell_context& with);
+    void remove_expired_jobs(cell_context& with);
     void publish_load(cell_context& with);
     bool data_centre_out(cell_context const& with) const;
     bool commit(cell_context& with, change what, bool urgent);
@@ -154,7 +154,7 @@
 
     // cell_placement.cpp: from the queue to a worker, and back.
     void rebuild_queue(cell_context& with);
-    void count_use(cell_context& with);
+    void compute_usage(cell_context& with);
     void place(cell_context& with);
     bool place_one(cell_context& with,
                    task_key const& key,
@@ -168,22 +168,23 @@
     void enforce_contracts(cell_context& with);
 
     // cell_moves.cpp: on to another cell.
-    void move_on(cell_context& with);
+    void move_tasks(cell_context& with);
     bool should_move(cell_context& with,
                      job_part const& part,
                      queued_task const& task) const;
-    void drain(cell_context& with);
+    void drain_data_centre(cell_context& with);
 
     // cell_attempts.cpp: one attempt's life.
-    void drive(cell_context& with);
-    void
-    drive_one(cell_context& with, task_key const& key, active_attempt& run);
+    void advance_attempts(cell_context& with);
+    void advance_attempt(cell_context& with,
+                         task_key const& key,
+                         active_attempt& run);
     void
     end_expired(cell_context& with, task_key const& key, active_attempt& run);
-    void drive_running(cell_context& with,
-                       task_key const& key,
-                       active_attempt& run,
-                       bool saves);
+    void advance_running_attempt(cell_context& with,
+                                 task_key const& key,
+                                 active_attempt& run,
+                                 bool saves);
     void
     send_start(cell_context& with, task_key const& key, active_attempt& run);
     bool start_allowed(cell_context& with, active_attempt const& run);
@@ -192,14 +193,14 @@
     void send_checkpoint(cell_context& with,
                          task_key const& key,
                          active_attempt& run);
-    void renew(cell_context& with);
+    void renew_leases(cell_context& with);
     void evict(cell_context& with, task_key const& key, std::string why);
-    void end(cell_context& with,
-             task_key const& key,
-             attempt_outcome how,
-             std::string why);
-    void after_failure(cell_context& with, task_key const& key);
-    static bool step(active_attempt& run, attempt_event event);
+    void end_attempt(cell_context& with,
+                     task_key const& key,
+                     attempt_outcome how,
+                     std::string why);
+    void handle_failure(cell_context& with, task_key const& key);
+    static bool apply_event(active_attempt& run, attempt_event event);
 
     // cell_replies.cpp: what workers answer.
     void on_start_reply(cell_context& with,
@@ -224,22 +225,22 @@
                            ports::attempt_report const& said);
     void end_absent(cell_context& with, ports::worker_report const& report);
     /// Attempts on the worker that a report has told of.
-    std::vector<resident> reported_on(std::string const& worker);
-    void learn(cell_context& with,
-               worker_view const& on,
-               std::vector<resident> const& present);
+    std::vector<reported_attempt> reported_attempts(std::string const& worker);
+    void learn_interference(cell_context& with,
+                            worker_view const& on,
+                            std::vector<reported_attempt> const& present);
     void guard_services(cell_context& with,
                         worker_view const& on,
-                        std::vector<resident> const& present);
-    void watch_memory(cell_context& with,
-                      worker_view const& on,
-                      std::vector<resident> const& present);
+                        std::vector<reported_attempt> const& present);
+    void check_memory_use(cell_context& with,
+                          worker_view const& on,
+                          std::vector<reported_attempt> const& present);
 
     std::string cell_;
     std::uint64_t epoch_;
     cell_log log_;
-    bool adopted_ = false;
-    bool held_ = false;
+    bool attempts_restored_ = false;
+    bool handing_over_ = false;
     std::map<task_key, active_attempt> active_attempts_;
     std::map<std::string, renewal> renewals_;
     std::map<std::string, placement::latency_guard> guards_;
@@ -247,10 +248,11 @@
     std::vector<queued_task> queue_;
     /// The queue, or who uses what, may have changed.
     bool queue_dirty_ = true;
-    common::time_point next_count_{};
+    common::time_point next_usage_computation_{};
     std::map<task_key, common::time_point> queued_since_;
-    std::map<std::string, customer_use> use_;
-    std::set<task_key> short_of_room_; ///< Waits for room, not for quota.
+    std::map<std::string, customer_usage> customer_usage_;
+    std::set<task_key>
+        waiting_for_capacity_; ///< Waits for room, not for quota.
 
     std::map<std::string, stored_inbox_message>
         inbox_messages_;                           ///< By parcel name.
@@ -260,17 +262,17 @@
         ready_to_send_; ///< Parcels whose leaving is committed.
     std::map<std::string, std::uint64_t> sending_;
     std::map<std::string, common::time_point> ended_at_;
-    common::time_point next_forget_{};
+    common::time_point next_job_removal_{};
     common::time_point next_move_{};
-    std::vector<job_stopped> faulty_;
+    std::vector<job_stopped> faulty_jobs_;
 
-    bool was_out_ = false;
-    std::optional<common::time_point> back_since_;
-    std::uint64_t starts_since_back_ = 0;
+    bool data_centre_was_out_ = false;
+    std::optional<common::time_point> data_centre_back_since_;
+    std::uint64_t starts_since_data_centre_back_ = 0;
 };
 
-ports::log_event event_of(ports::severity level,
-                          std::string name,
-                          std::vector<ports::header> fields);
+ports::log_event make_log_event(ports::severity level,
+                                std::string name,
+                                std::vector<ports::header> fields);
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/planner_cells.cpp
+++ b/src/core/tasks/planner_cells.cpp
@@ -123,11 +123,11 @@
             continue;
         }
         auto& cell = *found->second;
-        if (!cell.held())
+        if (!cell.handing_over())
         {
-            cell.hold();
+            cell.begin_handover();
         }
-        if (cell.idle() || cell.lost())
+        if (cell.idle() || cell.ownership_lost())
         {
             claims_.release(now, name, out);
             released.push_back(name);
@@ -155,7 +155,7 @@
 {
     for (auto& [name, cell] : cells_)
     {
-        for (auto const& job : cell->take_faulty())
+        for (auto const& job : cell->take_faulty_jobs())
         {
             auto to_desk = make_request_context(now, out);
             job_request_handler_.publish_stop(to_desk, job);
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -146,7 +146,7 @@
     member_.begin_leaving(now, out);
     for (auto& [name, cell] : cells_)
     {
-        cell->hold();
+        cell->begin_handover();
         releasing_.insert(name);
     }
 }
--- a/tests/session/planner_settings_test.cpp
+++ b/tests/session/planner_settings_test.cpp
@@ -45,7 +45,8 @@
     ASSERT_TRUE(whole) << to_string(reason);
     EXPECT_EQ(plain->planner.cell.lease_duration,
               whole->planner.cell.lease_duration);
-    EXPECT_EQ(plain->planner.cell.ramp_time, whole->planner.cell.ramp_time);
+    EXPECT_EQ(plain->planner.cell.ramp_up_duration,
+              whole->planner.cell.ramp_up_duration);
     EXPECT_EQ(plain->planner.cell.policy.index(),
               whole->planner.cell.policy.index());
     EXPECT_EQ(plain->planner.workers.report_lag,
