--- a/src/core/tasks/cell_inbox.cpp
+++ b/src/core/tasks/cell_inbox.cpp
@@ -18,7 +18,7 @@
         auto name = item.message.name;
         inbox_messages_.emplace(std::move(name), std::move(item));
     }
-    if (!attempts_restored_ || log_.lost())
+    if (!attempts_restored_ || log_.ownership_lost())
     {
         return;
     }
--- a/src/core/tasks/cell_log.cpp
+++ b/src/core/tasks/cell_log.cpp
@@ -123,12 +123,12 @@
 
 bool cell_log::commit_due(common::time_point now) const noexcept
 {
-    if (waiting_.empty() || !waiting_since_)
+    if (pending_changes_.empty() || !pending_since_)
     {
         return false;
     }
-    return urgent_ || waiting_.size() >= settings_.max_changes ||
-           now - *waiting_since_ >= settings_.commit_interval;
+    return urgent_ || pending_changes_.size() >= settings_.max_changes ||
+           now - *pending_since_ >= settings_.commit_interval;
 }
 
 void cell_log::tick(common::time_point now,
@@ -165,7 +165,7 @@
         !next_snapshot_.empty() &&
         stored_.state.last_record >= next_snapshot_record_ &&
         snapshot_call_ == 0;
-    bool const may_snapshot = active() || step_ == step::making_room;
+    bool const may_snapshot = active() || step_ == step::compacting;
     if (may_snapshot && snapshot_ready &&
         (!snapshot_retry_at_ || now >= *snapshot_retry_at_) &&
         calls.may_write(now))
@@ -180,19 +180,20 @@
     record_.number = stored_.state.last_record + 1;
     record_.epoch = epoch_;
     record_.writer = writer_ + std::to_string(++writes_);
-    auto const count = std::min(waiting_.size(), settings_.max_changes);
-    auto const last = waiting_.begin() + static_cast<std::ptrdiff_t>(count);
-    record_.changes.assign(waiting_.begin(), last);
-    waiting_.erase(waiting_.begin(), last);
+    auto const count = std::min(pending_changes_.size(), settings_.max_changes);
+    auto const last =
+        pending_changes_.begin() + static_cast<std::ptrdiff_t>(count);
+    record_.changes.assign(pending_changes_.begin(), last);
+    pending_changes_.erase(pending_changes_.begin(), last);
     value_ = to_json(record_);
-    if (waiting_.empty())
+    if (pending_changes_.empty())
     {
-        waiting_since_.reset();
+        pending_since_.reset();
         urgent_ = false;
         // Only now does the state hold the changes up to this record and no
         // others, so a snapshot of it is one of exactly this record.
-        auto const every =
-            std::min<std::uint64_t>(settings_.snapshot_every, log_slots / 2);
+        auto const every = std::min<std::uint64_t>(
+            settings_.records_per_snapshot, log_slots / 2);
         bool const due = record_.number >= stored_.snapshot_record + every;
         if (due && next_snapshot_.empty())
         {
@@ -227,17 +228,19 @@
         call_owner::snapshot, cell_, snapshot_checking_ ? read : write, out);
 }
 
-bool cell_log::change(common::time_point now, tasks::change what, bool urgent)
+bool cell_log::submit_change(common::time_point now,
+                             tasks::change what,
+                             bool urgent)
 {
     if (!active() || !apply_change(stored_.state, what))
     {
         return false;
     }
-    waiting_.push_back(std::move(what));
+    pending_changes_.push_back(std::move(what));
     urgent_ = urgent_ || urgent;
-    if (!waiting_since_)
+    if (!pending_since_)
     {
-        waiting_since_ = now;
+        pending_since_ = now;
     }
     return true;
 }
@@ -249,24 +252,24 @@
 
 bool cell_log::active() const noexcept
 {
-    return taken_over_ && step_ != step::lost;
+    return taken_over_ && step_ != step::ownership_lost;
 }
 
-bool cell_log::lost() const noexcept
+bool cell_log::ownership_lost() const noexcept
 {
-    return step_ == step::lost;
+    return step_ == step::ownership_lost;
 }
 
 bool cell_log::idle() const noexcept
 {
-    return waiting_.empty() && step_ != step::appending &&
+    return pending_changes_.empty() && step_ != step::appending &&
            step_ != step::checking && step_ != step::reading &&
            snapshot_call_ == 0;
 }
 
-std::size_t cell_log::waiting() const noexcept
+std::size_t cell_log::pending_changes() const noexcept
 {
-    return waiting_.size();
+    return pending_changes_.size();
 }
 
 cell_state const& cell_log::state() const noexcept
--- a/src/core/tasks/cell_log.hpp
+++ b/src/core/tasks/cell_log.hpp
@@ -21,7 +21,7 @@
     /// Pause before an unanswered call is made again.
     common::duration retry_interval = std::chrono::milliseconds(200);
     /// A snapshot is due after this many records.
-    std::uint32_t snapshot_every = 24;
+    std::uint32_t records_per_snapshot = 24;
     /// Changes in one record at most; some 300 KB.
     std::size_t max_changes = 512;
 };
@@ -74,7 +74,7 @@
     /// Applies the change to `state` at once and queues it for the store. The
     /// world must not be told before `take_committed` has it. False: it does
     /// not fit the state, and nothing happened.
-    bool change(common::time_point now, tasks::change what, bool urgent);
+    bool submit_change(common::time_point now, tasks::change what, bool urgent);
 
     /// Changes that the store holds for certain, since the last call.
     std::vector<tasks::change> take_committed();
@@ -82,11 +82,11 @@
     /// Taken over: `state` may be acted on.
     bool active() const noexcept;
     /// Another owner's record was found; this object is of no more use.
-    bool lost() const noexcept;
+    bool ownership_lost() const noexcept;
     /// Nothing waits and nothing is in flight.
     bool idle() const noexcept;
     /// Changes that wait; the caller stops making more at a bound of its own.
-    std::size_t waiting() const noexcept;
+    std::size_t pending_changes() const noexcept;
     cell_state const& state() const noexcept;
     common::failure const& last_failure() const noexcept;
 
@@ -94,11 +94,11 @@
     enum class step : std::uint8_t
     {
         reading,
-        making_room, ///< A snapshot comes before the takeover's record.
+        compacting, ///< A snapshot comes before the takeover's record.
         ready,
         appending,
         checking, ///< Reads back a slot that answered "conflict".
-        lost,
+        ownership_lost,
     };
 
     // cell_log.cpp: what is written, and when.
@@ -121,15 +121,15 @@
                     ports::store_reply const& reply,
                     store_calls& calls,
                     ports::actions& out);
-    void settle(std::uint64_t version);
-    void fail_over(store_calls& calls, ports::actions& out);
+    void complete_append(std::uint64_t version);
+    void on_slot_conflict(store_calls& calls, ports::actions& out);
     void on_snapshot(common::time_point now,
                      ports::store_reply const& reply,
                      store_calls& calls,
                      ports::actions& out);
-    void snapshot_stands(std::uint64_t version,
-                         store_calls& calls,
-                         ports::actions& out);
+    void on_snapshot_stored(std::uint64_t version,
+                            store_calls& calls,
+                            ports::actions& out);
 
     std::string cell_;
     std::string writer_;
@@ -141,8 +141,8 @@
     std::uint64_t writes_ = 0;
     std::uint64_t call_ = 0;
     std::optional<common::time_point> retry_at_;
-    std::deque<tasks::change> waiting_;
-    std::optional<common::time_point> waiting_since_;
+    std::deque<tasks::change> pending_changes_;
+    std::optional<common::time_point> pending_since_;
     bool urgent_ = false;
     log_record record_; ///< In flight.
     std::string value_; ///< Its bytes: a repeated append is the same write.
--- a/src/core/tasks/cell_log_replies.cpp
+++ b/src/core/tasks/cell_log_replies.cpp
@@ -34,9 +34,9 @@
     case step::checking:
         on_checked(now, reply, calls, out);
         break;
-    case step::making_room:
+    case step::compacting:
     case step::ready:
-    case step::lost:
+    case step::ownership_lost:
         break;
     }
 }
@@ -60,19 +60,19 @@
     }
     if (stored->state.epoch > epoch_)
     {
-        step_ = step::lost;
+        step_ = step::ownership_lost;
         return;
     }
     stored_ = std::move(*stored);
-    waiting_.clear();
-    waiting_since_.reset();
+    pending_changes_.clear();
+    pending_since_.reset();
     next_snapshot_.clear();
     snapshot_checking_ = false;
     if (stored_.state.last_record + 1 >= stored_.snapshot_record + log_slots)
     {
         // The takeover's record would overwrite one that no snapshot holds:
         // owners that die before their first snapshot bring this about.
-        step_ = step::making_room;
+        step_ = step::compacting;
         stored_.state.epoch = epoch_;
         next_snapshot_ = to_json(stored_.state);
         next_snapshot_record_ = stored_.state.last_record;
@@ -89,7 +89,7 @@
     switch (reply.status)
     {
     case ports::store_status::done:
-        settle(reply.index);
+        complete_append(reply.index);
         break;
     case ports::store_status::conflict:
         // Either another owner took the slot, or an earlier send of this very
@@ -125,7 +125,7 @@
         auto const stored = parse_log_record(entry.value, reason);
         if (stored && stored->writer == record_.writer)
         {
-            settle(entry.version);
+            complete_append(entry.version);
             return;
         }
         if (entry.version == stored_.versions[record_.number % log_slots])
@@ -135,22 +135,22 @@
             return;
         }
     }
-    fail_over(calls, out);
+    on_slot_conflict(calls, out);
 }
 
 // The slot holds another's record. While taking over that may be the last
 // append of the old owner: read again. Afterwards it is a newer owner's.
-void cell_log::fail_over(store_calls& calls, ports::actions& out)
+void cell_log::on_slot_conflict(store_calls& calls, ports::actions& out)
 {
     if (taken_over_)
     {
-        step_ = step::lost;
+        step_ = step::ownership_lost;
         return;
     }
     read(calls, out);
 }
 
-void cell_log::settle(std::uint64_t version)
+void cell_log::complete_append(std::uint64_t version)
 {
     stored_.versions[record_.number % log_slots] = version;
     stored_.state.last_record = record_.number;
@@ -182,7 +182,7 @@
     }
     if (!snapshot_checking_)
     {
-        snapshot_stands(reply.index, calls, out);
+        on_snapshot_stored(reply.index, calls, out);
         return;
     }
     snapshot_checking_ = false;
@@ -197,24 +197,24 @@
     }
     if (stored->epoch > epoch_)
     {
-        step_ = step::lost;
+        step_ = step::ownership_lost;
         return;
     }
     stored_.snapshot_version = reply.entries.front().version;
     if (stored->epoch == epoch_ && stored->last_record == next_snapshot_record_)
     {
-        snapshot_stands(stored_.snapshot_version, calls, out);
+        on_snapshot_stored(stored_.snapshot_version, calls, out);
     }
 }
 
-void cell_log::snapshot_stands(std::uint64_t version,
-                               store_calls& calls,
-                               ports::actions& out)
+void cell_log::on_snapshot_stored(std::uint64_t version,
+                                  store_calls& calls,
+                                  ports::actions& out)
 {
     stored_.snapshot_version = version;
     stored_.snapshot_record = next_snapshot_record_;
     next_snapshot_.clear();
-    if (step_ == step::making_room)
+    if (step_ == step::compacting)
     {
         begin_append(calls, out);
     }
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -44,7 +44,7 @@
 void cell_runner::move_tasks(cell_context& with)
 {
     if (with.now < next_move_ || with.workers.all().empty() ||
-        log_.waiting() >= max_waiting_changes)
+        log_.pending_changes() >= max_waiting_changes)
     {
         return;
     }
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -238,8 +238,8 @@
     for (auto const& task : queue_)
     {
         if (starts >= with.settings.max_starts_per_tick ||
-            misses >= max_misses || log_.waiting() >= max_waiting_changes ||
-            !ramp_allows(with))
+            misses >= max_misses ||
+            log_.pending_changes() >= max_waiting_changes || !ramp_allows(with))
         {
             return;
         }
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -28,7 +28,7 @@
 void cell_runner::on_report(cell_context& with,
                             ports::worker_report const& report)
 {
-    if (!attempts_restored_ || log_.lost())
+    if (!attempts_restored_ || log_.ownership_lost())
     {
         return;
     }
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -39,7 +39,7 @@
 
 bool cell_runner::commit(cell_context& with, change what, bool urgent)
 {
-    bool const fits = log_.change(with.now, std::move(what), urgent);
+    bool const fits = log_.submit_change(with.now, std::move(what), urgent);
     queue_dirty_ = queue_dirty_ || fits;
     return fits;
 }
@@ -50,7 +50,7 @@
     {
         restore_attempts(with);
     }
-    if (attempts_restored_ && !log_.lost())
+    if (attempts_restored_ && !log_.ownership_lost())
     {
         process_commits(with);
         advance_attempts(with);
@@ -167,7 +167,7 @@
                            common::result_code code,
                            std::string const& why)
 {
-    if (!attempts_restored_ || log_.lost())
+    if (!attempts_restored_ || log_.ownership_lost())
     {
         return;
     }
@@ -290,12 +290,12 @@
 
 bool cell_runner::active() const noexcept
 {
-    return attempts_restored_ && !log_.lost();
+    return attempts_restored_ && !log_.ownership_lost();
 }
 
 bool cell_runner::ownership_lost() const noexcept
 {
-    return log_.lost();
+    return log_.ownership_lost();
 }
 
 std::uint64_t cell_runner::epoch() const noexcept
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -173,7 +173,8 @@
         std::mt19937_64 random(seed);
         log_bench bench;
         cell_log_settings settings;
-        settings.snapshot_every = static_cast<std::uint32_t>(1 + random() % 30);
+        settings.records_per_snapshot =
+            static_cast<std::uint32_t>(1 + random() % 30);
         cell_log log("cell", 7, 1, settings);
         bench.start(log);
         ASSERT_TRUE(log.active());
@@ -181,7 +182,7 @@
         {
             for (auto count = random() % 6; count > 0; --count)
             {
-                log.change(
+                log.submit_change(
                     bench.now, random_change(random, log.state()), false);
             }
             bench.settle(log);
@@ -201,16 +202,17 @@
     cell_log second("cell", 8, 2, {});
     bench.start(second);
     ASSERT_TRUE(second.active());
-    first.change(bench.now,
-                 message_accepted{make_submission_message(sample_job("late"))},
-                 true);
+    first.submit_change(
+        bench.now,
+        message_accepted{make_submission_message(sample_job("late"))},
+        true);
     bench.settle(first);
-    EXPECT_TRUE(first.lost());
+    EXPECT_TRUE(first.ownership_lost());
     EXPECT_TRUE(first.take_committed().empty());
     EXPECT_TRUE(bench.replayed("cell").jobs.empty());
     cell_log older("cell", 9, 1, {});
     bench.start(older);
-    EXPECT_TRUE(older.lost());
+    EXPECT_TRUE(older.ownership_lost());
 }
 
 // Owners that die before their first snapshot leave only records of their
@@ -219,16 +221,16 @@
 {
     log_bench bench;
     cell_log_settings settings;
-    settings.snapshot_every = 1000;
+    settings.records_per_snapshot = 1000;
     for (std::uint64_t epoch = 1; epoch <= 3 * log_slots; ++epoch)
     {
         cell_log log("cell", epoch, epoch, settings);
         bench.start(log);
         ASSERT_TRUE(log.active()) << epoch;
-        log.change(bench.now,
-                   message_accepted{make_submission_message(
-                       sample_job("j" + std::to_string(epoch), 1))},
-                   true);
+        log.submit_change(bench.now,
+                          message_accepted{make_submission_message(
+                              sample_job("j" + std::to_string(epoch), 1))},
+                          true);
         bench.settle(log);
         ASSERT_EQ(bench.replayed("cell").jobs.size(), epoch);
     }
--- a/tests/unit/tasks/planner_walk_test.cpp
+++ b/tests/unit/tasks/planner_walk_test.cpp
@@ -57,7 +57,7 @@
         out.seed = seed;
         out.racks = 3;
         out.workers_per_rack = 2;
-        out.settings.cell.log.snapshot_every = 5;
+        out.settings.cell.log.records_per_snapshot = 5;
         return out;
     }
 
