--- a/src/core/tasks/job_registration.cpp
+++ b/src/core/tasks/job_registration.cpp
@@ -9,21 +9,21 @@
 
 namespace json = boost::json;
 
-std::string registry_key(std::string const& job)
+std::string job_registration_key(std::string const& job)
 {
     return "jobs/" + job;
 }
 
-std::string to_json(registration const& value)
+std::string to_json(job_registration const& value)
 {
     return json::serialize(
         json::object{{"w", value.writer},
                      {"cell", value.cell},
-                     {"job", json::parse(to_json(value.what))}});
+                     {"job", json::parse(to_json(value.definition))}});
 }
 
-std::optional<registration> parse_registration(std::string_view text,
-                                               common::failure& reason)
+std::optional<job_registration> parse_registration(std::string_view text,
+                                                   common::failure& reason)
 {
     auto const object = common::parse_json_object(text, "jobs", reason);
     if (!object)
@@ -31,7 +31,7 @@
         return std::nullopt;
     }
     common::json_reader reader(*object, "jobs");
-    registration out;
+    job_registration out;
     out.writer = reader.text("w");
     out.cell = reader.text("cell");
     auto const* inner = reader.object("job");
@@ -50,7 +50,7 @@
     {
         return std::nullopt;
     }
-    out.what = std::move(*what);
+    out.definition = std::move(*what);
     return out;
 }
 
--- a/src/core/tasks/job_registration.hpp
+++ b/src/core/tasks/job_registration.hpp
@@ -10,18 +10,18 @@
 namespace fuchsia::core::tasks
 {
 
-std::string registry_key(std::string const& job);
+std::string job_registration_key(std::string const& job);
 
 /// The value of `jobs/<id>`.
-struct registration
+struct job_registration
 {
     std::string writer;
     std::string cell;
-    job what;
+    job definition;
 };
 
-std::string to_json(registration const& value);
-std::optional<registration> parse_registration(std::string_view text,
-                                               common::failure& reason);
+std::string to_json(job_registration const& value);
+std::optional<job_registration> parse_registration(std::string_view text,
+                                                   common::failure& reason);
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/registry_sweep.cpp
+++ b/src/core/tasks/job_registry_sweep.cpp
@@ -1,4 +1,4 @@
-#include "core/tasks/registry_sweep.hpp"
+#include "core/tasks/job_registry_sweep.hpp"
 
 #include "core/tasks/job_view.hpp"
 
@@ -15,14 +15,15 @@
 
 } // namespace
 
-registry_sweep::registry_sweep(sweep_settings settings) : settings_(settings)
+job_registry_sweep::job_registry_sweep(job_registry_sweep_settings settings)
+    : settings_(settings)
 {
 }
 
-void registry_sweep::tick(common::time_point now,
-                          bool ours,
-                          store_calls& calls,
-                          ports::actions& out)
+void job_registry_sweep::tick(common::time_point now,
+                              bool ours,
+                              store_calls& calls,
+                              ports::actions& out)
 {
     if (!std::exchange(began_, true))
     {
@@ -75,8 +76,8 @@
     }
 }
 
-void registry_sweep::on_store_reply(call_tag const& tag,
-                                    ports::store_reply const& reply)
+void job_registry_sweep::on_store_reply(call_tag const& tag,
+                                        ports::store_reply const& reply)
 {
     if (tag.number != call_)
     {
@@ -121,7 +122,7 @@
     }
 }
 
-void registry_sweep::compare(std::vector<ports::store_entry> const& cells)
+void job_registry_sweep::compare(std::vector<ports::store_entry> const& cells)
 {
     for (auto const& [id, view] : build_job_views({}, cells, {}))
     {
@@ -138,7 +139,7 @@
         unknown_[id] = version;
         auto const last = before.find(id);
         if (last != before.end() && last->second == version &&
-            erasable_.size() < settings_.max_erased)
+            erasable_.size() < settings_.max_erasures)
         {
             erasable_.emplace_back(id, version);
         }
--- a/src/core/tasks/registry_sweep.hpp
+++ b/src/core/tasks/job_registry_sweep.hpp
@@ -12,11 +12,11 @@
 namespace fuchsia::core::tasks
 {
 
-struct sweep_settings
+struct job_registry_sweep_settings
 {
     common::duration interval = std::chrono::minutes(10);
     /// Erasures in one sweep at most.
-    std::size_t max_erased = 500;
+    std::size_t max_erasures = 500;
 };
 
 /// Erases `jobs/<id>` of jobs that no cell and no inbox knows any more. Parts
@@ -25,10 +25,10 @@
 /// A job that is on its way from one cell to another, or that was registered
 /// and not yet delivered, may be missing from one look: a key is erased only
 /// where two sweeps in a row, at the same version, found it unknown.
-class registry_sweep
+class job_registry_sweep
 {
 public:
-    explicit registry_sweep(sweep_settings settings);
+    explicit job_registry_sweep(job_registry_sweep_settings settings);
 
     /// `ours`: whether this planner is the one that sweeps.
     void tick(common::time_point now,
@@ -49,7 +49,7 @@
 
     void compare(std::vector<ports::store_entry> const& cells);
 
-    sweep_settings settings_;
+    job_registry_sweep_settings settings_;
     step step_ = step::resting;
     common::time_point next_{};
     bool began_ = false;
--- a/src/core/tasks/job_request_handler.cpp
+++ b/src/core/tasks/job_request_handler.cpp
@@ -246,12 +246,12 @@
     {
     case step::registering:
         operation = ports::store_write{
-            registry_key(of.id),
-            to_json(registration{of.writer, of.cell, of.submitted}),
+            job_registration_key(of.id),
+            to_json(job_registration{of.writer, of.cell, of.submitted}),
             0};
         break;
     case step::reading_job:
-        operation = ports::store_read{registry_key(of.id)};
+        operation = ports::store_read{job_registration_key(of.id)};
         break;
     case step::listing_inbox:
         operation = ports::store_list{"inbox/"};
--- a/src/core/tasks/job_request_replies.cpp
+++ b/src/core/tasks/job_request_replies.cpp
@@ -111,7 +111,7 @@
     }
     common::failure reason;
     auto const found = parse_registration(reply.entries.front().value, reason);
-    if (!found || found->what != of.submitted)
+    if (!found || found->definition != of.submitted)
     {
         with.out.emplace_back(refuse(of.caller,
                                      {result_code::already_exists,
--- a/src/core/tasks/planner_cells.cpp
+++ b/src/core/tasks/planner_cells.cpp
@@ -8,9 +8,9 @@
 namespace fuchsia::core::tasks
 {
 
-cell_context planner_engine::context(common::time_point now,
-                                     std::string const& cell,
-                                     ports::actions& out)
+cell_context planner_engine::make_cell_context(common::time_point now,
+                                               std::string const& cell,
+                                               ports::actions& out)
 {
     bool const may_act = claims_.owns(now, cell, member_);
     return {now,
@@ -23,16 +23,16 @@
             loads_,
             calls_,
             worker_calls_,
-            learned_,
+            interference_estimates_,
             counters_,
             out};
 }
 
-void planner_engine::touch_all()
+void planner_engine::mark_all_cells_dirty()
 {
     for (auto const& [name, cell] : cells_)
     {
-        touched_.insert(name);
+        dirty_cells_.insert(name);
     }
 }
 
@@ -40,7 +40,7 @@
 // short, the same cells would else go without each time.
 void planner_engine::tick_cells(common::time_point now, ports::actions& out)
 {
-    auto const touched = std::exchange(touched_, {});
+    auto const touched = std::exchange(dirty_cells_, {});
     std::vector<std::string> order(touched.begin(), touched.end());
     if (order.empty())
     {
@@ -57,7 +57,7 @@
         }
         auto& cell = *found->second;
         bool const was_active = cell.active();
-        auto with = context(now, name, out);
+        auto with = make_cell_context(now, name, out);
         cell.tick(with);
         if (cell.active() && !was_active)
         {
@@ -66,7 +66,7 @@
     }
 }
 
-void planner_engine::take_claims(common::time_point now, ports::actions& out)
+void planner_engine::apply_claims(common::time_point now, ports::actions& out)
 {
     for (auto const& change : claims_.take_changes())
     {
@@ -80,7 +80,7 @@
             releasing_.insert(cell);
             break;
         case claims::claim_change_kind::lost:
-            drop_cell(cell);
+            remove_cell(cell);
             break;
         case claims::claim_change_kind::owner_changed:
             break;
@@ -92,17 +92,17 @@
                               claims::claim const& claim,
                               ports::actions& out)
 {
-    drop_cell(claim.partition);
+    remove_cell(claim.partition);
     auto& cell = cells_[claim.partition];
     cell = std::make_unique<cell_runner>(claim.partition,
                                          member_.self().id.incarnation,
                                          claim.epoch,
                                          settings_.cell.log);
-    auto with = context(now, claim.partition, out);
+    auto with = make_cell_context(now, claim.partition, out);
     cell->start(with);
 }
 
-void planner_engine::drop_cell(std::string const& cell)
+void planner_engine::remove_cell(std::string const& cell)
 {
     cells_.erase(cell);
     releasing_.erase(cell);
@@ -135,7 +135,7 @@
     }
     for (auto const& name : released)
     {
-        drop_cell(name);
+        remove_cell(name);
     }
 }
 
@@ -143,7 +143,7 @@
                                    cell_runner& to,
                                    ports::actions& out)
 {
-    auto with = context(now, to.name(), out);
+    auto with = make_cell_context(now, to.name(), out);
     to.on_inbox(with, inbox_.items_of(to.name()));
     for (auto const& notice : inbox_.notices())
     {
@@ -151,7 +151,8 @@
     }
 }
 
-void planner_engine::post_faulty(common::time_point now, ports::actions& out)
+void planner_engine::publish_faulty_jobs(common::time_point now,
+                                         ports::actions& out)
 {
     for (auto& [name, cell] : cells_)
     {
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -24,7 +24,7 @@
       loads_(self.id.name, seed ^ self.id.incarnation, settings_.loads),
       inbox_(settings_.inboxes),
       job_request_handler_(self.id.incarnation, settings_.job_requests),
-      sweep_(settings_.sweep), learned_(settings_.interference)
+      sweep_(settings_.sweep), interference_estimates_(settings_.interference)
 {
 }
 
@@ -63,17 +63,17 @@
     if (now >= next_round_)
     {
         next_round_ = now + round_interval;
-        touch_all();
+        mark_all_cells_dirty();
     }
-    pump(now, out);
+    process_events(now, out);
 }
 
 // All that follows from what is known now. Called after every event, so that
 // a job that came in is committed and started without waiting for a tick.
-void planner_engine::pump(common::time_point now, ports::actions& out)
+void planner_engine::process_events(common::time_point now, ports::actions& out)
 {
-    follow_config(out);
-    take_claims(now, out);
+    apply_config(out);
+    apply_claims(now, out);
     if (workers_known_)
     {
         inbox_.tick(now, calls_, out);
@@ -83,17 +83,17 @@
     job_request_handler_.tick(to_desk);
     tick_cells(now, out);
     quotas_.tick(now, follower_.current().contracts, calls_, out);
-    post_faulty(now, out);
-    erase_notices(now, out);
+    publish_faulty_jobs(now, out);
+    erase_stop_notices(now, out);
     if (member_.may_act(now))
     {
         sweep_.tick(now, is_chosen_for("sweep"), calls_, out);
     }
     hand_over(now, out);
-    follow_stop(now, out);
+    advance_stop(now, out);
 }
 
-void planner_engine::follow_config(ports::actions&)
+void planner_engine::apply_config(ports::actions&)
 {
     auto const revision = follower_.current().revision;
     if (revision == known_revision_)
@@ -103,7 +103,7 @@
     known_revision_ = revision;
     member_.set_config_revision(revision);
     quotas_.refresh();
-    touch_all();
+    mark_all_cells_dirty();
 }
 
 bool planner_engine::is_chosen_for(std::string const& key) const
@@ -118,20 +118,22 @@
 }
 
 // One planner, found by hashing, erases a notice that stood long enough.
-void planner_engine::erase_notices(common::time_point now, ports::actions& out)
+void planner_engine::erase_stop_notices(common::time_point now,
+                                        ports::actions& out)
 {
     auto const due =
-        notice_call_ == 0 ? inbox_.expired_notice(now) : std::nullopt;
+        stop_notice_call_ == 0 ? inbox_.expired_notice(now) : std::nullopt;
     if (!due)
     {
         return;
     }
     if (is_chosen_for(due->key) && calls_.may_write(now))
     {
-        notice_call_ = calls_.send(call_owner::sweep,
-                                   due->job,
-                                   ports::store_erase{due->key, due->version},
-                                   out);
+        stop_notice_call_ =
+            calls_.send(call_owner::sweep,
+                        due->job,
+                        ports::store_erase{due->key, due->version},
+                        out);
     }
 }
 
@@ -151,21 +153,21 @@
     }
 }
 
-void planner_engine::follow_stop(common::time_point now, ports::actions& out)
+void planner_engine::advance_stop(common::time_point now, ports::actions& out)
 {
-    if (!stop_since_ || stop_told_)
+    if (!stop_since_ || stop_reported_)
     {
         return;
     }
-    if (!removing_ && cells_.empty() && claims_.held_count(member_) == 0)
+    if (!removing_record_ && cells_.empty() && claims_.held_count(member_) == 0)
     {
-        removing_ = true;
+        removing_record_ = true;
         member_.remove(now, out);
     }
-    bool const late = now - *stop_since_ >= settings_.stop_limit;
-    if ((removing_ && member_.is_removed()) || late)
+    bool const late = now - *stop_since_ >= settings_.stop_timeout;
+    if ((removing_record_ && member_.is_removed()) || late)
     {
-        stop_told_ = true;
+        stop_reported_ = true;
         out.emplace_back(ports::stop_complete{});
     }
 }
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -5,8 +5,8 @@
 #include "core/membership/member.hpp"
 #include "core/tasks/cell_runner.hpp"
 #include "core/tasks/inbox.hpp"
+#include "core/tasks/job_registry_sweep.hpp"
 #include "core/tasks/job_request_handler.hpp"
-#include "core/tasks/registry_sweep.hpp"
 
 #include <cstdint>
 #include <map>
@@ -29,12 +29,12 @@
     load_table_settings loads;
     inbox_settings inboxes;
     job_request_handler_settings job_requests;
-    sweep_settings sweep;
+    job_registry_sweep_settings sweep;
     cell_settings cell;
     placement::interference_settings interference;
     /// A planned stop that the store keeps from ending is given up after
     /// this; the others then bury this member.
-    common::duration stop_limit = std::chrono::seconds(20);
+    common::duration stop_timeout = std::chrono::seconds(20);
 };
 
 /// A planner without its protocols: membership, claims on cells, the
@@ -100,28 +100,28 @@
     job_request_context make_request_context(common::time_point now,
                                              ports::actions& out);
     bool config_fresh(common::time_point now) const noexcept;
-    void pump(common::time_point now, ports::actions& out);
-    void follow_stop(common::time_point now, ports::actions& out);
-    void follow_config(ports::actions& out);
-    void erase_notices(common::time_point now, ports::actions& out);
+    void process_events(common::time_point now, ports::actions& out);
+    void advance_stop(common::time_point now, ports::actions& out);
+    void apply_config(ports::actions& out);
+    void erase_stop_notices(common::time_point now, ports::actions& out);
     /// Whether hashing gives this member what one of them does for all.
     bool is_chosen_for(std::string const& key) const;
 
     // planner_cells.cpp: the cells that it owns.
-    cell_context context(common::time_point now,
-                         std::string const& cell,
-                         ports::actions& out);
+    cell_context make_cell_context(common::time_point now,
+                                   std::string const& cell,
+                                   ports::actions& out);
     void tick_cells(common::time_point now, ports::actions& out);
-    void touch_all();
-    void take_claims(common::time_point now, ports::actions& out);
+    void mark_all_cells_dirty();
+    void apply_claims(common::time_point now, ports::actions& out);
     void add_cell(common::time_point now,
                   claims::claim const& claim,
                   ports::actions& out);
-    void drop_cell(std::string const& cell);
+    void remove_cell(std::string const& cell);
     void hand_over(common::time_point now, ports::actions& out);
     void
     deliver_inbox(common::time_point now, cell_runner& to, ports::actions& out);
-    void post_faulty(common::time_point now, ports::actions& out);
+    void publish_faulty_jobs(common::time_point now, ports::actions& out);
     void set_partitions();
 
     planner_settings settings_;
@@ -135,21 +135,21 @@
     load_table loads_;
     inbox inbox_;
     job_request_handler job_request_handler_;
-    registry_sweep sweep_;
-    placement::interference_model learned_;
+    job_registry_sweep sweep_;
+    placement::interference_model interference_estimates_;
     task_counters counters_;
     std::map<std::string, std::unique_ptr<cell_runner>> cells_;
     std::set<std::string> releasing_; ///< Asked to hand over, not yet idle.
     /// Cells that an event concerned; the others wait for the next round.
-    std::set<std::string> touched_;
+    std::set<std::string> dirty_cells_;
     common::time_point next_round_{};
     std::uint64_t rounds_ = 0;
     std::uint64_t known_revision_ = 0;
-    std::uint64_t notice_call_ = 0;
+    std::uint64_t stop_notice_call_ = 0;
     bool workers_known_ = false;
     std::optional<common::time_point> stop_since_;
-    bool removing_ = false;
-    bool stop_told_ = false;
+    bool removing_record_ = false;
+    bool stop_reported_ = false;
 };
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/planner_events.cpp
+++ b/src/core/tasks/planner_events.cpp
@@ -52,7 +52,7 @@
                          : std::nullopt;
     if (!tag)
     {
-        pump(now, out);
+        process_events(now, out);
         return true;
     }
     auto to_desk = make_request_context(now, out);
@@ -65,9 +65,9 @@
     case call_owner::erase:
         if (cell != cells_.end())
         {
-            auto with = context(now, tag->name, out);
+            auto with = make_cell_context(now, tag->name, out);
             cell->second->on_store_reply(with, *tag, reply);
-            touched_.insert(tag->name);
+            dirty_cells_.insert(tag->name);
         }
         break;
     case call_owner::inbox:
@@ -77,7 +77,7 @@
             {
                 deliver_inbox(now, *each, out);
             }
-            touch_all();
+            mark_all_cells_dirty();
         }
         break;
     case call_owner::job_requests:
@@ -85,20 +85,20 @@
         break;
     case call_owner::quota:
         quotas_.on_store_reply(now, *tag, reply);
-        touch_all();
+        mark_all_cells_dirty();
         break;
     case call_owner::load:
         loads_.on_store_reply(now, *tag, reply);
         break;
     case call_owner::sweep:
-        if (tag->number == notice_call_)
+        if (tag->number == stop_notice_call_)
         {
-            notice_call_ = 0;
+            stop_notice_call_ = 0;
         }
         sweep_.on_store_reply(*tag, reply);
         break;
     }
-    pump(now, out);
+    process_events(now, out);
     return true;
 }
 
@@ -118,7 +118,7 @@
         follower_.on_peer(now, message, where, out);
     }
     member_.on_peer(now, message, out);
-    pump(now, out);
+    process_events(now, out);
 }
 
 void planner_engine::on_instances(common::time_point now,
@@ -126,7 +126,7 @@
                                   ports::actions& out)
 {
     member_.on_instances(now, list, out);
-    pump(now, out);
+    process_events(now, out);
 }
 
 void planner_engine::on_workers(common::time_point now,
@@ -136,7 +136,7 @@
     workers_.on_list(list);
     workers_known_ = true;
     set_partitions();
-    pump(now, out);
+    process_events(now, out);
 }
 
 void planner_engine::on_worker_report(common::time_point now,
@@ -151,7 +151,7 @@
     auto const cell = cells_.find(view->info.rack);
     if (cell != cells_.end())
     {
-        auto with = context(now, cell->first, out);
+        auto with = make_cell_context(now, cell->first, out);
         cell->second->on_report(with, report);
     }
 }
@@ -168,7 +168,7 @@
     auto const cell = cells_.find(tag->cell);
     if (cell != cells_.end())
     {
-        auto with = context(now, tag->cell, out);
+        auto with = make_cell_context(now, tag->cell, out);
         cell->second->on_worker_reply(with, *tag, reply);
     }
 }
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -289,7 +289,7 @@
 TEST(record_parsers, jobs_of_planners)
 {
     expect_sound({task_job_sample()}, round_trip(core::tasks::parse_job));
-    expect_sound({to_json(core::tasks::registration{"w", "a", task_job()})},
+    expect_sound({to_json(core::tasks::job_registration{"w", "a", task_job()})},
                  round_trip(core::tasks::parse_registration));
 }
 
