--- a/standins/common/web.cpp
+++ b/standins/common/web.cpp
@@ -145,7 +145,7 @@
         status, boost::json::serialize(boost::json::object{{"why", why}}));
 }
 
-adapters::http::response books_answer(std::vector<book_row> const& rows)
+adapters::http::response counters_response(std::vector<counter_row> const& rows)
 {
     boost::json::object books;
     for (auto const& row : rows)
--- a/standins/common/web.hpp
+++ b/standins/common/web.hpp
@@ -39,13 +39,14 @@
 adapters::http::response refusal(std::uint16_t status, std::string_view why);
 
 /// One row of a stand-in's books.
-struct book_row
+struct counter_row
 {
     std::string_view name;
     std::uint64_t count = 0;
 };
 
 /// The answer to GET /control/counts.
-adapters::http::response books_answer(std::vector<book_row> const& rows);
+adapters::http::response
+counters_response(std::vector<counter_row> const& rows);
 
 } // namespace fuchsia::standins
--- a/standins/links/link_server.cpp
+++ b/standins/links/link_server.cpp
@@ -129,19 +129,19 @@
 
 link_server::response link_server::books() const
 {
-    link_books sum;
+    link_counters sum;
     for (auto const& each : relays_)
     {
-        auto const& books = each->books();
+        auto const& books = each->counters();
         sum.connections += books.connections;
         sum.bytes += books.bytes;
         sum.resets += books.resets;
         sum.refused += books.refused;
     }
-    return books_answer({{"connections", sum.connections},
-                         {"bytes", sum.bytes},
-                         {"resets", sum.resets},
-                         {"refused", sum.refused}});
+    return counters_response({{"connections", sum.connections},
+                              {"bytes", sum.bytes},
+                              {"resets", sum.resets},
+                              {"refused", sum.refused}});
 }
 
 } // namespace fuchsia::standins::links
--- a/standins/links/relay.cpp
+++ b/standins/links/relay.cpp
@@ -351,7 +351,7 @@
     return settings_.name;
 }
 
-link_books const& relay::books() const noexcept
+link_counters const& relay::counters() const noexcept
 {
     return books_;
 }
--- a/standins/links/relay.hpp
+++ b/standins/links/relay.hpp
@@ -39,7 +39,7 @@
     std::uint32_t connections = 2'000;
 };
 
-struct link_books
+struct link_counters
 {
     std::uint64_t connections = 0;
     std::uint64_t bytes = 0;
@@ -65,7 +65,7 @@
     void close();
 
     std::string const& name() const noexcept;
-    link_books const& books() const noexcept;
+    link_counters const& counters() const noexcept;
 
 private:
     class direction;
@@ -78,7 +78,7 @@
     cut_state cut_ = cut_state::none;
     adapters::runtime::acceptor acceptor_;
     std::vector<std::weak_ptr<connection>> connections_;
-    link_books books_;
+    link_counters books_;
     std::uint32_t open_ = 0;
 };
 
--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -350,18 +350,18 @@
 
 platform_server::response platform_server::books() const
 {
-    auto const& counts = store_.books();
-    return books_answer({{"reads", counts.reads},
-                         {"lists", counts.lists},
-                         {"writes", counts.writes},
-                         {"erases", counts.erases},
-                         {"watches", counts.watches},
-                         {"conflicts", counts.conflicts},
-                         {"over_bound", counts.over_bound},
-                         {"lost_answers", counts.lost_answers},
-                         {"sessions", counts.sessions},
-                         {"catalog_lists", catalog_lists_},
-                         {"registrations", registrations_}});
+    auto const& counts = store_.counters();
+    return counters_response({{"reads", counts.reads},
+                              {"lists", counts.lists},
+                              {"writes", counts.writes},
+                              {"erases", counts.erases},
+                              {"watches", counts.watches},
+                              {"conflicts", counts.conflicts},
+                              {"over_bound", counts.rate_limited},
+                              {"lost_answers", counts.dropped_responses},
+                              {"sessions", counts.sessions},
+                              {"catalog_lists", catalog_lists_},
+                              {"registrations", registrations_}});
 }
 
 void platform_server::tick()
--- a/standins/platform/store_service.cpp
+++ b/standins/platform/store_service.cpp
@@ -169,14 +169,14 @@
 bool store_service::admit_read(core::common::time_point now)
 {
     bool const admitted = read_rate_.admit(now);
-    books_.over_bound += admitted ? 0 : 1;
+    books_.rate_limited += admitted ? 0 : 1;
     return admitted;
 }
 
 bool store_service::admit_write(core::common::time_point now)
 {
     bool const admitted = write_rate_.admit(now);
-    books_.over_bound += admitted ? 0 : 1;
+    books_.rate_limited += admitted ? 0 : 1;
     return admitted;
 }
 
@@ -364,7 +364,7 @@
     {
         --faults_.lose_answers;
     }
-    ++books_.lost_answers;
+    ++books_.dropped_responses;
     return no_answer{};
 }
 
@@ -441,7 +441,7 @@
     return faults_;
 }
 
-store_books const& store_service::books() const noexcept
+store_counters const& store_service::counters() const noexcept
 {
     return books_;
 }
--- a/standins/platform/store_service.hpp
+++ b/standins/platform/store_service.hpp
@@ -32,7 +32,7 @@
     std::string lose_prefix;
 };
 
-struct store_books
+struct store_counters
 {
     std::uint64_t reads = 0;
     std::uint64_t lists = 0;
@@ -40,8 +40,8 @@
     std::uint64_t erases = 0;
     std::uint64_t watches = 0;
     std::uint64_t conflicts = 0;
-    std::uint64_t over_bound = 0;
-    std::uint64_t lost_answers = 0;
+    std::uint64_t rate_limited = 0;
+    std::uint64_t dropped_responses = 0;
     std::uint64_t sessions = 0;
 };
 
@@ -75,7 +75,7 @@
     bool expire_session(std::string_view id);
 
     store_faults& faults() noexcept;
-    store_books const& books() const noexcept;
+    store_counters const& counters() const noexcept;
 
 private:
     using response = adapters::http::response;
@@ -104,7 +104,7 @@
     call_rate read_rate_;
     call_rate write_rate_;
     store_faults faults_;
-    store_books books_;
+    store_counters books_;
     std::uint64_t held_number_ = 0;
 };
 
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -378,9 +378,9 @@
 
 adapters::http::response pool_server::counts() const
 {
-    return books_answer({{"starts", starts_},
-                         {"two_places", two_places_},
-                         {"after_done", after_done_}});
+    return counters_response({{"starts", starts_},
+                              {"two_places", two_places_},
+                              {"after_done", after_done_}});
 }
 
 void pool_server::publish(std::size_t number)
--- a/standins/upstreams/upstream_pool.cpp
+++ b/standins/upstreams/upstream_pool.cpp
@@ -69,14 +69,14 @@
     }
     if (at.left && now - *at.left > settings_.leaving_grace)
     {
-        ++books_.after_leaving;
+        ++books_.started_after_leaving;
     }
     ++at.running;
     ++machine_running_[at.machine];
     ++books_.running;
     if (at.running > settings_.slots)
     {
-        ++books_.overfilled;
+        ++books_.over_capacity;
     }
     note_key(what);
     work begun{work_end::whole, draw_time(at, what)};
@@ -113,7 +113,7 @@
         what.idempotency_key, core::common::hash_of(what.customer));
     if (!keys_.insert(key).second)
     {
-        ++books_.doubled;
+        ++books_.duplicate_runs;
         return;
     }
     key_order_.push_back(key);
@@ -202,7 +202,7 @@
     return executors_[executor].running;
 }
 
-upstream_books const& upstream_pool::books() const noexcept
+upstream_counters const& upstream_pool::counters() const noexcept
 {
     return books_;
 }
--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -87,16 +87,16 @@
     std::optional<bool> leaving;
 };
 
-struct upstream_books
+struct upstream_counters
 {
     std::uint64_t received = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
-    std::uint64_t overfilled = 0;
-    std::uint64_t doubled = 0;
+    std::uint64_t over_capacity = 0;
+    std::uint64_t duplicate_runs = 0;
     std::uint64_t running = 0;
-    std::uint64_t after_leaving = 0;
+    std::uint64_t started_after_leaving = 0;
     std::uint64_t partial = 0;
 };
 
@@ -126,7 +126,7 @@
     bool leaving(std::size_t executor) const;
     std::uint32_t running(std::size_t executor) const;
 
-    upstream_books const& books() const noexcept;
+    upstream_counters const& counters() const noexcept;
 
 private:
     struct executor_state
@@ -154,7 +154,7 @@
     std::vector<std::uint32_t> machine_running_;
     std::unordered_set<std::uint64_t> keys_;
     std::deque<std::uint64_t> key_order_;
-    upstream_books books_;
+    upstream_counters books_;
 };
 
 } // namespace fuchsia::standins::upstreams
--- a/standins/upstreams/upstream_server.cpp
+++ b/standins/upstreams/upstream_server.cpp
@@ -181,22 +181,22 @@
 
 upstream_server::response upstream_server::books() const
 {
-    auto const& counts = pool_.books();
+    auto const& counts = pool_.counters();
     std::uint64_t connections_refused = 0;
     for (auto const& each : executors_)
     {
         connections_refused += each->connections_refused();
     }
-    return books_answer({{"received", counts.received},
-                         {"answered", counts.answered},
-                         {"refused", counts.refused},
-                         {"failed", counts.failed},
-                         {"partial", counts.partial},
-                         {"overfilled", counts.overfilled},
-                         {"doubled", counts.doubled},
-                         {"running", counts.running},
-                         {"after_leaving", counts.after_leaving},
-                         {"connections_refused", connections_refused}});
+    return counters_response({{"received", counts.received},
+                              {"answered", counts.answered},
+                              {"refused", counts.refused},
+                              {"failed", counts.failed},
+                              {"partial", counts.partial},
+                              {"overfilled", counts.over_capacity},
+                              {"doubled", counts.duplicate_runs},
+                              {"running", counts.running},
+                              {"after_leaving", counts.started_after_leaving},
+                              {"connections_refused", connections_refused}});
 }
 
 } // namespace fuchsia::standins::upstreams
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -204,7 +204,7 @@
     auto const elsewhere = running_.find(call.attempt_id.task);
     if (elsewhere != running_.end() && !elsewhere->second.empty())
     {
-        ++books_.two_places;
+        ++books_.concurrent_attempts;
     }
     ports::resources wanted = call.declared;
     for (auto const& [what, attempt] : worker.attempts)
@@ -216,7 +216,7 @@
     }
     if (!worker.listed.capacity.covers(wanted))
     {
-        ++books_.overfilled;
+        ++books_.over_capacity;
     }
     auto const out = out_since_.find(worker.listed.data_centre);
     if (out != out_since_.end() &&
@@ -440,7 +440,7 @@
     }
 }
 
-worker_books const& worker_pool::books() const noexcept
+worker_counters const& worker_pool::counters() const noexcept
 {
     return books_;
 }
--- a/standins/workers/worker_pool.hpp
+++ b/standins/workers/worker_pool.hpp
@@ -56,7 +56,7 @@
     std::optional<double> noise;
 };
 
-struct worker_books
+struct worker_counters
 {
     std::uint64_t starts = 0;
     std::uint64_t refused = 0; ///< Starts that were not begun.
@@ -68,8 +68,8 @@
     std::uint64_t expired = 0;
     std::uint64_t lost = 0; ///< Running when their worker went.
     std::uint64_t running = 0;
-    std::uint64_t overfilled = 0;
-    std::uint64_t two_places = 0;
+    std::uint64_t over_capacity = 0;
+    std::uint64_t concurrent_attempts = 0;
     std::uint64_t late_starts = 0;
     std::uint64_t resumed_twice = 0;
 };
@@ -129,7 +129,7 @@
     /// The worker's own clock, in milliseconds.
     std::uint64_t clock_ms(std::size_t worker,
                            core::common::time_point now) const;
-    worker_books const& books() const noexcept;
+    worker_counters const& counters() const noexcept;
 
 private:
     struct attempt_record
@@ -226,7 +226,7 @@
     std::deque<std::string> checkpoint_order_;
     std::uint64_t checkpoint_number_ = 0;
     std::map<std::string, core::common::time_point, std::less<>> out_since_;
-    worker_books books_;
+    worker_counters books_;
 };
 
 } // namespace fuchsia::standins::workers
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -309,21 +309,21 @@
 
 worker_server::response worker_server::books() const
 {
-    auto const& counts = pool_.books();
-    return books_answer({{"starts", counts.starts},
-                         {"refused", counts.refused},
-                         {"finished", counts.finished},
-                         {"failed", counts.failed},
-                         {"stopped", counts.stopped},
-                         {"checkpoints", counts.checkpoints},
-                         {"resumed", counts.resumed},
-                         {"expired", counts.expired},
-                         {"lost", counts.lost},
-                         {"running", counts.running},
-                         {"overfilled", counts.overfilled},
-                         {"two_places", counts.two_places},
-                         {"late_starts", counts.late_starts},
-                         {"resumed_twice", counts.resumed_twice}});
+    auto const& counts = pool_.counters();
+    return counters_response({{"starts", counts.starts},
+                              {"refused", counts.refused},
+                              {"finished", counts.finished},
+                              {"failed", counts.failed},
+                              {"stopped", counts.stopped},
+                              {"checkpoints", counts.checkpoints},
+                              {"resumed", counts.resumed},
+                              {"expired", counts.expired},
+                              {"lost", counts.lost},
+                              {"running", counts.running},
+                              {"overfilled", counts.over_capacity},
+                              {"two_places", counts.concurrent_attempts},
+                              {"late_starts", counts.late_starts},
+                              {"resumed_twice", counts.resumed_twice}});
 }
 
 void worker_server::tick()
--- a/tests/contract/standins/store_state_test.cpp
+++ b/tests/contract/standins/store_state_test.cpp
@@ -202,7 +202,7 @@
         ask(store, "GET", "/v1/kv/k");
         ask(store, "PUT", "/v1/kv/k", "v");
     }
-    EXPECT_EQ(store.books().over_bound, 25U);
+    EXPECT_EQ(store.counters().rate_limited, 25U);
     EXPECT_EQ(status_of(ask(store, "PUT", "/v1/kv/k", "v")), 429);
     EXPECT_EQ(status_of(ask(store, "PUT", "/v1/kv/k", "v", start + 1s)), 200);
 }
@@ -237,7 +237,7 @@
             lost += std::holds_alternative<no_answer>(answer) ? 1 : 0;
         }
         EXPECT_EQ(lost, row.lost_of_three) << row.what;
-        EXPECT_EQ(store.books().lost_answers,
+        EXPECT_EQ(store.counters().dropped_responses,
                   static_cast<std::uint64_t>(row.lost_of_three))
             << row.what;
         auto const read = ask(store, "GET", "/v1/kv/" + row.key);
--- a/tests/contract/standins/upstream_pool_test.cpp
+++ b/tests/contract/standins/upstream_pool_test.cpp
@@ -40,11 +40,11 @@
         pool.begin(start, 0, post("c", ""));
     }
     pool.begin(start, 1, post("c", ""));
-    EXPECT_EQ(pool.books().overfilled, 3U);
+    EXPECT_EQ(pool.counters().over_capacity, 3U);
     pool.end(0, work_end::whole);
     EXPECT_EQ(pool.running(0), 4U);
-    EXPECT_EQ(pool.books().answered, 1U);
-    EXPECT_EQ(pool.books().running, 5U);
+    EXPECT_EQ(pool.counters().answered, 1U);
+    EXPECT_EQ(pool.counters().running, 5U);
 }
 
 TEST(upstream_pool, counts_second_runs_of_a_key)
@@ -72,7 +72,7 @@
         upstream_pool pool(two_slots());
         pool.begin(start, 0, row.first);
         pool.begin(start, 1, row.second);
-        EXPECT_EQ(pool.books().doubled, row.doubled) << row.what;
+        EXPECT_EQ(pool.counters().duplicate_runs, row.doubled) << row.what;
     }
 }
 
@@ -85,7 +85,7 @@
     EXPECT_EQ(pool.begin(start, 0, post("c", "k")).end, work_end::refused);
     EXPECT_EQ(pool.running(0), 0U);
     pool.begin(start, 1, post("c", "k"));
-    EXPECT_EQ(pool.books().doubled, 0U);
+    EXPECT_EQ(pool.counters().duplicate_runs, 0U);
     EXPECT_FALSE(pool.set_faults(start, "upstream-9", faults));
 }
 
@@ -124,14 +124,14 @@
     pool.set_faults(start, "upstream-1", faults);
     pool.set_faults(start + 3s, "upstream-1", faults);
     pool.begin(start + 5s, 0, post("c", ""));
-    EXPECT_EQ(pool.books().after_leaving, 0U);
+    EXPECT_EQ(pool.counters().started_after_leaving, 0U);
     pool.begin(start + 5001ms, 0, post("c", ""));
-    EXPECT_EQ(pool.books().after_leaving, 1U);
+    EXPECT_EQ(pool.counters().started_after_leaving, 1U);
     EXPECT_TRUE(pool.leaving(0));
     faults.leaving = false;
     pool.set_faults(start + 6s, "upstream-1", faults);
     pool.begin(start + 20s, 0, post("c", ""));
-    EXPECT_EQ(pool.books().after_leaving, 1U);
+    EXPECT_EQ(pool.counters().started_after_leaving, 1U);
 }
 
 TEST(upstream_pool, neighbours_and_faults_slow_a_request_down)
--- a/tests/contract/standins/worker_pool_test.cpp
+++ b/tests/contract/standins/worker_pool_test.cpp
@@ -82,8 +82,8 @@
 {
     EXPECT_TRUE(pool.start(start, 0, call("t", 1)).done);
     EXPECT_TRUE(pool.start(start, 0, call("t", 1)).done);
-    EXPECT_EQ(pool.books().starts, 1U);
-    EXPECT_EQ(pool.books().two_places, 0U);
+    EXPECT_EQ(pool.counters().starts, 1U);
+    EXPECT_EQ(pool.counters().concurrent_attempts, 0U);
 }
 
 TEST_F(worker_pool_test, refuses_starts_that_would_be_unsafe)
@@ -123,7 +123,7 @@
         auto const result = workers.start(start, 0, late);
         EXPECT_FALSE(result.done) << row.what;
         EXPECT_FALSE(result.why.empty()) << row.what;
-        EXPECT_EQ(workers.books().starts, 0U) << row.what;
+        EXPECT_EQ(workers.counters().starts, 0U) << row.what;
     }
 }
 
@@ -134,11 +134,11 @@
     pool.start(start, 0, call("t", 1));
     pool.renew(start + 4s, 0, {{{"t", 1}}, pool.clock_ms(0, start) + 8'000});
     run_until(start + 7s);
-    EXPECT_EQ(pool.books().expired, 0U);
+    EXPECT_EQ(pool.counters().expired, 0U);
     auto second = call("t", 2, 1, start + 8s);
     EXPECT_TRUE(pool.start(start + 8s, 1, second).done);
-    EXPECT_EQ(pool.books().expired, 1U);
-    EXPECT_EQ(pool.books().two_places, 0U);
+    EXPECT_EQ(pool.counters().expired, 1U);
+    EXPECT_EQ(pool.counters().concurrent_attempts, 0U);
     auto const renewed = pool.renew(start + 8s, 0, {{{"t", 1}}, 1'000'000'000});
     ASSERT_EQ(renewed.gone.size(), 1U);
 }
@@ -174,7 +174,8 @@
         workers.start(now,
                       row.second_worker,
                       call("t", row.second_attempt, row.second_worker, now));
-        EXPECT_EQ(workers.books().two_places, row.counted) << row.what;
+        EXPECT_EQ(workers.counters().concurrent_attempts, row.counted)
+            << row.what;
     }
 }
 
@@ -218,8 +219,8 @@
         second.start_before_ms += 60'000;
         workers.tick(start + 1s + row.second_at);
         workers.start(start + 1s + row.second_at, 2, second);
-        EXPECT_EQ(workers.books().resumed_twice, row.counted) << row.what;
-        EXPECT_EQ(workers.books().resumed, 2U) << row.what;
+        EXPECT_EQ(workers.counters().resumed_twice, row.counted) << row.what;
+        EXPECT_EQ(workers.counters().resumed, 2U) << row.what;
     }
 }
 
@@ -236,9 +237,9 @@
     pool.start(start + 6s, 1, second);
     at = start + 6s;
     run_until(start + 9900ms);
-    EXPECT_EQ(pool.books().finished, 0U);
+    EXPECT_EQ(pool.counters().finished, 0U);
     run_until(start + 10s);
-    EXPECT_EQ(pool.books().finished, 1U);
+    EXPECT_EQ(pool.counters().finished, 1U);
 }
 
 TEST_F(worker_pool_test, counts_starts_beyond_the_declared_capacity)
@@ -247,9 +248,9 @@
     {
         pool.start(start, 0, call("t" + std::to_string(task), 1));
     }
-    EXPECT_EQ(pool.books().overfilled, 0U);
+    EXPECT_EQ(pool.counters().over_capacity, 0U);
     pool.start(start, 0, call("one more", 1));
-    EXPECT_EQ(pool.books().overfilled, 1U);
+    EXPECT_EQ(pool.counters().over_capacity, 1U);
 }
 
 TEST_F(worker_pool_test, counts_starts_in_a_data_centre_that_is_out)
@@ -281,7 +282,7 @@
             workers.set_data_centre(start + 2s, "kochi-a", false);
         }
         workers.start(now, row.worker, call("t", 1, row.worker, now));
-        EXPECT_EQ(workers.books().late_starts, row.counted) << row.what;
+        EXPECT_EQ(workers.counters().late_starts, row.counted) << row.what;
     }
 }
 
@@ -304,7 +305,7 @@
     pool.start(start, 0, call("t", 1));
     pool.start(start, 1, call("u", 1, 1));
     run_until(start + 3100ms);
-    EXPECT_EQ(pool.books().failed, 1U);
+    EXPECT_EQ(pool.counters().failed, 1U);
     EXPECT_EQ(state_of("t", 1, start + 3100ms), attempt_state::failed);
     EXPECT_EQ(state_of("u", 1, start + 3100ms), attempt_state::running);
 }
@@ -316,7 +317,7 @@
     faults.gone = true;
     pool.set_faults(start + 1s, "worker-1", faults);
     EXPECT_EQ(pool.list().size(), 2U);
-    EXPECT_EQ(pool.books().lost, 1U);
+    EXPECT_EQ(pool.counters().lost, 1U);
     faults.gone = false;
     pool.set_faults(start + 2s, "worker-1", faults);
     EXPECT_EQ(pool.list().size(), 3U);
