--- a/standins/common/web.cpp
+++ b/standins/common/http_messages.cpp
@@ -1,4 +1,4 @@
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 
 #include <charconv>
 
@@ -42,7 +42,7 @@
     return decoded;
 }
 
-bool add_query(web_target& target, std::string_view pair)
+bool add_query(request_target& target, std::string_view pair)
 {
     auto const equals = pair.find('=');
     auto const key = decode(pair.substr(0, equals));
@@ -59,7 +59,8 @@
 
 } // namespace
 
-std::optional<std::string_view> web_target::after(std::string_view prefix) const
+std::optional<std::string_view>
+request_target::after(std::string_view prefix) const
 {
     std::string_view const whole = path;
     if (!whole.starts_with(prefix))
@@ -69,25 +70,25 @@
     return whole.substr(prefix.size());
 }
 
-bool web_target::has(std::string_view key) const
+bool request_target::has(std::string_view key) const
 {
     return query.find(key) != query.end();
 }
 
-std::string_view web_target::text(std::string_view key) const
+std::string_view request_target::text(std::string_view key) const
 {
     auto const found = query.find(key);
     return found == query.end() ? std::string_view() : found->second;
 }
 
-std::optional<std::uint64_t> web_target::number(std::string_view key) const
+std::optional<std::uint64_t> request_target::number(std::string_view key) const
 {
     return parse_number(text(key));
 }
 
-std::optional<web_target> parse_target(std::string_view target)
+std::optional<request_target> parse_target(std::string_view target)
 {
-    web_target parsed;
+    request_target parsed;
     auto const mark = target.find('?');
     auto const path = decode(target.substr(0, mark));
     if (!path)
@@ -125,7 +126,7 @@
     return value;
 }
 
-adapters::http::response plain_answer(std::uint16_t status, std::string text)
+adapters::http::response plain_response(std::uint16_t status, std::string text)
 {
     adapters::http::response answer;
     answer.status = status;
@@ -133,13 +134,14 @@
     return answer;
 }
 
-adapters::http::response json_answer(boost::json::value const& body)
+adapters::http::response json_response(boost::json::value const& body)
 {
     constexpr std::uint16_t good = 200;
     return adapters::http::json_response(good, boost::json::serialize(body));
 }
 
-adapters::http::response refusal(std::uint16_t status, std::string_view why)
+adapters::http::response error_response(std::uint16_t status,
+                                        std::string_view why)
 {
     return adapters::http::json_response(
         status, boost::json::serialize(boost::json::object{{"why", why}}));
@@ -152,7 +154,7 @@
     {
         books[row.name] = row.count;
     }
-    return json_answer(books);
+    return json_response(books);
 }
 
 } // namespace fuchsia::standins
--- a/standins/common/web.hpp
+++ b/standins/common/http_messages.hpp
@@ -15,7 +15,7 @@
 {
 
 /// A request target in its parts, percent signs decoded.
-struct web_target
+struct request_target
 {
     std::string path;
     std::map<std::string, std::string, std::less<>> query;
@@ -29,14 +29,15 @@
 };
 
 /// Empty where a percent sign is not followed by two hexadecimal digits.
-std::optional<web_target> parse_target(std::string_view target);
+std::optional<request_target> parse_target(std::string_view target);
 
 std::optional<std::uint64_t> parse_number(std::string_view text) noexcept;
 
-adapters::http::response plain_answer(std::uint16_t status, std::string text);
-adapters::http::response json_answer(boost::json::value const& body);
+adapters::http::response plain_response(std::uint16_t status, std::string text);
+adapters::http::response json_response(boost::json::value const& body);
 /// `{"why":"..."}`.
-adapters::http::response refusal(std::uint16_t status, std::string_view why);
+adapters::http::response error_response(std::uint16_t status,
+                                        std::string_view why);
 
 /// One row of a stand-in's books.
 struct counter_row
--- a/standins/common/own_address.hpp
+++ b/standins/common/process_address.hpp
@@ -9,7 +9,7 @@
 
 /// A loopback address of this process alone, by its process id: tests that
 /// run at the same time can't take each other's ports.
-inline std::string own_address()
+inline std::string process_loopback_address()
 {
     auto const id = static_cast<std::uint32_t>(::getpid());
     return "127." + std::to_string(200 + id / 65'536 % 32) + "." +
@@ -17,7 +17,7 @@
 }
 
 /// Ports of that address, one after the other.
-inline std::uint16_t next_port()
+inline std::uint16_t next_loopback_port()
 {
     static std::uint16_t next = 20'000;
     return ++next;
--- a/standins/common/registrar.cpp
+++ b/standins/common/registrar.cpp
@@ -55,8 +55,8 @@
     call.message.body = boost::json::serialize(
         boost::json::object{{"ID", what.id},
                             {"Name", what.name},
-                            {"Address", what.where.address},
-                            {"Port", what.where.port},
+                            {"Address", what.endpoint.address},
+                            {"Port", what.endpoint.port},
                             {"Datacenter", what.data_centre},
                             {"Meta", std::move(meta)}});
     // A registration that is lost is made again in the next interval.
--- a/standins/common/registrar.hpp
+++ b/standins/common/registrar.hpp
@@ -12,11 +12,11 @@
 {
 
 /// One instance as the platform's catalog takes it.
-struct registration
+struct instance_registration
 {
     std::string id;
     std::string name;
-    ports::endpoint where;
+    ports::endpoint endpoint;
     std::string data_centre;
     std::vector<ports::header> meta;
 };
@@ -26,7 +26,7 @@
 class registrar
 {
 public:
-    using source = std::function<registration(std::size_t)>;
+    using source = std::function<instance_registration(std::size_t)>;
 
     /// `describe(n)` tells what to register of instance n, below `count`.
     registrar(boost::asio::io_context& io,
--- a/standins/links/link_server.cpp
+++ b/standins/links/link_server.cpp
@@ -67,7 +67,7 @@
     auto const target = parse_target(asked.target);
     if (!target)
     {
-        return refusal(bad_request, "malformed target");
+        return error_response(bad_request, "malformed target");
     }
     if (target->path == "/control/counts" && asked.method == "GET")
     {
@@ -78,7 +78,7 @@
     {
         return set_link(*name, asked.body);
     }
-    return refusal(not_found, "unknown control path");
+    return error_response(not_found, "unknown control path");
 }
 
 link_server::response link_server::set_link(std::string_view name,
@@ -88,7 +88,7 @@
     auto const json = core::common::parse_json_object(body, "link", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "link");
     reader.allow_only({"delay_ms", "cut", "reset"});
@@ -97,9 +97,9 @@
     bool const reset = reader.flag_or("reset", false);
     if (!reader.ok() || !cut)
     {
-        return refusal(bad_request,
-                       cut ? to_string(reader.reason())
-                           : "cut is none, both, forward or backward");
+        return error_response(bad_request,
+                              cut ? to_string(reader.reason())
+                                  : "cut is none, both, forward or backward");
     }
     bool found = false;
     for (auto const& each : relays_)
@@ -123,8 +123,8 @@
             each->set_cut(*cut);
         }
     }
-    return found ? json_answer(boost::json::object{{"set", true}})
-                 : refusal(not_found, "no such link");
+    return found ? json_response(boost::json::object{{"set", true}})
+                 : error_response(not_found, "no such link");
 }
 
 link_server::response link_server::books() const
--- a/standins/links/link_server.hpp
+++ b/standins/links/link_server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "adapters/http/server.hpp"
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 #include "standins/links/relay.hpp"
 
 #include <memory>
--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -72,7 +72,7 @@
     auto target = parse_target(asked.target);
     if (!target)
     {
-        answer(refusal(bad_request, "malformed target"));
+        answer(error_response(bad_request, "malformed target"));
         return;
     }
     if (target->path.starts_with("/control/"))
@@ -96,7 +96,7 @@
 // Half the delay comes before the effect and half after it: a caller that has
 // given up meanwhile can be wrong either way.
 void platform_server::handle_slowly(request asked,
-                                    web_target target,
+                                    request_target target,
                                     responder answer)
 {
     core::common::duration const half =
@@ -129,7 +129,7 @@
         });
 }
 
-void platform_server::handle_platform(web_target const& target,
+void platform_server::handle_platform(request_target const& target,
                                       request const& asked,
                                       responder const& answer)
 {
@@ -165,7 +165,8 @@
 }
 
 platform_server::response
-platform_server::handle_catalog(web_target const& target, request const& asked)
+platform_server::handle_catalog(request_target const& target,
+                                request const& asked)
 {
     if (auto const name = target.after(service_path);
         name && asked.method == "GET")
@@ -180,9 +181,9 @@
         id && asked.method == "PUT")
     {
         catalog_.deregister(*id);
-        return json_answer(true);
+        return json_response(true);
     }
-    return refusal(not_found, "unknown path");
+    return error_response(not_found, "unknown path");
 }
 
 platform_server::response
@@ -193,7 +194,7 @@
     auto const json = core::common::parse_json_object(body, "service", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "service");
     catalog_entry entry;
@@ -212,18 +213,18 @@
         }
         if (!values.ok())
         {
-            return refusal(bad_request, to_string(values.reason()));
+            return error_response(bad_request, to_string(values.reason()));
         }
     }
     if (!reader.ok())
     {
-        return refusal(bad_request, to_string(reader.reason()));
+        return error_response(bad_request, to_string(reader.reason()));
     }
     if (!catalog_.register_entry(clock::now(), std::move(entry)))
     {
-        return refusal(too_many, "the catalog is full");
+        return error_response(too_many, "the catalog is full");
     }
-    return json_answer(true);
+    return json_response(true);
 }
 
 platform_server::response platform_server::list_instances(std::string_view name)
@@ -244,11 +245,12 @@
                           {"Datacenter", entry.data_centre},
                           {"ServiceMeta", std::move(meta)}});
     }
-    return json_answer(listed);
+    return json_response(listed);
 }
 
 platform_server::response
-platform_server::handle_control(web_target const& target, request const& asked)
+platform_server::handle_control(request_target const& target,
+                                request const& asked)
 {
     if (target.path == "/control/counts" && asked.method == "GET")
     {
@@ -256,7 +258,7 @@
     }
     if (asked.method != "POST")
     {
-        return refusal(not_found, "unknown control path");
+        return error_response(not_found, "unknown control path");
     }
     if (target.path == "/control/faults")
     {
@@ -273,10 +275,10 @@
         session->remove_suffix(expire.size());
         bool const ended = store_.expire_session(*session);
         answer_due();
-        return ended ? json_answer(boost::json::object{{"expired", true}})
-                     : refusal(not_found, "no such session");
+        return ended ? json_response(boost::json::object{{"expired", true}})
+                     : error_response(not_found, "no such session");
     }
-    return refusal(not_found, "unknown control path");
+    return error_response(not_found, "unknown control path");
 }
 
 platform_server::response platform_server::set_faults(std::string const& body)
@@ -285,7 +287,7 @@
     auto const json = core::common::parse_json_object(body, "faults", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "faults");
     reader.allow_only({"down",
@@ -306,7 +308,7 @@
     bool const freeze = reader.flag_or("list_frozen", false);
     if (!reader.ok())
     {
-        return refusal(bad_request, to_string(reader.reason()));
+        return error_response(bad_request, to_string(reader.reason()));
     }
     store_.faults() = faults;
     if (lag >= 0)
@@ -325,7 +327,7 @@
         }
         held_.clear();
     }
-    return json_answer(boost::json::object{{"set", true}});
+    return json_response(boost::json::object{{"set", true}});
 }
 
 platform_server::response platform_server::set_instance(std::string_view id,
@@ -335,17 +337,17 @@
     auto const json = core::common::parse_json_object(body, "instance", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "instance");
     reader.allow_only({"state"});
     auto const state = listed_state_from(reader.text("state"));
     if (!reader.ok() || !state)
     {
-        return refusal(bad_request, "state is live, leaving or gone");
+        return error_response(bad_request, "state is live, leaving or gone");
     }
     catalog_.override_state(std::string(id), *state);
-    return json_answer(boost::json::object{{"set", true}});
+    return json_response(boost::json::object{{"set", true}});
 }
 
 platform_server::response platform_server::books() const
@@ -417,8 +419,8 @@
         });
     boost::system::error_code malformed;
     auto const address =
-        asio::ip::make_address(target.where.address, malformed);
-    open->socket.async_connect({address, target.where.port},
+        asio::ip::make_address(target.endpoint.address, malformed);
+    open->socket.async_connect({address, target.endpoint.port},
                                [this, open, &target](auto error)
                                {
                                    open->limit.cancel();
@@ -428,8 +430,8 @@
                                            clock::now(),
                                            {target.id,
                                             target.name,
-                                            target.where.address,
-                                            target.where.port,
+                                            target.endpoint.address,
+                                            target.endpoint.port,
                                             target.data_centre,
                                             {{"state", "live"}},
                                             {}});
--- a/standins/platform/platform_server.hpp
+++ b/standins/platform/platform_server.hpp
@@ -19,7 +19,7 @@
 {
     std::string id;
     std::string name; ///< Of its service.
-    ports::endpoint where;
+    ports::endpoint endpoint;
     std::string data_centre;
 };
 
@@ -48,12 +48,12 @@
     using responder = adapters::http::responder;
 
     void handle(request asked, responder answer);
-    void handle_platform(web_target const& target,
+    void handle_platform(request_target const& target,
                          request const& asked,
                          responder const& answer);
-    void handle_slowly(request asked, web_target target, responder answer);
-    response handle_control(web_target const& target, request const& asked);
-    response handle_catalog(web_target const& target, request const& asked);
+    void handle_slowly(request asked, request_target target, responder answer);
+    response handle_control(request_target const& target, request const& asked);
+    response handle_catalog(request_target const& target, request const& asked);
     response register_instance(std::string const& body);
     response list_instances(std::string_view name);
     response set_faults(std::string const& body);
--- a/standins/platform/store_service.cpp
+++ b/standins/platform/store_service.cpp
@@ -136,7 +136,7 @@
 }
 
 store_answer store_service::handle(core::common::time_point now,
-                                   web_target const& target,
+                                   request_target const& target,
                                    adapters::http::request const& request)
 {
     if (target.path == txn_path && request.method == "PUT")
@@ -149,7 +149,7 @@
     }
     if (!target.path.starts_with(kv_path))
     {
-        return refusal(bad_method, "use PUT");
+        return error_response(bad_method, "use PUT");
     }
     if (request.method == "GET")
     {
@@ -163,7 +163,7 @@
     {
         return erase(now, target);
     }
-    return refusal(bad_method, "use GET, PUT or DELETE");
+    return error_response(bad_method, "use GET, PUT or DELETE");
 }
 
 bool store_service::admit_read(core::common::time_point now)
@@ -181,7 +181,7 @@
 }
 
 store_answer store_service::read(core::common::time_point now,
-                                 web_target const& target)
+                                 request_target const& target)
 {
     bool const recurse = target.has("recurse");
     bool const watch = target.has("index");
@@ -191,7 +191,7 @@
     ++counter;
     if (!admit_read(now))
     {
-        return plain_answer(too_many, "over the bound on reads");
+        return plain_response(too_many, "over the bound on reads");
     }
     auto const key = *target.after(kv_path);
     if (!watch)
@@ -203,7 +203,7 @@
         target.has("wait") ? parse_wait(target.text("wait")) : default_wait;
     if (!index || !wait)
     {
-        return plain_answer(bad_request, "malformed index or wait");
+        return plain_response(bad_request, "malformed index or wait");
     }
     held_query query{++held_number_,
                      std::string(key),
@@ -234,7 +234,7 @@
         found.push_back(full_entry_json(key, *entry));
     }
     auto answer =
-        found.empty() ? plain_answer(not_found, "") : json_answer(found);
+        found.empty() ? plain_response(not_found, "") : json_response(found);
     answer.headers.push_back(
         {"X-Consul-Index", std::to_string(state_.index())});
     return answer;
@@ -247,13 +247,13 @@
 }
 
 store_answer store_service::put(core::common::time_point now,
-                                web_target const& target,
+                                request_target const& target,
                                 std::string const& body)
 {
     ++books_.writes;
     if (!admit_write(now))
     {
-        return plain_answer(too_many, "over the bound on writes");
+        return plain_response(too_many, "over the bound on writes");
     }
     auto const key = *target.after(kv_path);
     if (target.has("acquire"))
@@ -268,22 +268,22 @@
     }
     if (target.has("cas") && !target.number("cas"))
     {
-        return plain_answer(bad_request, "malformed cas");
+        return plain_response(bad_request, "malformed cas");
     }
     return plain_result(key, state_.write(key, body, target.number("cas")));
 }
 
 store_answer store_service::erase(core::common::time_point now,
-                                  web_target const& target)
+                                  request_target const& target)
 {
     ++books_.erases;
     if (!admit_write(now))
     {
-        return plain_answer(too_many, "over the bound on writes");
+        return plain_response(too_many, "over the bound on writes");
     }
     if (target.has("cas") && !target.number("cas"))
     {
-        return plain_answer(bad_request, "malformed cas");
+        return plain_response(bad_request, "malformed cas");
     }
     auto const key = *target.after(kv_path);
     return plain_result(key, state_.erase(key, target.number("cas")));
@@ -297,12 +297,12 @@
     ++(deletes ? books_.erases : books_.writes);
     if (!admit_write(now))
     {
-        return plain_answer(too_many, "over the bound on writes");
+        return plain_response(too_many, "over the bound on writes");
     }
     if (!parsed)
     {
-        return plain_answer(bad_request,
-                            "one KV operation cas or delete-cas is expected");
+        return plain_response(bad_request,
+                              "one KV operation cas or delete-cas is expected");
     }
     auto const result =
         deletes ? state_.erase(parsed->key, parsed->expected)
@@ -315,7 +315,8 @@
 {
     if (result.status == change_status::too_large)
     {
-        return plain_answer(too_large, "the key, value or store is too large");
+        return plain_response(too_large,
+                              "the key, value or store is too large");
     }
     bool const done = result.status == change_status::done;
     books_.conflicts += done ? 0 : 1;
@@ -328,7 +329,8 @@
 {
     if (result.status == change_status::too_large)
     {
-        return plain_answer(too_large, "the key, value or store is too large");
+        return plain_response(too_large,
+                              "the key, value or store is too large");
     }
     boost::json::object body{{"Results", nullptr}, {"Errors", nullptr}};
     if (result.status == change_status::conflict)
@@ -350,7 +352,7 @@
             : boost::json::object{{"Key", key}, {"ModifyIndex", result.index}};
     body["Results"] =
         boost::json::array{boost::json::object{{"KV", std::move(kv)}}};
-    return after_effect(key, json_answer(body));
+    return after_effect(key, json_response(body));
 }
 
 // A lost answer: the caller can't tell whether its change took effect.
@@ -369,13 +371,13 @@
 }
 
 store_answer store_service::session(core::common::time_point now,
-                                    web_target const& target,
+                                    request_target const& target,
                                     std::string const& body)
 {
     ++books_.sessions;
     if (!admit_write(now))
     {
-        return plain_answer(too_many, "over the bound on writes");
+        return plain_response(too_many, "over the bound on writes");
     }
     if (target.path == "/v1/session/create")
     {
@@ -384,16 +386,16 @@
     if (auto const id = target.after("/v1/session/renew/"))
     {
         bool const renewed = state_.renew_session(now, *id);
-        return renewed ? json_answer(boost::json::array{
+        return renewed ? json_response(boost::json::array{
                              boost::json::object{{"ID", std::string(*id)}}})
-                       : plain_answer(not_found, "the session has ended");
+                       : plain_response(not_found, "the session has ended");
     }
     if (auto const id = target.after("/v1/session/destroy/"))
     {
         state_.end_session(*id);
-        return json_answer(true);
+        return json_response(true);
     }
-    return plain_answer(not_found, "unknown path");
+    return plain_response(not_found, "unknown path");
 }
 
 adapters::http::response
@@ -405,20 +407,20 @@
         body.empty() ? "{}" : body, "session", reason);
     if (!json)
     {
-        return plain_answer(bad_request, to_string(reason));
+        return plain_response(bad_request, to_string(reason));
     }
     core::common::json_reader reader(*json, "session");
     auto const life = parse_wait(reader.text_or("TTL", "15s"));
     if (!reader.ok() || !life)
     {
-        return plain_answer(bad_request, "malformed TTL");
+        return plain_response(bad_request, "malformed TTL");
     }
     auto const id = state_.open_session(now, *life);
     if (!id)
     {
-        return plain_answer(too_many, "too many sessions");
+        return plain_response(too_many, "too many sessions");
     }
-    return json_answer(boost::json::object{{"ID", *id}});
+    return json_response(boost::json::object{{"ID", *id}});
 }
 
 std::vector<held_query> store_service::take_due(core::common::time_point now)
--- a/standins/platform/store_service.hpp
+++ b/standins/platform/store_service.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 #include "standins/platform/call_rate.hpp"
 #include "standins/platform/store_state.hpp"
 
@@ -67,7 +67,7 @@
     /// Whether `path` is one of the store's.
     static bool serves(std::string_view path) noexcept;
     store_answer handle(core::common::time_point now,
-                        web_target const& target,
+                        request_target const& target,
                         adapters::http::request const& request);
     adapters::http::response answer_held(held_query const& query) const;
     std::vector<held_query> take_due(core::common::time_point now);
@@ -80,15 +80,17 @@
 private:
     using response = adapters::http::response;
 
-    store_answer read(core::common::time_point now, web_target const& target);
+    store_answer read(core::common::time_point now,
+                      request_target const& target);
     store_answer put(core::common::time_point now,
-                     web_target const& target,
+                     request_target const& target,
                      std::string const& body);
-    store_answer erase(core::common::time_point now, web_target const& target);
+    store_answer erase(core::common::time_point now,
+                       request_target const& target);
     store_answer transact(core::common::time_point now,
                           std::string const& body);
     store_answer session(core::common::time_point now,
-                         web_target const& target,
+                         request_target const& target,
                          std::string const& body);
     response open_session(core::common::time_point now,
                           std::string const& body);
--- a/standins/pool/gate.cpp
+++ b/standins/pool/gate.cpp
@@ -1,6 +1,6 @@
 #include "standins/pool/gate.hpp"
 
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 
 #include <utility>
 
@@ -44,7 +44,7 @@
         held_.push_back({time_point::max(), std::move(carry_out), respond});
         break;
     case gate_mode::refusing:
-        respond(refusal(503, "unwilling"));
+        respond(error_response(503, "unwilling"));
         break;
     }
 }
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -3,7 +3,7 @@
 #include "adapters/platform/base64.hpp"
 #include "core/common/json.hpp"
 #include "platform/order_codec.hpp"
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 
 #include <array>
 #include <utility>
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -1,6 +1,6 @@
 #include "standins/pool/pool_server.hpp"
 
-#include "standins/common/web.hpp"
+#include "standins/common/http_messages.hpp"
 #include "standins/pool/pool_codec.hpp"
 
 #include <algorithm>
@@ -194,7 +194,7 @@
     auto const call = decode_store_call(request);
     if (!call)
     {
-        respond(refusal(400, "no such call"));
+        respond(error_response(400, "no such call"));
         return;
     }
     before_store_.pass(
@@ -282,13 +282,13 @@
     auto const order = decode_order(request);
     if (!order)
     {
-        respond(refusal(400, "no such order"));
+        respond(error_response(400, "no such order"));
         return;
     }
     if (auto const meant = request.header("Fuchsialanding-Target-Instance");
         meant && *meant != info(number).id)
     {
-        respond(refusal(421, "another instance lives here"));
+        respond(error_response(421, "another instance lives here"));
         return;
     }
     workers_[number].before.pass(
--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -48,7 +48,7 @@
         platform::probe_target probe;
         probe.id = table.text("id");
         probe.name = table.text("name");
-        probe.where = table.endpoint("address");
+        probe.endpoint = table.endpoint("address");
         probe.data_centre = table.text_or("data_centre", "");
         table.reject_unknown_keys();
         probes.push_back(std::move(probe));
--- a/standins/upstreams/upstream_server.cpp
+++ b/standins/upstreams/upstream_server.cpp
@@ -109,7 +109,7 @@
     }
 }
 
-registration upstream_server::describe(std::size_t number) const
+instance_registration upstream_server::describe(std::size_t number) const
 {
     return {pool_.id(number),
             "upstream",
@@ -132,7 +132,7 @@
     {
         return set_faults(asked.body);
     }
-    return refusal(not_found, "unknown control path");
+    return error_response(not_found, "unknown control path");
 }
 
 upstream_server::response upstream_server::set_faults(std::string const& body)
@@ -141,7 +141,7 @@
     auto const json = core::common::parse_json_object(body, "faults", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "faults");
     reader.allow_only({"upstream",
@@ -166,17 +166,17 @@
     }
     if (!reader.ok())
     {
-        return refusal(bad_request, to_string(reader.reason()));
+        return error_response(bad_request, to_string(reader.reason()));
     }
     if (!pool_.set_faults(core::common::clock::now(), id, faults))
     {
-        return refusal(not_found, "no such upstream");
+        return error_response(not_found, "no such upstream");
     }
     for (auto const& each : executors_)
     {
         each->thaw();
     }
-    return json_answer(boost::json::object{{"set", true}});
+    return json_response(boost::json::object{{"set", true}});
 }
 
 upstream_server::response upstream_server::books() const
--- a/standins/upstreams/upstream_server.hpp
+++ b/standins/upstreams/upstream_server.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "adapters/http/server.hpp"
+#include "standins/common/http_messages.hpp"
 #include "standins/common/registrar.hpp"
-#include "standins/common/web.hpp"
 #include "standins/upstreams/executor.hpp"
 
 #include <memory>
@@ -44,7 +44,7 @@
     response handle_control(request const& asked);
     response set_faults(std::string const& body);
     response books() const;
-    registration describe(std::size_t number) const;
+    instance_registration describe(std::size_t number) const;
 
     boost::asio::io_context& io_;
     upstream_settings settings_;
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -92,11 +92,12 @@
                            1,
                            [this](std::size_t)
                            {
-                               return registration{"worker-agent-1",
-                                                   "worker-agent",
-                                                   where_,
-                                                   "",
-                                                   {{"state", "live"}}};
+                               return instance_registration{
+                                   "worker-agent-1",
+                                   "worker-agent",
+                                   where_,
+                                   "",
+                                   {{"state", "live"}}};
                            });
         registrar_->start();
     }
@@ -119,7 +120,7 @@
     auto const target = parse_target(asked.target);
     if (!target)
     {
-        answer(refusal(bad_request, "malformed target"));
+        answer(error_response(bad_request, "malformed target"));
     }
     else if (target->path.starts_with("/control/"))
     {
@@ -140,7 +141,7 @@
     }
     else
     {
-        answer(refusal(not_found, "unknown path"));
+        answer(error_response(not_found, "unknown path"));
     }
 }
 
@@ -152,7 +153,7 @@
     auto const worker = pool_.find(path.substr(0, slash));
     if (slash == std::string_view::npos || !worker)
     {
-        answer(refusal(conflict, "no such worker"));
+        answer(error_response(conflict, "no such worker"));
         return;
     }
     if (pool_.gone(*worker))
@@ -167,7 +168,8 @@
     }
     if (parked_.size() >= max_parked)
     {
-        answer(refusal(unavailable, "too many calls wait for frozen workers"));
+        answer(error_response(unavailable,
+                              "too many calls wait for frozen workers"));
         return;
     }
     parked_.push_back({*worker, std::string(operation), asked.body, answer});
@@ -181,11 +183,11 @@
     auto const parsed = parse_call(operation, body, reason);
     if (!parsed)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     auto const result =
         std::visit(pool_caller{pool_, worker, clock::now()}, *parsed);
-    auto answer = json_answer(to_json(result));
+    auto answer = json_response(to_json(result));
     answer.status = result.done ? answer.status : conflict;
     return answer;
 }
@@ -197,7 +199,7 @@
     {
         listed.push_back(to_json(worker));
     }
-    return json_answer(listed);
+    return json_response(listed);
 }
 
 worker_server::response worker_server::reports(std::string_view rack) const
@@ -207,11 +209,12 @@
     {
         listed.push_back(to_json(report));
     }
-    return json_answer(listed);
+    return json_response(listed);
 }
 
-worker_server::response worker_server::handle_control(web_target const& target,
-                                                      request const& asked)
+worker_server::response
+worker_server::handle_control(request_target const& target,
+                              request const& asked)
 {
     if (target.path == "/control/counts" && asked.method == "GET")
     {
@@ -226,7 +229,7 @@
     {
         return set_data_centre(*name, asked.body);
     }
-    return refusal(not_found, "unknown control path");
+    return error_response(not_found, "unknown control path");
 }
 
 worker_server::response worker_server::set_faults(std::string const& body)
@@ -235,7 +238,7 @@
     auto const json = core::common::parse_json_object(body, "faults", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "faults");
     reader.allow_only(
@@ -258,14 +261,14 @@
     }
     if (!reader.ok())
     {
-        return refusal(bad_request, to_string(reader.reason()));
+        return error_response(bad_request, to_string(reader.reason()));
     }
     if (!pool_.set_faults(clock::now(), id, faults))
     {
-        return refusal(not_found, "no such worker");
+        return error_response(not_found, "no such worker");
     }
     thaw();
-    return json_answer(boost::json::object{{"set", true}});
+    return json_response(boost::json::object{{"set", true}});
 }
 
 void worker_server::thaw()
@@ -294,17 +297,17 @@
         core::common::parse_json_object(body, "data_centre", reason);
     if (!json)
     {
-        return refusal(bad_request, to_string(reason));
+        return error_response(bad_request, to_string(reason));
     }
     json_reader reader(*json, "data_centre");
     reader.allow_only({"state"});
     auto const state = reader.text("state");
     if (!reader.ok() || (state != "out" && state != "in"))
     {
-        return refusal(bad_request, "state is out or in");
+        return error_response(bad_request, "state is out or in");
     }
     pool_.set_data_centre(clock::now(), std::string(name), state == "out");
-    return json_answer(boost::json::object{{"set", true}});
+    return json_response(boost::json::object{{"set", true}});
 }
 
 worker_server::response worker_server::books() const
--- a/standins/workers/worker_server.hpp
+++ b/standins/workers/worker_server.hpp
@@ -2,8 +2,8 @@
 
 #include "adapters/http/server.hpp"
 #include "adapters/runtime/timer.hpp"
+#include "standins/common/http_messages.hpp"
 #include "standins/common/registrar.hpp"
-#include "standins/common/web.hpp"
 #include "standins/workers/worker_pool.hpp"
 
 #include <deque>
@@ -50,7 +50,7 @@
     response call(std::size_t worker,
                   std::string_view operation,
                   std::string const& body);
-    response handle_control(web_target const& target, request const& asked);
+    response handle_control(request_target const& target, request const& asked);
     response set_faults(std::string const& body);
     response set_data_centre(std::string_view name, std::string const& body);
     response list() const;
--- a/tests/process/entry_deployment.cpp
+++ b/tests/process/entry_deployment.cpp
@@ -34,7 +34,8 @@
 
 std::string address(std::uint16_t port)
 {
-    return "\"" + own_address() + ":" + std::to_string(port) + "\"";
+    return "\"" + process_loopback_address() + ":" + std::to_string(port) +
+           "\"";
 }
 
 } // namespace
@@ -63,7 +64,8 @@
     bool whole = false;
     stream.expires_after(call_limit);
     stream.async_connect(
-        tcp::endpoint(boost::asio::ip::make_address(own_address()), port),
+        tcp::endpoint(boost::asio::ip::make_address(process_loopback_address()),
+                      port),
         [&](beast::error_code error)
         {
             if (error)
@@ -121,13 +123,13 @@
 entry_deployment::entry_deployment(std::string const& name)
     : folder_(std::filesystem::temp_directory_path() /
               ("fuchsia-" + name + "-" + std::to_string(getpid()))),
-      platform_port_(next_port()), upstreams_port_(next_port()),
-      running_(entries)
+      platform_port_(next_loopback_port()),
+      upstreams_port_(next_loopback_port()), running_(entries)
 {
     for (std::size_t number = 0; number < entries; ++number)
     {
-        entry_ports_.push_back(next_port());
-        peer_ports_.push_back(next_port());
+        entry_ports_.push_back(next_loopback_port());
+        peer_ports_.push_back(next_loopback_port());
     }
     std::filesystem::create_directories(folder_);
     write_settings();
@@ -286,7 +288,7 @@
     std::ofstream(folder_ / "upstreams.toml")
         << "control = " << address(upstreams_port_)
         << "\n[platform]\naddress = " << address(platform_port_)
-        << "\n[executors]\naddress = \"" << own_address()
+        << "\n[executors]\naddress = \"" << process_loopback_address()
         << "\"\nfirst_port = 0\n"
         << "count = 12\nslots = 4\nconnections = 60\nanswer_bytes = 64\n"
         << "data_centres = [\"kochi-a\"]\nper_machine = 4\nseed = 1\n"
--- a/tests/process/operators_test.cpp
+++ b/tests/process/operators_test.cpp
@@ -29,7 +29,8 @@
 
 std::string loopback(std::uint16_t port)
 {
-    return tests::process::own_address() + ":" + std::to_string(port);
+    return tests::process::process_loopback_address() + ":" +
+           std::to_string(port);
 }
 
 /// One HTTP call; status 0 where there was no answer.
@@ -41,7 +42,7 @@
     boost::asio::io_context io;
     adapters::http::client client(io, {});
     adapters::http::client_call call;
-    call.remote_endpoint = {tests::process::own_address(), port};
+    call.remote_endpoint = {tests::process::process_loopback_address(), port};
     call.message.method = method;
     call.message.target = target;
     call.message.body = body;
@@ -200,13 +201,13 @@
 private:
     void start_platform()
     {
-        platform_port_ = tests::process::next_port();
-        auto const workers_port = tests::process::next_port();
+        platform_port_ = tests::process::next_loopback_port();
+        auto const workers_port = tests::process::next_loopback_port();
         std::ostringstream text;
         text << "listen = \"" << loopback(platform_port_) << "\"\n";
         for (auto const& name : names)
         {
-            http_ports_.push_back(tests::process::next_port());
+            http_ports_.push_back(tests::process::next_loopback_port());
             auto const data_centre = name.substr(8, name.size() - 10);
             auto const http = loopback(http_ports_.back());
             text << "[[probe]]\nid = \"" << name
@@ -216,7 +217,7 @@
             planner << "[self]\nname = \"" << name << "\"\ndata_centre = \""
                     << data_centre << "\"\nhttp_listen = \"" << http
                     << "\"\npeer_listen = \""
-                    << loopback(tests::process::next_port())
+                    << loopback(tests::process::next_loopback_port())
                     << "\"\n[platform]\nstore = \"" << loopback(platform_port_)
                     << "\"\nworkers = \"" << loopback(workers_port)
                     << "\"\n[security]\ntoken_file = \""
--- a/tests/process/own_address.hpp
+++ b/tests/process/own_address.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "standins/common/own_address.hpp"
+#include "standins/common/process_address.hpp"
 
 namespace fuchsia::tests::process
 {
 
-using standins::next_port;
-using standins::own_address;
+using standins::next_loopback_port;
+using standins::process_loopback_address;
 
 } // namespace fuchsia::tests::process
--- a/tests/process/pool_test.cpp
+++ b/tests/process/pool_test.cpp
@@ -34,12 +34,12 @@
                   ("fuchsia-pool-" + std::to_string(::getpid())))
     {
         std::filesystem::create_directories(folder_);
-        store_port_ = tests::process::next_port();
-        auto const first_worker = tests::process::next_port();
+        store_port_ = tests::process::next_loopback_port();
+        auto const first_worker = tests::process::next_loopback_port();
         constexpr int workers = 4;
         for (int used = 1; used < workers; ++used)
         {
-            tests::process::next_port();
+            tests::process::next_loopback_port();
         }
         write("standin.toml",
               "store = \"" + at(store_port_) +
@@ -51,9 +51,9 @@
                                path("standin.log"));
         for (std::size_t number = 0; number < instances; ++number)
         {
-            submissions_.push_back(tests::process::next_port());
-            readiness_.push_back(tests::process::next_port());
-            metrics_.push_back(tests::process::next_port());
+            submissions_.push_back(tests::process::next_loopback_port());
+            readiness_.push_back(tests::process::next_loopback_port());
+            metrics_.push_back(tests::process::next_loopback_port());
             start(number);
         }
     }
@@ -122,7 +122,8 @@
 private:
     std::string at(std::uint16_t port) const
     {
-        return tests::process::own_address() + ":" + std::to_string(port);
+        return tests::process::process_loopback_address() + ":" +
+               std::to_string(port);
     }
 
     std::string path(std::string const& name) const
@@ -143,7 +144,8 @@
         boost::asio::io_context io;
         adapters::http::client client(io, {});
         adapters::http::client_call call;
-        call.remote_endpoint = {tests::process::own_address(), port};
+        call.remote_endpoint = {tests::process::process_loopback_address(),
+                                port};
         call.message = {method, target, {{"Host", "jobs.example"}}, body, ""};
         adapters::http::response answer;
         answer.status = 0;
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -1,7 +1,7 @@
 #include "tools/soak/soak.hpp"
 
 #include "adapters/runtime/signals.hpp"
-#include "standins/common/own_address.hpp"
+#include "standins/common/process_address.hpp"
 #include "tools/soak/faults.hpp"
 #include "tools/soak/instances.hpp"
 
@@ -47,8 +47,8 @@
     world(soak_settings const& settings, record::sink const& take)
         : settings_(settings), drawn_(draw(settings.what)),
           out_(settings.folder + "/observations.txt", take),
-          address_(standins::own_address()), platform_(io_, platform()),
-          instances_(io_, instances_of(), out_),
+          address_(standins::process_loopback_address()),
+          platform_(io_, platform()), instances_(io_, instances_of(), out_),
           traffic_(io_, instances_, out_, settings.what.seed),
           faults_(instances_,
                   platform_,
