--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -139,7 +139,7 @@
         return;
     }
     auto result = store_.handle(clock::now(), target, asked);
-    if (auto* later = std::get_if<answer_later>(&result))
+    if (auto* later = std::get_if<deferred_response>(&result))
     {
         held_.emplace(later->query.number, answer);
     }
@@ -159,7 +159,7 @@
         {
             auto const answer = std::move(found->second);
             held_.erase(found);
-            answer(store_.answer_held(query));
+            answer(store_.respond_to_held(query));
         }
     }
 }
@@ -300,9 +300,10 @@
     faults.down = reader.flag_or("down", faults.down);
     faults.slow_ms = static_cast<std::uint32_t>(
         reader.integer_or("slow_ms", faults.slow_ms, 0, max_slow_ms));
-    faults.lose_answers = reader.integer_or(
-        "lose_answers", faults.lose_answers, -1, 1'000'000'000);
-    faults.lose_prefix = reader.text_or("lose_prefix", faults.lose_prefix);
+    faults.drop_responses = reader.integer_or(
+        "lose_answers", faults.drop_responses, -1, 1'000'000'000);
+    faults.drop_responses_prefix =
+        reader.text_or("lose_prefix", faults.drop_responses_prefix);
     auto const lag = reader.integer_or(
         "list_lag_ms", -1, 0, core::common::to_milliseconds(catalog::max_lag));
     bool const freeze = reader.flag_or("list_frozen", false);
--- a/standins/platform/platform_server.hpp
+++ b/standins/platform/platform_server.hpp
@@ -26,7 +26,7 @@
 struct platform_settings
 {
     ports::endpoint listen{"127.0.0.1", 20000};
-    service_settings store;
+    store_service_settings store;
     catalog_settings instances;
     std::vector<probe_target> probes;
     core::common::duration probe_interval = std::chrono::seconds(1);
--- a/standins/platform/store_service.cpp
+++ b/standins/platform/store_service.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-store_service::store_service(service_settings settings)
+store_service::store_service(store_service_settings settings)
     : settings_(settings), state_(settings.limits),
       read_rate_(settings.reads_per_second),
       write_rate_(settings.writes_per_second)
@@ -135,9 +135,9 @@
            path.starts_with(session_path);
 }
 
-store_answer store_service::handle(core::common::time_point now,
-                                   request_target const& target,
-                                   adapters::http::request const& request)
+store_response store_service::handle(core::common::time_point now,
+                                     request_target const& target,
+                                     adapters::http::request const& request)
 {
     if (target.path == txn_path && request.method == "PUT")
     {
@@ -180,8 +180,8 @@
     return admitted;
 }
 
-store_answer store_service::read(core::common::time_point now,
-                                 request_target const& target)
+store_response store_service::read(core::common::time_point now,
+                                   request_target const& target)
 {
     bool const recurse = target.has("recurse");
     bool const watch = target.has("index");
@@ -212,7 +212,7 @@
                      now + std::min(*wait, max_wait)};
     if (state_.hold(query))
     {
-        return answer_later{std::move(query)};
+        return deferred_response{std::move(query)};
     }
     return entries_answer(key, recurse);
 }
@@ -241,14 +241,14 @@
 }
 
 adapters::http::response
-store_service::answer_held(held_query const& query) const
+store_service::respond_to_held(held_query const& query) const
 {
     return entries_answer(query.key, query.recurse);
 }
 
-store_answer store_service::put(core::common::time_point now,
-                                request_target const& target,
-                                std::string const& body)
+store_response store_service::put(core::common::time_point now,
+                                  request_target const& target,
+                                  std::string const& body)
 {
     ++books_.writes;
     if (!admit_write(now))
@@ -273,8 +273,8 @@
     return plain_result(key, state_.write(key, body, target.number("cas")));
 }
 
-store_answer store_service::erase(core::common::time_point now,
-                                  request_target const& target)
+store_response store_service::erase(core::common::time_point now,
+                                    request_target const& target)
 {
     ++books_.erases;
     if (!admit_write(now))
@@ -289,8 +289,8 @@
     return plain_result(key, state_.erase(key, target.number("cas")));
 }
 
-store_answer store_service::transact(core::common::time_point now,
-                                     std::string const& body)
+store_response store_service::transact(core::common::time_point now,
+                                       std::string const& body)
 {
     auto const parsed = parse_transaction(body);
     bool const deletes = parsed && parsed->verb == "delete-cas";
@@ -310,8 +310,8 @@
     return txn_result(parsed->key, result);
 }
 
-store_answer store_service::plain_result(std::string_view key,
-                                         change_result result)
+store_response store_service::plain_result(std::string_view key,
+                                           change_result result)
 {
     if (result.status == change_status::too_large)
     {
@@ -324,8 +324,8 @@
         key, adapters::http::json_response(ok, done ? "true" : "false"));
 }
 
-store_answer store_service::txn_result(std::string_view key,
-                                       change_result result)
+store_response store_service::txn_result(std::string_view key,
+                                         change_result result)
 {
     if (result.status == change_status::too_large)
     {
@@ -356,23 +356,25 @@
 }
 
 // A lost answer: the caller can't tell whether its change took effect.
-store_answer store_service::after_effect(std::string_view key, response answer)
+store_response store_service::after_effect(std::string_view key,
+                                           response answer)
 {
-    if (faults_.lose_answers == 0 || !key.starts_with(faults_.lose_prefix))
+    if (faults_.drop_responses == 0 ||
+        !key.starts_with(faults_.drop_responses_prefix))
     {
         return answer;
     }
-    if (faults_.lose_answers > 0)
+    if (faults_.drop_responses > 0)
     {
-        --faults_.lose_answers;
+        --faults_.drop_responses;
     }
     ++books_.dropped_responses;
-    return no_answer{};
+    return dropped_response{};
 }
 
-store_answer store_service::session(core::common::time_point now,
-                                    request_target const& target,
-                                    std::string const& body)
+store_response store_service::session(core::common::time_point now,
+                                      request_target const& target,
+                                      std::string const& body)
 {
     ++books_.sessions;
     if (!admit_write(now))
--- a/standins/platform/store_service.hpp
+++ b/standins/platform/store_service.hpp
@@ -15,7 +15,7 @@
 namespace fuchsia::standins::platform
 {
 
-struct service_settings
+struct store_service_settings
 {
     double writes_per_second = 500;
     double reads_per_second = 2'000;
@@ -28,8 +28,8 @@
     std::uint32_t slow_ms = 0;
     /// Answers of so many writes below `lose_prefix` are dropped after their
     /// effect; -1: of all.
-    std::int64_t lose_answers = 0;
-    std::string lose_prefix;
+    std::int64_t drop_responses = 0;
+    std::string drop_responses_prefix;
 };
 
 struct store_counters
@@ -46,30 +46,30 @@
 };
 
 /// The effect happened, and the connection closes without an answer.
-struct no_answer
+struct dropped_response
 {
 };
 
 /// The answer follows when the query is due; `answer_held` makes it.
-struct answer_later
+struct deferred_response
 {
     held_query query;
 };
 
-using store_answer =
-    std::variant<adapters::http::response, no_answer, answer_later>;
+using store_response =
+    std::variant<adapters::http::response, dropped_response, deferred_response>;
 
 class store_service
 {
 public:
-    explicit store_service(service_settings settings);
+    explicit store_service(store_service_settings settings);
 
     /// Whether `path` is one of the store's.
     static bool serves(std::string_view path) noexcept;
-    store_answer handle(core::common::time_point now,
-                        request_target const& target,
-                        adapters::http::request const& request);
-    adapters::http::response answer_held(held_query const& query) const;
+    store_response handle(core::common::time_point now,
+                          request_target const& target,
+                          adapters::http::request const& request);
+    adapters::http::response respond_to_held(held_query const& query) const;
     std::vector<held_query> take_due(core::common::time_point now);
     void drop_held(std::uint64_t number);
     bool expire_session(std::string_view id);
@@ -80,28 +80,28 @@
 private:
     using response = adapters::http::response;
 
-    store_answer read(core::common::time_point now,
-                      request_target const& target);
-    store_answer put(core::common::time_point now,
-                     request_target const& target,
-                     std::string const& body);
-    store_answer erase(core::common::time_point now,
-                       request_target const& target);
-    store_answer transact(core::common::time_point now,
-                          std::string const& body);
-    store_answer session(core::common::time_point now,
-                         request_target const& target,
-                         std::string const& body);
+    store_response read(core::common::time_point now,
+                        request_target const& target);
+    store_response put(core::common::time_point now,
+                       request_target const& target,
+                       std::string const& body);
+    store_response erase(core::common::time_point now,
+                         request_target const& target);
+    store_response transact(core::common::time_point now,
+                            std::string const& body);
+    store_response session(core::common::time_point now,
+                           request_target const& target,
+                           std::string const& body);
     response open_session(core::common::time_point now,
                           std::string const& body);
     response entries_answer(std::string_view key, bool recurse) const;
-    store_answer after_effect(std::string_view key, response answer);
-    store_answer plain_result(std::string_view key, change_result result);
-    store_answer txn_result(std::string_view key, change_result result);
+    store_response after_effect(std::string_view key, response answer);
+    store_response plain_result(std::string_view key, change_result result);
+    store_response txn_result(std::string_view key, change_result result);
     bool admit_read(core::common::time_point now);
     bool admit_write(core::common::time_point now);
 
-    service_settings settings_;
+    store_service_settings settings_;
     store_state state_;
     call_rate read_rate_;
     call_rate write_rate_;
--- a/standins/platform/store_state.cpp
+++ b/standins/platform/store_state.cpp
@@ -245,7 +245,7 @@
 
 bool store_state::hold(held_query query)
 {
-    if (held_.size() >= limits_.waiting || query.index == 0 ||
+    if (held_.size() >= limits_.held_queries || query.index == 0 ||
         newest_change(query.key, query.recurse) > query.index)
     {
         return false;
--- a/standins/platform/store_state.hpp
+++ b/standins/platform/store_state.hpp
@@ -21,7 +21,7 @@
     std::size_t key_bytes = 512;
     std::size_t keys = 500'000;
     std::size_t sessions = 10'000;
-    std::size_t waiting = 10'000;
+    std::size_t held_queries = 10'000;
     /// Deletions that blocking queries can still see.
     std::size_t tombstones = 65'536;
 };
--- a/tests/contract/standins/store_state_test.cpp
+++ b/tests/contract/standins/store_state_test.cpp
@@ -14,17 +14,17 @@
 
 constexpr core::common::time_point start(1h);
 
-std::uint16_t status_of(store_answer const& answer)
+std::uint16_t status_of(store_response const& answer)
 {
     auto const* sent = std::get_if<response>(&answer);
     return sent == nullptr ? 0 : sent->status;
 }
 
-store_answer ask(store_service& store,
-                 std::string method,
-                 std::string target,
-                 std::string body = {},
-                 core::common::time_point now = start)
+store_response ask(store_service& store,
+                   std::string method,
+                   std::string target,
+                   std::string body = {},
+                   core::common::time_point now = start)
 {
     request asked{
         std::move(method), std::move(target), {}, std::move(body), {}};
@@ -193,7 +193,7 @@
 
 TEST(store_service, refuses_calls_beyond_its_bound)
 {
-    service_settings settings;
+    store_service_settings settings;
     settings.reads_per_second = 10;
     settings.writes_per_second = 5;
     store_service store(settings);
@@ -227,14 +227,14 @@
     for (auto const& row : rows)
     {
         store_service store({});
-        store.faults().lose_answers = row.lose;
-        store.faults().lose_prefix = "members/";
+        store.faults().drop_responses = row.lose;
+        store.faults().drop_responses_prefix = "members/";
         int lost = 0;
         for (int write = 0; write < 3; ++write)
         {
             auto const answer =
                 ask(store, "PUT", "/v1/kv/" + row.key, std::to_string(write));
-            lost += std::holds_alternative<no_answer>(answer) ? 1 : 0;
+            lost += std::holds_alternative<dropped_response>(answer) ? 1 : 0;
         }
         EXPECT_EQ(lost, row.lost_of_three) << row.what;
         EXPECT_EQ(store.counters().dropped_responses,
