--- a/standins/links/link_server.cpp
+++ b/standins/links/link_server.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 link_server::link_server(boost::asio::io_context& io,
-                         links_settings const& settings)
+                         link_server_settings const& settings)
     : where_(settings.control),
       control_(
           io,
--- a/standins/links/link_server.hpp
+++ b/standins/links/link_server.hpp
@@ -11,7 +11,7 @@
 namespace fuchsia::standins::links
 {
 
-struct links_settings
+struct link_server_settings
 {
     ports::endpoint control{"127.0.0.1", 20300};
     std::vector<link_settings> links;
@@ -21,7 +21,8 @@
 class link_server
 {
 public:
-    link_server(boost::asio::io_context& io, links_settings const& settings);
+    link_server(boost::asio::io_context& io,
+                link_server_settings const& settings);
 
     /// The control endpoint.
     std::optional<ports::endpoint> listen(core::common::failure& reason);
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -100,13 +100,13 @@
     if (upstreams->parsed())
     {
         return serve<standins::upstreams::upstream_server,
-                     standins::upstreams::upstream_settings>(
+                     standins::upstreams::upstream_server_settings>(
             "upstreams", path, standins::read_upstream_settings);
     }
     if (workers->parsed())
     {
         return serve<standins::workers::worker_server,
-                     standins::workers::worker_settings>(
+                     standins::workers::worker_server_settings>(
             "workers", path, standins::read_worker_settings);
     }
     if (pool->parsed())
@@ -115,6 +115,7 @@
                      standins::pool::pool_server_settings>(
             "pool", path, standins::read_pool_settings);
     }
-    return serve<standins::links::link_server, standins::links::links_settings>(
+    return serve<standins::links::link_server,
+                 standins::links::link_server_settings>(
         "links", path, standins::read_link_settings);
 }
--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -77,7 +77,7 @@
     return time;
 }
 
-void read_pool(toml_table table, upstreams::upstream_settings& out)
+void read_pool(toml_table table, upstreams::upstream_server_settings& out)
 {
     auto& pool = out.pool;
     out.address = table.text_or("address", out.address);
@@ -111,7 +111,7 @@
     table.reject_unknown_keys();
 }
 
-void read_worker_pool(toml_table table, workers::pool_settings& pool)
+void read_worker_pool(toml_table table, workers::worker_pool_settings& pool)
 {
     pool.count = natural(table, "count", pool.count, 1, max_instances);
     pool.per_rack = natural(table, "per_rack", pool.per_rack, 1, 1'000);
@@ -186,9 +186,9 @@
     return settings;
 }
 
-upstreams::upstream_settings read_upstream_settings(toml_table& root)
+upstreams::upstream_server_settings read_upstream_settings(toml_table& root)
 {
-    upstreams::upstream_settings settings;
+    upstreams::upstream_server_settings settings;
     settings.control = root.endpoint("control");
     settings.platform = read_platform_address(root);
     read_pool(root.table("executors"), settings);
@@ -206,9 +206,9 @@
     return settings;
 }
 
-workers::worker_settings read_worker_settings(toml_table& root)
+workers::worker_server_settings read_worker_settings(toml_table& root)
 {
-    workers::worker_settings settings;
+    workers::worker_server_settings settings;
     settings.listen = root.endpoint("listen");
     settings.platform = read_platform_address(root);
     read_worker_pool(root.table("workers"), settings.pool);
@@ -230,9 +230,9 @@
     return made;
 }
 
-links::links_settings read_link_settings(toml_table& root)
+links::link_server_settings read_link_settings(toml_table& root)
 {
-    links::links_settings settings;
+    links::link_server_settings settings;
     settings.control = root.endpoint("control");
     for (auto& table : root.tables("link"))
     {
--- a/standins/settings.hpp
+++ b/standins/settings.hpp
@@ -21,12 +21,13 @@
 /// the file.
 platform::platform_settings
 read_platform_settings(adapters::settings::toml_table& root);
-upstreams::upstream_settings
+upstreams::upstream_server_settings
 read_upstream_settings(adapters::settings::toml_table& root);
-workers::worker_settings
+workers::worker_server_settings
 read_worker_settings(adapters::settings::toml_table& root);
 pool::pool_server_settings
 read_pool_settings(adapters::settings::toml_table& root);
-links::links_settings read_link_settings(adapters::settings::toml_table& root);
+links::link_server_settings
+read_link_settings(adapters::settings::toml_table& root);
 
 } // namespace fuchsia::standins
--- a/standins/upstreams/upstream_pool.cpp
+++ b/standins/upstreams/upstream_pool.cpp
@@ -9,7 +9,7 @@
 namespace fuchsia::standins::upstreams
 {
 
-upstream_pool::upstream_pool(pool_settings settings)
+upstream_pool::upstream_pool(upstream_pool_settings settings)
     : settings_(std::move(settings)), random_(settings_.seed)
 {
     auto const machines = settings_.count / settings_.per_machine + 1;
--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -32,7 +32,7 @@
     double factor = 1.0;
 };
 
-struct pool_settings
+struct upstream_pool_settings
 {
     std::uint32_t count = 50;
     std::uint32_t slots = 8;
@@ -103,7 +103,7 @@
 class upstream_pool
 {
 public:
-    explicit upstream_pool(pool_settings settings);
+    explicit upstream_pool(upstream_pool_settings settings);
 
     std::size_t size() const noexcept;
     std::string const& id(std::size_t executor) const;
@@ -148,7 +148,7 @@
     core::common::duration draw_time(executor_state const& executor,
                                      work_request const& what);
 
-    pool_settings settings_;
+    upstream_pool_settings settings_;
     std::mt19937_64 random_;
     std::vector<executor_state> executors_;
     std::vector<std::uint32_t> machine_running_;
--- a/standins/upstreams/upstream_server.cpp
+++ b/standins/upstreams/upstream_server.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 upstream_server::upstream_server(boost::asio::io_context& io,
-                                 upstream_settings settings)
+                                 upstream_server_settings settings)
     : io_(io), settings_(std::move(settings)), pool_(settings_.pool),
       control_(
           io,
--- a/standins/upstreams/upstream_server.hpp
+++ b/standins/upstreams/upstream_server.hpp
@@ -12,7 +12,7 @@
 namespace fuchsia::standins::upstreams
 {
 
-struct upstream_settings
+struct upstream_server_settings
 {
     ports::endpoint control{"127.0.0.1", 20100};
     /// Where to register; absent: nowhere.
@@ -21,7 +21,7 @@
     /// Executors listen on `first_port` and those after it; 0: free ones.
     std::string address = "127.0.0.1";
     std::uint16_t first_port = 20101;
-    pool_settings pool;
+    upstream_pool_settings pool;
     executor_settings executor;
 };
 
@@ -29,7 +29,8 @@
 class upstream_server
 {
 public:
-    upstream_server(boost::asio::io_context& io, upstream_settings settings);
+    upstream_server(boost::asio::io_context& io,
+                    upstream_server_settings settings);
 
     /// The control endpoint.
     std::optional<ports::endpoint> listen(core::common::failure& reason);
@@ -47,7 +48,7 @@
     instance_registration describe(std::size_t number) const;
 
     boost::asio::io_context& io_;
-    upstream_settings settings_;
+    upstream_server_settings settings_;
     upstream_pool pool_;
     std::vector<std::shared_ptr<executor>> executors_;
     std::vector<ports::endpoint> endpoints_;
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -29,7 +29,8 @@
 
 } // namespace
 
-worker_pool::worker_pool(pool_settings settings, core::common::time_point start)
+worker_pool::worker_pool(worker_pool_settings settings,
+                         core::common::time_point start)
     : settings_(std::move(settings)), start_(start),
       interference_(settings_.interference)
 {
--- a/standins/workers/worker_pool.hpp
+++ b/standins/workers/worker_pool.hpp
@@ -19,7 +19,7 @@
 namespace fuchsia::standins::workers
 {
 
-struct pool_settings
+struct worker_pool_settings
 {
     std::uint32_t count = 50;
     std::uint32_t per_rack = 8;
@@ -86,7 +86,7 @@
 class worker_pool
 {
 public:
-    worker_pool(pool_settings settings, core::common::time_point start);
+    worker_pool(worker_pool_settings settings, core::common::time_point start);
 
     std::size_t size() const noexcept;
     std::optional<std::size_t> find(std::string_view id) const;
@@ -216,7 +216,7 @@
     void make_report(std::size_t worker, core::common::time_point now);
     void lose_all(worker_record& worker);
 
-    pool_settings settings_;
+    worker_pool_settings settings_;
     core::common::time_point start_;
     interference interference_;
     std::vector<worker_record> workers_;
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -61,7 +61,7 @@
 } // namespace
 
 worker_server::worker_server(boost::asio::io_context& io,
-                             worker_settings settings)
+                             worker_server_settings settings)
     : io_(io), settings_(std::move(settings)),
       pool_(settings_.pool, clock::now()),
       server_(io,
--- a/standins/workers/worker_server.hpp
+++ b/standins/workers/worker_server.hpp
@@ -12,19 +12,19 @@
 namespace fuchsia::standins::workers
 {
 
-struct worker_settings
+struct worker_server_settings
 {
     ports::endpoint listen{"127.0.0.1", 20200};
     /// Where the agent registers; absent: nowhere.
     std::optional<ports::endpoint> platform;
-    pool_settings pool;
+    worker_pool_settings pool;
 };
 
 /// The workers' agent, its faults and books behind one HTTP port.
 class worker_server
 {
 public:
-    worker_server(boost::asio::io_context& io, worker_settings settings);
+    worker_server(boost::asio::io_context& io, worker_server_settings settings);
 
     std::optional<ports::endpoint> listen(core::common::failure& reason);
     void stop();
@@ -60,7 +60,7 @@
     void tick();
 
     boost::asio::io_context& io_;
-    worker_settings settings_;
+    worker_server_settings settings_;
     worker_pool pool_;
     adapters::http::server server_;
     adapters::runtime::timer timer_;
--- a/tests/contract/load/service_sampler_test.cpp
+++ b/tests/contract/load/service_sampler_test.cpp
@@ -10,7 +10,7 @@
 {
     using namespace std::chrono_literals;
     boost::asio::io_context io;
-    standins::workers::worker_settings settings;
+    standins::workers::worker_server_settings settings;
     settings.listen = {"127.0.0.1", 0};
     settings.pool.count = 1;
     settings.pool.report_interval = 100ms;
--- a/tests/contract/standins/servers_test.cpp
+++ b/tests/contract/standins/servers_test.cpp
@@ -175,7 +175,7 @@
     platform::platform_server platform(io, platform_settings);
     auto const list = platform.listen(reason);
     ASSERT_TRUE(list) << to_string(reason);
-    upstreams::upstream_settings settings;
+    upstreams::upstream_server_settings settings;
     settings.control = any_port();
     settings.first_port = 0;
     settings.platform = list;
@@ -224,7 +224,7 @@
          0},
         {R"("partial_permille":0)", exchange_status::answered, 200},
     };
-    upstreams::upstream_settings settings;
+    upstreams::upstream_server_settings settings;
     settings.control = any_port();
     settings.first_port = 0;
     settings.pool.count = 1;
@@ -253,7 +253,7 @@
 {
     // The executor's process is stopped for a while: its connections stay
     // open, nothing moves, and afterwards the late answers come.
-    upstreams::upstream_settings settings;
+    upstreams::upstream_server_settings settings;
     settings.control = any_port();
     settings.first_port = 0;
     settings.pool.count = 2;
@@ -281,7 +281,7 @@
 
 TEST_F(standin_servers, workers_take_calls_and_keep_books)
 {
-    workers::worker_settings settings;
+    workers::worker_server_settings settings;
     settings.listen = any_port();
     settings.pool.count = 2;
     settings.pool.data_centres = {"kochi-a"};
@@ -336,7 +336,7 @@
 {
     // A start waits in the buffers of a worker that is paused. When it wakes
     // the task runs elsewhere already; its own clock makes it refuse.
-    workers::worker_settings settings;
+    workers::worker_server_settings settings;
     settings.listen = any_port();
     settings.pool.count = 1;
     workers::worker_server server(io, settings);
@@ -383,12 +383,12 @@
         {"backward", R"({"cut":"none"})", exchange_status::answered},
         {"both", R"({"cut":"none","reset":true})", exchange_status::lost},
     };
-    workers::worker_settings target_settings;
+    workers::worker_server_settings target_settings;
     target_settings.listen = any_port();
     workers::worker_server target(io, target_settings);
     auto const behind = target.listen(reason);
     ASSERT_TRUE(behind) << to_string(reason);
-    links::links_settings settings;
+    links::link_server_settings settings;
     settings.control = any_port();
     settings.links.push_back({"a-b", any_port(), *behind, 1ms});
     links::link_server server(io, settings);
--- a/tests/contract/standins/upstream_pool_test.cpp
+++ b/tests/contract/standins/upstream_pool_test.cpp
@@ -21,9 +21,9 @@
             std::move(key)};
 }
 
-pool_settings two_slots()
+upstream_pool_settings two_slots()
 {
-    pool_settings settings;
+    upstream_pool_settings settings;
     settings.count = 2;
     settings.slots = 2;
     settings.data_centres = {"kochi-a"};
--- a/tests/contract/standins/worker_pool_test.cpp
+++ b/tests/contract/standins/worker_pool_test.cpp
@@ -14,9 +14,9 @@
 
 constexpr core::common::time_point start(1h);
 
-pool_settings small_pool()
+worker_pool_settings small_pool()
 {
-    pool_settings settings;
+    worker_pool_settings settings;
     settings.count = 3;
     settings.per_rack = 1;
     settings.data_centres = {"kochi-a", "thrissur-b"};
