--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -128,15 +128,15 @@
         "report_interval_ms", pool.report_interval, 100ms, 60s);
     pool.report_lag =
         table.duration_or("report_lag_ms", pool.report_lag, 0ms, 600s);
-    pool.ended_listed =
-        table.duration_or("ended_listed_ms", pool.ended_listed, 1s, 600s);
+    pool.ended_retention =
+        table.duration_or("ended_listed_ms", pool.ended_retention, 1s, 600s);
     pool.late_start_grace = table.duration_or(
         "late_start_grace_ms", pool.late_start_grace, 0ms, 600s);
     pool.clock_drift_ppm =
         natural(table, "clock_drift_ppm", pool.clock_drift_ppm, 0, 50'000);
     pool.service_latency_us = static_cast<std::uint64_t>(
         table.integer_or("service_latency_us", 5'000, 1, 60'000'000));
-    pool.broken_classes = table.texts_or("broken_classes", {});
+    pool.failing_classes = table.texts_or("broken_classes", {});
     table.reject_unknown_keys();
 }
 
--- a/standins/upstreams/executor.cpp
+++ b/standins/upstreams/executor.cpp
@@ -100,28 +100,28 @@
         keep_alive_ = message.keep_alive();
         token_ = text_of(message["Fuchsia-Load-Token"]);
         owner_->run(work_of(message),
-                    [self = shared_from_this()](work_end how)
+                    [self = shared_from_this()](work_outcome how)
                     {
                         self->answer(how);
                     });
     }
 
-    void answer(work_end how)
+    void answer(work_outcome how)
     {
         auto const body = framed_body(token_, owner_->settings_.answer_bytes);
-        if (how == work_end::partial)
+        if (how == work_outcome::partial)
         {
             write_half(body);
             return;
         }
         message_ = {};
         message_.version(11);
-        message_.result(how == work_end::whole ? http::status::ok
-                        : how == work_end::failed
+        message_.result(how == work_outcome::complete ? http::status::ok
+                        : how == work_outcome::failed
                             ? http::status::internal_server_error
                             : http::status::service_unavailable);
         message_.set("Upstream-Id", owner_->pool_.id(owner_->number_));
-        if (how == work_end::refused)
+        if (how == work_outcome::refused)
         {
             message_.set("Upstream-Outcome", "not-run");
         }
@@ -248,18 +248,19 @@
 // The work goes on to its end even where the caller has hung up, as a real
 // upstream's would.
 void executor::run(work_request const& what,
-                   std::function<void(work_end)> const& done)
+                   std::function<void(work_outcome)> const& done)
 {
     auto const begun = pool_.begin(core::common::clock::now(), number_, what);
-    if (begun.end == work_end::refused)
+    if (begun.outcome == work_outcome::refused)
     {
-        done(work_end::refused);
+        done(work_outcome::refused);
         return;
     }
     auto const timer =
         std::make_shared<adapters::runtime::timer>(io_, begun.time);
     timer->async_wait(
-        [self = shared_from_this(), timer, how = begun.end, done](auto error)
+        [self = shared_from_this(), timer, how = begun.outcome, done](
+            auto error)
         {
             if (error)
             {
--- a/standins/upstreams/executor.hpp
+++ b/standins/upstreams/executor.hpp
@@ -50,7 +50,7 @@
     /// each running request parks one step at most.
     void when_thawed(std::function<void()> step);
     void run(work_request const& what,
-             std::function<void(work_end)> const& done);
+             std::function<void(work_outcome)> const& done);
 
     boost::asio::io_context& io_;
     upstream_pool& pool_;
--- a/standins/upstreams/upstream_pool.cpp
+++ b/standins/upstreams/upstream_pool.cpp
@@ -65,7 +65,7 @@
     if (chance(at.refuse_permille))
     {
         ++books_.refused;
-        return {work_end::refused, {}};
+        return {work_outcome::refused, {}};
     }
     if (at.left && now - *at.left > settings_.leaving_grace)
     {
@@ -79,27 +79,27 @@
         ++books_.over_capacity;
     }
     note_key(what);
-    work begun{work_end::whole, draw_time(at, what)};
+    work begun{work_outcome::complete, draw_time(at, what)};
     if (chance(at.fail_permille))
     {
-        begun.end = work_end::failed;
+        begun.outcome = work_outcome::failed;
     }
     else if (chance(at.partial_permille))
     {
-        begun.end = work_end::partial;
+        begun.outcome = work_outcome::partial;
     }
     return begun;
 }
 
-void upstream_pool::end(std::size_t executor, work_end how)
+void upstream_pool::end(std::size_t executor, work_outcome how)
 {
     auto& at = executors_[executor];
     --at.running;
     --machine_running_[at.machine];
     --books_.running;
-    books_.answered += how == work_end::whole ? 1 : 0;
-    books_.failed += how == work_end::failed ? 1 : 0;
-    books_.partial += how == work_end::partial ? 1 : 0;
+    books_.answered += how == work_outcome::complete ? 1 : 0;
+    books_.failed += how == work_outcome::failed ? 1 : 0;
+    books_.partial += how == work_outcome::partial ? 1 : 0;
 }
 
 // Only POST: the other methods may be repeated, key or no key.
--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -61,18 +61,18 @@
     std::string idempotency_key;
 };
 
-enum class work_end : std::uint8_t
+enum class work_outcome : std::uint8_t
 {
-    whole,   ///< A whole answer.
-    failed,  ///< The work is done, the answer is a 500.
-    partial, ///< Half the answer, then the connection ends.
-    refused, ///< Not begun.
+    complete, ///< A whole answer.
+    failed,   ///< The work is done, the answer is a 500.
+    partial,  ///< Half the answer, then the connection ends.
+    refused,  ///< Not begun.
 };
 
 /// What an executor does with one request.
 struct work
 {
-    work_end end = work_end::whole;
+    work_outcome outcome = work_outcome::complete;
     core::common::duration time{};
 };
 
@@ -116,7 +116,7 @@
                std::size_t executor,
                work_request const& what);
     /// The work is done, whether or not its caller still listens.
-    void end(std::size_t executor, work_end how);
+    void end(std::size_t executor, work_outcome how);
 
     /// Of one executor, or of all for "*"; false for an unknown id.
     bool set_faults(core::common::time_point now,
--- a/standins/workers/interference.cpp
+++ b/standins/workers/interference.cpp
@@ -39,9 +39,9 @@
     return settings_.strength * weight * weight * weight * share;
 }
 
-double interference::wave(std::string_view worker,
-                          core::common::time_point now,
-                          double extra_noise) const
+double interference::noise_factor(std::string_view worker,
+                                  core::common::time_point now,
+                                  double extra_noise) const
 {
     double const noise = settings_.noise + extra_noise;
     auto const period = now.time_since_epoch() / settings_.wave_period;
--- a/standins/workers/interference.hpp
+++ b/standins/workers/interference.hpp
@@ -34,9 +34,9 @@
     double
     disturbance(std::string_view on, std::string_view by, double share) const;
     /// Factor of all disturbance on a worker at a time: above 1 in a wave.
-    double wave(std::string_view worker,
-                core::common::time_point now,
-                double extra_noise) const;
+    double noise_factor(std::string_view worker,
+                        core::common::time_point now,
+                        double extra_noise) const;
     /// True size of a class by its declared size.
     double size_factor(std::string_view task_class) const;
 
--- a/standins/workers/worker_calls.cpp
+++ b/standins/workers/worker_calls.cpp
@@ -196,7 +196,7 @@
         object["checkpoint"] = result.checkpoint;
     }
     json::array gone;
-    for (auto const& what : result.gone)
+    for (auto const& what : result.unknown_attempts)
     {
         gone.push_back(attempt_json(what));
     }
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -89,7 +89,7 @@
     std::vector<ports::worker_instance> listed;
     for (auto const& worker : workers_)
     {
-        if (!worker.gone)
+        if (!worker.crashed)
         {
             listed.push_back(worker.listed);
         }
@@ -157,7 +157,7 @@
     attempt.call = call;
     attempt.lease_until_ms = call.lease_until_ms;
     attempt.work_done_ms = resume_from(call);
-    auto const& broken = settings_.broken_classes;
+    auto const& broken = settings_.failing_classes;
     bool const is_broken =
         std::find(broken.begin(), broken.end(), call.task_class) !=
         broken.end();
@@ -294,7 +294,7 @@
         auto* attempt = running_attempt(now, worker, what);
         if (attempt == nullptr)
         {
-            result.gone.push_back(what);
+            result.unknown_attempts.push_back(what);
             continue;
         }
         attempt->lease_until_ms =
@@ -406,11 +406,11 @@
         at.frozen = faults.freeze.value_or(at.frozen);
         at.report_lag = faults.report_lag.value_or(at.report_lag);
         at.noise = faults.noise.value_or(at.noise);
-        if (faults.gone && *faults.gone && !at.gone)
+        if (faults.crashed && *faults.crashed && !at.crashed)
         {
             lose_all(at);
         }
-        at.gone = faults.gone.value_or(at.gone);
+        at.crashed = faults.crashed.value_or(at.crashed);
         at.advanced = now;
     }
     return found;
@@ -421,14 +421,14 @@
     return workers_[worker].frozen;
 }
 
-bool worker_pool::gone(std::size_t worker) const
+bool worker_pool::crashed(std::size_t worker) const
 {
-    return workers_[worker].gone;
+    return workers_[worker].crashed;
 }
 
-void worker_pool::set_data_centre(core::common::time_point now,
-                                  std::string const& name,
-                                  bool out)
+void worker_pool::set_data_centre_out_of_service(core::common::time_point now,
+                                                 std::string const& name,
+                                                 bool out)
 {
     constexpr std::size_t max_data_centres = 1'000;
     if (!out)
--- a/standins/workers/worker_pool.hpp
+++ b/standins/workers/worker_pool.hpp
@@ -31,14 +31,14 @@
     core::common::duration report_interval = std::chrono::seconds(1);
     core::common::duration report_lag = std::chrono::seconds(2);
     /// How long an attempt that ended stays in the reports.
-    core::common::duration ended_listed = std::chrono::minutes(1);
+    core::common::duration ended_retention = std::chrono::minutes(1);
     /// Starts later than this in a data centre that is out are counted.
     core::common::duration late_start_grace = std::chrono::seconds(5);
     /// Worker clocks run up to so many millionths fast or slow.
     std::uint32_t clock_drift_ppm = 100;
     std::uint64_t service_latency_us = 5'000;
     /// Attempts of these classes fail wherever they start.
-    std::vector<std::string> broken_classes;
+    std::vector<std::string> failing_classes;
     interference_settings interference;
     std::size_t attempts_per_worker = 4'096;
     std::size_t checkpoints = 200'000;
@@ -51,7 +51,7 @@
     /// Answers nothing and reports nothing; its tasks and leases go on.
     std::optional<bool> freeze;
     /// Its tasks are lost with it; empty when it comes back.
-    std::optional<bool> gone;
+    std::optional<bool> crashed;
     std::optional<core::common::duration> report_lag;
     std::optional<double> noise;
 };
@@ -80,7 +80,7 @@
     bool done = true;
     std::string why;
     std::string checkpoint;
-    std::vector<ports::task_attempt> gone;
+    std::vector<ports::task_attempt> unknown_attempts;
 };
 
 class worker_pool
@@ -120,11 +120,11 @@
                     std::string_view id,
                     worker_faults const& faults);
     bool frozen(std::size_t worker) const;
-    bool gone(std::size_t worker) const;
+    bool crashed(std::size_t worker) const;
     /// What the operators decided, for the count of late starts.
-    void set_data_centre(core::common::time_point now,
-                         std::string const& name,
-                         bool out);
+    void set_data_centre_out_of_service(core::common::time_point now,
+                                        std::string const& name,
+                                        bool out);
 
     /// The worker's own clock, in milliseconds.
     std::uint64_t clock_ms(std::size_t worker,
@@ -167,7 +167,7 @@
         core::common::time_point advanced{};
         bool fail_starts = false;
         bool frozen = false;
-        bool gone = false;
+        bool crashed = false;
         core::common::duration report_lag{};
         double noise = 0;
     };
--- a/standins/workers/worker_progress.cpp
+++ b/standins/workers/worker_progress.cpp
@@ -23,9 +23,10 @@
                       {
                           auto const& attempt = each.second;
                           return attempt.state != attempt_state::running &&
-                                 now - attempt.ended > settings_.ended_listed;
+                                 now - attempt.ended >
+                                     settings_.ended_retention;
                       });
-        if (now >= at.next_report && !at.gone && !at.frozen)
+        if (now >= at.next_report && !at.crashed && !at.frozen)
         {
             make_report(worker, now);
         }
@@ -35,7 +36,7 @@
 void worker_pool::advance(std::size_t worker, core::common::time_point now)
 {
     auto& at = workers_[worker];
-    if (now <= at.advanced || at.gone)
+    if (now <= at.advanced || at.crashed)
     {
         return;
     }
@@ -113,7 +114,8 @@
         running.push_back(&attempt);
     }
     double const crowding = std::max(1.0, cores_used / capacity);
-    double const wave = interference_.wave(worker.listed.id, now, worker.noise);
+    double const wave =
+        interference_.noise_factor(worker.listed.id, now, worker.noise);
     for (auto* attempt : running)
     {
         double slowdown = 1.0;
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -156,7 +156,7 @@
         answer(error_response(conflict, "no such worker"));
         return;
     }
-    if (pool_.gone(*worker))
+    if (pool_.crashed(*worker))
     {
         return; // The dropped responder closes the connection.
     }
@@ -247,7 +247,7 @@
     worker_faults faults;
     faults.fail_starts = flag(reader, *json, "fail_starts");
     faults.freeze = flag(reader, *json, "freeze");
-    faults.gone = flag(reader, *json, "gone");
+    faults.crashed = flag(reader, *json, "gone");
     auto const lag =
         reader.integer_or("report_lag_ms", 0, 0, max_report_lag_ms);
     auto const noise = reader.number_or("noise", 0.0, 0.0, max_noise);
@@ -276,7 +276,7 @@
     auto calls = std::exchange(parked_, {});
     for (auto& each : calls)
     {
-        if (pool_.gone(each.worker))
+        if (pool_.crashed(each.worker))
         {
             continue;
         }
@@ -306,7 +306,8 @@
     {
         return error_response(bad_request, "state is out or in");
     }
-    pool_.set_data_centre(clock::now(), std::string(name), state == "out");
+    pool_.set_data_centre_out_of_service(
+        clock::now(), std::string(name), state == "out");
     return json_response(boost::json::object{{"set", true}});
 }
 
--- a/tests/contract/standins/upstream_pool_test.cpp
+++ b/tests/contract/standins/upstream_pool_test.cpp
@@ -41,7 +41,7 @@
     }
     pool.begin(start, 1, post("c", ""));
     EXPECT_EQ(pool.counters().over_capacity, 3U);
-    pool.end(0, work_end::whole);
+    pool.end(0, work_outcome::complete);
     EXPECT_EQ(pool.running(0), 4U);
     EXPECT_EQ(pool.counters().answered, 1U);
     EXPECT_EQ(pool.counters().running, 5U);
@@ -82,7 +82,8 @@
     upstream_faults faults;
     faults.refuse_permille = 1000;
     ASSERT_TRUE(pool.set_faults(start, "upstream-1", faults));
-    EXPECT_EQ(pool.begin(start, 0, post("c", "k")).end, work_end::refused);
+    EXPECT_EQ(pool.begin(start, 0, post("c", "k")).outcome,
+              work_outcome::refused);
     EXPECT_EQ(pool.running(0), 0U);
     pool.begin(start, 1, post("c", "k"));
     EXPECT_EQ(pool.counters().duplicate_runs, 0U);
@@ -96,13 +97,13 @@
         std::string_view what;
         std::optional<std::uint32_t> fail;
         std::optional<std::uint32_t> partial;
-        work_end wanted;
+        work_outcome wanted;
     };
     std::vector<row> const rows{
-        {"none", std::nullopt, std::nullopt, work_end::whole},
-        {"fail", 1000, std::nullopt, work_end::failed},
-        {"partial", std::nullopt, 1000, work_end::partial},
-        {"both: the failure comes first", 1000, 1000, work_end::failed},
+        {"none", std::nullopt, std::nullopt, work_outcome::complete},
+        {"fail", 1000, std::nullopt, work_outcome::failed},
+        {"partial", std::nullopt, 1000, work_outcome::partial},
+        {"both: the failure comes first", 1000, 1000, work_outcome::failed},
     };
     for (auto const& row : rows)
     {
@@ -111,7 +112,7 @@
         faults.fail_permille = row.fail;
         faults.partial_permille = row.partial;
         pool.set_faults(start, "*", faults);
-        EXPECT_EQ(pool.begin(start, 0, post("c", "k")).end, row.wanted)
+        EXPECT_EQ(pool.begin(start, 0, post("c", "k")).outcome, row.wanted)
             << row.what;
     }
 }
@@ -157,7 +158,7 @@
     upstream_faults faults;
     faults.slow_factor = 4.0;
     pool.set_faults(start, "*", faults);
-    pool.end(0, work_end::whole);
+    pool.end(0, work_outcome::complete);
     near(pool.begin(start, 0, post("c", "")), 10.0 * 2.0 * 4.0);
 }
 
--- a/tests/contract/standins/worker_pool_test.cpp
+++ b/tests/contract/standins/worker_pool_test.cpp
@@ -140,7 +140,7 @@
     EXPECT_EQ(pool.counters().expired, 1U);
     EXPECT_EQ(pool.counters().concurrent_attempts, 0U);
     auto const renewed = pool.renew(start + 8s, 0, {{{"t", 1}}, 1'000'000'000});
-    ASSERT_EQ(renewed.gone.size(), 1U);
+    ASSERT_EQ(renewed.unknown_attempts.size(), 1U);
 }
 
 TEST_F(worker_pool_test, counts_a_task_that_runs_in_two_places)
@@ -210,7 +210,7 @@
         if (row.first_gone)
         {
             worker_faults gone;
-            gone.gone = true;
+            gone.crashed = true;
             workers.set_faults(start + 1s, "worker-2", gone);
         }
         auto second = call("t", 3, 2);
@@ -275,11 +275,12 @@
     {
         worker_pool workers(small_pool(), start);
         auto const now = start + row.after_out;
-        workers.set_data_centre(start, "kochi-a", true);
-        workers.set_data_centre(start + 1s, "kochi-a", true);
+        workers.set_data_centre_out_of_service(start, "kochi-a", true);
+        workers.set_data_centre_out_of_service(start + 1s, "kochi-a", true);
         if (row.back_in)
         {
-            workers.set_data_centre(start + 2s, "kochi-a", false);
+            workers.set_data_centre_out_of_service(
+                start + 2s, "kochi-a", false);
         }
         workers.start(now, row.worker, call("t", 1, row.worker, now));
         EXPECT_EQ(workers.counters().late_starts, row.counted) << row.what;
@@ -314,15 +315,16 @@
 {
     pool.start(start, 0, call("t", 1));
     worker_faults faults;
-    faults.gone = true;
+    faults.crashed = true;
     pool.set_faults(start + 1s, "worker-1", faults);
     EXPECT_EQ(pool.list().size(), 2U);
     EXPECT_EQ(pool.counters().lost, 1U);
-    faults.gone = false;
+    faults.crashed = false;
     pool.set_faults(start + 2s, "worker-1", faults);
     EXPECT_EQ(pool.list().size(), 3U);
-    EXPECT_EQ(
-        pool.renew(start + 2s, 0, {{{"t", 1}}, 1'000'000'000}).gone.size(), 1U);
+    EXPECT_EQ(pool.renew(start + 2s, 0, {{{"t", 1}}, 1'000'000'000})
+                  .unknown_attempts.size(),
+              1U);
 }
 
 TEST_F(worker_pool_test, neighbours_slow_a_task_and_a_throttle_does)
