--- a/standins/pool/gate.cpp
+++ b/standins/pool/fault_gate.cpp
@@ -1,4 +1,4 @@
-#include "standins/pool/gate.hpp"
+#include "standins/pool/fault_gate.hpp"
 
 #include "standins/common/http_messages.hpp"
 
@@ -9,11 +9,11 @@
 
 using core::common::time_point;
 
-void gate::set(gate_mode mode, core::common::duration delay)
+void fault_gate::set(fault_gate_mode mode, core::common::duration delay)
 {
     mode_ = mode;
     delay_ = delay;
-    if (mode_ == gate_mode::open)
+    if (mode_ == fault_gate_mode::open)
     {
         for (auto& each : held_)
         {
@@ -22,34 +22,34 @@
     }
 }
 
-void gate::pass(time_point now,
-                work carry_out,
-                adapters::http::responder const& respond)
+void fault_gate::handle(time_point now,
+                        work carry_out,
+                        adapters::http::responder const& respond)
 {
     constexpr std::uint64_t prompt_one_of = 3;
     bool const prompt =
-        mode_ == gate_mode::late && ++passed_ % prompt_one_of == 0;
-    switch (prompt ? gate_mode::open : mode_)
+        mode_ == fault_gate_mode::delayed && ++passed_ % prompt_one_of == 0;
+    switch (prompt ? fault_gate_mode::open : mode_)
     {
-    case gate_mode::open:
+    case fault_gate_mode::open:
         carry_out(respond);
         break;
-    case gate_mode::late:
+    case fault_gate_mode::delayed:
         held_.push_back({now + delay_, std::move(carry_out), respond});
         break;
-    case gate_mode::lossy:
+    case fault_gate_mode::response_lost:
         carry_out([](adapters::http::response const&) {});
         break;
-    case gate_mode::silent:
+    case fault_gate_mode::suspended:
         held_.push_back({time_point::max(), std::move(carry_out), respond});
         break;
-    case gate_mode::refusing:
+    case fault_gate_mode::unavailable:
         respond(error_response(503, "unwilling"));
         break;
     }
 }
 
-void gate::pump(time_point now)
+void fault_gate::process_due(time_point now)
 {
     for (auto each = held_.begin(); each != held_.end();)
     {
@@ -64,7 +64,7 @@
     }
 }
 
-void gate::clear()
+void fault_gate::clear()
 {
     held_.clear();
 }
--- a/standins/pool/gate.hpp
+++ b/standins/pool/fault_gate.hpp
@@ -11,30 +11,30 @@
 {
 
 /// What becomes of the requests that a service gets.
-enum class gate_mode : std::uint8_t
+enum class fault_gate_mode : std::uint8_t
 {
     open,
-    late,     ///< Two of three are carried out, and answered, after the
-              ///< delay: newer ones may overtake them.
-    lossy,    ///< Carried out and never answered.
-    silent,   ///< Carried out once the gate opens again.
-    refusing, ///< Answered with 503; nothing is done.
+    delayed,       ///< Two of three are carried out, and answered, after the
+                   ///< delay: newer ones may overtake them.
+    response_lost, ///< Carried out and never answered.
+    suspended,     ///< Carried out once the gate opens again.
+    unavailable,   ///< Answered with 503; nothing is done.
 };
 
 /// Stands before a service and makes it late, deaf or unwilling.
-class gate
+class fault_gate
 {
 public:
     using work = std::function<void(adapters::http::responder const&)>;
 
     /// Requests that wait are let through by the next `pump` where the gate
     /// opens.
-    void set(gate_mode mode, core::common::duration delay = {});
-    void pass(core::common::time_point now,
-              work carry_out,
-              adapters::http::responder const& respond);
+    void set(fault_gate_mode mode, core::common::duration delay = {});
+    void handle(core::common::time_point now,
+                work carry_out,
+                adapters::http::responder const& respond);
     /// Carries out what is due.
-    void pump(core::common::time_point now);
+    void process_due(core::common::time_point now);
     /// Forgets what waits.
     void clear();
 
@@ -46,7 +46,7 @@
         adapters::http::responder respond;
     };
 
-    gate_mode mode_ = gate_mode::open;
+    fault_gate_mode mode_ = fault_gate_mode::open;
     core::common::duration delay_{};
     std::uint64_t passed_ = 0;
     std::list<held> held_;
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -131,7 +131,7 @@
     return store_;
 }
 
-gate& pool_server::store_gate() noexcept
+fault_gate& pool_server::store_fault_gate() noexcept
 {
     return before_store_;
 }
@@ -151,7 +151,7 @@
     return workers_[worker].state->info();
 }
 
-gate& pool_server::worker_gate(std::size_t worker)
+fault_gate& pool_server::worker_fault_gate(std::size_t worker)
 {
     return workers_[worker].before;
 }
@@ -161,7 +161,7 @@
     auto& dead = workers_[worker];
     dead.server->close();
     dead.before.clear();
-    dead.before.set(gate_mode::open);
+    dead.before.set(fault_gate_mode::open);
     dead.state =
         std::make_unique<worker_state>(info(worker), clock::now(), 1.0);
     dead.listed_until = clock::now() + listed_after_death;
@@ -197,7 +197,7 @@
         respond(error_response(400, "no such call"));
         return;
     }
-    before_store_.pass(
+    before_store_.handle(
         clock::now(),
         [this, call = *call](auto const& answer)
         {
@@ -291,7 +291,7 @@
         respond(error_response(421, "another instance lives here"));
         return;
     }
-    workers_[number].before.pass(
+    workers_[number].before.handle(
         clock::now(),
         [this, number, order = *order](auto const& answer)
         {
@@ -403,14 +403,14 @@
     advance(now);
     for (auto& each : workers_)
     {
-        each.before.pump(now);
+        each.before.process_due(now);
         if (each.listed_until && *each.listed_until <= now)
         {
             store_.erase("servers/" + each.state->info().id);
             each.listed_until.reset();
         }
     }
-    before_store_.pump(now);
+    before_store_.process_due(now);
     store_.expire(now);
     wake_watches();
     ticker_.expires_after(tick_interval);
--- a/standins/pool/pool_server.hpp
+++ b/standins/pool/pool_server.hpp
@@ -2,7 +2,7 @@
 
 #include "adapters/http/server.hpp"
 #include "adapters/runtime/timer.hpp"
-#include "standins/pool/gate.hpp"
+#include "standins/pool/fault_gate.hpp"
 #include "standins/pool/kv_state.hpp"
 #include "standins/pool/worker_state.hpp"
 
@@ -58,13 +58,13 @@
     void plant(planted what);
     /// For the operator's words and for faults of the store itself.
     kv_state& store() noexcept;
-    gate& store_gate() noexcept;
+    fault_gate& store_fault_gate() noexcept;
     /// Watches that wait now never hear anything.
     void drop_watches();
 
     std::size_t workers() const noexcept;
     ports::pool_worker const& info(std::size_t worker) const;
-    gate& worker_gate(std::size_t worker);
+    fault_gate& worker_fault_gate(std::size_t worker);
     /// All that runs there is gone; its entry stays in the list for a while.
     void crash(std::size_t worker);
     /// A new incarnation at the same address, under a new id or the same.
@@ -76,7 +76,7 @@
     {
         std::unique_ptr<worker_state> state;
         std::unique_ptr<adapters::http::server> server;
-        gate before;
+        fault_gate before;
         std::uint32_t lives = 0;
         /// When the entry of a dead one leaves the list.
         std::optional<core::common::time_point> listed_until;
@@ -115,7 +115,7 @@
     boost::asio::io_context& io_;
     pool_server_settings settings_;
     kv_state store_;
-    gate before_store_;
+    fault_gate before_store_;
     std::unique_ptr<adapters::http::server> store_server_;
     std::vector<member> workers_;
     std::list<waiting> watches_;
--- a/tools/soak/faults.cpp
+++ b/tools/soak/faults.cpp
@@ -17,7 +17,7 @@
 using core::common::clock;
 using core::common::time_point;
 using standins::links::cut_state;
-using standins::pool::gate_mode;
+using standins::pool::fault_gate_mode;
 
 constexpr std::array<cut_state, 3> cuts{
     cut_state::both, cut_state::forward, cut_state::backward};
@@ -328,13 +328,13 @@
         bool worker;
     };
     constexpr std::array<mode_row, 7> modes{{
-        {fault_kind::store_silent, gate_mode::silent, false},
-        {fault_kind::store_refusing, gate_mode::refusing, false},
-        {fault_kind::store_late, gate_mode::late, false},
-        {fault_kind::store_lossy, gate_mode::lossy, false},
-        {fault_kind::worker_late, gate_mode::late, true},
-        {fault_kind::worker_silent, gate_mode::silent, true},
-        {fault_kind::worker_lossy, gate_mode::lossy, true},
+        {fault_kind::store_silent, gate_mode::suspended, false},
+        {fault_kind::store_refusing, gate_mode::unavailable, false},
+        {fault_kind::store_late, gate_mode::delayed, false},
+        {fault_kind::store_lossy, gate_mode::response_lost, false},
+        {fault_kind::worker_late, gate_mode::delayed, true},
+        {fault_kind::worker_silent, gate_mode::suspended, true},
+        {fault_kind::worker_lossy, gate_mode::response_lost, true},
     }};
     auto const row_of = [&modes](fault_kind kind)
     {
@@ -350,8 +350,8 @@
     {
         return;
     }
-    auto& gate = meant->worker ? platform_.worker_gate(what.target)
-                               : platform_.store_gate();
+    auto& gate = meant->worker ? platform_.worker_fault_gate(what.target)
+                               : platform_.store_fault_gate();
     gate.set(gate_mode::open);
     for (auto const& each : active_)
     {
@@ -362,7 +362,7 @@
             gate.set(row->mode, delay_of(each.what));
         }
     }
-    gate.pump(clock::now());
+    gate.process_due(clock::now());
 }
 
 bool faults::heal()
