--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -121,7 +121,7 @@
     observer_ = std::move(tell);
 }
 
-void pool_server::plant(planted what)
+void pool_server::plant_defect(planted_defect what)
 {
     planted_ = what;
 }
@@ -233,9 +233,9 @@
     }
     auto const& key = commit->puts.front().key;
     bool const cancel = key.ends_with(cancel_suffix);
-    bool const lost = planted_ == planted::lost_job && !cancel &&
+    bool const lost = planted_ == planted_defect::lost_job && !cancel &&
                       ++commits_of_jobs_ % lost_every == 0;
-    if (lost || (planted_ == planted::forgotten_cancel && cancel))
+    if (lost || (planted_ == planted_defect::lost_cancel && cancel))
     {
         store_.forget(key);
     }
@@ -316,28 +316,29 @@
     respond(encode(reply));
     bool const news =
         by.begun().size() > before || by.acknowledged().size() > ends;
-    if (news && planted_ != planted::nothing)
+    if (news && planted_ != planted_defect::none)
     {
-        lie(number, order);
+        violate_on_worker(number, order);
     }
 }
 
-void pool_server::lie(std::size_t number, ports::pool_operation const& order)
+void pool_server::violate_on_worker(std::size_t number,
+                                    ports::pool_operation const& order)
 {
     auto const now = clock::now();
     auto& by = *workers_[number].state;
     auto const* const begun = std::get_if<ports::start_order>(&order);
-    if (begun != nullptr && planted_ == planted::two_places)
+    if (begun != nullptr && planted_ == planted_defect::duplicate_placement)
     {
         workers_[(number + 1) % workers_.size()].state->apply(now, order);
     }
-    if (begun != nullptr && planted_ == planted::early_step)
+    if (begun != nullptr && planted_ == planted_defect::early_dependent_step)
     {
         auto next = *begun;
         ++next.attempt_id.task.step;
         by.apply(now, next);
     }
-    if (begun == nullptr && planted_ == planted::ended_twice)
+    if (begun == nullptr && planted_ == planted_defect::rerun_after_end)
     {
         ports::start_order again;
         again.fencing_token = std::get<ports::poll_order>(order).fencing_token;
--- a/standins/pool/pool_server.hpp
+++ b/standins/pool/pool_server.hpp
@@ -32,14 +32,14 @@
 };
 
 /// Lies that a check has to find out.
-enum class planted : std::uint8_t
+enum class planted_defect : std::uint8_t
 {
-    nothing,
-    two_places,       ///< A worker also runs what another was told to run.
-    lost_job,         ///< The store loses some accepted jobs.
-    forgotten_cancel, ///< The store loses accepted cancels.
-    ended_twice,      ///< A worker runs again what ended as done.
-    early_step,       ///< A worker starts the second step with the first.
+    none,
+    duplicate_placement,  ///< A worker also runs what another was told to run.
+    lost_job,             ///< The store loses some accepted jobs.
+    lost_cancel,          ///< The store loses accepted cancels.
+    rerun_after_end,      ///< A worker runs again what ended as done.
+    early_dependent_step, ///< A worker starts the second step with the first.
 };
 
 /// The users' platform in one process: its store and some workers, over HTTP in
@@ -55,7 +55,7 @@
     using observer =
         std::function<void(ports::pool_worker const&, worker_event const&)>;
     void observe(observer tell);
-    void plant(planted what);
+    void plant_defect(planted_defect what);
     /// For the operator's words and for faults of the store itself.
     kv_state& store() noexcept;
     fault_gate& store_fault_gate() noexcept;
@@ -104,7 +104,8 @@
     void carry_out(std::size_t number,
                    ports::pool_operation const& order,
                    adapters::http::responder const& respond);
-    void lie(std::size_t number, ports::pool_operation const& order);
+    void violate_on_worker(std::size_t number,
+                           ports::pool_operation const& order);
     void be_born(std::size_t number, std::string const& id);
     void check(std::size_t begun_before, worker_state const& by);
     adapters::http::response counts() const;
@@ -120,7 +121,7 @@
     std::vector<member> workers_;
     std::list<waiting> watches_;
     observer observer_;
-    planted planted_ = planted::nothing;
+    planted_defect planted_ = planted_defect::none;
     std::uint64_t commits_of_jobs_ = 0;
     adapters::runtime::timer ticker_;
     std::uint64_t starts_ = 0;
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -20,7 +20,7 @@
 using core::common::clock;
 using core::common::duration;
 using core::common::time_point;
-using standins::pool::planted;
+using standins::pool::planted_defect;
 using standins::pool::worker_event;
 using standins::pool::worker_moment;
 
@@ -66,7 +66,7 @@
             {
                 on_worker(worker, event);
             });
-        platform_.plant(settings_.planted);
+        platform_.plant_defect(settings_.planted);
         for (auto const& each : worker_links_)
         {
             if (!each->listen(reason))
@@ -353,11 +353,11 @@
 bool plant(std::string_view name, soak_settings& out) noexcept
 {
     constexpr std::array<std::pair<std::string_view, planted>, 5> names{{
-        {"two_places", planted::two_places},
+        {"two_places", planted::duplicate_placement},
         {"lost_job", planted::lost_job},
-        {"forgotten_cancel", planted::forgotten_cancel},
-        {"ended_twice", planted::ended_twice},
-        {"early_step", planted::early_step},
+        {"forgotten_cancel", planted::lost_cancel},
+        {"ended_twice", planted::rerun_after_end},
+        {"early_step", planted::early_dependent_step},
     }};
     out.stale_configuration = name == "stale_config";
     for (auto const& [each, what] : names)
--- a/tools/soak/soak.hpp
+++ b/tools/soak/soak.hpp
@@ -21,7 +21,8 @@
     std::string folder;  ///< Exists; for settings files, logs, observations.
     /// A lie that the checks have to find: of the stand-ins, or, by
     /// `stale_configuration`, of the operator.
-    standins::pool::planted planted = standins::pool::planted::nothing;
+    standins::pool::planted_defect planted =
+        standins::pool::planted_defect::none;
     bool stale_configuration = false;
 };
 
