--- a/standins/pool/kv_state.cpp
+++ b/standins/pool/kv_state.cpp
@@ -89,7 +89,7 @@
     history_.clear();
 }
 
-void kv_state::revoke(std::string const& key)
+void kv_state::expire_key(std::string const& key)
 {
     remove(key);
 }
@@ -105,7 +105,7 @@
     remove(key);
 }
 
-void kv_state::forget(std::string const& key)
+void kv_state::lose_key(std::string const& key)
 {
     items_.erase(key);
     std::erase_if(history_,
@@ -115,7 +115,7 @@
                   });
 }
 
-void kv_state::end_leases()
+void kv_state::expire_all_leases()
 {
     while (!leases_.empty())
     {
@@ -179,7 +179,7 @@
     return made;
 }
 
-void kv_state::stop_old_reads()
+void kv_state::freeze_stale_reads()
 {
     old_items_ = items_;
 }
--- a/standins/pool/kv_state.hpp
+++ b/standins/pool/kv_state.hpp
@@ -25,16 +25,16 @@
     /// A watch from before this moment is told that its history is gone.
     void compact() noexcept;
     /// From now on reads that may be old are answered as of now.
-    void stop_old_reads();
+    void freeze_stale_reads();
     /// Takes a key away, whatever its lease says.
-    void revoke(std::string const& key);
+    void expire_key(std::string const& key);
     /// Writes as the operator or a worker would.
     void put(std::string const& key, std::string value);
     void erase(std::string const& key);
     /// Loses a key and the memory of it, as no store may.
-    void forget(std::string const& key);
+    void lose_key(std::string const& key);
     /// Ends all leases at once.
-    void end_leases();
+    void expire_all_leases();
 
     std::uint64_t revision() const noexcept;
     std::optional<ports::kv_item> find(std::string const& key) const;
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -41,8 +41,8 @@
 void pool_server::be_born(std::size_t number, std::string const& id)
 {
     auto& made = workers_[number];
-    auto const first = settings_.shown_worker_port != 0
-                           ? settings_.shown_worker_port
+    auto const first = settings_.advertised_worker_port != 0
+                           ? settings_.advertised_worker_port
                            : settings_.first_worker_port;
     ports::pool_worker entry;
     entry.id = id;
@@ -52,10 +52,10 @@
     entry.data_centre = number % 2 == 0 ? "a" : "b";
     entry.rack = "r" + entry.data_centre;
     entry.capacity = settings_.capacity;
-    entry.incarnation = first_born + number + made.lives * life_step;
+    entry.incarnation = first_born + number + made.incarnations * life_step;
     made.state = std::make_unique<worker_state>(entry, clock::now(), 1.0);
     made.listed_until.reset();
-    ++made.lives;
+    ++made.incarnations;
     made.state->observe(
         [this, number](worker_event const& event)
         {
@@ -136,7 +136,7 @@
     return before_store_;
 }
 
-void pool_server::drop_watches()
+void pool_server::stall_watches()
 {
     watches_.clear();
 }
@@ -167,11 +167,11 @@
     dead.listed_until = clock::now() + listed_after_death;
 }
 
-void pool_server::revive(std::size_t worker, bool same_id)
+void pool_server::restart(std::size_t worker, bool same_id)
 {
     store_.erase("servers/" + info(worker).id);
     auto const id = "w" + std::to_string(worker);
-    auto const lives = std::to_string(workers_[worker].lives);
+    auto const lives = std::to_string(workers_[worker].incarnations);
     be_born(worker, same_id ? info(worker).id : id + "-" + lives);
     core::common::failure reason;
     serve(worker, reason);
@@ -237,7 +237,7 @@
                       ++commits_of_jobs_ % lost_every == 0;
     if (lost || (planted_ == planted_defect::lost_cancel && cancel))
     {
-        store_.forget(key);
+        store_.lose_key(key);
     }
 }
 
@@ -309,13 +309,13 @@
     auto const now = clock::now();
     advance(now);
     auto& by = *workers_[number].state;
-    auto const before = by.begun().size();
-    auto const ends = by.acknowledged().size();
+    auto const before = by.started_runs().size();
+    auto const ends = by.acknowledged_ends().size();
     auto const reply = by.apply(now, order);
     check(before, by);
     respond(encode(reply));
-    bool const news =
-        by.begun().size() > before || by.acknowledged().size() > ends;
+    bool const news = by.started_runs().size() > before ||
+                      by.acknowledged_ends().size() > ends;
     if (news && planted_ != planted_defect::none)
     {
         violate_on_worker(number, order);
@@ -342,7 +342,7 @@
     {
         ports::start_order again;
         again.fencing_token = std::get<ports::poll_order>(order).fencing_token;
-        again.attempt_id = by.acknowledged().back().attempt_id;
+        again.attempt_id = by.acknowledged_ends().back().attempt_id;
         ++again.attempt_id.attempt;
         again.spec = "work=200";
         again.lease_until_ms = by.apply(now, order).clock_ms + again_ms;
@@ -354,17 +354,17 @@
 // end was taken note of.
 void pool_server::check(std::size_t begun_before, worker_state const& by)
 {
-    if (by.begun().size() == begun_before)
+    if (by.started_runs().size() == begun_before)
     {
         return;
     }
     ++starts_;
-    auto const& task = by.begun().back().task;
+    auto const& task = by.started_runs().back().task;
     std::size_t places = 0;
     for (auto const& each : workers_)
     {
         places += each.state->runs(task) ? 1U : 0U;
-        auto const& ends = each.state->acknowledged();
+        auto const& ends = each.state->acknowledged_ends();
         after_done_ += static_cast<std::uint64_t>(
             std::count_if(ends.begin(),
                           ends.end(),
--- a/standins/pool/pool_server.hpp
+++ b/standins/pool/pool_server.hpp
@@ -23,7 +23,7 @@
     /// Workers listen at the store's address, on the ports from here on.
     std::uint16_t first_worker_port = 0;
     /// Where the list says that they listen, such as behind relays; 0: there.
-    std::uint16_t shown_worker_port = 0;
+    std::uint16_t advertised_worker_port = 0;
     std::uint32_t workers = 4;
     ports::resources capacity{8000, 8000, 0};
     /// Host and path prefix of the only queue, "jobs".
@@ -60,7 +60,7 @@
     kv_state& store() noexcept;
     fault_gate& store_fault_gate() noexcept;
     /// Watches that wait now never hear anything.
-    void drop_watches();
+    void stall_watches();
 
     std::size_t workers() const noexcept;
     ports::pool_worker const& info(std::size_t worker) const;
@@ -68,16 +68,16 @@
     /// All that runs there is gone; its entry stays in the list for a while.
     void crash(std::size_t worker);
     /// A new incarnation at the same address, under a new id or the same.
-    void revive(std::size_t worker, bool same_id);
+    void restart(std::size_t worker, bool same_id);
     void drain(std::size_t worker);
 
 private:
-    struct member
+    struct simulated_worker
     {
         std::unique_ptr<worker_state> state;
         std::unique_ptr<adapters::http::server> server;
         fault_gate before;
-        std::uint32_t lives = 0;
+        std::uint32_t incarnations = 0;
         /// When the entry of a dead one leaves the list.
         std::optional<core::common::time_point> listed_until;
     };
@@ -118,7 +118,7 @@
     kv_state store_;
     fault_gate before_store_;
     std::unique_ptr<adapters::http::server> store_server_;
-    std::vector<member> workers_;
+    std::vector<simulated_worker> workers_;
     std::list<waiting> watches_;
     observer observer_;
     planted_defect planted_ = planted_defect::none;
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -46,15 +46,15 @@
 
 } // namespace
 
-task_script parse_script(std::string_view spec)
+task_script parse_task_script(std::string_view spec)
 {
     task_script made;
     made.fails = spec.find("fail") != std::string_view::npos;
     made.fails_once = spec.find("fail_first") != std::string_view::npos;
-    made.lasts = spec.find("lasts") != std::string_view::npos;
+    made.runs_until_stopped = spec.find("lasts") != std::string_view::npos;
     made.work_ms = number_in(spec, "work=", made.work_ms);
-    made.tail_ms = number_in(spec, "tail=", 0);
-    made.strain_ms = number_in(spec, "strain=", 0);
+    made.tail_latency_ms = number_in(spec, "tail=", 0);
+    made.neighbour_latency_ms = number_in(spec, "strain=", 0);
     made.millicores = number_in(spec, "cores=", 0);
     return made;
 }
@@ -71,7 +71,7 @@
     observer_ = std::move(tell);
 }
 
-void worker_state::tell(worker_moment when,
+void worker_state::tell(worker_event_kind when,
                         ports::pool_attempt const& what,
                         end_kind how) const
 {
@@ -124,7 +124,7 @@
     for (auto const& [task, each] : running_)
     {
         bool const done =
-            !each.script.lasts &&
+            !each.script.runs_until_stopped &&
             now - each.began >= std::chrono::milliseconds(each.script.work_ms);
         if (done)
         {
@@ -167,9 +167,10 @@
         return order_status::lease_expired;
     }
     extend(order.lease_until_ms);
-    running_[task] = {order.attempt_id.attempt, now, parse_script(order.spec)};
+    running_[task] = {
+        order.attempt_id.attempt, now, parse_task_script(order.spec)};
     begun_.push_back(order.attempt_id);
-    tell(worker_moment::started, order.attempt_id);
+    tell(worker_event_kind::started, order.attempt_id);
     return order_status::done;
 }
 
@@ -188,7 +189,7 @@
 
 std::uint32_t worker_state::percent_of(run const& of, time_point now)
 {
-    if (of.script.lasts)
+    if (of.script.runs_until_stopped)
     {
         return 100;
     }
@@ -213,7 +214,7 @@
             acknowledged_.push_back(row);
             if (row.sequence > outlived_end_)
             {
-                tell(worker_moment::acknowledged, row.attempt_id, row.kind);
+                tell(worker_event_kind::acknowledged, row.attempt_id, row.kind);
             }
         }
     }
@@ -229,14 +230,14 @@
 // The tail of a task that serves, the cores in use of any other.
 std::int64_t worker_state::level_of(run const& of) const
 {
-    if (of.script.tail_ms == 0)
+    if (of.script.tail_latency_ms == 0)
     {
         return static_cast<std::int64_t>(of.script.millicores);
     }
-    auto tail = of.script.tail_ms;
+    auto tail = of.script.tail_latency_ms;
     for (auto const& [task, each] : running_)
     {
-        tail += each.script.strain_ms;
+        tail += each.script.neighbour_latency_ms;
     }
     return static_cast<std::int64_t>(tail);
 }
@@ -249,7 +250,7 @@
     auto& settled = settled_[task];
     settled = std::max(settled, attempt);
     ended_.push_back({++last_end_, {task, attempt}, how, ""});
-    tell(worker_moment::ended, {task, attempt}, how);
+    tell(worker_event_kind::ended, {task, attempt}, how);
 }
 
 void worker_state::extend(std::uint64_t until_ms) noexcept
@@ -273,12 +274,13 @@
 }
 
 std::vector<ports::ended_attempt> const&
-worker_state::acknowledged() const noexcept
+worker_state::acknowledged_ends() const noexcept
 {
     return acknowledged_;
 }
 
-std::vector<ports::pool_attempt> const& worker_state::begun() const noexcept
+std::vector<ports::pool_attempt> const&
+worker_state::started_runs() const noexcept
 {
     return begun_;
 }
--- a/standins/pool/worker_state.hpp
+++ b/standins/pool/worker_state.hpp
@@ -22,15 +22,15 @@
     std::uint64_t work_ms = 100;
     bool fails = false;
     bool fails_once = false; ///< Attempts after the first don't.
-    bool lasts = false;
-    std::uint64_t tail_ms = 0; ///< 0: it serves nobody.
-    std::uint64_t strain_ms = 0;
+    bool runs_until_stopped = false;
+    std::uint64_t tail_latency_ms = 0; ///< 0: it serves nobody.
+    std::uint64_t neighbour_latency_ms = 0;
     std::uint64_t millicores = 0;
 };
 
-task_script parse_script(std::string_view spec);
+task_script parse_task_script(std::string_view spec);
 
-enum class worker_moment : std::uint8_t
+enum class worker_event_kind : std::uint8_t
 {
     started,
     ended,
@@ -42,9 +42,9 @@
 /// What an onlooker at a worker sees; `how` is of an end.
 struct worker_event
 {
-    worker_moment when = worker_moment::started;
-    ports::pool_attempt what;
-    ports::end_kind how = ports::end_kind::done;
+    worker_event_kind kind = worker_event_kind::started;
+    ports::pool_attempt run;
+    ports::end_kind end_result = ports::end_kind::done;
     std::uint64_t fence = 0;
 };
 
@@ -69,9 +69,9 @@
     bool runs(ports::task_name const& task) const;
     std::size_t running() const noexcept;
     /// Ends that were acknowledged, in order.
-    std::vector<ports::ended_attempt> const& acknowledged() const noexcept;
+    std::vector<ports::ended_attempt> const& acknowledged_ends() const noexcept;
     /// Runs that were begun, in order.
-    std::vector<ports::pool_attempt> const& begun() const noexcept;
+    std::vector<ports::pool_attempt> const& started_runs() const noexcept;
     void drain() noexcept;
 
 private:
@@ -95,7 +95,7 @@
     void end(ports::task_name const& task, ports::end_kind how);
     void extend(std::uint64_t until_ms) noexcept;
 
-    void tell(worker_moment when,
+    void tell(worker_event_kind when,
               ports::pool_attempt const& what,
               ports::end_kind how = ports::end_kind::done) const;
 
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -22,7 +22,7 @@
     std::size_t made = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        for (auto const& each : world.worker(number).begun())
+        for (auto const& each : world.worker(number).started_runs())
         {
             made += each.task.job == job ? 1U : 0U;
         }
@@ -34,7 +34,7 @@
 {
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        for (auto const& each : world.worker(number).begun())
+        for (auto const& each : world.worker(number).started_runs())
         {
             if (each.task.job == job)
             {
@@ -50,7 +50,7 @@
     std::size_t made = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        made += world.worker(number).begun().size();
+        made += world.worker(number).started_runs().size();
     }
     return made;
 }
@@ -207,7 +207,8 @@
         {
             return begun(world) == before + 8;
         }));
-    EXPECT_EQ(world.worker(0).begun().size() + world.worker(2).begun().size(),
+    EXPECT_EQ(world.worker(0).started_runs().size() +
+                  world.worker(2).started_runs().size(),
               0U);
 }
 
--- a/tests/unit/pool/cancel_test.cpp
+++ b/tests/unit/pool/cancel_test.cpp
@@ -39,7 +39,7 @@
     std::size_t begun = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        begun += world.worker(number).begun().size();
+        begun += world.worker(number).started_runs().size();
     }
     return begun;
 }
@@ -316,7 +316,7 @@
         bool const passes = (worker == 0) == (instance == owner);
         return passes ? fate::carried_out : fate::lost;
     };
-    world.store().revoke("pool/claim");
+    world.store().expire_key("pool/claim");
     world.run(300ms);
     ASSERT_NE(world.owner(), owner);
     world.submit(other, "z", lasting_job(8));
--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -140,7 +140,7 @@
             world_.restart_worker(draw(workers));
             return;
         case 10:
-            world_.store().revoke("pool/claim");
+            world_.store().expire_key("pool/claim");
             return;
         default:
             choose_faults();
@@ -256,7 +256,7 @@
         std::size_t sum = 0;
         for (std::size_t number = 0; number < world_.worker_count(); ++number)
         {
-            for (auto const& each : world_.worker(number).begun())
+            for (auto const& each : world_.worker(number).started_runs())
             {
                 sum += ids.contains(each.task.job) ? 1U : 0U;
             }
--- a/tests/unit/pool/faults_test.cpp
+++ b/tests/unit/pool/faults_test.cpp
@@ -223,7 +223,7 @@
     std::size_t begun = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        for (auto const& each : world.worker(number).begun())
+        for (auto const& each : world.worker(number).started_runs())
         {
             begun += each.task == second ? 1U : 0U;
         }
@@ -262,7 +262,7 @@
         std::size_t begun = 0;
         for (std::size_t number = 0; number < world.worker_count(); ++number)
         {
-            begun += world.worker(number).begun().size();
+            begun += world.worker(number).started_runs().size();
         }
         EXPECT_EQ(begun, 3U) << "killed after " << when.count();
         EXPECT_EQ(world.violation(), "");
@@ -350,7 +350,7 @@
         {
             return world.store().find("final/early").has_value();
         }));
-    world.store().stop_old_reads();
+    world.store().freeze_stale_reads();
     world.submit(0, "late", simple_job(1, 200ms));
     world.run(1s);
     std::size_t linearizable = 0;
@@ -378,13 +378,13 @@
     world.run(100ms);
     world.submit(1, "a", simple_job(6, 200ms));
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
-    EXPECT_TRUE(world.worker(0).begun().empty());
-    EXPECT_TRUE(world.worker(2).begun().empty());
+    EXPECT_TRUE(world.worker(0).started_runs().empty());
+    EXPECT_TRUE(world.worker(2).started_runs().empty());
     world.store().erase("operators/out/even");
     world.run(100ms);
     world.submit(1, "b", simple_job(32, 200ms));
     EXPECT_TRUE(ends_as(world, 0, "b", job_state::completed));
-    EXPECT_FALSE(world.worker(0).begun().empty());
+    EXPECT_FALSE(world.worker(0).started_runs().empty());
 }
 
 // Failure: an operators' change is missed that the store forgot unheard.
@@ -397,8 +397,8 @@
     world.run(1500ms);
     world.submit(1, "a", simple_job(6, 200ms));
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
-    EXPECT_TRUE(world.worker(0).begun().empty());
-    EXPECT_TRUE(world.worker(2).begun().empty());
+    EXPECT_TRUE(world.worker(0).started_runs().empty());
+    EXPECT_TRUE(world.worker(2).started_runs().empty());
 }
 
 // Failure: an operators' change is missed, as a deaf watch is believed.
@@ -420,8 +420,8 @@
     world.run(1500ms);
     world.submit(1, "a", simple_job(6, 200ms));
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
-    EXPECT_TRUE(world.worker(0).begun().empty());
-    EXPECT_TRUE(world.worker(2).begun().empty());
+    EXPECT_TRUE(world.worker(0).started_runs().empty());
+    EXPECT_TRUE(world.worker(2).started_runs().empty());
 }
 
 // Failure: old progress overwrites newer; the next owner repeats tasks.
@@ -469,7 +469,7 @@
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
     EXPECT_TRUE(ends_as(world, 0, "b", job_state::completed));
     EXPECT_EQ(world.starts_without_ticket(), 0U);
-    EXPECT_TRUE(world.worker(0).begun().empty());
+    EXPECT_TRUE(world.worker(0).started_runs().empty());
     EXPECT_EQ(world.violation(), "");
 }
 
--- a/tests/unit/pool/log_volume_test.cpp
+++ b/tests/unit/pool/log_volume_test.cpp
@@ -112,7 +112,7 @@
     ASSERT_FALSE(failures.empty());
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        auto const& begun = world.worker(number).begun();
+        auto const& begun = world.worker(number).started_runs();
         auto const name = "w" + std::to_string(number);
         EXPECT_TRUE(begun.empty() ||
                     failures.back().find(name) != std::string::npos)
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_world.cpp
@@ -747,7 +747,7 @@
                                start->ticket != "ticket " + order.worker
                            ? 1U
                            : 0U;
-    auto const begun = target.begun().size();
+    auto const begun = target.started_runs().size();
     bool const meant = order.incarnation == 0 ||
                        order.incarnation == target.info().incarnation;
     ports::order_reply reply;
@@ -756,9 +756,9 @@
     {
         reply = target.apply(now(), order.operation);
     }
-    if (target.begun().size() > begun)
+    if (target.started_runs().size() > begun)
     {
-        check_start(where, target.begun().back());
+        check_start(where, target.started_runs().back());
     }
     check_ends();
     if (!answered)
@@ -836,7 +836,7 @@
     failed_.clear();
     for (auto const& each : workers_)
     {
-        for (auto const& row : each->acknowledged())
+        for (auto const& row : each->acknowledged_ends())
         {
             if (row.kind == ports::end_kind::done)
             {
--- a/tests/unit/pool/staleness_test.cpp
+++ b/tests/unit/pool/staleness_test.cpp
@@ -138,7 +138,7 @@
     std::size_t acknowledged = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        acknowledged += world.worker(number).acknowledged().size();
+        acknowledged += world.worker(number).acknowledged_ends().size();
     }
     EXPECT_EQ(acknowledged, 8U);
 }
@@ -235,12 +235,12 @@
     ASSERT_TRUE(entry.has_value());
     world.store().put("workers/w0", entry->value + " draining");
     world.run(3s);
-    auto const before = world.worker(0).begun().size();
+    auto const before = world.worker(0).started_runs().size();
     submit_many(world, other_than(owner), "later", 8, simple_job(1, 1s));
     world.run(2s);
-    EXPECT_EQ(world.worker(0).begun().size(), before);
+    EXPECT_EQ(world.worker(0).started_runs().size(), before);
     cut = false;
     world.run(3s);
-    EXPECT_EQ(world.worker(0).begun().size(), before);
-    EXPECT_GE(world.worker(1).begun().size(), 8U);
+    EXPECT_EQ(world.worker(0).started_runs().size(), before);
+    EXPECT_GE(world.worker(1).started_runs().size(), 8U);
 }
--- a/tests/unit/pool/takeover_test.cpp
+++ b/tests/unit/pool/takeover_test.cpp
@@ -42,7 +42,7 @@
     std::size_t begun = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
-        begun += world.worker(number).begun().size();
+        begun += world.worker(number).started_runs().size();
     }
     return begun;
 }
@@ -177,7 +177,7 @@
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
         running += world.worker(number).running();
-        begun += world.worker(number).begun().size();
+        begun += world.worker(number).started_runs().size();
     }
     EXPECT_EQ(running, 6U);
     EXPECT_EQ(begun, 6U);
@@ -204,7 +204,7 @@
     ASSERT_TRUE(settled(world));
     world.submit(1, "a", chained_job(1s));
     world.run(300ms);
-    world.store().revoke("pool/claim");
+    world.store().expire_key("pool/claim");
     EXPECT_TRUE(completes(world, 0, "a"));
     EXPECT_EQ(world.violation(), "");
 }
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_world.cpp
@@ -382,7 +382,7 @@
     if (auto const* const start =
             std::get_if<ports::start_order>(&order.operation))
     {
-        auto const script = standins::pool::parse_script(start->spec);
+        auto const script = standins::pool::parse_task_script(start->spec);
         world_.after(std::chrono::milliseconds(script.work_ms),
                      [this, &at]
                      {
--- a/tools/soak/faults.cpp
+++ b/tools/soak/faults.cpp
@@ -130,13 +130,13 @@
         instances_.caller_link(what.target).reset();
         break;
     case fault_kind::watch_lost:
-        platform_.drop_watches();
+        platform_.stall_watches();
         break;
     case fault_kind::compaction:
         platform_.store().compact();
         break;
     case fault_kind::lease_lapse:
-        platform_.store().end_leases();
+        platform_.store().expire_all_leases();
         break;
     case fault_kind::configuration:
         change_configuration(what.value);
@@ -245,7 +245,7 @@
 
 void faults::leave(std::uint32_t worker, bool same_id)
 {
-    platform_.revive(worker, same_id);
+    platform_.restart(worker, same_id);
     busy_workers_.erase(worker);
 }
 
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -22,7 +22,7 @@
 using core::common::time_point;
 using standins::pool::planted_defect;
 using standins::pool::worker_event;
-using standins::pool::worker_moment;
+using standins::pool::worker_event_kind;
 
 constexpr duration tick_interval = 20ms;
 constexpr duration start_limit = 20s;
@@ -109,7 +109,7 @@
         standins::pool::pool_server_settings made;
         made.store = {address_, store_port};
         made.first_worker_port = first_worker_port;
-        made.shown_worker_port = first_worker_link_port;
+        made.advertised_worker_port = first_worker_link_port;
         made.workers = settings_.what.workers;
         made.capacity.millicores = pool_millicores / made.workers;
         return made;
@@ -146,18 +146,18 @@
 
     void on_worker(ports::pool_worker const& worker, worker_event const& event)
     {
-        switch (event.when)
+        switch (event.kind)
         {
         case worker_moment::started:
             ++runs_;
             out_.take(run_started{
-                worker.id, worker.data_centre, event.what, event.fence});
+                worker.id, worker.data_centre, event.run, event.fence});
             break;
         case worker_moment::ended:
-            out_.take(run_ended{worker.id, event.what, event.how});
+            out_.take(run_ended{worker.id, event.run, event.end_result});
             break;
         case worker_moment::acknowledged:
-            out_.take(end_acknowledged{worker.id, event.what, event.how});
+            out_.take(end_acknowledged{worker.id, event.run, event.end_result});
             break;
         }
     }
