--- a/tests/contract/load/caller_test.cpp
+++ b/tests/contract/load/caller_test.cpp
@@ -101,7 +101,7 @@
 
     boost::asio::io_context io;
     experiment what;
-    book into;
+    request_statistics into;
     std::vector<std::unique_ptr<adapters::http::server>> servers;
     std::vector<request> seen;
 };
@@ -122,7 +122,7 @@
     auto const second = entry(answers);
     auto const first = entry(refuses);
     send_one({second, first});
-    EXPECT_EQ(into.total().of(result::answered), 1U);
+    EXPECT_EQ(into.total().count(request_result::answered), 1U);
     EXPECT_EQ(into.total().attempts, 2U);
     ASSERT_EQ(seen.size(), 2U);
     EXPECT_EQ(seen[0].header("Idempotency-Key"),
@@ -138,7 +138,7 @@
     {
         std::string_view what;
         behaviour answer;
-        result wanted;
+        request_result wanted;
         std::uint64_t attempts;
     };
     std::vector<row> const rows{
@@ -147,25 +147,25 @@
          {
              reply(refusal("not-run", "1"));
          },
-         result::refused,
+         request_result::refused,
          3},
         {"refused until after the deadline",
          [](request const&, responder const& reply)
          {
              reply(refusal("not-run", "60000"));
          },
-         result::refused,
+         request_result::refused,
          1},
         {"always unknown",
          [](request const&, responder const& reply)
          {
              reply(refusal("unknown", "1"));
          },
-         result::unknown,
+         request_result::unknown,
          3},
         {"closed without an answer",
          [](request const&, responder const&) {},
-         result::lost,
+         request_result::lost,
          1},
         {"another's answer",
          [](request const&, responder const& reply)
@@ -175,14 +175,14 @@
              answer.body = "Tother\nx\nTother";
              reply(answer);
          },
-         result::mixed,
+         request_result::mixed,
          1},
     };
     for (auto const& row : rows)
     {
-        into = book();
+        into = request_statistics();
         send_one({entry(row.answer), entry(row.answer)});
-        EXPECT_EQ(into.total().of(row.wanted), 1U) << row.what;
+        EXPECT_EQ(into.total().count(row.wanted), 1U) << row.what;
         EXPECT_EQ(into.total().attempts, row.attempts) << row.what;
     }
 }
@@ -199,7 +199,7 @@
             reply(whole(asked));
         });
     send_one({live, gone});
-    EXPECT_EQ(into.total().of(result::answered), 1U);
+    EXPECT_EQ(into.total().count(request_result::answered), 1U);
     EXPECT_EQ(into.total().attempts, 1U);
 }
 
@@ -214,7 +214,7 @@
     what.streams[0].deadline = 5ms;
     what.answer_bound = 20ms;
     send_one({silent});
-    EXPECT_EQ(into.total().of(result::lost), 1U);
+    EXPECT_EQ(into.total().count(request_result::lost), 1U);
 }
 
 } // namespace fuchsia::tools::load
--- a/tests/contract/load/load_parts_test.cpp
+++ b/tests/contract/load/load_parts_test.cpp
@@ -1,8 +1,8 @@
-#include "tools/load/book.hpp"
 #include "tools/load/experiment.hpp"
 #include "tools/load/histogram.hpp"
 #include "tools/load/plot.hpp"
 #include "tools/load/report.hpp"
+#include "tools/load/request_statistics.hpp"
 #include "tools/load/schedule.hpp"
 
 #include <algorithm>
@@ -151,26 +151,31 @@
         std::string outcome;
         std::string body;
         bool direct;
-        result wanted;
+        request_result wanted;
     };
     std::vector<row> const rows{
-        {"whole", 200, "ran", "T1\nx\nT1", false, result::answered},
+        {"whole", 200, "ran", "T1\nx\nT1", false, request_result::answered},
         {"an upstream's error",
          500,
          "ran",
          "T1\n\nT1",
          false,
-         result::answered},
-        {"a part", 200, "ran", "T1\nx", false, result::mixed},
-        {"the token alone", 200, "ran", "T1", false, result::mixed},
-        {"another's", 200, "ran", "T2\nx\nT2", false, result::mixed},
-        {"a longer token", 200, "ran", "T11\nx\nT11", false, result::mixed},
-        {"refused", 503, "not-run", "{}", false, result::refused},
-        {"unknown", 502, "unknown", "{}", false, result::unknown},
-        {"no outcome", 200, "", "T1\nx\nT1", false, result::lost},
-        {"no such outcome", 200, "maybe", "", false, result::lost},
-        {"direct", 200, "", "T1\nx\nT1", true, result::answered},
-        {"direct, a part", 200, "", "T1\n", true, result::mixed},
+         request_result::answered},
+        {"a part", 200, "ran", "T1\nx", false, request_result::mixed},
+        {"the token alone", 200, "ran", "T1", false, request_result::mixed},
+        {"another's", 200, "ran", "T2\nx\nT2", false, request_result::mixed},
+        {"a longer token",
+         200,
+         "ran",
+         "T11\nx\nT11",
+         false,
+         request_result::mixed},
+        {"refused", 503, "not-run", "{}", false, request_result::refused},
+        {"unknown", 502, "unknown", "{}", false, request_result::unknown},
+        {"no outcome", 200, "", "T1\nx\nT1", false, request_result::lost},
+        {"no such outcome", 200, "maybe", "", false, request_result::lost},
+        {"direct", 200, "", "T1\nx\nT1", true, request_result::answered},
+        {"direct, a part", 200, "", "T1\n", true, request_result::mixed},
     };
     for (auto const& row : rows)
     {
@@ -186,29 +191,29 @@
     adapters::http::response refusal;
     refusal.status = 503;
     refusal.headers.push_back({"Upstream-Outcome", "not-run"});
-    EXPECT_EQ(judge(refusal, "T1", true), result::refused);
+    EXPECT_EQ(judge(refusal, "T1", true), request_result::refused);
 }
 
 TEST(book, counts_late_and_failed_answers_out_of_the_goodput)
 {
-    book all;
+    request_statistics all;
     ended_request request;
     request.label = "a";
-    request.how = result::answered;
+    request.result = request_result::answered;
     request.status = 200;
     all.record(0, request);
     request.late = true;
     all.record(1, request);
     request.status = 500;
     all.record(1, request);
-    request.how = result::refused;
+    request.result = request_result::refused;
     all.record(2, request);
     EXPECT_EQ(all.total().requests, 4U);
     EXPECT_EQ(all.total().good(), 1U);
     EXPECT_EQ(all.total().failed, 1U);
     EXPECT_EQ(all.total().latency.count(), 3U);
     ASSERT_EQ(all.by_second().size(), 3U);
-    EXPECT_EQ(all.by_second()[2].of(result::refused), 1U);
+    EXPECT_EQ(all.by_second()[2].count(request_result::refused), 1U);
 }
 
 TEST(verdict, breaks_for_each_promise_alone)
@@ -265,7 +270,7 @@
     report.name = "e";
     ended_request request;
     request.label = "a";
-    request.how = result::answered;
+    request.result = request_result::answered;
     request.status = 200;
     request.took = 7ms;
     report.requests.record(1, request);
--- a/tools/load/caller.cpp
+++ b/tools/load/caller.cpp
@@ -86,7 +86,7 @@
 caller::caller(boost::asio::io_context& io,
                experiment const& what,
                balancer& entries,
-               book& into,
+               request_statistics& into,
                std::string run)
     : io_(io), what_(what), entries_(entries), book_(into),
       run_(std::move(run)), client_(io, connection_settings(what))
@@ -187,10 +187,10 @@
     }
     auto const how = status == exchange_status::answered
                          ? judge(answer, request->token, request->stream.direct)
-                         : result::lost;
+                         : request_result::lost;
     if (auto const code = answer.header("Fuchsia-Code"))
     {
-        book_.note_code(*code);
+        book_.record_code(*code);
     }
     if (!try_again(request, how, answer))
     {
@@ -199,16 +199,16 @@
 }
 
 bool caller::try_again(pending_ptr const& request,
-                       result how,
+                       request_result how,
                        adapters::http::response const& answer)
 {
     auto const& retries = what_.retries;
     auto const& stream = request->stream;
     bool const repeatable = stream.method != "POST" || stream.key;
     bool const wanted =
-        how == result::refused ||
-        (repeatable && ((how == result::unknown && retries.unknown) ||
-                        (how == result::lost && retries.lost)));
+        how == request_result::refused ||
+        (repeatable && ((how == request_result::unknown && retries.unknown) ||
+                        (how == request_result::lost && retries.lost)));
     auto const pause =
         retries.honour_retry_after ? pause_after(answer) : duration{};
     if (!wanted || request->attempts >= retries.tries ||
@@ -228,7 +228,9 @@
     return true;
 }
 
-void caller::finish(pending const& request, result how, std::uint16_t status)
+void caller::finish(pending const& request,
+                    request_result how,
+                    std::uint16_t status)
 {
     --in_flight_;
     auto const now = clock::now();
@@ -239,7 +241,7 @@
         ended.phase = what_.phases[what_.phase_at(request.due - start_)].name;
     }
     ended.kind = request.stream.kind;
-    ended.how = how;
+    ended.result = how;
     ended.status = status;
     ended.attempts = request.attempts;
     ended.took = now - request.due;
--- a/tools/load/caller.hpp
+++ b/tools/load/caller.hpp
@@ -2,8 +2,8 @@
 
 #include "adapters/http/client.hpp"
 #include "tools/load/balancer.hpp"
-#include "tools/load/book.hpp"
 #include "tools/load/experiment.hpp"
+#include "tools/load/request_statistics.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -24,7 +24,7 @@
     caller(boost::asio::io_context& io,
            experiment const& what,
            balancer& entries,
-           book& into,
+           request_statistics& into,
            std::string run);
 
     /// Where requests of `direct` streams go.
@@ -49,14 +49,15 @@
                 ports::exchange_status status,
                 adapters::http::response const& answer);
     bool try_again(pending_ptr const& request,
-                   result how,
+                   request_result how,
                    adapters::http::response const& answer);
-    void finish(pending const& request, result how, std::uint16_t status);
+    void
+    finish(pending const& request, request_result how, std::uint16_t status);
 
     boost::asio::io_context& io_;
     experiment const& what_;
     balancer& entries_;
-    book& book_;
+    request_statistics& book_;
     std::string run_;
     adapters::http::client client_;
     std::vector<ports::endpoint> direct_;
--- a/tools/load/plot.cpp
+++ b/tools/load/plot.cpp
@@ -101,7 +101,8 @@
         median.values.push_back(static_cast<double>(row.latency.quantile(0.5)) /
                                 millisecond_us);
         good.values.push_back(static_cast<double>(row.good()));
-        refused.values.push_back(static_cast<double>(row.of(result::refused)));
+        refused.values.push_back(
+            static_cast<double>(row.count(request_result::refused)));
     }
     double const second_panel = top + panel_height + gap;
     std::string svg =
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/load/book.hpp"
+#include "tools/load/request_statistics.hpp"
 #include "tools/load/service_sampler.hpp"
 #include "tools/load/standin_books.hpp"
 #include "tools/load/submitter.hpp"
@@ -20,7 +20,7 @@
     std::string name;
     std::uint64_t seed = 0;
     double seconds = 0;
-    book requests;
+    request_statistics requests;
     job_counts jobs;
     std::string job_reason;
     std::uint64_t events_failed = 0;
--- a/tools/load/book.cpp
+++ b/tools/load/request_statistics.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/book.hpp"
+#include "tools/load/request_statistics.hpp"
 
 #include "core/common/result_code.hpp"
 
@@ -25,15 +25,15 @@
 {
     ++into.requests;
     into.attempts += request.attempts;
-    ++into.results[static_cast<std::size_t>(request.how)];
-    if (request.how == result::answered)
+    ++into.results[static_cast<std::size_t>(request.result)];
+    if (request.result == request_result::answered)
     {
         bool const failed = request.status >= first_error_status;
         into.failed += failed ? 1 : 0;
         into.late += request.late && !failed ? 1 : 0;
         into.latency.record(request.took.count());
     }
-    if (request.how == result::refused)
+    if (request.result == request_result::refused)
     {
         into.refusal_latency.record(request.took.count());
     }
@@ -41,54 +41,55 @@
 
 } // namespace
 
-std::string_view name_of(result value) noexcept
+std::string_view name_of(request_result value) noexcept
 {
-    constexpr std::array<std::string_view, result_count> names{
+    constexpr std::array<std::string_view, request_result_count> names{
         "answered", "refused", "unknown", "lost", "mixed"};
     return names[static_cast<std::size_t>(value)];
 }
 
-result judge(adapters::http::response const& answer,
-             std::string_view token,
-             bool direct)
+request_result judge(adapters::http::response const& answer,
+                     std::string_view token,
+                     bool direct)
 {
     if (direct && answer.status == unavailable &&
         answer.header("Upstream-Outcome") == "not-run")
     {
-        return result::refused;
+        return request_result::refused;
     }
     auto const said = core::common::outcome_from(
         answer.header("Fuchsia-Outcome").value_or(""));
     if (!direct && !said)
     {
-        return result::lost;
+        return request_result::lost;
     }
     switch (said.value_or(core::common::outcome::ran))
     {
     case core::common::outcome::not_run:
-        return result::refused;
+        return request_result::refused;
     case core::common::outcome::unknown:
-        return result::unknown;
+        return request_result::unknown;
     default:
-        return is_framed(answer.body, token) ? result::answered : result::mixed;
+        return is_framed(answer.body, token) ? request_result::answered
+                                             : request_result::mixed;
     }
 }
 
-std::uint64_t tally::of(result value) const noexcept
+std::uint64_t tally::count(request_result value) const noexcept
 {
     return results[static_cast<std::size_t>(value)];
 }
 
 std::uint64_t tally::good() const noexcept
 {
-    return of(result::answered) - late - failed;
+    return count(request_result::answered) - late - failed;
 }
 
 void tally::add(tally const& other)
 {
     requests += other.requests;
     attempts += other.attempts;
-    for (std::size_t index = 0; index < result_count; ++index)
+    for (std::size_t index = 0; index < request_result_count; ++index)
     {
         results[index] += other.results[index];
     }
@@ -98,7 +99,8 @@
     refusal_latency.add(other.refusal_latency);
 }
 
-void book::record(std::size_t second, ended_request const& request)
+void request_statistics::record(std::size_t second,
+                                ended_request const& request)
 {
     enter(total_, request);
     enter(by_class_[std::string(ports::name_of(request.kind))], request);
@@ -118,12 +120,12 @@
     enter(by_second_[second], request);
 }
 
-void book::record_unsent()
+void request_statistics::record_unsent()
 {
     ++unsent_;
 }
 
-void book::note_code(std::string_view code)
+void request_statistics::record_code(std::string_view code)
 {
     auto const found = codes_.find(code);
     if (found != codes_.end())
@@ -136,37 +138,41 @@
     }
 }
 
-tally const& book::total() const noexcept
+tally const& request_statistics::total() const noexcept
 {
     return total_;
 }
 
-std::uint64_t book::unsent() const noexcept
+std::uint64_t request_statistics::unsent() const noexcept
 {
     return unsent_;
 }
 
-std::map<std::string, tally, std::less<>> const& book::by_class() const
+std::map<std::string, tally, std::less<>> const&
+request_statistics::by_class() const
 {
     return by_class_;
 }
 
-std::map<std::string, tally, std::less<>> const& book::by_label() const
+std::map<std::string, tally, std::less<>> const&
+request_statistics::by_label() const
 {
     return by_label_;
 }
 
-std::map<std::string, tally, std::less<>> const& book::by_phase() const
+std::map<std::string, tally, std::less<>> const&
+request_statistics::by_phase() const
 {
     return by_phase_;
 }
 
-std::map<std::string, std::uint64_t, std::less<>> const& book::codes() const
+std::map<std::string, std::uint64_t, std::less<>> const&
+request_statistics::codes() const
 {
     return codes_;
 }
 
-std::vector<tally> const& book::by_second() const noexcept
+std::vector<tally> const& request_statistics::by_second() const noexcept
 {
     return by_second_;
 }
--- a/tools/load/book.hpp
+++ b/tools/load/request_statistics.hpp
@@ -16,7 +16,7 @@
 {
 
 /// The end of one sending, and of a request by its last sending.
-enum class result : std::uint8_t
+enum class request_result : std::uint8_t
 {
     answered, ///< Whole answer of its own.
     refused,  ///< "not-run".
@@ -25,26 +25,26 @@
     mixed,    ///< A part, or another request's answer.
 };
 
-constexpr std::size_t result_count = 5;
-std::string_view name_of(result value) noexcept;
+constexpr std::size_t request_result_count = 5;
+std::string_view name_of(request_result value) noexcept;
 
 /// Judges an answer to a request with this load token. Upstreams that were
 /// called directly say themselves that they did not run it.
-result judge(adapters::http::response const& answer,
-             std::string_view token,
-             bool direct);
+request_result judge(adapters::http::response const& answer,
+                     std::string_view token,
+                     bool direct);
 
 struct tally
 {
     std::uint64_t requests = 0;
     std::uint64_t attempts = 0; ///< Sendings; more than requests by retries.
-    std::array<std::uint64_t, result_count> results{};
+    std::array<std::uint64_t, request_result_count> results{};
     std::uint64_t late = 0;   ///< Answered after the deadline.
     std::uint64_t failed = 0; ///< Answered with a status of 400 or above.
     histogram latency;        ///< Of what was answered, from when it was due.
     histogram refusal_latency;
 
-    std::uint64_t of(result value) const noexcept;
+    std::uint64_t count(request_result value) const noexcept;
     /// Answered in time and without an error.
     std::uint64_t good() const noexcept;
     void add(tally const& other);
@@ -56,20 +56,20 @@
     std::string label;
     std::string phase; ///< In which it was due; empty: there is but one.
     ports::request_class kind = ports::request_class::latency_critical;
-    result how = result::lost;
+    request_result result = request_result::lost;
     std::uint16_t status = 0;
     std::uint32_t attempts = 1;
     core::common::duration took{}; ///< From when it was due.
     bool late = false;
 };
 
-class book
+class request_statistics
 {
 public:
     void record(std::size_t second, ended_request const& request);
     /// A request that was due but not sent, since too many were in flight.
     void record_unsent();
-    void note_code(std::string_view code);
+    void record_code(std::string_view code);
 
     tally const& total() const noexcept;
     std::uint64_t unsent() const noexcept;
--- a/tools/load/run.cpp
+++ b/tools/load/run.cpp
@@ -346,10 +346,10 @@
                     .count();
             auto const index = static_cast<std::size_t>(second - 1);
             std::cout << "t=" << second << " sent=" << caller_.sent()
-                      << " answered=" << all.of(result::answered)
-                      << " refused=" << all.of(result::refused)
-                      << " unknown=" << all.of(result::unknown)
-                      << " lost=" << all.of(result::lost)
+                      << " answered=" << all.count(request_result::answered)
+                      << " refused=" << all.count(request_result::refused)
+                      << " unknown=" << all.count(request_result::unknown)
+                      << " lost=" << all.count(request_result::lost)
                       << " in_flight=" << caller_.in_flight()
                       << " ready=" << entries_.ready();
             if (index < last.size())
--- a/tools/load/run.hpp
+++ b/tools/load/run.hpp
@@ -64,7 +64,7 @@
     experiment what_;
     std::string run_;
     boost::asio::io_context io_;
-    book book_;
+    request_statistics book_;
     balancer entries_;
     caller caller_;
     submitter submitter_;
