--- a/tests/contract/load/load_parts_test.cpp
+++ b/tests/contract/load/load_parts_test.cpp
@@ -253,7 +253,7 @@
         ASSERT_TRUE(all.add_summary(row.summary));
         all.add_upstreams(row.upstreams);
         all.add_workers(row.workers);
-        EXPECT_EQ(all.holds(), row.holds) << row.what;
+        EXPECT_EQ(all.passed(), row.holds) << row.what;
     }
     verdict all;
     all.add_summary(summary(0, 0));
--- a/tools/load/commands.cpp
+++ b/tools/load/commands.cpp
@@ -144,7 +144,7 @@
     return report->events_failed == 0 ? EXIT_SUCCESS : broken_promise;
 }
 
-int print_books(books_options const& options)
+int print_verdict(verdict_options const& options)
 {
     core::common::failure reason;
     verdict all;
@@ -170,7 +170,7 @@
     all.add_upstreams(*upstreams);
     all.add_workers(*workers);
     std::cout << to_line(all) << '\n';
-    return all.holds() ? EXIT_SUCCESS : broken_promise;
+    return all.passed() ? EXIT_SUCCESS : broken_promise;
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/commands.hpp
+++ b/tools/load/commands.hpp
@@ -24,7 +24,7 @@
 
 int run_experiment(run_options const& options);
 
-struct books_options
+struct verdict_options
 {
     std::vector<std::string> summaries;
     std::string upstreams; ///< IP:port of the stand-in's control paths.
@@ -32,6 +32,6 @@
 };
 
 /// Prints the verdict's line; status 1 where one of its last six is not 0.
-int print_books(books_options const& options);
+int print_verdict(verdict_options const& options);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -35,7 +35,7 @@
     return command;
 }
 
-CLI::App* add_books(CLI::App& app, books_options& options)
+CLI::App* add_books(CLI::App& app, verdict_options& options)
 {
     auto* command = app.add_subcommand(
         "books", "checks what must always hold, from all books together");
@@ -70,7 +70,7 @@
     app.set_version_flag("--version", FUCHSIA_VERSION);
     app.require_subcommand(1);
     run_options run;
-    books_options books;
+    verdict_options books;
     auto const* const run_command = add_run(app, run);
     add_books(app, books);
     auto const* const bench_command = app.add_subcommand(
@@ -87,5 +87,5 @@
     {
         return run_pool_bench(sizes, pool, std::cout);
     }
-    return run_command->parsed() ? run_experiment(run) : print_books(books);
+    return run_command->parsed() ? run_experiment(run) : print_verdict(books);
 }
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -317,7 +317,7 @@
     late_starts += count_of(books, "late_starts");
 }
 
-bool verdict::holds() const noexcept
+bool verdict::passed() const noexcept
 {
     return lost + doubled + mixed + overfilled + two_places + late_starts == 0;
 }
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -2,7 +2,7 @@
 
 #include "tools/load/request_statistics.hpp"
 #include "tools/load/service_sampler.hpp"
-#include "tools/load/standin_books.hpp"
+#include "tools/load/standin_counts.hpp"
 #include "tools/load/submitter.hpp"
 
 #include <cstdint>
@@ -58,7 +58,7 @@
     void add_upstreams(counts const& books);
     void add_workers(counts const& books);
     /// Whether none of the last six is above 0.
-    bool holds() const noexcept;
+    bool passed() const noexcept;
 };
 
 /// "requests=N answered=N ... late_starts=0".
--- a/tools/load/standin_books.cpp
+++ b/tools/load/standin_counts.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/standin_books.hpp"
+#include "tools/load/standin_counts.hpp"
 
 #include "adapters/http/client.hpp"
 
