--- a/tests/contract/load/caller_test.cpp
+++ b/tests/contract/load/caller_test.cpp
@@ -1,5 +1,5 @@
 #include "adapters/http/server.hpp"
-#include "tools/load/caller.hpp"
+#include "tools/load/request_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -77,7 +77,7 @@
             {
                 return targets.checked_all();
             });
-        caller load(io, what, targets, into, "run");
+        request_client load(io, what, targets, into, "run");
         auto const now = core::common::clock::now();
         load.begin(now);
         load.send(0, now);
@@ -212,7 +212,7 @@
             kept.push_back(reply);
         });
     what.streams[0].deadline = 5ms;
-    what.answer_bound = 20ms;
+    what.answer_timeout = 20ms;
     send_one({silent});
     EXPECT_EQ(into.total().count(request_result::lost), 1U);
 }
--- a/tools/load/commands.cpp
+++ b/tools/load/commands.cpp
@@ -1,7 +1,7 @@
 #include "tools/load/commands.hpp"
 
+#include "tools/load/load_run.hpp"
 #include "tools/load/plot.hpp"
-#include "tools/load/run.hpp"
 
 #include <cstdlib>
 #include <fstream>
--- a/tools/load/experiment.cpp
+++ b/tools/load/experiment.cpp
@@ -76,9 +76,9 @@
     return phases;
 }
 
-traffic read_traffic(toml_table& table)
+request_stream read_traffic(toml_table& table)
 {
-    traffic read;
+    request_stream read;
     read.customer = table.text("customer");
     read.kind = static_cast<ports::request_class>(
         table.choice_or("class", 0, {"latency-critical", "batch"}));
@@ -94,7 +94,7 @@
     read.deadline = table.duration_or("deadline_ms", read.deadline, 1ms, 1h);
     read.body_bytes = static_cast<std::uint32_t>(
         table.integer_or("body_bytes", read.body_bytes, 0, 1'000'000));
-    read.key = table.flag_or("key", read.key);
+    read.sends_key = table.flag_or("key", read.sends_key);
     read.direct = table.flag_or("direct", read.direct);
     read.poisson = table.choice_or("arrivals", 0, {"poisson", "even"}) == 0;
     read.from = table.duration_or("from_ms", read.from, 0ms, longest);
@@ -184,12 +184,12 @@
 retry_settings read_retries(toml_table table)
 {
     retry_settings read;
-    read.tries =
+    read.max_attempts =
         static_cast<std::uint32_t>(table.integer_or("tries", 1, 1, 100));
     read.honour_retry_after =
         table.flag_or("honour_retry_after", read.honour_retry_after);
-    read.unknown = table.flag_or("unknown", read.unknown);
-    read.lost = table.flag_or("lost", read.lost);
+    read.retry_unknown = table.flag_or("unknown", read.retry_unknown);
+    read.retry_lost = table.flag_or("lost", read.retry_lost);
     table.reject_unknown_keys();
     return read;
 }
@@ -280,9 +280,9 @@
     read.name = root.text("name");
     read.seed = static_cast<std::uint64_t>(
         root.integer_or("seed", 1, 0, 1'000'000'000'000));
-    read.answer_bound =
-        root.duration_or("answer_bound_ms", read.answer_bound, 1ms, 600s);
-    read.settle = root.duration_or("settle_ms", read.settle, 0ms, 600s);
+    read.answer_timeout =
+        root.duration_or("answer_bound_ms", read.answer_timeout, 1ms, 600s);
+    read.drain_time = root.duration_or("settle_ms", read.drain_time, 0ms, 600s);
     read.max_in_flight = static_cast<std::uint32_t>(
         root.integer_or("max_in_flight", read.max_in_flight, 1, 60'000));
     read.targets = read_targets(root, targets);
--- a/tools/load/experiment.hpp
+++ b/tools/load/experiment.hpp
@@ -39,7 +39,7 @@
 };
 
 /// One stream of like requests.
-struct traffic
+struct request_stream
 {
     std::string label;
     std::string customer;
@@ -49,9 +49,9 @@
     double rate = 0;  ///< Requests a second at factor 1.
     core::common::duration deadline = std::chrono::milliseconds(250);
     std::uint32_t body_bytes = 128;
-    bool key = true;     ///< Sends an Idempotency-Key with POST.
-    bool direct = false; ///< To an upstream, past the entries.
-    bool poisson = true; ///< Random gaps between requests; else even ones.
+    bool sends_key = true; ///< Sends an Idempotency-Key with POST.
+    bool direct = false;   ///< To an upstream, past the entries.
+    bool poisson = true;   ///< Random gaps between requests; else even ones.
     /// Only within this part of the run; `until` 0: to its end.
     core::common::duration from{};
     core::common::duration until{};
@@ -63,10 +63,11 @@
 /// How the tool's clients try again.
 struct retry_settings
 {
-    std::uint32_t tries = 1; ///< Sendings of one request, the first included.
+    std::uint32_t max_attempts =
+        1; ///< Sendings of one request, the first included.
     bool honour_retry_after = true;
-    bool unknown = false; ///< Also after "unknown", with the same key.
-    bool lost = false;    ///< Also without an answer, with the same key.
+    bool retry_unknown = false; ///< Also after "unknown", with the same key.
+    bool retry_lost = false;    ///< Also without an answer, with the same key.
 };
 
 /// One stream of like jobs.
@@ -96,16 +97,16 @@
     std::string name;
     std::uint64_t seed = 1;
     std::vector<phase> phases;
-    std::vector<traffic> streams;
+    std::vector<request_stream> streams;
     std::vector<job_stream> jobs;
     std::vector<timed_event> events;
     retry_settings retries;
     target_settings targets;
     /// No answer so long after the deadline: the request is lost.
-    core::common::duration answer_bound = std::chrono::seconds(2);
+    core::common::duration answer_timeout = std::chrono::seconds(2);
     std::uint32_t max_in_flight = 20'000;
     /// Waited after the last request, for late answers.
-    core::common::duration settle = std::chrono::seconds(1);
+    core::common::duration drain_time = std::chrono::seconds(1);
 
     core::common::duration length() const noexcept;
     /// The phase that holds for a request due at `at`, from the beginning.
--- a/tools/load/run.cpp
+++ b/tools/load/load_run.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/run.hpp"
+#include "tools/load/load_run.hpp"
 
 #include "adapters/platform/catalog_client.hpp"
 #include "adapters/runtime/signals.hpp"
@@ -114,7 +114,7 @@
 
 bool load_run::prepare(core::common::failure& reason)
 {
-    auto const is_direct = [](traffic const& each)
+    auto const is_direct = [](request_stream const& each)
     {
         return each.direct;
     };
@@ -367,9 +367,9 @@
 void load_run::end_when_idle()
 {
     bool const idle = arrivals_.empty() && caller_.in_flight() == 0 &&
-                      submitter_.open() == 0 &&
+                      submitter_.pending_jobs() == 0 &&
                       clock::now() >= start_ + what_.length();
-    end_timer_.expires_after(idle ? what_.settle : idle_check);
+    end_timer_.expires_after(idle ? what_.drain_time : idle_check);
     end_timer_.async_wait(
         [this, idle](auto error)
         {
--- a/tools/load/run.hpp
+++ b/tools/load/load_run.hpp
@@ -2,9 +2,9 @@
 
 #include "adapters/runtime/timer.hpp"
 #include "tools/load/balancer.hpp"
-#include "tools/load/caller.hpp"
 #include "tools/load/experiment.hpp"
 #include "tools/load/report.hpp"
+#include "tools/load/request_client.hpp"
 #include "tools/load/schedule.hpp"
 #include "tools/load/service_sampler.hpp"
 #include "tools/load/submitter.hpp"
@@ -66,7 +66,7 @@
     boost::asio::io_context io_;
     request_statistics book_;
     balancer entries_;
-    caller caller_;
+    request_client caller_;
     submitter submitter_;
     std::optional<service_sampler> services_;
     adapters::http::client events_;
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -73,8 +73,8 @@
     out << "jobs: submitted=" << report.jobs.submitted
         << " accepted=" << report.jobs.accepted
         << " refused=" << report.jobs.refused
-        << " gave_up=" << report.jobs.gave_up << '\n';
-    if (report.jobs.refused + report.jobs.gave_up > 0)
+        << " gave_up=" << report.jobs.unanswered << '\n';
+    if (report.jobs.refused + report.jobs.unanswered > 0)
     {
         out << "last refusal of a job: " << report.job_reason << '\n';
     }
@@ -250,7 +250,7 @@
     json["jobs"] = boost::json::object{{"submitted", report.jobs.submitted},
                                        {"accepted", report.jobs.accepted},
                                        {"refused", report.jobs.refused},
-                                       {"gave_up", report.jobs.gave_up}};
+                                       {"gave_up", report.jobs.unanswered}};
     json["platform"] = json_of_counts(report.platform);
     json["upstreams"] = json_of_counts(report.upstreams);
     json["workers"] = json_of_counts(report.workers);
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -24,7 +24,7 @@
     job_counts jobs;
     std::string job_reason;
     std::uint64_t events_failed = 0;
-    service_sampler::tails services;
+    service_sampler::tail_latencies services;
     /// What the stand-ins counted during the run.
     counts platform;
     counts upstreams;
--- a/tools/load/caller.cpp
+++ b/tools/load/request_client.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/caller.hpp"
+#include "tools/load/request_client.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -55,7 +55,7 @@
     return default_pause;
 }
 
-std::string path_of(traffic const& stream, std::uint64_t number)
+std::string path_of(request_stream const& stream, std::uint64_t number)
 {
     constexpr std::string_view mark = "{n}";
     auto path = stream.path;
@@ -69,12 +69,12 @@
 
 } // namespace
 
-struct caller::pending
+struct request_client::pending
 {
-    explicit pending(traffic const& what) : stream(what)
+    explicit pending(request_stream const& what) : stream(what)
     {
     }
-    traffic const& stream;
+    request_stream const& stream;
     std::uint64_t number = 0;
     time_point due{};
     std::uint32_t attempts = 0;
@@ -83,27 +83,27 @@
     std::string token;
 };
 
-caller::caller(boost::asio::io_context& io,
-               experiment const& what,
-               balancer& entries,
-               request_statistics& into,
-               std::string run)
+request_client::request_client(boost::asio::io_context& io,
+                               experiment const& what,
+                               balancer& entries,
+                               request_statistics& into,
+                               std::string run)
     : io_(io), what_(what), entries_(entries), book_(into),
       run_(std::move(run)), client_(io, connection_settings(what))
 {
 }
 
-void caller::set_direct_targets(std::vector<ports::endpoint> targets)
+void request_client::set_direct_targets(std::vector<ports::endpoint> targets)
 {
     direct_ = std::move(targets);
 }
 
-void caller::begin(time_point start)
+void request_client::begin(time_point start)
 {
     start_ = start;
 }
 
-void caller::send(std::size_t stream, time_point due)
+void request_client::send(std::size_t stream, time_point due)
 {
     if (in_flight_ >= what_.max_in_flight)
     {
@@ -118,7 +118,7 @@
     attempt(request);
 }
 
-ports::endpoint const& caller::choose(pending& request)
+ports::endpoint const& request_client::choose(pending& request)
 {
     if (request.stream.direct && !direct_.empty())
     {
@@ -129,7 +129,7 @@
     return entries_.at(*request.target);
 }
 
-void caller::attempt(pending_ptr const& request)
+void request_client::attempt(pending_ptr const& request)
 {
     ++request->attempts;
     auto const left = std::max(
@@ -137,7 +137,7 @@
     adapters::http::client_call call;
     call.remote_endpoint = choose(*request);
     call.message = message_of(*request, left);
-    call.timeout = left + what_.answer_bound;
+    call.timeout = left + what_.answer_timeout;
     client_.send(std::move(call),
                  [this, request](exchange_status status,
                                  adapters::http::response const& answer)
@@ -146,8 +146,8 @@
                  });
 }
 
-adapters::http::request caller::message_of(pending const& request,
-                                           duration left) const
+adapters::http::request request_client::message_of(pending const& request,
+                                                   duration left) const
 {
     auto const& stream = request.stream;
     adapters::http::request message;
@@ -160,7 +160,7 @@
          std::to_string(
              std::max<std::int64_t>(1, core::common::to_milliseconds(left)))},
         {"Fuchsia-Load-Token", request.token}};
-    if (stream.key && stream.method == "POST")
+    if (stream.sends_key && stream.method == "POST")
     {
         message.headers.push_back(
             {"Idempotency-Key", run_ + "-" + std::to_string(request.number)});
@@ -172,9 +172,9 @@
     return message;
 }
 
-void caller::on_end(pending_ptr const& request,
-                    exchange_status status,
-                    adapters::http::response const& answer)
+void request_client::on_end(pending_ptr const& request,
+                            exchange_status status,
+                            adapters::http::response const& answer)
 {
     // A connection that was refused carried nothing: any balancer goes on to
     // the next target.
@@ -198,20 +198,21 @@
     }
 }
 
-bool caller::try_again(pending_ptr const& request,
-                       request_result how,
-                       adapters::http::response const& answer)
+bool request_client::try_again(pending_ptr const& request,
+                               request_result how,
+                               adapters::http::response const& answer)
 {
     auto const& retries = what_.retries;
     auto const& stream = request->stream;
-    bool const repeatable = stream.method != "POST" || stream.key;
+    bool const repeatable = stream.method != "POST" || stream.sends_key;
     bool const wanted =
         how == request_result::refused ||
-        (repeatable && ((how == request_result::unknown && retries.unknown) ||
-                        (how == request_result::lost && retries.lost)));
+        (repeatable &&
+         ((how == request_result::unknown && retries.retry_unknown) ||
+          (how == request_result::lost && retries.retry_lost)));
     auto const pause =
         retries.honour_retry_after ? pause_after(answer) : duration{};
-    if (!wanted || request->attempts >= retries.tries ||
+    if (!wanted || request->attempts >= retries.max_attempts ||
         clock::now() + pause >= request->due + stream.deadline)
     {
         return false;
@@ -228,9 +229,9 @@
     return true;
 }
 
-void caller::finish(pending const& request,
-                    request_result how,
-                    std::uint16_t status)
+void request_client::finish(pending const& request,
+                            request_result how,
+                            std::uint16_t status)
 {
     --in_flight_;
     auto const now = clock::now();
@@ -252,17 +253,17 @@
                  ended);
 }
 
-std::size_t caller::in_flight() const noexcept
+std::size_t request_client::in_flight() const noexcept
 {
     return in_flight_;
 }
 
-std::uint64_t caller::sent() const noexcept
+std::uint64_t request_client::sent() const noexcept
 {
     return sent_;
 }
 
-void caller::close()
+void request_client::close()
 {
     client_.close();
 }
--- a/tools/load/caller.hpp
+++ b/tools/load/request_client.hpp
@@ -16,16 +16,16 @@
 
 /// Sends the requests of an experiment, tries again as its clients would, and
 /// enters every end in the book.
-class caller
+class request_client
 {
 public:
     /// `run` makes keys and tokens differ from those of every other run. All
     /// references outlive the caller.
-    caller(boost::asio::io_context& io,
-           experiment const& what,
-           balancer& entries,
-           request_statistics& into,
-           std::string run);
+    request_client(boost::asio::io_context& io,
+                   experiment const& what,
+                   balancer& entries,
+                   request_statistics& into,
+                   std::string run);
 
     /// Where requests of `direct` streams go.
     void set_direct_targets(std::vector<ports::endpoint> targets);
--- a/tools/load/service_sampler.cpp
+++ b/tools/load/service_sampler.cpp
@@ -76,7 +76,8 @@
     }
 }
 
-service_sampler::tails const& service_sampler::by_phase() const noexcept
+service_sampler::tail_latencies const&
+service_sampler::by_phase() const noexcept
 {
     return by_phase_;
 }
--- a/tools/load/service_sampler.hpp
+++ b/tools/load/service_sampler.hpp
@@ -17,7 +17,7 @@
 class service_sampler
 {
 public:
-    using tails = std::map<std::string, histogram, std::less<>>;
+    using tail_latencies = std::map<std::string, histogram, std::less<>>;
 
     /// `phase` names the row that a sample belongs to.
     service_sampler(boost::asio::io_context& io,
@@ -26,7 +26,7 @@
 
     void start();
     /// One 99th percentile a service and second, in microseconds, by phase.
-    tails const& by_phase() const noexcept;
+    tail_latencies const& by_phase() const noexcept;
 
 private:
     void take(adapters::http::response const& answer);
@@ -35,7 +35,7 @@
     std::function<std::string()> phase_;
     adapters::http::client client_;
     adapters::runtime::timer timer_;
-    tails by_phase_;
+    tail_latencies by_phase_;
 };
 
 } // namespace fuchsia::tools::load
--- a/tools/load/submitter.cpp
+++ b/tools/load/submitter.cpp
@@ -68,7 +68,7 @@
         bool const accepted = final && answer.status == ok;
         counts_.accepted += accepted ? 1 : 0;
         counts_.refused += final && !accepted ? 1 : 0;
-        counts_.gave_up += final ? 0 : 1;
+        counts_.unanswered += final ? 0 : 1;
         last_reason_ = accepted ? last_reason_ : answer.body;
         return;
     }
@@ -88,7 +88,7 @@
     return counts_;
 }
 
-std::size_t submitter::open() const noexcept
+std::size_t submitter::pending_jobs() const noexcept
 {
     return open_;
 }
--- a/tools/load/submitter.hpp
+++ b/tools/load/submitter.hpp
@@ -16,7 +16,7 @@
     std::uint64_t submitted = 0;
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t gave_up = 0; ///< No planner answered in all tries.
+    std::uint64_t unanswered = 0; ///< No planner answered in all tries.
 };
 
 /// Submits the jobs of an experiment. A planner that doesn't answer is
@@ -30,7 +30,7 @@
 
     void submit(std::size_t stream);
     job_counts const& counts() const noexcept;
-    std::size_t open() const noexcept;
+    std::size_t pending_jobs() const noexcept;
     /// Why a planner refused a job last.
     std::string const& last_reason() const noexcept;
     void close();
