--- a/tests/contract/load/bench_pool_test.cpp
+++ b/tests/contract/load/bench_pool_test.cpp
@@ -29,6 +29,6 @@
     EXPECT_GT(seen.reserved, 0.6);
     EXPECT_LT(seen.reserved, 0.8);
     EXPECT_GT(seen.jobs_finished, 0U);
-    EXPECT_GT(seen.rounds, 0U);
+    EXPECT_GT(seen.placement_rounds, 0U);
     EXPECT_GT(seen.total_s(), 0);
 }
--- a/tools/load/bench.hpp
+++ b/tools/load/bench.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/load/bench_world.hpp"
+#include "tools/load/bench_simulation.hpp"
 
 #include <iosfwd>
 
--- a/tools/load/bench_pool.cpp
+++ b/tools/load/bench_pool.cpp
@@ -1,6 +1,6 @@
 #include "tools/load/bench_pool.hpp"
 
-#include "tools/load/bench_pool_world.hpp"
+#include "tools/load/bench_pool_simulation.hpp"
 
 #include <iomanip>
 #include <numeric>
@@ -48,12 +48,12 @@
 
 double placing_s(pool_bench_result const& of)
 {
-    return std::accumulate(of.duties.begin(),
-                           of.duties.end(),
+    return std::accumulate(of.time_by_event_kind.begin(),
+                           of.time_by_event_kind.end(),
                            0.0,
-                           [](double sum, pool_duty_time const& each)
+                           [](double sum, pool_event_time const& each)
                            {
-                               return sum + each.placing_s();
+                               return sum + each.placement_s();
                            });
 }
 
@@ -68,15 +68,16 @@
               {
                   return microseconds(placing_s(each), each);
               });
-    for (std::size_t duty = 0; duty < pool_duty_names.size(); ++duty)
+    for (std::size_t duty = 0; duty < pool_event_kind_names.size(); ++duty)
     {
         print_row(out,
-                  "  " + std::string(pool_duty_names[duty]),
+                  "  " + std::string(pool_event_kind_names[duty]),
                   all,
                   1,
                   [duty](pool_bench_result const& each)
                   {
-                      return microseconds(each.duties[duty].own_s(), each);
+                      return microseconds(
+                          each.time_by_event_kind[duty].other_s(), each);
                   });
     }
     print_row(out,
@@ -122,7 +123,7 @@
               0,
               [](pool_bench_result const& each)
               {
-                  return each.rounds;
+                  return each.placement_rounds;
               });
     print_row(out,
               "jobs finished",
@@ -152,31 +153,38 @@
 
 } // namespace
 
-double pool_duty_time::placing_s() const noexcept
+double pool_event_time::placement_s() const noexcept
 {
-    double const usual = plain == 0 ? 0 : plain_s / static_cast<double>(plain);
-    return std::max(placed_s - usual * static_cast<double>(placed), 0.0);
+    double const usual =
+        events_without_placement == 0
+            ? 0
+            : time_without_placement_s /
+                  static_cast<double>(events_without_placement);
+    return std::max(time_with_placement_s -
+                        usual * static_cast<double>(events_with_placement),
+                    0.0);
 }
 
-double pool_duty_time::own_s() const noexcept
+double pool_event_time::other_s() const noexcept
 {
-    return plain_s + placed_s - placing_s();
+    return time_without_placement_s + time_with_placement_s - placement_s();
 }
 
 double pool_bench_result::total_s() const noexcept
 {
-    return std::accumulate(duties.begin(),
-                           duties.end(),
+    return std::accumulate(time_by_event_kind.begin(),
+                           time_by_event_kind.end(),
                            0.0,
-                           [](double sum, pool_duty_time const& each)
+                           [](double sum, pool_event_time const& each)
                            {
-                               return sum + each.plain_s + each.placed_s;
+                               return sum + each.time_without_placement_s +
+                                      each.time_with_placement_s;
                            });
 }
 
 pool_bench_result bench_pool(pool_bench_settings const& settings)
 {
-    return bench_pool_world(settings).run();
+    return bench_pool_simulation(settings).run();
 }
 
 int run_pool_bench(std::vector<std::uint32_t> const& sizes,
--- a/tools/load/bench_pool.hpp
+++ b/tools/load/bench_pool.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/load/bench_world.hpp"
+#include "tools/load/bench_simulation.hpp"
 
 #include <array>
 #include <cstdint>
@@ -12,7 +12,7 @@
 {
 
 /// What the owner of a pool is busy with while it takes in one event.
-enum class pool_duty : std::uint8_t
+enum class pool_event_kind : std::uint8_t
 {
     submissions, ///< Requests of submitters, as a front.
     jobs,        ///< Watches of the store: new jobs and ends that others wrote.
@@ -22,22 +22,23 @@
     ticks,
 };
 
-constexpr std::array<std::string_view, 6> pool_duty_names{
+constexpr std::array<std::string_view, 6> pool_event_kind_names{
     "submissions", "jobs", "commits", "holds", "orders", "ticks"};
 
 /// Events of one duty, those apart in which tasks were placed as well.
-struct pool_duty_time
+struct pool_event_time
 {
-    std::uint64_t plain = 0;  ///< Events without a round of placing,
-    double plain_s = 0;       ///< and their processor time.
-    std::uint64_t placed = 0; ///< Events with one,
-    double placed_s = 0;      ///< and theirs.
+    std::uint64_t events_without_placement =
+        0;                               ///< Events without a round of placing,
+    double time_without_placement_s = 0; ///< and their processor time.
+    std::uint64_t events_with_placement = 0; ///< Events with one,
+    double time_with_placement_s = 0;        ///< and theirs.
 
     /// What the rounds took: the time of events with a round beyond that of
     /// as many events without.
-    double placing_s() const noexcept;
+    double placement_s() const noexcept;
     /// The rest.
-    double own_s() const noexcept;
+    double other_s() const noexcept;
 };
 
 struct pool_bench_settings
@@ -53,14 +54,15 @@
 {
     std::uint64_t starts = 0;
     std::uint64_t scored = 0; ///< Workers that were scored for a task.
-    std::uint64_t rounds = 0; ///< Of placing.
+    std::uint64_t placement_rounds = 0; ///< Of placing.
     std::uint64_t jobs_finished = 0;
     std::uint64_t running = 0;   ///< Tasks at the end.
     double reserved = 0;         ///< Share of the cores, then.
     double progress_json_s = 0;  ///< Of the commits: text of progress,
                                  ///< written once more to take its time.
     std::uint64_t signature = 0; ///< Of all orders, in their sequence.
-    std::array<pool_duty_time, pool_duty_names.size()> duties;
+    std::array<pool_event_time, pool_event_kind_names.size()>
+        time_by_event_kind;
 
     double total_s() const noexcept;
 };
--- a/tools/load/bench_pool_world.cpp
+++ b/tools/load/bench_pool_simulation.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/bench_pool_world.hpp"
+#include "tools/load/bench_pool_simulation.hpp"
 
 #include "core/pool/keys.hpp"
 #include "core/pool/progress.hpp"
@@ -146,7 +146,8 @@
 
 } // namespace
 
-bench_pool_world::bench_pool_world(pool_bench_settings const& settings)
+bench_pool_simulation::bench_pool_simulation(
+    pool_bench_settings const& settings)
     : settings_(settings), world_(settings.seed)
 {
     store_.put("operators/config", "1");
@@ -158,7 +159,7 @@
         core::pool::pool_settings{}, make_words(), "i0");
 }
 
-void bench_pool_world::add_worker(std::uint32_t number)
+void bench_pool_simulation::add_worker(std::uint32_t number)
 {
     auto const info = make_info(number);
     workers_[info.id].state = std::make_unique<standins::pool::worker_state>(
@@ -166,20 +167,20 @@
     store_.put("workers/" + info.id, std::to_string(number));
 }
 
-pool_bench_result bench_pool_world::run()
+pool_bench_result bench_pool_simulation::run()
 {
     engine_->set_unix_offset(unix_offset_ms);
-    tell(pool_duty::ticks,
-         [this](engine& to)
-         {
-             to.start(world_.now());
-         });
+    deliver(pool_event_kind::ticks,
+            [this](engine& to)
+            {
+                to.start(world_.now());
+            });
     tick();
     world_.run_until(world_.now() + owning_time);
     submit_serving(static_cast<std::uint32_t>(
         settings_.workers * worker_millicores * 2 / 3 / serving_millicores));
     world_.run_until(world_.now() + serving_time);
-    submit_filling();
+    submit_best_effort();
     submit_short();
     world_.run_until(world_.now() + filling_time);
     auto const before = engine_->active_owner()->counters();
@@ -189,7 +190,7 @@
     auto const& after = engine_->active_owner()->counters();
     result_.starts = after.starts - before.starts;
     result_.scored = after.scored - before.scored;
-    result_.rounds = after.rounds - before.rounds;
+    result_.placement_rounds = after.rounds - before.rounds;
     result_.jobs_finished = after.jobs_finished - before.jobs_finished;
     std::int64_t reserved = 0;
     for (auto const& each : engine_->active_owner()->workers(world_.now()))
@@ -207,7 +208,7 @@
     return result_;
 }
 
-void bench_pool_world::tell(pool_duty duty, event const& what)
+void bench_pool_simulation::deliver(pool_event_kind duty, event const& what)
 {
     if (measuring_)
     {
@@ -220,25 +221,25 @@
     perform();
 }
 
-void bench_pool_world::measure(pool_duty duty, event const& what)
+void bench_pool_simulation::measure(pool_event_kind duty, event const& what)
 {
     auto const& counters = engine_->active_owner()->counters();
     auto const rounds = counters.rounds;
     auto const from = processor_seconds();
     what(*engine_);
     auto const took = processor_seconds() - from;
-    auto& into = result_.duties[static_cast<std::size_t>(duty)];
+    auto& into = result_.time_by_event_kind[static_cast<std::size_t>(duty)];
     if (counters.rounds > rounds)
     {
-        ++into.placed;
-        into.placed_s += took;
+        ++into.events_with_placement;
+        into.time_with_placement_s += took;
         return;
     }
-    ++into.plain;
-    into.plain_s += took;
+    ++into.events_without_placement;
+    into.time_without_placement_s += took;
 }
 
-void bench_pool_world::perform()
+void bench_pool_simulation::perform()
 {
     auto const actions = engine_->take_actions();
     for (auto const& action : actions)
@@ -255,14 +256,14 @@
     }
 }
 
-void bench_pool_world::tick()
+void bench_pool_simulation::tick()
 {
     store_.expire(world_.now());
-    tell(pool_duty::ticks,
-         [this](engine& to)
-         {
-             to.tick(world_.now());
-         });
+    deliver(pool_event_kind::ticks,
+            [this](engine& to)
+            {
+                to.tick(world_.now());
+            });
     world_.after(tick_interval,
                  [this]
                  {
@@ -270,7 +271,7 @@
                  });
 }
 
-void bench_pool_world::ask_store(ports::kv_call const& call)
+void bench_pool_simulation::ask_store(ports::kv_call const& call)
 {
     world_.after(store_delay,
                  [this, call]
@@ -279,7 +280,7 @@
                  });
 }
 
-void bench_pool_world::apply_store(ports::kv_call const& call)
+void bench_pool_simulation::apply_store(ports::kv_call const& call)
 {
     if (auto const* const commit =
             std::get_if<ports::kv_commit>(&call.operation))
@@ -302,25 +303,25 @@
                  });
 }
 
-void bench_pool_world::answer_store(ports::kv_call const& call,
-                                    ports::kv_reply reply)
+void bench_pool_simulation::answer_store(ports::kv_call const& call,
+                                         ports::kv_reply reply)
 {
     reply.id = call.id;
     auto const duty = std::holds_alternative<ports::kv_watch>(call.operation)
-                          ? pool_duty::jobs
-                          : pool_duty::commits;
+                          ? pool_event_kind::jobs
+                          : pool_event_kind::commits;
     world_.after(store_delay,
                  [this, duty, reply = std::move(reply)]
                  {
-                     tell(duty,
-                          [&](engine& to)
-                          {
-                              to.on_kv_reply(world_.now(), reply);
-                          });
+                     deliver(duty,
+                             [&](engine& to)
+                             {
+                                 to.on_kv_reply(world_.now(), reply);
+                             });
                  });
 }
 
-void bench_pool_world::wake_watches()
+void bench_pool_simulation::wake_watches()
 {
     for (auto each = watches_.begin(); each != watches_.end();)
     {
@@ -338,7 +339,7 @@
     }
 }
 
-void bench_pool_world::time_progress(ports::kv_commit const& commit)
+void bench_pool_simulation::time_progress(ports::kv_commit const& commit)
 {
     for (auto const& put : commit.puts)
     {
@@ -358,7 +359,7 @@
     }
 }
 
-void bench_pool_world::order_worker(ports::pool_order const& order)
+void bench_pool_simulation::order_worker(ports::pool_order const& order)
 {
     note(order);
     world_.after(worker_delay,
@@ -368,7 +369,7 @@
                  });
 }
 
-void bench_pool_world::apply_order(ports::pool_order const& order)
+void bench_pool_simulation::apply_order(ports::pool_order const& order)
 {
     auto& at = workers_.at(order.worker);
     if (std::holds_alternative<ports::poll_order>(order.operation))
@@ -376,7 +377,7 @@
         hold(at, order);
         return;
     }
-    answer_order(pool_duty::orders,
+    answer_order(pool_event_kind::orders,
                  order.id,
                  at.state->apply(world_.now(), order.operation));
     if (auto const* const start =
@@ -395,13 +396,14 @@
     }
 }
 
-void bench_pool_world::hold(pool_worker& at, ports::pool_order const& order)
+void bench_pool_simulation::hold(pool_worker& at,
+                                 ports::pool_order const& order)
 {
     auto const& wanted = std::get<ports::poll_order>(order.operation);
     auto reply = at.state->apply(world_.now(), wanted);
     if (!reply.ended.empty() || wanted.wait <= duration{})
     {
-        answer_order(pool_duty::holds, order.id, std::move(reply));
+        answer_order(pool_event_kind::holds, order.id, std::move(reply));
         return;
     }
     at.hold = {order.id, wanted};
@@ -412,35 +414,35 @@
                  });
 }
 
-void bench_pool_world::release(pool_worker& at, std::uint64_t call)
+void bench_pool_simulation::release(pool_worker& at, std::uint64_t call)
 {
     if (call == 0 || at.hold.call != call)
     {
         return;
     }
     auto const parked = std::exchange(at.hold, {});
-    answer_order(pool_duty::holds,
+    answer_order(pool_event_kind::holds,
                  parked.call,
                  at.state->apply(world_.now(), parked.order));
 }
 
-void bench_pool_world::answer_order(pool_duty duty,
-                                    std::uint64_t call,
-                                    ports::order_reply reply)
+void bench_pool_simulation::answer_order(pool_event_kind duty,
+                                         std::uint64_t call,
+                                         ports::order_reply reply)
 {
     reply.id = call;
     world_.after(worker_delay,
                  [this, duty, reply = std::move(reply)]
                  {
-                     tell(duty,
-                          [&](engine& to)
-                          {
-                              to.on_order_reply(world_.now(), reply);
-                          });
+                     deliver(duty,
+                             [&](engine& to)
+                             {
+                                 to.on_order_reply(world_.now(), reply);
+                             });
                  });
 }
 
-void bench_pool_world::note(ports::pool_order const& order)
+void bench_pool_simulation::note(ports::pool_order const& order)
 {
     auto const add = [&](char const* kind, ports::pool_attempt const& what)
     {
@@ -466,34 +468,36 @@
     }
 }
 
-void bench_pool_world::submit(std::string const& queue, core::pool::job what)
+void bench_pool_simulation::submit(std::string const& queue,
+                                   core::pool::job what)
 {
     core::pool::pool_request request;
     request.caller = ++next_request_;
     request.host = host;
     request.path = "/" + queue + "/job-" + std::to_string(request.caller);
     request.action = core::pool::submit_request{std::move(what)};
-    tell(pool_duty::submissions,
-         [&](engine& to)
-         {
-             to.on_request(world_.now(), request);
-         });
+    deliver(pool_event_kind::submissions,
+            [&](engine& to)
+            {
+                to.on_request(world_.now(), request);
+            });
 }
 
-void bench_pool_world::submit_serving(std::uint32_t left)
+void bench_pool_simulation::submit_serving(std::uint32_t left)
 {
     if (left == 0)
     {
         return;
     }
     auto const width = std::min(left, serving_width);
-    auto const image = world_.below(serving_images);
+    auto const image = world_.random_below(serving_images);
     core::pool::job made;
     made.steps.push_back(make_step(
         width, serving_millicores, 1'000, "serving-" + std::to_string(image)));
     made.steps.back().long_running = true;
     made.steps.back().tail_target = serving_target;
-    made.spec = "lasts" + text("tail", serving_tail_ms + world_.below(10));
+    made.spec =
+        "lasts" + text("tail", serving_tail_ms + world_.random_below(10));
     submit(serving_queue, std::move(made));
     constexpr duration apart = 5ms;
     world_.after(apart,
@@ -503,14 +507,14 @@
                  });
 }
 
-void bench_pool_world::submit_filling()
+void bench_pool_simulation::submit_best_effort()
 {
-    auto const image = world_.below(filling_images);
+    auto const image = world_.random_below(filling_images);
     constexpr std::int64_t sizes = 8;
     auto const millicores =
         filling_millicores / 2 +
         filling_millicores / sizes *
-            static_cast<std::int64_t>(world_.below(sizes + 1));
+            static_cast<std::int64_t>(world_.random_below(sizes + 1));
     core::pool::job made;
     made.steps.push_back(make_step(filling_width,
                                    millicores,
@@ -520,7 +524,7 @@
     made.steps.back().checkpoints = true;
     made.steps.push_back(made.steps.back());
     made.steps.back().after = {0};
-    auto const work = filling_ms / 2 + world_.below(filling_ms);
+    auto const work = filling_ms / 2 + world_.random_below(filling_ms);
     made.spec = text("work", work) +
                 text("cores", static_cast<std::uint64_t>(millicores)) +
                 text("strain", image < disturbing_images ? strain_ms : 0);
@@ -531,16 +535,16 @@
         std::chrono::microseconds(static_cast<std::int64_t>(1e6 / rate)),
         [this]
         {
-            submit_filling();
+            submit_best_effort();
         });
 }
 
-void bench_pool_world::submit_short()
+void bench_pool_simulation::submit_short()
 {
     core::pool::job made;
     made.steps.push_back(
         make_step(short_width, short_millicores, short_ms, "short"));
-    auto const work = short_ms / 2 + world_.below(short_ms);
+    auto const work = short_ms / 2 + world_.random_below(short_ms);
     made.spec = text("work", work) + text("cores", short_millicores);
     submit(short_queue, std::move(made));
     auto const rate =
--- a/tools/load/bench_pool_world.hpp
+++ b/tools/load/bench_pool_simulation.hpp
@@ -4,7 +4,7 @@
 #include "standins/pool/kv_state.hpp"
 #include "standins/pool/worker_state.hpp"
 #include "tools/load/bench_pool.hpp"
-#include "tools/load/bench_world.hpp"
+#include "tools/load/bench_simulation.hpp"
 
 #include <functional>
 #include <list>
@@ -18,10 +18,10 @@
 
 /// A store, workers and one instance that owns them, in virtual time; takes
 /// the processor time of each event that the instance takes in.
-class bench_pool_world
+class bench_pool_simulation
 {
 public:
-    explicit bench_pool_world(pool_bench_settings const& settings);
+    explicit bench_pool_simulation(pool_bench_settings const& settings);
 
     pool_bench_result run();
 
@@ -45,8 +45,8 @@
     };
 
     void add_worker(std::uint32_t number);
-    void tell(pool_duty duty, event const& what);
-    void measure(pool_duty duty, event const& what);
+    void deliver(pool_event_kind duty, event const& what);
+    void measure(pool_event_kind duty, event const& what);
     void perform();
     void tick();
 
@@ -60,17 +60,18 @@
     void apply_order(ports::pool_order const& order);
     void hold(pool_worker& at, ports::pool_order const& order);
     void release(pool_worker& at, std::uint64_t call);
-    void
-    answer_order(pool_duty duty, std::uint64_t call, ports::order_reply reply);
+    void answer_order(pool_event_kind duty,
+                      std::uint64_t call,
+                      ports::order_reply reply);
     void note(ports::pool_order const& order);
 
     void submit(std::string const& queue, core::pool::job what);
     void submit_serving(std::uint32_t left);
-    void submit_filling();
+    void submit_best_effort();
     void submit_short();
 
     pool_bench_settings settings_;
-    bench_world world_;
+    bench_event_loop world_;
     standins::pool::kv_state store_;
     std::map<std::string, pool_worker> workers_;
     std::unique_ptr<core::pool::engine> engine_;
--- a/tools/load/bench_requests.cpp
+++ b/tools/load/bench_requests.cpp
@@ -178,25 +178,26 @@
     void send_request(int number)
     {
         ports::caller_request request;
-        request.customer = customers[world_.below(customers.size())];
-        request.kind = world_.below(5) == 0
+        request.customer = customers[world_.random_below(customers.size())];
+        request.kind = world_.random_below(5) == 0
                            ? ports::request_class::batch
                            : ports::request_class::latency_critical;
-        request.method = world_.below(2) == 0 ? "GET" : "POST";
-        request.target = "/lots/" + std::to_string(world_.below(100));
+        request.method = world_.random_below(2) == 0 ? "GET" : "POST";
+        request.target = "/lots/" + std::to_string(world_.random_below(100));
         request.body = "bid";
         request.attempt = 1;
         request.deadline = 300ms;
-        bool const keyed = request.method == "POST" && world_.below(4) != 0;
+        bool const keyed =
+            request.method == "POST" && world_.random_below(4) != 0;
         if (keyed)
         {
             request.idempotency_key = "key-" + std::to_string(number);
         }
-        if (keyed && world_.below(10) == 0)
+        if (keyed && world_.random_below(10) == 0)
         {
             auto retry = request;
             retry.attempt = 2;
-            world_.after(duration(world_.below(200'000)),
+            world_.after(duration(world_.random_below(200'000)),
                          [this, number, retry]
                          {
                              arrive(request_count + number, retry);
@@ -207,7 +208,7 @@
 
     void arrive(int caller, ports::caller_request const& request)
     {
-        auto const index = static_cast<int>(world_.below(entry_count));
+        auto const index = static_cast<int>(world_.random_below(entry_count));
         tell(index,
              [&](entry_engine& to, ports::actions& out)
              {
@@ -245,15 +246,15 @@
 
     void ask_store(int index, ports::store_call call)
     {
-        store_.ask(std::move(call),
-                   [this, index](ports::store_reply const& reply)
-                   {
-                       tell(index,
-                            [&](entry_engine& to, ports::actions& out)
-                            {
-                                to.on_store_reply(world_.now(), reply, out);
-                            });
-                   });
+        store_.call(std::move(call),
+                    [this, index](ports::store_reply const& reply)
+                    {
+                        tell(index,
+                             [&](entry_engine& to, ports::actions& out)
+                             {
+                                 to.on_store_reply(world_.now(), reply, out);
+                             });
+                    });
     }
 
     void deliver(int from, ports::peer_send send)
@@ -286,8 +287,8 @@
     // 200 connections is refused; the rest take 10 to 60 ms.
     void run_upstream(int index, ports::upstream_send const& send)
     {
-        auto const fate = world_.below(1000);
-        duration const service(10'000 + world_.below(50'000));
+        auto const fate = world_.random_below(1000);
+        duration const service(10'000 + world_.random_below(50'000));
         if (fate >= 5)
         {
             ++in_use_[send.upstream];
@@ -351,7 +352,7 @@
     }
 
     signature& out_;
-    bench_world world_;
+    bench_event_loop world_;
     bench_store store_{world_};
     std::map<std::string, std::uint32_t> in_use_; ///< Slots, by upstream.
     std::vector<entry> entries_;
--- a/tools/load/bench_world.cpp
+++ b/tools/load/bench_simulation.cpp
@@ -1,4 +1,4 @@
-#include "tools/load/bench_world.hpp"
+#include "tools/load/bench_simulation.hpp"
 
 #include "core/common/hash.hpp"
 
@@ -12,11 +12,11 @@
 constexpr core::common::duration store_delay = std::chrono::milliseconds(2);
 }
 
-bench_store::bench_store(bench_world& world) : world_(world)
+bench_store::bench_store(bench_event_loop& world) : world_(world)
 {
 }
 
-void bench_store::ask(ports::store_call call, handler handle)
+void bench_store::call(ports::store_call call, handler handle)
 {
     if (auto const* wait = std::get_if<ports::store_watch>(&call.operation))
     {
--- a/tools/load/bench_world.hpp
+++ b/tools/load/bench_simulation.hpp
@@ -15,13 +15,13 @@
 
 /// Virtual time for the bench: events in the order of their times, and of
 /// their making where these are equal.
-class bench_world
+class bench_event_loop
 {
 public:
     using time_point = core::common::time_point;
     using duration = core::common::duration;
 
-    explicit bench_world(std::uint64_t seed) : random_(seed)
+    explicit bench_event_loop(std::uint64_t seed) : random_(seed)
     {
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Uniform below `bound`; the same on every machine.
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t random_below(std::uint64_t bound)
     {
         return random_() % bound;
     }
@@ -64,11 +64,11 @@
 public:
     using handler = std::function<void(ports::store_reply const&)>;
 
-    explicit bench_store(bench_world& world);
+    explicit bench_store(bench_event_loop& world);
 
     /// Answers after a fixed delay; a watch when something below its prefix
     /// changed, or its wait is over.
-    void ask(ports::store_call call, handler handle);
+    void call(ports::store_call call, handler handle);
     void put(std::string const& key, std::string value);
 
 private:
@@ -89,7 +89,7 @@
     swap(std::string const& key, std::uint64_t expected, std::string const* to);
     void list(std::string const& prefix, ports::store_reply& reply) const;
 
-    bench_world& world_;
+    bench_event_loop& world_;
     std::map<std::string, ports::store_entry> entries_;
     std::map<std::string, std::uint64_t> changes_; ///< Erasures too.
     std::map<std::uint64_t, watcher> watchers_;
--- a/tools/load/bench_tasks.cpp
+++ b/tools/load/bench_tasks.cpp
@@ -207,18 +207,18 @@
         core::tasks::job job;
         job.id = "job-" + std::to_string(number);
         job.customer = customer;
-        job.task_class = classes[world_.below(classes.size())];
-        job.kind = world_.below(3) == 0 ? core::tasks::job_kind::service
-                                        : core::tasks::job_kind::batch;
+        job.task_class = classes[world_.random_below(classes.size())];
+        job.kind = world_.random_below(3) == 0 ? core::tasks::job_kind::service
+                                               : core::tasks::job_kind::batch;
         job.tasks = tasks_each;
         job.declared = {
-            static_cast<std::int64_t>(500 * (1 + world_.below(8))),
-            static_cast<std::int64_t>(1'000 * (1 + world_.below(8))),
+            static_cast<std::int64_t>(500 * (1 + world_.random_below(8))),
+            static_cast<std::int64_t>(1'000 * (1 + world_.random_below(8))),
             0};
         bool const batch = job.kind == core::tasks::job_kind::batch;
-        job.work_ms = batch ? 2'000 + world_.below(10'000) : 0;
+        job.work_ms = batch ? 2'000 + world_.random_below(10'000) : 0;
         job.checkpointable = batch;
-        job.urgent = world_.below(20) == 0;
+        job.urgent = world_.random_below(20) == 0;
         core::tasks::job_request request{static_cast<std::uint64_t>(number),
                                          "POST",
                                          "/v1/jobs",
@@ -252,15 +252,15 @@
 
     void ask_store(ports::store_call call)
     {
-        store_.ask(std::move(call),
-                   [this](ports::store_reply const& reply)
-                   {
-                       tell(
-                           [&](planner_engine& to, ports::actions& out)
-                           {
-                               to.on_store_reply(world_.now(), reply, out);
-                           });
-                   });
+        store_.call(std::move(call),
+                    [this](ports::store_reply const& reply)
+                    {
+                        tell(
+                            [&](planner_engine& to, ports::actions& out)
+                            {
+                                to.on_store_reply(world_.now(), reply, out);
+                            });
+                    });
     }
 
     void work_on(ports::worker_call const& call)
@@ -339,7 +339,7 @@
     }
 
     signature& out_;
-    bench_world world_;
+    bench_event_loop world_;
     bench_store store_{world_};
     core::membership::member_info self_;
     std::unique_ptr<planner_engine> engine_;
