--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -55,7 +55,7 @@
         }
         else if constexpr (std::is_same_v<kind, trouble_set>)
         {
-            books_.calm.set(seen.at, event);
+            books_.fault_intervals.set(seen.at, event);
         }
         else if constexpr (std::is_same_v<kind, traffic_ended>)
         {
@@ -101,12 +101,12 @@
     runs_.finish(books_, now);
     jobs_check::finish(books_, now);
     recovery_.finish(books_, now);
-    return books_.found;
+    return books_.violations;
 }
 
 std::vector<violation> const& checker::violations() const
 {
-    return books_.found;
+    return books_.violations;
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/checker.hpp
+++ b/tools/soak/checker.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "tools/soak/books.hpp"
 #include "tools/soak/configuration_check.hpp"
 #include "tools/soak/jobs_check.hpp"
 #include "tools/soak/observation.hpp"
+#include "tools/soak/observed_history.hpp"
 #include "tools/soak/recovery_check.hpp"
 #include "tools/soak/runs_check.hpp"
 
@@ -38,7 +38,7 @@
     void judge(observation const& answer);
     void judge_until(core::common::time_point limit);
 
-    books books_;
+    observed_history books_;
     runs_check runs_;
     configuration_check configurations_;
     recovery_check recovery_;
--- a/tools/soak/configuration_check.cpp
+++ b/tools/soak/configuration_check.cpp
@@ -45,12 +45,13 @@
     return place;
 }
 
-void configuration_check::judge(books& seen,
+void configuration_check::judge(observed_history& seen,
                                 time_point at,
                                 queue_seen const& answer)
 {
     limits const& bounds = seen.bounds;
-    bool const calm = seen.calm.calm(answer.asked - bounds.configuration, at);
+    bool const calm =
+        seen.fault_intervals.calm(answer.asked - bounds.configuration, at);
     duration const slack =
         bounds.rollback_slack * (calm ? 1 : slack_in_trouble);
     auto& proofs = proofs_[{answer.instance, answer.incarnation}];
--- a/tools/soak/configuration_check.hpp
+++ b/tools/soak/configuration_check.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/soak/books.hpp"
+#include "tools/soak/observed_history.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -23,8 +23,9 @@
     void take(core::common::time_point at, configuration_set const& change);
 
     /// Judges an answer that came at `at`, in the order of the answers.
-    void
-    judge(books& seen, core::common::time_point at, queue_seen const& answer);
+    void judge(observed_history& seen,
+               core::common::time_point at,
+               queue_seen const& answer);
 
 private:
     struct version
--- a/tools/soak/jobs_check.cpp
+++ b/tools/soak/jobs_check.cpp
@@ -31,49 +31,50 @@
 }
 
 /// The job ended so long before `at` that its state may be forgotten.
-bool forgotten(job_book const& job, time_point at)
+bool forgotten(job_history const& job, time_point at)
 {
-    return by(job.completed(), at - state_kept) ||
-           by(job.failed(), at - state_kept);
+    return by(job.completed_at(), at - state_kept) ||
+           by(job.failed_at(), at - state_kept);
 }
 
-void judge_absent(books& seen,
+void judge_absent(observed_history& seen,
                   time_point at,
                   status_ended const& answer,
-                  job_book const& job)
+                  job_history const& job)
 {
     duration const visible = seen.bounds.visible;
-    bool const due = job.owed() && *job.accepted + visible < answer.asked &&
+    bool const due = job.must_complete() &&
+                     *job.accepted_at + visible < answer.asked &&
                      !forgotten(job, answer.asked);
-    if (due && seen.calm.calm(answer.asked - visible, at))
+    if (due && seen.fault_intervals.calm(answer.asked - visible, at))
     {
         seen.report(
             rule::lost, at, answer.job, answer.instance + " does not know it");
     }
 }
 
-void judge_state(books& seen,
+void judge_state(observed_history& seen,
                  time_point at,
                  status_ended const& answer,
-                 job_book& job)
+                 job_history& job)
 {
-    if (answer.state == job_state::completed && !by(job.completed(), at))
+    if (answer.state == job_state::completed && !by(job.completed_at(), at))
     {
         seen.report(
             rule::state, at, answer.job, "shown as completed, and is not");
     }
-    if (answer.state == job_state::failed && !by(job.failed(), at))
+    if (answer.state == job_state::failed && !by(job.failed_at(), at))
     {
         seen.report(rule::state, at, answer.job, "shown as failed, and is not");
     }
-    if (answer.state == job_state::cancelled && !job.shown_cancelled)
+    if (answer.state == job_state::cancelled && !job.reported_cancelled_at)
     {
-        job.shown_cancelled = at;
+        job.reported_cancelled_at = at;
     }
 }
 
 /// Whether each task of the lasting step runs, or ran just before `now`.
-bool kept_up(job_book const& job, std::uint32_t step, time_point now)
+bool kept_up(job_history const& job, std::uint32_t step, time_point now)
 {
     for (std::uint32_t index = 0; index < job.shape.steps[step].count; ++index)
     {
@@ -82,7 +83,7 @@
         {
             return false;
         }
-        auto const& gone = task->second.runs.back().gone;
+        auto const& gone = task->second.runs.back().ended_at;
         if (gone && *gone + restart < now)
         {
             return false;
@@ -92,11 +93,11 @@
 }
 
 /// Whether a task of the step runs, or ran just before `now`.
-bool at_work(job_book const& job, std::uint32_t step, time_point now)
+bool at_work(job_history const& job, std::uint32_t step, time_point now)
 {
-    auto const lately = [now](run_book const& run)
+    auto const lately = [now](run_history const& run)
     {
-        return !run.gone || *run.gone + idle_limit >= now;
+        return !run.ended_at || *run.ended_at + idle_limit >= now;
     };
     return std::any_of(job.tasks.begin(),
                        job.tasks.end(),
@@ -109,7 +110,7 @@
 }
 
 /// All that could be done has been or is at work, and so is all that lasts.
-bool served(job_book const& job, time_point now)
+bool served(job_history const& job, time_point now)
 {
     std::vector<bool> finite; // Whether all tasks of the step can end done.
     for (step_shape const& step : job.shape.steps)
@@ -135,13 +136,14 @@
 
 /// All tasks ended so early, and so that it must have been heard of, that the
 /// job has to be shown as completed by `at`.
-bool must_show(job_book const& job, time_point at)
+bool must_show(job_history const& job, time_point at)
 {
-    auto const counts = [&](run_book const& run)
+    auto const counts = [&](run_history const& run)
     {
-        return run.how == end_kind::done && !run.lost && by(run.gone, at);
+        return run.outcome == end_kind::done && !run.lost &&
+               by(run.ended_at, at);
     };
-    return job.completed() &&
+    return job.completed_at() &&
            std::all_of(job.tasks.begin(),
                        job.tasks.end(),
                        [&](auto const& entry)
@@ -151,12 +153,12 @@
                        });
 }
 
-void finish_accepted(books& seen,
+void finish_accepted(observed_history& seen,
                      time_point now,
                      std::string const& name,
-                     job_book const& job)
+                     job_history const& job)
 {
-    auto const& word = job.last_word;
+    auto const& word = job.last_status;
     bool const known = word && word->how == call_end::done;
     if (!known && !forgotten(job, now))
     {
@@ -164,8 +166,8 @@
         return;
     }
     time_point const due = *seen.traffic_end + seen.bounds.finish;
-    bool const counts =
-        due < now && !job.failed() && seen.calm_for(seen.bounds.finish, now);
+    bool const counts = due < now && !job.failed_at() &&
+                        seen.fault_free_for(seen.bounds.finish, now);
     if (counts && !served(job, now))
     {
         seen.report(rule::lost, now, name, "never done");
@@ -180,54 +182,62 @@
 
 } // namespace
 
-void jobs_check::take(books& seen, time_point at, submit_sent const& call)
+void jobs_check::take(observed_history& seen,
+                      time_point at,
+                      submit_sent const& call)
 {
-    job_book& job = seen.jobs[call.job];
-    if (!job.sent)
+    job_history& job = seen.jobs[call.job];
+    if (!job.first_sent_at)
     {
-        job.sent = at;
+        job.first_sent_at = at;
         job.shape = call.shape;
         job.shape.attempts = std::max(call.shape.attempts, 1U);
     }
     ++job.unanswered;
 }
 
-void jobs_check::take(books& seen, time_point at, submit_ended const& call)
+void jobs_check::take(observed_history& seen,
+                      time_point at,
+                      submit_ended const& call)
 {
-    job_book& job = seen.jobs[call.job];
+    job_history& job = seen.jobs[call.job];
     job.unanswered -= std::min<std::size_t>(job.unanswered, 1);
     ++job.answers;
     if (call.how == call_end::refused || call.how == call_end::absent)
     {
         ++job.rejections;
     }
-    if (call.how == call_end::done && !job.accepted)
+    if (call.how == call_end::done && !job.accepted_at)
     {
-        job.accepted = at;
+        job.accepted_at = at;
     }
 }
 
-void jobs_check::take(books& seen, time_point at, cancel_ended const& call)
+void jobs_check::take(observed_history& seen,
+                      time_point at,
+                      cancel_ended const& call)
 {
-    job_book& job = seen.jobs[call.job];
-    if (call.how == call_end::done && !job.cancelled)
+    job_history& job = seen.jobs[call.job];
+    if (call.how == call_end::done && !job.cancel_acknowledged_at)
     {
-        job.cancelled = at;
+        job.cancel_acknowledged_at = at;
     }
-    if (call.how != call_end::refused && !job.cancel_tried)
+    if (call.how != call_end::refused && !job.first_possible_cancel_at)
     {
-        job.cancel_tried = at;
+        job.first_possible_cancel_at = at;
     }
 }
 
-void jobs_check::judge(books& seen, time_point at, status_ended const& answer)
+void jobs_check::judge(observed_history& seen,
+                       time_point at,
+                       status_ended const& answer)
 {
     if (answer.how != call_end::done && answer.how != call_end::absent)
     {
         return;
     }
     auto const entry = seen.jobs.find(answer.job);
-    if (entry == seen.jobs.end() || !by(entry->second.sent, at))
+    if (entry == seen.jobs.end() || !by(entry->second.first_sent_at, at))
     {
         if (answer.how == call_end::done)
         {
@@ -235,10 +245,10 @@
         }
         return;
     }
-    job_book& job = entry->second;
+    job_history& job = entry->second;
     if (seen.traffic_end && *seen.traffic_end <= answer.asked)
     {
-        job.last_word = answer;
+        job.last_status = answer;
     }
     if (answer.how == call_end::absent)
     {
@@ -250,19 +260,22 @@
     }
 }
 
-void jobs_check::judge(books& seen, time_point at, waiting_ended const& answer)
+void jobs_check::judge(observed_history& seen,
+                       time_point at,
+                       waiting_ended const& answer)
 {
     duration const age = seen.bounds.visible + count_age;
-    if (answer.how != call_end::done || !seen.calm.calm(answer.asked - age, at))
+    if (answer.how != call_end::done ||
+        !seen.fault_intervals.calm(answer.asked - age, at))
     {
         return;
     }
     auto const waits = [&](auto const& entry)
     {
-        job_book const& job = entry.second;
-        return job.shape.queue == answer.queue && job.owed() &&
-               *job.accepted + age < answer.asked &&
-               !by(job.first_start, at + order_under_way);
+        job_history const& job = entry.second;
+        return job.shape.queue == answer.queue && job.must_complete() &&
+               *job.accepted_at + age < answer.asked &&
+               !by(job.first_started_at, at + order_under_way);
     };
     std::uint64_t const due =
         std::count_if(seen.jobs.begin(), seen.jobs.end(), waits);
@@ -276,18 +289,19 @@
     }
 }
 
-void jobs_check::finish(books& seen, time_point now)
+void jobs_check::finish(observed_history& seen, time_point now)
 {
     for (auto const& [name, job] : seen.jobs)
     {
-        if (job.shown_cancelled && !job.cancelled && !job.cancel_tried)
+        if (job.reported_cancelled_at && !job.cancel_acknowledged_at &&
+            !job.first_possible_cancel_at)
         {
             seen.report(rule::state,
-                        *job.shown_cancelled,
+                        *job.reported_cancelled_at,
                         name,
                         "shown as cancelled, and nobody asked for it");
         }
-        if (seen.traffic_end && job.owed())
+        if (seen.traffic_end && job.must_complete())
         {
             finish_accepted(seen, now, name, job);
         }
--- a/tools/soak/jobs_check.hpp
+++ b/tools/soak/jobs_check.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/soak/books.hpp"
+#include "tools/soak/observed_history.hpp"
 
 // What callers are told of their jobs.
 namespace fuchsia::tools::soak
@@ -11,22 +11,26 @@
 class jobs_check
 {
 public:
-    static void
-    take(books& seen, core::common::time_point at, submit_sent const& call);
-    static void
-    take(books& seen, core::common::time_point at, submit_ended const& call);
-    static void
-    take(books& seen, core::common::time_point at, cancel_ended const& call);
+    static void take(observed_history& seen,
+                     core::common::time_point at,
+                     submit_sent const& call);
+    static void take(observed_history& seen,
+                     core::common::time_point at,
+                     submit_ended const& call);
+    static void take(observed_history& seen,
+                     core::common::time_point at,
+                     cancel_ended const& call);
 
     /// Judges an answer that came at `at`.
-    static void
-    judge(books& seen, core::common::time_point at, status_ended const& answer);
-    static void judge(books& seen,
+    static void judge(observed_history& seen,
+                      core::common::time_point at,
+                      status_ended const& answer);
+    static void judge(observed_history& seen,
                       core::common::time_point at,
                       waiting_ended const& answer);
 
     /// What became of all accepted jobs; all answers have been judged.
-    static void finish(books& seen, core::common::time_point now);
+    static void finish(observed_history& seen, core::common::time_point now);
 };
 
 } // namespace fuchsia::tools::soak
--- /dev/null
+++ b/tools/soak/observed_history.cpp
@@ -0,0 +1,179 @@
+#include "tools/soak/observed_history.hpp"
+
+#include <algorithm>
+
+namespace fuchsia::tools::soak
+{
+
+using core::common::duration;
+using core::common::time_point;
+using ports::end_kind;
+
+namespace
+{
+
+template<class Wanted>
+std::optional<time_point>
+nth_end(std::vector<run_history> const& runs, std::size_t nth, Wanted wanted)
+{
+    std::vector<time_point> ends;
+    for (run_history const& run : runs)
+    {
+        if (wanted(run))
+        {
+            ends.push_back(*run.ended_at);
+        }
+    }
+    if (ends.size() < nth)
+    {
+        return std::nullopt;
+    }
+    std::sort(ends.begin(), ends.end());
+    return ends[nth - 1];
+}
+
+} // namespace
+
+std::optional<time_point> task_history::ended_at(end_kind how,
+                                                 std::size_t nth) const
+{
+    return nth_end(runs,
+                   nth,
+                   [&](run_history const& run)
+                   {
+                       return run.outcome == how;
+                   });
+}
+
+std::optional<time_point> task_history::acknowledged_at(end_kind how,
+                                                        std::size_t nth) const
+{
+    return nth_end(runs,
+                   nth,
+                   [&](run_history const& run)
+                   {
+                       return run.outcome == how && run.acknowledged;
+                   });
+}
+
+bool task_history::done() const
+{
+    return ended_at(end_kind::done, 1).has_value();
+}
+
+bool job_history::all_refused() const
+{
+    return unanswered == 0 && rejections == answers;
+}
+
+bool job_history::has_task(ports::task_name const& task) const
+{
+    return first_sent_at && task.occurrence == 0 &&
+           task.step < shape.steps.size() &&
+           task.index < shape.steps[task.step].count;
+}
+
+bool job_history::step_done(std::uint32_t step) const
+{
+    if (step >= shape.steps.size() || shape.steps[step].lasting)
+    {
+        return false;
+    }
+    for (std::uint32_t index = 0; index < shape.steps[step].count; ++index)
+    {
+        auto const task = tasks.find({step, index});
+        if (task == tasks.end() || !task->second.done())
+        {
+            return false;
+        }
+    }
+    return true;
+}
+
+std::optional<time_point> job_history::completed_at() const
+{
+    for (std::uint32_t step = 0; step < shape.steps.size(); ++step)
+    {
+        if (!step_done(step))
+        {
+            return std::nullopt;
+        }
+    }
+    std::optional<time_point> last;
+    for (auto const& [place, task] : tasks)
+    {
+        auto const end = task.ended_at(end_kind::done, 1);
+        last = std::max(last, end);
+    }
+    return last;
+}
+
+std::optional<time_point> job_history::failed_at() const
+{
+    std::optional<time_point> first;
+    for (auto const& [place, task] : tasks)
+    {
+        if (place.first >= shape.steps.size() ||
+            shape.steps[place.first].lasting)
+        {
+            continue;
+        }
+        auto const end = task.ended_at(end_kind::failed, shape.attempts);
+        if (end && (!first || *end < *first))
+        {
+            first = end;
+        }
+    }
+    return first;
+}
+
+bool job_history::must_complete() const
+{
+    return accepted_at && !cancel_acknowledged_at && !first_possible_cancel_at;
+}
+
+observed_history::observed_history(limits value)
+    : bounds(value), fault_intervals(value.stable_window)
+{
+}
+
+std::optional<time_point>
+observed_history::cancelled_since(job_history const& job, time_point at) const
+{
+    std::optional<time_point> since = job.cancel_acknowledged_at;
+    if (!job.first_possible_cancel_at)
+    {
+        return since;
+    }
+    time_point const assumed =
+        *job.first_possible_cancel_at + bounds.acknowledge;
+    bool const had_time =
+        assumed <= at &&
+        fault_intervals.calm(*job.first_possible_cancel_at, assumed);
+    if (had_time && (!since || assumed < *since))
+    {
+        since = assumed;
+    }
+    return since;
+}
+
+bool observed_history::fault_free_for(duration length, time_point at) const
+{
+    return fault_intervals.calm(at - length, at);
+}
+
+void observed_history::report(rule which,
+                              time_point at,
+                              std::string subject,
+                              std::string why)
+{
+    violations.push_back({which, at, std::move(subject), std::move(why)});
+}
+
+std::string name_of(ports::task_name const& task)
+{
+    return task.job + "." + std::to_string(task.step) + "." +
+           std::to_string(task.index);
+}
+
+} // namespace fuchsia::tools::soak
--- a/tools/soak/books.hpp
+++ b/tools/soak/observed_history.hpp
@@ -16,79 +16,80 @@
 {
 
 /// One run of a task on one worker.
-struct run_book
+struct run_history
 {
     std::string worker;
     std::uint32_t attempt = 0;
-    core::common::time_point began{};
-    std::optional<core::common::time_point> gone; ///< Ended, or crashed.
-    std::optional<ports::end_kind> how;           ///< Empty: crashed.
+    core::common::time_point started_at{};
+    std::optional<core::common::time_point> ended_at; ///< Ended, or crashed.
+    std::optional<ports::end_kind> outcome;           ///< Empty: crashed.
     bool acknowledged = false;
     bool lost = false; ///< The worker crashed before that.
 };
 
-struct task_book
+struct task_history
 {
-    std::vector<run_book> runs; ///< In the order of their begin.
+    std::vector<run_history> runs; ///< In the order of their begin.
 
     /// When the `nth` (from 1) run that ended so did end; empty: fewer did.
-    std::optional<core::common::time_point> ended(ports::end_kind how,
-                                                  std::size_t nth) const;
+    std::optional<core::common::time_point> ended_at(ports::end_kind how,
+                                                     std::size_t nth) const;
     /// The same of the runs whose end was acknowledged.
-    std::optional<core::common::time_point> acknowledged(ports::end_kind how,
-                                                         std::size_t nth) const;
+    std::optional<core::common::time_point>
+    acknowledged_at(ports::end_kind how, std::size_t nth) const;
     bool done() const;
 };
 
-struct job_book
+struct job_history
 {
     job_shape shape;
-    std::optional<core::common::time_point> sent; ///< The first time.
-    std::size_t unanswered = 0;                   ///< Sendings under way.
+    std::optional<core::common::time_point> first_sent_at; ///< The first time.
+    std::size_t unanswered = 0; ///< Sendings under way.
     std::size_t answers = 0;
     std::size_t rejections = 0;
-    std::optional<core::common::time_point> accepted;
-    std::optional<core::common::time_point> cancelled; ///< Acknowledged.
+    std::optional<core::common::time_point> accepted_at;
+    std::optional<core::common::time_point>
+        cancel_acknowledged_at; ///< Acknowledged.
     /// The first cancel that ended so that it may have been carried out.
-    std::optional<core::common::time_point> cancel_tried;
-    std::optional<core::common::time_point> first_start;
-    std::optional<core::common::time_point> shown_cancelled;
+    std::optional<core::common::time_point> first_possible_cancel_at;
+    std::optional<core::common::time_point> first_started_at;
+    std::optional<core::common::time_point> reported_cancelled_at;
     /// The last answer on its state after the end of the traffic.
-    std::optional<status_ended> last_word;
-    bool unasked_reported = false;
-    std::map<std::pair<std::uint32_t, std::uint32_t>, task_book> tasks;
+    std::optional<status_ended> last_status;
+    bool unjustified_run_reported = false;
+    std::map<std::pair<std::uint32_t, std::uint32_t>, task_history> tasks;
 
     /// Each sending so far was answered, and none but with a rejection.
-    bool refused() const;
-    bool has(ports::task_name const& task) const;
+    bool all_refused() const;
+    bool has_task(ports::task_name const& task) const;
     /// All tasks of the step have ended done; never, where they last.
     bool step_done(std::uint32_t step) const;
     /// When its last task ended done; empty: not all have.
-    std::optional<core::common::time_point> completed() const;
+    std::optional<core::common::time_point> completed_at() const;
     /// When a task had used up its attempts; empty: none has.
-    std::optional<core::common::time_point> failed() const;
+    std::optional<core::common::time_point> failed_at() const;
     /// Accepted, and nobody tried to cancel it.
-    bool owed() const;
+    bool must_complete() const;
 };
 
-struct books
+struct observed_history
 {
-    explicit books(limits value);
+    explicit observed_history(limits value);
 
     limits bounds;
-    calm_log calm;
-    std::map<std::string, job_book> jobs;
+    calm_log fault_intervals;
+    std::map<std::string, job_history> jobs;
     std::optional<core::common::time_point> traffic_end;
-    std::vector<violation> found;
+    std::vector<violation> violations;
 
     /// When a cancel of the job has to be obeyed from, as known at `at`; also
     /// an unanswered one, once it had time enough to be acknowledged.
     std::optional<core::common::time_point>
-    cancelled_since(job_book const& job, core::common::time_point at) const;
+    cancelled_since(job_history const& job, core::common::time_point at) const;
     /// No trouble for the last `length` before `at`, and before that long
     /// enough for the system to be itself again.
-    bool calm_for(core::common::duration length,
-                  core::common::time_point at) const;
+    bool fault_free_for(core::common::duration length,
+                        core::common::time_point at) const;
     void report(rule which,
                 core::common::time_point at,
                 std::string subject,
--- a/tools/soak/recovery_check.cpp
+++ b/tools/soak/recovery_check.cpp
@@ -67,18 +67,18 @@
     questions_.push_back({call.asked, at, answered(call.how)});
 }
 
-void recovery_check::finish(books& seen, time_point now) const
+void recovery_check::finish(observed_history& seen, time_point now) const
 {
     judge(seen, now, submissions_, "submissions");
     judge(seen, now, questions_, "questions");
 }
 
-void recovery_check::judge(books& seen,
+void recovery_check::judge(observed_history& seen,
                            time_point now,
                            std::vector<call> const& calls,
                            char const* kind)
 {
-    auto const& spans = seen.calm.spans();
+    auto const& spans = seen.fault_intervals.spans();
     if (spans.empty() || !spans.back().to)
     {
         return;
--- a/tools/soak/recovery_check.hpp
+++ b/tools/soak/recovery_check.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/soak/books.hpp"
+#include "tools/soak/observed_history.hpp"
 
 #include <map>
 #include <string>
@@ -19,7 +19,7 @@
     void take(core::common::time_point at, status_ended const& call);
     void take(core::common::time_point at, waiting_ended const& call);
 
-    void finish(books& seen, core::common::time_point now) const;
+    void finish(observed_history& seen, core::common::time_point now) const;
 
 private:
     struct call
@@ -29,7 +29,7 @@
         bool served = false;
     };
 
-    static void judge(books& seen,
+    static void judge(observed_history& seen,
                       core::common::time_point now,
                       std::vector<call> const& calls,
                       char const* kind);
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -12,41 +12,45 @@
 namespace
 {
 
-task_book& task_of(books& seen, ports::task_name const& task)
+task_history& task_of(observed_history& seen, ports::task_name const& task)
 {
     return seen.jobs[task.job].tasks[{task.step, task.index}];
 }
 
-bool lasting(job_book const& job, ports::task_name const& task)
+bool lasting(job_history const& job, ports::task_name const& task)
 {
-    return job.has(task) && job.shape.steps[task.step].lasting;
+    return job.has_task(task) && job.shape.steps[task.step].lasting;
 }
 
-void check_asked(books& seen, time_point at, ports::task_name const& task)
+void check_asked(observed_history& seen,
+                 time_point at,
+                 ports::task_name const& task)
 {
-    job_book& job = seen.jobs[task.job];
-    if (!job.has(task))
+    job_history& job = seen.jobs[task.job];
+    if (!job.has_task(task))
     {
         seen.report(
             rule::refused_ran, at, name_of(task), "nobody handed it in");
-        job.unasked_reported = true;
+        job.unjustified_run_reported = true;
     }
-    else if (job.refused())
+    else if (job.all_refused())
     {
         seen.report(
             rule::refused_ran, at, name_of(task), "starts after the refusal");
-        job.unasked_reported = true;
+        job.unjustified_run_reported = true;
     }
 }
 
-void check_doubled(books& seen, time_point at, ports::task_name const& task)
+void check_doubled(observed_history& seen,
+                   time_point at,
+                   ports::task_name const& task)
 {
-    task_book const& book = task_of(seen, task);
+    task_history const& book = task_of(seen, task);
     auto const other = std::find_if(book.runs.begin(),
                                     book.runs.end(),
-                                    [](run_book const& run)
+                                    [](run_history const& run)
                                     {
-                                        return !run.gone;
+                                        return !run.ended_at;
                                     });
     if (other != book.runs.end())
     {
@@ -56,15 +60,17 @@
                     "runs already on " + other->worker);
     }
     if (!lasting(seen.jobs[task.job], task) &&
-        book.acknowledged(end_kind::done, 1))
+        book.acknowledged_at(end_kind::done, 1))
     {
         seen.report(rule::doubled, at, name_of(task), "was done");
     }
 }
 
-void check_order(books& seen, time_point at, ports::task_name const& task)
+void check_order(observed_history& seen,
+                 time_point at,
+                 ports::task_name const& task)
 {
-    job_book const& job = seen.jobs[task.job];
+    job_history const& job = seen.jobs[task.job];
     for (std::uint32_t const earlier : job.shape.steps[task.step].after)
     {
         if (!job.step_done(earlier))
@@ -77,22 +83,27 @@
     }
 }
 
-void check_attempts(books& seen, time_point at, ports::task_name const& task)
+void check_attempts(observed_history& seen,
+                    time_point at,
+                    ports::task_name const& task)
 {
-    job_book const& job = seen.jobs[task.job];
+    job_history const& job = seen.jobs[task.job];
     auto const last =
-        task_of(seen, task).acknowledged(end_kind::failed, job.shape.attempts);
+        task_of(seen, task)
+            .acknowledged_at(end_kind::failed, job.shape.attempts);
     if (!lasting(job, task) && last)
     {
         seen.report(rule::attempts, at, name_of(task), "had failed for good");
     }
 }
 
-void check_cancelled(books& seen, time_point at, ports::task_name const& task)
+void check_cancelled(observed_history& seen,
+                     time_point at,
+                     ports::task_name const& task)
 {
     auto const since = seen.cancelled_since(seen.jobs[task.job], at);
     duration const bound = seen.bounds.cancel;
-    if (since && at > *since + bound && seen.calm_for(bound, at))
+    if (since && at > *since + bound && seen.fault_free_for(bound, at))
     {
         seen.report(rule::cancelled, at, name_of(task), "its job is cancelled");
     }
@@ -100,10 +111,10 @@
 
 /// Whether a run of a cancelled job worked on, up to `at`, longer than it may
 /// in some calm stretch.
-void check_stopped(books& seen,
+void check_stopped(observed_history& seen,
                    time_point at,
                    ports::task_name const& task,
-                   run_book const& run)
+                   run_history const& run)
 {
     auto const since = seen.cancelled_since(seen.jobs[task.job], at);
     if (!since)
@@ -111,12 +122,12 @@
         return;
     }
     // An order that came late leaves time to hear of the run.
-    time_point const heard = run.began + seen.bounds.stable_window;
-    bool const in_time =
-        run.began <= *since || seen.calm.calm(*since, run.began);
+    time_point const heard = run.started_at + seen.bounds.stable_window;
+    bool const in_time = run.started_at <= *since ||
+                         seen.fault_intervals.calm(*since, run.started_at);
     time_point const begin = in_time ? *since : std::max(*since, heard);
     duration const bound = seen.bounds.cancel + seen.bounds.stop;
-    if (seen.calm.calm_stretch(begin, at, bound))
+    if (seen.fault_intervals.calm_stretch(begin, at, bound))
     {
         seen.report(
             rule::cancelled, at, name_of(task), "ran on after the cancel");
@@ -125,30 +136,30 @@
 
 /// Whether a run began after what the end at `decided` ruled out, where that
 /// end was acknowledged only at `at`. Trouble may have hidden the end.
-bool ran_on(books const& seen,
-            task_book const& book,
+bool ran_on(observed_history const& seen,
+            task_history const& book,
             time_point decided,
             time_point at)
 {
-    return seen.calm.calm(decided, at) &&
+    return seen.fault_intervals.calm(decided, at) &&
            std::any_of(book.runs.begin(),
                        book.runs.end(),
-                       [&](run_book const& run)
+                       [&](run_history const& run)
                        {
-                           return run.began > decided;
+                           return run.started_at > decided;
                        });
 }
 
-void check_acknowledged(books& seen,
+void check_acknowledged(observed_history& seen,
                         time_point at,
                         ports::task_name const& task,
                         end_kind how)
 {
-    job_book const& job = seen.jobs[task.job];
-    task_book const& book = task_of(seen, task);
+    job_history const& job = seen.jobs[task.job];
+    task_history const& book = task_of(seen, task);
     bool const done = how == end_kind::done;
     std::size_t const limit = done ? 1 : job.shape.attempts;
-    auto const decided = book.acknowledged(how, limit);
+    auto const decided = book.acknowledged_at(how, limit);
     bool const decides = decided && (done || how == end_kind::failed);
     if (decides && !lasting(job, task) && ran_on(seen, book, *decided, at))
     {
@@ -160,13 +171,13 @@
 }
 
 /// Ends that nobody may have heard of are gone with the worker.
-void lose_ends(books& seen, std::string const& worker)
+void lose_ends(observed_history& seen, std::string const& worker)
 {
     for (auto& [name, job] : seen.jobs)
     {
         for (auto& [place, task] : job.tasks)
         {
-            for (run_book& run : task.runs)
+            for (run_history& run : task.runs)
             {
                 run.lost |= run.worker == worker && !run.acknowledged;
             }
@@ -176,12 +187,14 @@
 
 } // namespace
 
-void runs_check::take(books& seen, time_point at, run_started const& start)
+void runs_check::take(observed_history& seen,
+                      time_point at,
+                      run_started const& start)
 {
     ports::task_name const& task = start.what.task;
-    job_book& job = seen.jobs[task.job];
+    job_history& job = seen.jobs[task.job];
     check_asked(seen, at, task);
-    if (job.has(task))
+    if (job.has_task(task))
     {
         check_doubled(seen, at, task);
         check_order(seen, at, task);
@@ -189,16 +202,16 @@
         check_cancelled(seen, at, task);
     }
     check_place(seen, at, start);
-    if (!job.first_start)
+    if (!job.first_started_at)
     {
-        job.first_start = at;
+        job.first_started_at = at;
     }
     auto& runs = task_of(seen, task).runs;
     running_[{start.worker, start.what}] = runs.size();
     runs.push_back({start.worker, start.what.attempt, at, {}, {}});
 }
 
-void runs_check::check_place(books& seen,
+void runs_check::check_place(observed_history& seen,
                              time_point at,
                              run_started const& start) const
 {
@@ -206,7 +219,7 @@
     {
         auto const entry = since.find(name);
         return entry != since.end() && at > entry->second + bound &&
-               seen.calm_for(bound, at);
+               seen.fault_free_for(bound, at);
     };
     std::string const task = name_of(start.what.task);
     if (late(draining_, start.worker, seen.bounds.drain))
@@ -219,31 +232,35 @@
     }
 }
 
-void runs_check::take(books& seen, time_point at, run_ended const& end)
+void runs_check::take(observed_history& seen,
+                      time_point at,
+                      run_ended const& end)
 {
     auto const entry = running_.find({end.worker, end.what});
     if (entry == running_.end())
     {
         return;
     }
-    run_book& run = task_of(seen, end.what.task).runs[entry->second];
-    run.gone = at;
-    run.how = end.how;
+    run_history& run = task_of(seen, end.what.task).runs[entry->second];
+    run.ended_at = at;
+    run.outcome = end.how;
     running_.erase(entry);
     check_stopped(seen, at, end.what.task, run);
 }
 
-void runs_check::take(books& seen, time_point at, end_acknowledged const& end)
+void runs_check::take(observed_history& seen,
+                      time_point at,
+                      end_acknowledged const& end)
 {
     auto& runs = task_of(seen, end.what.task).runs;
     auto const run =
         std::find_if(runs.begin(),
                      runs.end(),
-                     [&](run_book const& known)
+                     [&](run_history const& known)
                      {
                          return known.worker == end.worker &&
                                 known.attempt == end.what.attempt &&
-                                known.how == end.how && !known.acknowledged;
+                                known.outcome == end.how && !known.acknowledged;
                      });
     if (run != runs.end())
     {
@@ -252,7 +269,9 @@
     }
 }
 
-void runs_check::take(books& seen, time_point at, worker_crashed const& crash)
+void runs_check::take(observed_history& seen,
+                      time_point at,
+                      worker_crashed const& crash)
 {
     draining_.erase(crash.worker);
     lose_ends(seen, crash.worker);
@@ -260,19 +279,23 @@
     while (entry != running_.end() && entry->first.first == crash.worker)
     {
         ports::task_name const& task = entry->first.second.task;
-        run_book& run = task_of(seen, task).runs[entry->second];
-        run.gone = at;
+        run_history& run = task_of(seen, task).runs[entry->second];
+        run.ended_at = at;
         check_stopped(seen, at, task, run);
         entry = running_.erase(entry);
     }
 }
 
-void runs_check::take(books&, time_point at, worker_draining const& leaving)
+void runs_check::take(observed_history&,
+                      time_point at,
+                      worker_draining const& leaving)
 {
     draining_.emplace(leaving.worker, at);
 }
 
-void runs_check::take(books&, time_point at, data_centre_set const& change)
+void runs_check::take(observed_history&,
+                      time_point at,
+                      data_centre_set const& change)
 {
     if (change.out)
     {
@@ -284,7 +307,7 @@
     }
 }
 
-void runs_check::finish(books& seen, time_point now) const
+void runs_check::finish(observed_history& seen, time_point now) const
 {
     for (auto const& [where, place] : running_)
     {
@@ -293,7 +316,8 @@
     }
     for (auto const& [name, job] : seen.jobs)
     {
-        if (job.first_start && !job.unasked_reported && job.refused())
+        if (job.first_started_at && !job.unjustified_run_reported &&
+            job.all_refused())
         {
             seen.report(
                 rule::refused_ran, now, name, "ran, and was refused each time");
--- a/tools/soak/runs_check.hpp
+++ b/tools/soak/runs_check.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/soak/books.hpp"
+#include "tools/soak/observed_history.hpp"
 
 #include <cstddef>
 #include <map>
@@ -16,25 +16,30 @@
 class runs_check
 {
 public:
-    void
-    take(books& seen, core::common::time_point at, run_started const& start);
-    void take(books& seen, core::common::time_point at, run_ended const& end);
-    void
-    take(books& seen, core::common::time_point at, end_acknowledged const& end);
-    void
-    take(books& seen, core::common::time_point at, worker_crashed const& crash);
-    void take(books& seen,
+    void take(observed_history& seen,
+              core::common::time_point at,
+              run_started const& start);
+    void take(observed_history& seen,
+              core::common::time_point at,
+              run_ended const& end);
+    void take(observed_history& seen,
+              core::common::time_point at,
+              end_acknowledged const& end);
+    void take(observed_history& seen,
+              core::common::time_point at,
+              worker_crashed const& crash);
+    void take(observed_history& seen,
               core::common::time_point at,
               worker_draining const& leaving);
-    void take(books& seen,
+    void take(observed_history& seen,
               core::common::time_point at,
               data_centre_set const& change);
 
     /// What still runs for a cancelled job, and what ran for a refused one.
-    void finish(books& seen, core::common::time_point now) const;
+    void finish(observed_history& seen, core::common::time_point now) const;
 
 private:
-    void check_place(books& seen,
+    void check_place(observed_history& seen,
                      core::common::time_point at,
                      run_started const& start) const;
 
