--- a/tests/unit/soak/checker_test.cpp
+++ b/tests/unit/soak/checker_test.cpp
@@ -658,7 +658,7 @@
     EXPECT_EQ(calm.broken(), only(rule::configuration));
 
     story troubled = two_configurations();
-    troubled.see(trouble_set{"link", true});
+    troubled.see(fault_state_set{"link", true});
     troubled.at(60500ms).shows("b", false).at(62501ms).shows("b", true);
     EXPECT_EQ(troubled.broken(), only(rule::configuration));
 }
@@ -674,7 +674,7 @@
     EXPECT_EQ(restarted.broken(), none);
 
     story crossing_in_trouble = two_configurations();
-    crossing_in_trouble.see(trouble_set{"link", true});
+    crossing_in_trouble.see(fault_state_set{"link", true});
     crossing_in_trouble.at(60500ms).shows("b", false);
     crossing_in_trouble.at(62500ms).shows("b", true);
     EXPECT_EQ(crossing_in_trouble.broken(), none);
@@ -864,7 +864,7 @@
 TEST(soak_recovery, trouble_that_is_still_on)
 {
     story seen = calls(call_end::done, 14001ms, call_end::refused);
-    seen.see(trouble_set{"link", true});
+    seen.see(fault_state_set{"link", true});
     submit_twelve(seen, "in_trouble", call_end::refused);
     submit_twelve(seen, "later", call_end::refused);
     submit_twelve(seen, "still", call_end::refused);
--- a/tests/unit/soak/model.cpp
+++ b/tests/unit/soak/model.cpp
@@ -217,7 +217,7 @@
 
     void begin_trouble(std::string const& name, duration length)
     {
-        see(trouble_set{name, true});
+        see(fault_state_set{name, true});
         troubles_[name] = now_ + length;
     }
     void end_troubles()
@@ -229,7 +229,7 @@
                 ++entry;
                 continue;
             }
-            see(trouble_set{entry->first, false});
+            see(fault_state_set{entry->first, false});
             entry = troubles_.erase(entry);
             calm_since_ = now_;
         }
--- a/tests/unit/soak/story.hpp
+++ b/tests/unit/soak/story.hpp
@@ -114,8 +114,8 @@
     /// Trouble from `from` to `to`; the story goes on at `to`.
     story& trouble(duration from, duration to)
     {
-        at(from).see(trouble_set{"link", true});
-        return at(to).see(trouble_set{"link", false});
+        at(from).see(fault_state_set{"link", true});
+        return at(to).see(fault_state_set{"link", false});
     }
 
     /// The rules broken, with the end at the present time.
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -53,7 +53,7 @@
         {
             configurations_.take(seen.at, event);
         }
-        else if constexpr (std::is_same_v<kind, trouble_set>)
+        else if constexpr (std::is_same_v<kind, fault_state_set>)
         {
             books_.fault_intervals.set(seen.at, event);
         }
--- a/tools/soak/configuration_check.cpp
+++ b/tools/soak/configuration_check.cpp
@@ -50,8 +50,8 @@
                                 queue_seen const& answer)
 {
     limits const& bounds = seen.bounds;
-    bool const calm =
-        seen.fault_intervals.calm(answer.asked - bounds.configuration, at);
+    bool const calm = seen.fault_intervals.is_fault_free(
+        answer.asked - bounds.configuration, at);
     duration const slack =
         bounds.rollback_slack * (calm ? 1 : slack_in_trouble);
     auto& proofs = proofs_[{answer.instance, answer.incarnation}];
--- a/tools/soak/calm.cpp
+++ b/tools/soak/fault_intervals.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/calm.hpp"
+#include "tools/soak/fault_intervals.hpp"
 
 #include <algorithm>
 
@@ -8,14 +8,14 @@
 using core::common::duration;
 using core::common::time_point;
 
-calm_log::calm_log(duration settle) : settle_(settle)
+fault_interval_log::fault_interval_log(duration settle) : recovery_time_(settle)
 {
 }
 
-void calm_log::set(time_point at, trouble_set const& trouble)
+void fault_interval_log::set(time_point at, fault_state_set const& trouble)
 {
     bool const was_calm = on_.empty();
-    if (trouble.on)
+    if (trouble.active)
     {
         on_.insert(trouble.name);
     }
@@ -33,25 +33,25 @@
     }
 }
 
-bool calm_log::calm(time_point begin, time_point end) const
+bool fault_interval_log::is_fault_free(time_point begin, time_point end) const
 {
     return std::none_of(spans_.begin(),
                         spans_.end(),
-                        [&](trouble_span const& span)
+                        [&](fault_interval const& span)
                         {
                             bool const over =
-                                span.to && *span.to + settle_ <= begin;
+                                span.to && *span.to + recovery_time_ <= begin;
                             return span.from <= end && !over;
                         });
 }
 
-bool calm_log::calm_stretch(time_point begin,
-                            time_point end,
-                            duration length) const
+bool fault_interval_log::has_fault_free_interval(time_point begin,
+                                                 time_point end,
+                                                 duration length) const
 {
-    for (trouble_span const& span : spans_)
+    for (fault_interval const& span : spans_)
     {
-        if (span.to && *span.to + settle_ <= begin)
+        if (span.to && *span.to + recovery_time_ <= begin)
         {
             continue;
         }
@@ -63,12 +63,13 @@
         {
             return false;
         }
-        begin = *span.to + settle_;
+        begin = *span.to + recovery_time_;
     }
     return begin + length < end;
 }
 
-std::vector<trouble_span> const& calm_log::spans() const noexcept
+std::vector<fault_interval> const&
+fault_interval_log::intervals() const noexcept
 {
     return spans_;
 }
--- a/tools/soak/faults.cpp
+++ b/tools/soak/faults.cpp
@@ -95,9 +95,9 @@
     auto const name = std::to_string(applied_) + " " +
                       std::string(name_of(what.what)) + " " +
                       std::to_string(what.target);
-    if (is_trouble(what.what))
+    if (suspends_time_limits(what.what))
     {
-        out_.take(trouble_set{name, true});
+        out_.take(fault_state_set{name, true});
     }
     else
     {
@@ -191,9 +191,9 @@
         }
         each = active_.erase(each);
         settle(ending.what);
-        if (is_trouble(ending.what.what))
+        if (suspends_time_limits(ending.what.what))
         {
-            out_.take(trouble_set{ending.name, false});
+            out_.take(fault_state_set{ending.name, false});
         }
     }
 }
--- a/tools/soak/jobs_check.cpp
+++ b/tools/soak/jobs_check.cpp
@@ -46,7 +46,7 @@
     bool const due = job.must_complete() &&
                      *job.accepted_at + visible < answer.asked &&
                      !forgotten(job, answer.asked);
-    if (due && seen.fault_intervals.calm(answer.asked - visible, at))
+    if (due && seen.fault_intervals.is_fault_free(answer.asked - visible, at))
     {
         seen.report(
             rule::lost, at, answer.job, answer.instance + " does not know it");
@@ -266,7 +266,7 @@
 {
     duration const age = seen.bounds.visible + count_age;
     if (answer.how != call_end::done ||
-        !seen.fault_intervals.calm(answer.asked - age, at))
+        !seen.fault_intervals.is_fault_free(answer.asked - age, at))
     {
         return;
     }
--- a/tools/soak/observation.hpp
+++ b/tools/soak/observation.hpp
@@ -141,10 +141,10 @@
 
 /// Trouble begins or ends. While any lasts, and for `stable_window` after it,
 /// no check of a time limit counts.
-struct trouble_set
+struct fault_state_set
 {
     std::string name;
-    bool on = false;
+    bool active = false;
 };
 
 /// No more jobs come; what was accepted is asked for from now on.
@@ -165,7 +165,7 @@
                            data_centre_set,
                            configuration_set,
                            queue_seen,
-                           trouble_set,
+                           fault_state_set,
                            traffic_ended>;
 
 struct observation
--- a/tools/soak/observed_history.cpp
+++ b/tools/soak/observed_history.cpp
@@ -149,7 +149,7 @@
         *job.first_possible_cancel_at + bounds.acknowledge;
     bool const had_time =
         assumed <= at &&
-        fault_intervals.calm(*job.first_possible_cancel_at, assumed);
+        fault_intervals.is_fault_free(*job.first_possible_cancel_at, assumed);
     if (had_time && (!since || assumed < *since))
     {
         since = assumed;
@@ -159,7 +159,7 @@
 
 bool observed_history::fault_free_for(duration length, time_point at) const
 {
-    return fault_intervals.calm(at - length, at);
+    return fault_intervals.is_fault_free(at - length, at);
 }
 
 void observed_history::report(rule which,
--- a/tools/soak/observed_history.hpp
+++ b/tools/soak/observed_history.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "tools/soak/calm.hpp"
+#include "tools/soak/fault_intervals.hpp"
 #include "tools/soak/observation.hpp"
 
 #include <cstddef>
@@ -77,7 +77,7 @@
     explicit observed_history(limits value);
 
     limits bounds;
-    calm_log fault_intervals;
+    fault_interval_log fault_intervals;
     std::map<std::string, job_history> jobs;
     std::optional<core::common::time_point> traffic_end;
     std::vector<violation> violations;
--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -240,7 +240,7 @@
     return made;
 }
 
-bool is_trouble(fault_kind kind) noexcept
+bool suspends_time_limits(fault_kind kind) noexcept
 {
     return row_of(kind).trouble;
 }
--- a/tools/soak/plan.hpp
+++ b/tools/soak/plan.hpp
@@ -48,7 +48,7 @@
 std::optional<fault_kind> fault_kind_from(std::string_view name) noexcept;
 std::set<fault_kind> all_fault_kinds();
 /// Whether promises with a time limit hold while it lasts.
-bool is_trouble(fault_kind kind) noexcept;
+bool suspends_time_limits(fault_kind kind) noexcept;
 
 struct fault
 {
--- a/tools/soak/record.cpp
+++ b/tools/soak/record.cpp
@@ -111,9 +111,9 @@
                std::to_string(it.incarnation) +
                (it.present ? " present" : " absent") + ago(it.asked);
     }
-    std::string operator()(trouble_set const& it) const
+    std::string operator()(fault_state_set const& it) const
     {
-        return "trouble " + it.name + (it.on ? " begins" : " ends");
+        return "trouble " + it.name + (it.active ? " begins" : " ends");
     }
     std::string operator()(traffic_ended const&) const
     {
--- a/tools/soak/recovery_check.cpp
+++ b/tools/soak/recovery_check.cpp
@@ -78,7 +78,7 @@
                            std::vector<call> const& calls,
                            char const* kind)
 {
-    auto const& spans = seen.fault_intervals.spans();
+    auto const& spans = seen.fault_intervals.intervals();
     if (spans.empty() || !spans.back().to)
     {
         return;
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -123,11 +123,12 @@
     }
     // An order that came late leaves time to hear of the run.
     time_point const heard = run.started_at + seen.bounds.stable_window;
-    bool const in_time = run.started_at <= *since ||
-                         seen.fault_intervals.calm(*since, run.started_at);
+    bool const in_time =
+        run.started_at <= *since ||
+        seen.fault_intervals.is_fault_free(*since, run.started_at);
     time_point const begin = in_time ? *since : std::max(*since, heard);
     duration const bound = seen.bounds.cancel + seen.bounds.stop;
-    if (seen.fault_intervals.calm_stretch(begin, at, bound))
+    if (seen.fault_intervals.has_fault_free_interval(begin, at, bound))
     {
         seen.report(
             rule::cancelled, at, name_of(task), "ran on after the cancel");
@@ -141,7 +142,7 @@
             time_point decided,
             time_point at)
 {
-    return seen.fault_intervals.calm(decided, at) &&
+    return seen.fault_intervals.is_fault_free(decided, at) &&
            std::any_of(book.runs.begin(),
                        book.runs.end(),
                        [&](run_history const& run)
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -239,7 +239,7 @@
         if (late != late_)
         {
             late_ = late;
-            out_.take(trouble_set{"busy machine", late});
+            out_.take(fault_state_set{"busy machine", late});
         }
     }
 
