--- a/tests/unit/soak/checker_test.cpp
+++ b/tests/unit/soak/checker_test.cpp
@@ -27,7 +27,7 @@
 {
     story seen;
     seen.submit("a", shape);
-    seen.at(1s).see(cancel_ended{"a", call_end::done});
+    seen.at(1s).see(cancel_ended{"a", call_outcome::done});
     return seen;
 }
 
@@ -47,15 +47,15 @@
 {
     story seen;
     seen.submit("a", single());
-    seen.at(3001ms).status("a", job_state::queued, call_end::absent);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    seen.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 TEST(soak_lost, an_instance_may_not_know_a_job_yet)
 {
     story seen;
     seen.submit("a", single());
-    seen.at(3s).status("a", job_state::queued, call_end::absent);
+    seen.at(3s).status("a", job_state::queued, call_outcome::not_found);
     EXPECT_EQ(seen.broken(), none);
 }
 
@@ -63,7 +63,7 @@
 {
     story seen;
     seen.submit("a", single()).trouble(500ms, 600ms);
-    seen.at(3001ms).status("a", job_state::queued, call_end::absent);
+    seen.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
     EXPECT_EQ(seen.broken(), none);
 }
 
@@ -71,17 +71,17 @@
 {
     story seen;
     seen.submit("a", single()).start(task("a")).end(task("a"));
-    seen.at(121s).status("a", job_state::queued, call_end::absent);
+    seen.at(121s).status("a", job_state::queued, call_outcome::not_found);
     EXPECT_EQ(seen.broken(), none);
 }
 
 TEST(soak_lost, a_cancelled_or_unaccepted_job_may_be_unknown)
 {
     story seen;
-    seen.submit("a", single()).submit("b", single(), call_end::silent);
-    seen.see(cancel_ended{"a", call_end::silent});
-    seen.at(9s).status("a", job_state::queued, call_end::absent);
-    seen.status("b", job_state::queued, call_end::absent);
+    seen.submit("a", single()).submit("b", single(), call_outcome::timed_out);
+    seen.see(cancel_ended{"a", call_outcome::timed_out});
+    seen.at(9s).status("a", job_state::queued, call_outcome::not_found);
+    seen.status("b", job_state::queued, call_outcome::not_found);
     EXPECT_EQ(seen.broken(), none);
 }
 
@@ -90,8 +90,8 @@
 {
     story seen = accepted_until_traffic_ends();
     seen.trouble(6s, 19s);
-    seen.at(20s).status("a", job_state::queued, call_end::absent);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    seen.at(20s).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 // A job that no instance answers for is as good as lost.
@@ -99,8 +99,8 @@
 {
     story seen = accepted_until_traffic_ends();
     seen.start(task("a")).end(task("a"));
-    seen.at(20s).status("a", job_state::queued, call_end::silent);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    seen.at(20s).status("a", job_state::queued, call_outcome::timed_out);
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 // A job is kept, and never run.
@@ -108,7 +108,7 @@
 {
     story seen = accepted_until_traffic_ends();
     seen.at(20s).status("a", job_state::queued);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 TEST(soak_lost, accepted_job_has_time_to_be_done)
@@ -136,7 +136,7 @@
     idle.at(10s).start(task("a"));
     idle.at(16s).end(task("a"), end_kind::failed);
     idle.at(20s).status("a", job_state::active);
-    EXPECT_EQ(idle.broken(), only(rule::lost));
+    EXPECT_EQ(idle.broken(), only(rule::job_lost));
 }
 
 // All tasks ended, and the job's owner is never told.
@@ -145,7 +145,7 @@
     story seen = accepted_until_traffic_ends();
     seen.start(task("a")).end(task("a")).acknowledge(task("a"));
     seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 // A crash elsewhere is no excuse for an end that was there to be heard.
@@ -154,7 +154,7 @@
     story seen = accepted_until_traffic_ends();
     seen.start(task("a")).end(task("a")).see(worker_crashed{"w2"});
     seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 TEST(soak_lost, job_whose_end_was_lost_or_is_news_may_be_shown_as_active)
@@ -176,7 +176,7 @@
     seen.submit("a", single()).submit("b", single()).submit("c", single());
     seen.start(task("a")).end(task("a"));
     seen.start(task("b")).end(task("b"), end_kind::failed);
-    seen.see(cancel_ended{"c", call_end::done});
+    seen.see(cancel_ended{"c", call_outcome::done});
     seen.at(5s).see(traffic_ended{}).at(20s);
     seen.status("a", job_state::completed).status("b", job_state::failed);
     EXPECT_EQ(seen.broken(), none);
@@ -197,7 +197,7 @@
     seen.start(task("a")).end(task("a"));
     seen.start(task("a", 0, 1)).end(task("a", 0, 1));
     seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 // A task that lasts ends and stays away.
@@ -206,7 +206,7 @@
     story seen = accepted_until_traffic_ends(service());
     seen.start(task("a")).end(task("a"));
     seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken(), only(rule::lost));
+    EXPECT_EQ(seen.broken(), only(rule::job_lost));
 }
 
 TEST(soak_lost, lasting_task_runs_or_has_just_ended)
@@ -222,13 +222,13 @@
 TEST(soak_refused, refused_job_runs)
 {
     story after;
-    after.submit("a", single(), call_end::refused).start(task("a"));
-    EXPECT_EQ(after.broken(), only(rule::refused_ran));
+    after.submit("a", single(), call_outcome::refused).start(task("a"));
+    EXPECT_EQ(after.broken(), only(rule::refused_job_ran));
 
     story before;
     before.see(submit_sent{"a", single()}).start(task("a"));
-    before.see(submit_ended{"a", call_end::refused});
-    EXPECT_EQ(before.broken(), only(rule::refused_ran));
+    before.see(submit_ended{"a", call_outcome::refused});
+    EXPECT_EQ(before.broken(), only(rule::refused_job_ran));
 }
 
 // Workers are told to run what nobody asked for.
@@ -236,34 +236,34 @@
 {
     story no_job;
     no_job.start(task("a"));
-    EXPECT_EQ(no_job.broken(), only(rule::refused_ran));
+    EXPECT_EQ(no_job.broken(), only(rule::refused_job_ran));
 
     story no_task;
     no_task.submit("a", single()).start(task("a", 0, 1));
-    EXPECT_EQ(no_task.broken(), only(rule::refused_ran));
+    EXPECT_EQ(no_task.broken(), only(rule::refused_job_ran));
 
     story no_occurrence;
     no_occurrence.submit("a", single()).start({"a", 1, 0, 0});
-    EXPECT_EQ(no_occurrence.broken(), only(rule::refused_ran));
+    EXPECT_EQ(no_occurrence.broken(), only(rule::refused_job_ran));
 }
 
 // A job is handed in to a queue that isn't there, and runs.
 TEST(soak_refused, job_of_an_absent_queue_runs)
 {
     story seen;
-    seen.submit("a", single(), call_end::absent).start(task("a"));
-    EXPECT_EQ(seen.broken(), only(rule::refused_ran));
+    seen.submit("a", single(), call_outcome::not_found).start(task("a"));
+    EXPECT_EQ(seen.broken(), only(rule::refused_job_ran));
 }
 
 TEST(soak_refused, job_with_one_caller_in_doubt_may_run)
 {
     story unknown;
-    unknown.submit("a", single(), call_end::refused);
-    unknown.submit("a", single(), call_end::unknown).start(task("a"));
+    unknown.submit("a", single(), call_outcome::refused);
+    unknown.submit("a", single(), call_outcome::unknown).start(task("a"));
     EXPECT_EQ(unknown.broken(), none);
 
     story under_way;
-    under_way.submit("a", single(), call_end::refused);
+    under_way.submit("a", single(), call_outcome::refused);
     under_way.see(submit_sent{"a", single()}).start(task("a"));
     EXPECT_EQ(under_way.broken(), none);
 }
@@ -274,7 +274,7 @@
     story seen;
     seen.submit("a", single()).start(task("a"));
     seen.at(1s).start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken(), only(rule::doubled));
+    EXPECT_EQ(seen.broken(), only(rule::duplicate_run));
 }
 
 TEST(soak_doubled, another_run_after_a_crash_or_an_end)
@@ -293,7 +293,7 @@
     story seen;
     seen.submit("a", single()).start(task("a")).see(worker_crashed{"w2"});
     seen.start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken(), only(rule::doubled));
+    EXPECT_EQ(seen.broken(), only(rule::duplicate_run));
 }
 
 // An end that was written down is forgotten, and the work done once more.
@@ -303,7 +303,7 @@
     seen.submit("a", single()).start(task("a")).end(task("a"));
     seen.acknowledge(task("a")).trouble(1s, 2s);
     seen.start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken(), only(rule::doubled));
+    EXPECT_EQ(seen.broken(), only(rule::duplicate_run));
 }
 
 // The end is acknowledged, but after the task was started again.
@@ -312,7 +312,7 @@
     story seen;
     seen.submit("a", single()).start(task("a")).end(task("a"));
     seen.at(1s).start(task("a"), 2, "w2").at(2s).acknowledge(task("a"));
-    EXPECT_EQ(seen.broken(), only(rule::doubled));
+    EXPECT_EQ(seen.broken(), only(rule::duplicate_run));
 }
 
 TEST(soak_doubled, start_after_an_end_that_nobody_heard_of)
@@ -355,7 +355,7 @@
     story seen;
     seen.submit("a", chain()).start(task("a")).end(task("a"));
     seen.start(task("a", 0, 1)).start(task("a", 1));
-    EXPECT_EQ(seen.broken(), only(rule::order));
+    EXPECT_EQ(seen.broken(), only(rule::step_order));
 }
 
 // A failed task counts as done.
@@ -365,7 +365,7 @@
     seen.submit("a", chain()).start(task("a")).end(task("a"));
     seen.start(task("a", 0, 1)).end(task("a", 0, 1), end_kind::failed);
     seen.start(task("a", 1));
-    EXPECT_EQ(seen.broken(), only(rule::order));
+    EXPECT_EQ(seen.broken(), only(rule::step_order));
 }
 
 TEST(soak_order, start_once_the_earlier_step_is_done)
@@ -388,7 +388,7 @@
         seen.acknowledge(task("a"), end_kind::failed, attempt);
     }
     seen.trouble(1s, 2s).start(task("a"), 3);
-    EXPECT_EQ(seen.broken(), only(rule::attempts));
+    EXPECT_EQ(seen.broken(), only(rule::attempt_limit));
 }
 
 // The last failure is acknowledged, but after another start.
@@ -398,7 +398,7 @@
     seen.submit("a", single()).start(task("a"));
     seen.end(task("a"), end_kind::failed).at(1s).start(task("a"), 2);
     seen.at(2s).acknowledge(task("a"), end_kind::failed);
-    EXPECT_EQ(seen.broken(), only(rule::attempts));
+    EXPECT_EQ(seen.broken(), only(rule::attempt_limit));
 }
 
 TEST(soak_attempts, only_failures_that_were_heard_of_count)
@@ -439,7 +439,7 @@
 {
     story seen = cancelled();
     seen.at(4001ms).start(task("a"));
-    EXPECT_EQ(seen.broken(), only(rule::cancelled));
+    EXPECT_EQ(seen.broken(), only(rule::ran_after_cancel));
 }
 
 TEST(soak_cancelled, start_soon_after_the_cancel)
@@ -461,14 +461,14 @@
 {
     story ended;
     ended.submit("a", service()).start(task("a"));
-    ended.at(1s).see(cancel_ended{"a", call_end::done});
+    ended.at(1s).see(cancel_ended{"a", call_outcome::done});
     ended.at(4401ms).end(task("a"), end_kind::stopped);
-    EXPECT_EQ(ended.broken(), only(rule::cancelled));
+    EXPECT_EQ(ended.broken(), only(rule::ran_after_cancel));
 
     story still_there;
     still_there.submit("a", service()).start(task("a"));
-    still_there.at(1s).see(cancel_ended{"a", call_end::done});
-    EXPECT_EQ(still_there.at(4401ms).broken(), only(rule::cancelled));
+    still_there.at(1s).see(cancel_ended{"a", call_outcome::done});
+    EXPECT_EQ(still_there.at(4401ms).broken(), only(rule::ran_after_cancel));
 }
 
 // A run that trouble shielded goes on for good.
@@ -476,8 +476,8 @@
 {
     story seen;
     seen.submit("a", service()).start(task("a"));
-    seen.at(1s).see(cancel_ended{"a", call_end::done}).trouble(2s, 4s);
-    EXPECT_EQ(seen.at(10401ms).broken(), only(rule::cancelled));
+    seen.at(1s).see(cancel_ended{"a", call_outcome::done}).trouble(2s, 4s);
+    EXPECT_EQ(seen.at(10401ms).broken(), only(rule::ran_after_cancel));
 }
 
 // Trouble that begins after the time limit is no excuse.
@@ -485,22 +485,22 @@
 {
     story seen;
     seen.submit("a", service()).start(task("a"));
-    seen.at(1s).see(cancel_ended{"a", call_end::done}).trouble(4402ms, 5s);
+    seen.at(1s).see(cancel_ended{"a", call_outcome::done}).trouble(4402ms, 5s);
     seen.end(task("a"), end_kind::stopped);
-    EXPECT_EQ(seen.broken(), only(rule::cancelled));
+    EXPECT_EQ(seen.broken(), only(rule::ran_after_cancel));
 }
 
 TEST(soak_cancelled, run_stops_in_time_or_in_trouble)
 {
     story in_time;
     in_time.submit("a", service()).start(task("a"));
-    in_time.at(1s).see(cancel_ended{"a", call_end::done});
+    in_time.at(1s).see(cancel_ended{"a", call_outcome::done});
     in_time.at(4400ms).end(task("a"), end_kind::stopped);
     EXPECT_EQ(in_time.broken(), none);
 
     story troubled;
     troubled.submit("a", service()).start(task("a"));
-    troubled.at(1s).see(cancel_ended{"a", call_end::done}).trouble(2s, 4s);
+    troubled.at(1s).see(cancel_ended{"a", call_outcome::done}).trouble(2s, 4s);
     EXPECT_EQ(troubled.at(10400ms).broken(), none);
 }
 
@@ -509,7 +509,7 @@
 {
     story seen = cancelled();
     seen.trouble(2s, 8s).at(12s).start(task("a"));
-    EXPECT_EQ(seen.at(18401ms).broken(), only(rule::cancelled));
+    EXPECT_EQ(seen.at(18401ms).broken(), only(rule::ran_after_cancel));
 }
 
 TEST(soak_cancelled, run_that_began_late_is_stopped_in_time)
@@ -523,25 +523,28 @@
 TEST(soak_cancelled, start_after_an_unanswered_cancel)
 {
     story seen;
-    seen.submit("a", service()).see(cancel_ended{"a", call_end::silent});
+    seen.submit("a", service()).see(cancel_ended{"a", call_outcome::timed_out});
     seen.at(7001ms).start(task("a"));
-    EXPECT_EQ(seen.broken(), only(rule::cancelled));
+    EXPECT_EQ(seen.broken(), only(rule::ran_after_cancel));
 }
 
 TEST(soak_cancelled, start_after_a_cancel_that_may_not_have_arrived)
 {
     story refused;
-    refused.submit("a", service()).see(cancel_ended{"a", call_end::refused});
+    refused.submit("a", service())
+        .see(cancel_ended{"a", call_outcome::refused});
     refused.at(7001ms).start(task("a"));
     EXPECT_EQ(refused.broken(), none);
 
     story troubled;
-    troubled.submit("a", service()).see(cancel_ended{"a", call_end::silent});
+    troubled.submit("a", service())
+        .see(cancel_ended{"a", call_outcome::timed_out});
     troubled.trouble(1s, 2s).at(15s).start(task("a"));
     EXPECT_EQ(troubled.broken(), none);
 
     story in_time;
-    in_time.submit("a", service()).see(cancel_ended{"a", call_end::silent});
+    in_time.submit("a", service())
+        .see(cancel_ended{"a", call_outcome::timed_out});
     in_time.at(7s).start(task("a"));
     EXPECT_EQ(in_time.broken(), none);
 }
@@ -701,7 +704,7 @@
 {
     story seen;
     seen.submit("a", single()).submit("b", single()).submit("c", single());
-    EXPECT_EQ(seen.at(5001ms).waiting(1).broken(), only(rule::counts));
+    EXPECT_EQ(seen.at(5001ms).waiting(1).broken(), only(rule::waiting_count));
 }
 
 TEST(soak_counts, young_started_and_cancelled_jobs_need_not_be_told)
@@ -718,7 +721,7 @@
     others.submit("a", single()).submit("b", single());
     others.at(5001ms).waiting(0);
     others.at(5251ms).start(task("a"));
-    others.see(cancel_ended{"b", call_end::done});
+    others.see(cancel_ended{"b", call_outcome::done});
     EXPECT_EQ(others.broken(), none);
 
     story troubled;
@@ -732,7 +735,7 @@
     story seen;
     seen.submit("a", chain()).start(task("a")).end(task("a"));
     seen.trouble(1s, 2s).status("a", job_state::completed);
-    EXPECT_EQ(seen.broken(), only(rule::state));
+    EXPECT_EQ(seen.broken(), only(rule::reported_state));
 }
 
 // A job that lasts is over only when it is cancelled.
@@ -741,7 +744,7 @@
     story seen;
     seen.submit("a", service()).start(task("a")).end(task("a"));
     EXPECT_EQ(seen.status("a", job_state::completed).broken(),
-              only(rule::state));
+              only(rule::reported_state));
 }
 
 // Ends that aren't the task's fault use up its attempts.
@@ -751,7 +754,8 @@
     seen.submit("a", single(2)).start(task("a"));
     seen.end(task("a"), end_kind::failed);
     seen.start(task("a"), 2).end(task("a"), end_kind::lease_expired, 2);
-    EXPECT_EQ(seen.status("a", job_state::failed).broken(), only(rule::state));
+    EXPECT_EQ(seen.status("a", job_state::failed).broken(),
+              only(rule::reported_state));
 }
 
 // A task that lasts has no last attempt.
@@ -760,7 +764,8 @@
     story seen;
     seen.submit("a", service()).start(task("a"));
     seen.end(task("a"), end_kind::failed);
-    EXPECT_EQ(seen.status("a", job_state::failed).broken(), only(rule::state));
+    EXPECT_EQ(seen.status("a", job_state::failed).broken(),
+              only(rule::reported_state));
 }
 
 // A job is cancelled by itself.
@@ -768,8 +773,8 @@
 {
     story seen;
     seen.submit("a", single()).status("a", job_state::cancelled);
-    seen.see(cancel_ended{"a", call_end::refused});
-    EXPECT_EQ(seen.broken(), only(rule::state));
+    seen.see(cancel_ended{"a", call_outcome::refused});
+    EXPECT_EQ(seen.broken(), only(rule::reported_state));
 }
 
 // A state is made up for a job that doesn't exist.
@@ -777,7 +782,7 @@
 {
     story seen;
     seen.status("a", job_state::queued).at(1s).submit("a", single());
-    EXPECT_EQ(seen.broken(), only(rule::state));
+    EXPECT_EQ(seen.broken(), only(rule::reported_state));
 }
 
 TEST(soak_state, states_with_cause)
@@ -788,8 +793,8 @@
     seen.submit("b", single()).start(task("b"));
     seen.end(task("b"), end_kind::failed).status("b", job_state::failed);
     seen.submit("c", single()).status("c", job_state::cancelled);
-    seen.at(9s).see(cancel_ended{"c", call_end::silent});
-    seen.status("d", job_state::queued, call_end::absent);
+    seen.at(9s).see(cancel_ended{"c", call_outcome::timed_out});
+    seen.status("d", job_state::queued, call_outcome::not_found);
     EXPECT_EQ(seen.broken(), none);
 }
 
@@ -797,7 +802,7 @@
 {
 
 /// Submissions, as many as the check asks for, that all end like this.
-void submit_twelve(story& seen, std::string const& name, call_end how)
+void submit_twelve(story& seen, std::string const& name, call_outcome how)
 {
     for (int count = 0; count < 12; ++count)
     {
@@ -806,7 +811,7 @@
 }
 
 /// Calls, then trouble until 2 s, then calls at `at`.
-story calls(call_end before, duration at, call_end after)
+story calls(call_outcome before, duration at, call_outcome after)
 {
     story seen;
     submit_twelve(seen, "before", before);
@@ -820,7 +825,7 @@
 // The trouble is over, and callers are turned away for good.
 TEST(soak_recovery, submissions_are_refused_long_after_the_trouble)
 {
-    story seen = calls(call_end::done, 14001ms, call_end::refused);
+    story seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
     EXPECT_EQ(seen.broken(), only(rule::recovery));
 }
 
@@ -830,12 +835,12 @@
     story seen;
     for (int count = 0; count < 12; ++count)
     {
-        seen.status("a", job_state::queued, call_end::absent);
+        seen.status("a", job_state::queued, call_outcome::not_found);
     }
     seen.trouble(1s, 2s).at(14001ms);
     for (int count = 0; count < 12; ++count)
     {
-        seen.status("a", job_state::queued, call_end::silent);
+        seen.status("a", job_state::queued, call_outcome::timed_out);
     }
     EXPECT_EQ(seen.broken(), only(rule::recovery));
 }
@@ -843,30 +848,32 @@
 // A few that get through hide that the rest are turned away.
 TEST(soak_recovery, less_than_a_quarter_is_served_long_after_the_trouble)
 {
-    story seen = calls(call_end::done, 14001ms, call_end::refused);
+    story seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
     seen.submit("a", single()).submit("b", single()).submit("c", single());
     EXPECT_EQ(seen.broken(), only(rule::recovery));
 }
 
 TEST(soak_recovery, a_quarter_is_served_long_after_the_trouble)
 {
-    story seen = calls(call_end::done, 14001ms, call_end::refused);
+    story seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
     seen.submit("a", single()).submit("b", single()).submit("c", single());
     EXPECT_EQ(seen.submit("d", single()).broken(), none);
 }
 
 TEST(soak_recovery, soon_after_the_trouble_or_as_bad_before_it)
 {
-    EXPECT_EQ(calls(call_end::done, 14s, call_end::refused).broken(), none);
-    EXPECT_EQ(calls(call_end::refused, 15s, call_end::refused).broken(), none);
+    EXPECT_EQ(calls(call_outcome::done, 14s, call_outcome::refused).broken(),
+              none);
+    EXPECT_EQ(calls(call_outcome::refused, 15s, call_outcome::refused).broken(),
+              none);
 }
 
 TEST(soak_recovery, trouble_that_is_still_on)
 {
-    story seen = calls(call_end::done, 14001ms, call_end::refused);
+    story seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
     seen.see(fault_state_set{"link", true});
-    submit_twelve(seen, "in_trouble", call_end::refused);
-    submit_twelve(seen, "later", call_end::refused);
-    submit_twelve(seen, "still", call_end::refused);
+    submit_twelve(seen, "in_trouble", call_outcome::refused);
+    submit_twelve(seen, "later", call_outcome::refused);
+    submit_twelve(seen, "still", call_outcome::refused);
     EXPECT_EQ(seen.broken(), none);
 }
--- a/tests/unit/soak/checker_walk_test.cpp
+++ b/tests/unit/soak/checker_walk_test.cpp
@@ -30,7 +30,7 @@
                        walked.found.end(),
                        [&](violation const& one)
                        {
-                           return one.which == which;
+                           return one.broken_rule == which;
                        });
 }
 
@@ -53,8 +53,8 @@
         for (violation const& one : walked.found)
         {
             ADD_FAILURE() << "seed " << seed << ": rule "
-                          << static_cast<int>(one.which) << " of "
-                          << one.subject << ": " << one.why;
+                          << static_cast<int>(one.broken_rule) << " of "
+                          << one.subject << ": " << one.reason;
         }
         starts += walked.starts;
         crashes += walked.crashes;
@@ -83,22 +83,23 @@
     each,
     soak_lies,
     testing::Values(
-        planted{"forgotten_job", lie::forgotten_job, rule::lost},
-        planted{"idle_job", lie::idle_job, rule::lost},
-        planted{"refused_job", lie::refused_job, rule::refused_ran},
-        planted{"second_run", lie::second_run, rule::doubled},
-        planted{"repeated_run", lie::repeated_run, rule::doubled},
-        planted{"early_start", lie::early_start, rule::order},
-        planted{"extra_attempt", lie::extra_attempt, rule::attempts},
-        planted{"forgotten_cancel", lie::forgotten_cancel, rule::cancelled},
+        planted{"forgotten_job", lie::forgotten_job, rule::job_lost},
+        planted{"idle_job", lie::idle_job, rule::job_lost},
+        planted{"refused_job", lie::refused_job, rule::refused_job_ran},
+        planted{"second_run", lie::second_run, rule::duplicate_run},
+        planted{"repeated_run", lie::repeated_run, rule::duplicate_run},
+        planted{"early_start", lie::early_start, rule::step_order},
+        planted{"extra_attempt", lie::extra_attempt, rule::attempt_limit},
+        planted{
+            "forgotten_cancel", lie::forgotten_cancel, rule::ran_after_cancel},
         planted{"draining_worker", lie::draining_worker, rule::drain},
         planted{
             "closed_data_centre", lie::closed_data_centre, rule::data_centre},
         planted{
             "old_configuration", lie::old_configuration, rule::configuration},
-        planted{"low_count", lie::low_count, rule::counts},
-        planted{"false_completed", lie::false_completed, rule::state},
-        planted{"false_failed", lie::false_failed, rule::state},
+        planted{"low_count", lie::low_count, rule::waiting_count},
+        planted{"false_completed", lie::false_completed, rule::reported_state},
+        planted{"false_failed", lie::false_failed, rule::reported_state},
         planted{"no_recovery", lie::no_recovery, rule::recovery}),
     [](auto const& one)
     {
--- a/tests/unit/soak/model.cpp
+++ b/tests/unit/soak/model.cpp
@@ -179,7 +179,7 @@
     template<class Event>
     void see(Event event)
     {
-        judge_.take({now_, std::move(event)});
+        judge_.observe({now_, std::move(event)});
     }
 
     std::uint64_t below(std::uint64_t limit)
@@ -207,7 +207,7 @@
     bool quiet(duration length) const
     {
         return troubles_.empty() &&
-               now_ > calm_since_ + limits{}.stable_window + length;
+               now_ > calm_since_ + time_limits{}.stable_window + length;
     }
     bool may_trouble() const
     {
@@ -410,9 +410,9 @@
         job.stored = job.answered || (silent && one_in(2));
         job.accepted = now_;
         see(submit_ended{job.name,
-                         refused  ? call_end::refused
-                         : silent ? call_end::silent
-                                  : call_end::done});
+                         refused  ? call_outcome::refused
+                         : silent ? call_outcome::timed_out
+                                  : call_outcome::done});
     }
     void cancel(job_model& job)
     {
@@ -421,7 +421,8 @@
             return;
         }
         bool const heard = !one_in(5);
-        see(cancel_ended{job.name, heard ? call_end::done : call_end::silent});
+        see(cancel_ended{job.name,
+                         heard ? call_outcome::done : call_outcome::timed_out});
         job.cancelled = true;
         job.stop_at = now_ + up_to(1s);
         ++result_.cancels;
@@ -549,7 +550,8 @@
             std::string const queue = one_in(2) ? "q0" : "q1";
             std::uint64_t const all = waiting(queue);
             std::uint64_t const told = cut_off ? 0 : all - below(all / 2 + 1);
-            see(waiting_ended{queue, one.name, asked, call_end::done, told});
+            see(waiting_query_ended{
+                queue, one.name, asked, call_outcome::done, told});
         }
         if (one_in(2))
         {
@@ -568,12 +570,13 @@
     void
     ask_state(job_model const& job, instance_model const& one, bool cut_off)
     {
-        call_end how = job.stored ? call_end::done : call_end::absent;
+        call_outcome how =
+            job.stored ? call_outcome::done : call_outcome::not_found;
         if (cut_off)
         {
-            how = one_in(2) ? call_end::silent : call_end::absent;
+            how = one_in(2) ? call_outcome::timed_out : call_outcome::not_found;
         }
-        see(status_ended{job.name, one.name, now_, how, job.state()});
+        see(status_query_ended{job.name, one.name, now_, how, job.state()});
     }
 
     /// Tells the lie if there is an occasion for it now.
@@ -627,7 +630,7 @@
     bool tell_of_places()
     {
         worker_model const& worker = any(workers_);
-        limits const bounds;
+        time_limits const bounds;
         if (lie_ == lie::draining_worker)
         {
             return worker.up && worker.draining && quiet(bounds.drain) &&
@@ -670,14 +673,14 @@
     }
     bool forget_cancel(job_model& job, task_model& task)
     {
-        see(cancel_ended{job.name, call_end::done});
+        see(cancel_ended{job.name, call_outcome::done});
         job.planted = true;
         task.ends = now_ + quiet_after_lie;
         return true;
     }
     bool tell_low_count(job_model& job)
     {
-        duration const age = limits{}.visible + 2s;
+        duration const age = time_limits{}.visible + 2s;
         if (!job.open() || !job.answered || job.started || !quiet(age) ||
             job.accepted + age >= now_)
         {
@@ -685,12 +688,14 @@
         }
         job.hold = now_ + 1s;
         job.planted = true;
-        see(waiting_ended{job.shape.queue, "i0", now_, call_end::done, 0});
+        see(waiting_query_ended{
+            job.shape.queue, "i0", now_, call_outcome::done, 0});
         return true;
     }
     bool tell_state(job_model const& job, job_state state)
     {
-        see(status_ended{job.name, "i0", now_, call_end::done, state});
+        see(status_query_ended{
+            job.name, "i0", now_, call_outcome::done, state});
         return true;
     }
     bool start_on(worker_model const& worker)
@@ -729,7 +734,7 @@
 
     std::mt19937_64 random_;
     lie lie_;
-    checker judge_{limits{}};
+    checker judge_{time_limits{}};
     walk_result result_;
     time_point now_ = origin;
     time_point calm_since_{};  ///< The end of the last trouble.
--- a/tests/unit/soak/story.hpp
+++ b/tests/unit/soak/story.hpp
@@ -57,13 +57,13 @@
     template<class Event>
     story& see(Event event)
     {
-        judge_.take({now_, std::move(event)});
+        judge_.observe({now_, std::move(event)});
         return *this;
     }
 
     story& submit(std::string const& job,
                   job_shape const& shape,
-                  call_end how = call_end::done)
+                  call_outcome how = call_outcome::done)
     {
         see(submit_sent{job, shape});
         return see(submit_ended{job, how});
@@ -95,14 +95,15 @@
 
     story& status(std::string const& job,
                   job_state state,
-                  call_end how = call_end::done)
+                  call_outcome how = call_outcome::done)
     {
-        return see(status_ended{job, "i1", now_, how, state});
+        return see(status_query_ended{job, "i1", now_, how, state});
     }
 
     story& waiting(std::uint64_t jobs)
     {
-        return see(waiting_ended{"q", "i1", now_, call_end::done, jobs});
+        return see(
+            waiting_query_ended{"q", "i1", now_, call_outcome::done, jobs});
     }
 
     story&
@@ -124,13 +125,13 @@
         std::set<rule> rules;
         for (violation const& one : judge_.finish(now_))
         {
-            rules.insert(one.which);
+            rules.insert(one.broken_rule);
         }
         return rules;
     }
 
 private:
-    checker judge_{limits{}};
+    checker judge_{time_limits{}};
     time_point now_ = origin;
 };
 
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -11,9 +11,9 @@
 {
 
 template<class Event>
-constexpr bool is_answer =
-    std::is_same_v<Event, status_ended> ||
-    std::is_same_v<Event, waiting_ended> || std::is_same_v<Event, queue_seen>;
+constexpr bool is_answer = std::is_same_v<Event, status_query_ended> ||
+                           std::is_same_v<Event, waiting_query_ended> ||
+                           std::is_same_v<Event, queue_seen>;
 
 template<class Event>
 constexpr bool is_submission =
@@ -21,16 +21,16 @@
 
 template<class Event>
 constexpr bool is_call =
-    is_submission<Event> || std::is_same_v<Event, status_ended> ||
-    std::is_same_v<Event, waiting_ended>;
+    is_submission<Event> || std::is_same_v<Event, status_query_ended> ||
+    std::is_same_v<Event, waiting_query_ended>;
 
 } // namespace
 
-checker::checker(limits bounds) : books_(bounds)
+checker::checker(time_limits bounds) : books_(bounds)
 {
 }
 
-void checker::take(observation const& seen)
+void checker::observe(observation const& seen)
 {
     judge_until(seen.at - books_.bounds.acknowledge);
     auto const visitor = [&](auto const& event)
@@ -66,7 +66,7 @@
             runs_.take(books_, seen.at, event);
         }
     };
-    std::visit(visitor, seen.what);
+    std::visit(visitor, seen.event_data);
 }
 
 void checker::judge(observation const& answer)
@@ -83,7 +83,7 @@
             jobs_check::judge(books_, answer.at, event);
         }
     };
-    std::visit(visitor, answer.what);
+    std::visit(visitor, answer.event_data);
 }
 
 void checker::judge_until(time_point limit)
--- a/tools/soak/checker.hpp
+++ b/tools/soak/checker.hpp
@@ -20,10 +20,10 @@
 class checker
 {
 public:
-    explicit checker(limits bounds);
+    explicit checker(time_limits bounds);
 
     /// `seen.at` is no earlier than that of any observation before it.
-    void take(observation const& seen);
+    void observe(observation const& seen);
 
     /// To be called once, after the last observation. By `now` the accepted
     /// jobs have had time to end, and each was asked for after the traffic
--- a/tools/soak/configuration_check.cpp
+++ b/tools/soak/configuration_check.cpp
@@ -49,21 +49,21 @@
                                 time_point at,
                                 queue_seen const& answer)
 {
-    limits const& bounds = seen.bounds;
+    time_limits const& bounds = seen.bounds;
     bool const calm = seen.fault_intervals.is_fault_free(
-        answer.asked - bounds.configuration, at);
+        answer.requested_at - bounds.configuration, at);
     duration const slack =
         bounds.rollback_slack * (calm ? 1 : slack_in_trouble);
     auto& proofs = proofs_[{answer.instance, answer.incarnation}];
     std::size_t proved = 0;
     for (proof const& one : proofs)
     {
-        proved = one.at + slack < answer.asked ? one.place : proved;
+        proved = one.at + slack < answer.requested_at ? one.place : proved;
     }
     std::size_t least = proved;
     if (calm)
     {
-        time_point const due = answer.asked - bounds.configuration;
+        time_point const due = answer.requested_at - bounds.configuration;
         least = std::max(proved, known(due - duration(1)) - 1);
     }
     // The store's answer may reach the operator after an instance has acted.
--- a/tools/soak/jobs_check.cpp
+++ b/tools/soak/jobs_check.cpp
@@ -39,33 +39,41 @@
 
 void judge_absent(observed_history& seen,
                   time_point at,
-                  status_ended const& answer,
+                  status_query_ended const& answer,
                   job_history const& job)
 {
     duration const visible = seen.bounds.visible;
     bool const due = job.must_complete() &&
-                     *job.accepted_at + visible < answer.asked &&
-                     !forgotten(job, answer.asked);
-    if (due && seen.fault_intervals.is_fault_free(answer.asked - visible, at))
+                     *job.accepted_at + visible < answer.requested_at &&
+                     !forgotten(job, answer.requested_at);
+    if (due &&
+        seen.fault_intervals.is_fault_free(answer.requested_at - visible, at))
     {
-        seen.report(
-            rule::lost, at, answer.job, answer.instance + " does not know it");
+        seen.report(rule::job_lost,
+                    at,
+                    answer.job,
+                    answer.instance + " does not know it");
     }
 }
 
 void judge_state(observed_history& seen,
                  time_point at,
-                 status_ended const& answer,
+                 status_query_ended const& answer,
                  job_history& job)
 {
     if (answer.state == job_state::completed && !by(job.completed_at(), at))
     {
-        seen.report(
-            rule::state, at, answer.job, "shown as completed, and is not");
+        seen.report(rule::reported_state,
+                    at,
+                    answer.job,
+                    "shown as completed, and is not");
     }
     if (answer.state == job_state::failed && !by(job.failed_at(), at))
     {
-        seen.report(rule::state, at, answer.job, "shown as failed, and is not");
+        seen.report(rule::reported_state,
+                    at,
+                    answer.job,
+                    "shown as failed, and is not");
     }
     if (answer.state == job_state::cancelled && !job.reported_cancelled_at)
     {
@@ -159,10 +167,10 @@
                      job_history const& job)
 {
     auto const& word = job.last_status;
-    bool const known = word && word->how == call_end::done;
+    bool const known = word && word->outcome == call_outcome::done;
     if (!known && !forgotten(job, now))
     {
-        seen.report(rule::lost, now, name, "not known at the end");
+        seen.report(rule::job_lost, now, name, "not known at the end");
         return;
     }
     time_point const due = *seen.traffic_end + seen.bounds.finish;
@@ -170,13 +178,13 @@
                         seen.fault_free_for(seen.bounds.finish, now);
     if (counts && !served(job, now))
     {
-        seen.report(rule::lost, now, name, "never done");
+        seen.report(rule::job_lost, now, name, "never done");
     }
-    else if (counts && known && due < word->asked &&
+    else if (counts && known && due < word->requested_at &&
              word->state != job_state::completed &&
-             must_show(job, word->asked - seen.bounds.visible))
+             must_show(job, word->requested_at - seen.bounds.visible))
     {
-        seen.report(rule::lost, now, name, "never shown as completed");
+        seen.report(rule::job_lost, now, name, "never shown as completed");
     }
 }
 
@@ -203,11 +211,12 @@
     job_history& job = seen.jobs[call.job];
     job.unanswered -= std::min<std::size_t>(job.unanswered, 1);
     ++job.answers;
-    if (call.how == call_end::refused || call.how == call_end::absent)
+    if (call.outcome == call_outcome::refused ||
+        call.outcome == call_outcome::not_found)
     {
         ++job.rejections;
     }
-    if (call.how == call_end::done && !job.accepted_at)
+    if (call.outcome == call_outcome::done && !job.accepted_at)
     {
         job.accepted_at = at;
     }
@@ -218,11 +227,11 @@
                       cancel_ended const& call)
 {
     job_history& job = seen.jobs[call.job];
-    if (call.how == call_end::done && !job.cancel_acknowledged_at)
+    if (call.outcome == call_outcome::done && !job.cancel_acknowledged_at)
     {
         job.cancel_acknowledged_at = at;
     }
-    if (call.how != call_end::refused && !job.first_possible_cancel_at)
+    if (call.outcome != call_outcome::refused && !job.first_possible_cancel_at)
     {
         job.first_possible_cancel_at = at;
     }
@@ -230,27 +239,29 @@
 
 void jobs_check::judge(observed_history& seen,
                        time_point at,
-                       status_ended const& answer)
+                       status_query_ended const& answer)
 {
-    if (answer.how != call_end::done && answer.how != call_end::absent)
+    if (answer.outcome != call_outcome::done &&
+        answer.outcome != call_outcome::not_found)
     {
         return;
     }
     auto const entry = seen.jobs.find(answer.job);
     if (entry == seen.jobs.end() || !by(entry->second.first_sent_at, at))
     {
-        if (answer.how == call_end::done)
+        if (answer.outcome == call_outcome::done)
         {
-            seen.report(rule::state, at, answer.job, "nobody handed it in");
+            seen.report(
+                rule::reported_state, at, answer.job, "nobody handed it in");
         }
         return;
     }
     job_history& job = entry->second;
-    if (seen.traffic_end && *seen.traffic_end <= answer.asked)
+    if (seen.traffic_end && *seen.traffic_end <= answer.requested_at)
     {
         job.last_status = answer;
     }
-    if (answer.how == call_end::absent)
+    if (answer.outcome == call_outcome::not_found)
     {
         judge_absent(seen, at, answer, job);
     }
@@ -262,11 +273,11 @@
 
 void jobs_check::judge(observed_history& seen,
                        time_point at,
-                       waiting_ended const& answer)
+                       waiting_query_ended const& answer)
 {
     duration const age = seen.bounds.visible + count_age;
-    if (answer.how != call_end::done ||
-        !seen.fault_intervals.is_fault_free(answer.asked - age, at))
+    if (answer.outcome != call_outcome::done ||
+        !seen.fault_intervals.is_fault_free(answer.requested_at - age, at))
     {
         return;
     }
@@ -274,14 +285,14 @@
     {
         job_history const& job = entry.second;
         return job.shape.queue == answer.queue && job.must_complete() &&
-               *job.accepted_at + age < answer.asked &&
+               *job.accepted_at + age < answer.requested_at &&
                !by(job.first_started_at, at + order_under_way);
     };
     std::uint64_t const due =
         std::count_if(seen.jobs.begin(), seen.jobs.end(), waits);
     if (2 * answer.jobs < due)
     {
-        seen.report(rule::counts,
+        seen.report(rule::waiting_count,
                     at,
                     answer.queue,
                     answer.instance + " tells " + std::to_string(answer.jobs) +
@@ -296,7 +307,7 @@
         if (job.reported_cancelled_at && !job.cancel_acknowledged_at &&
             !job.first_possible_cancel_at)
         {
-            seen.report(rule::state,
+            seen.report(rule::reported_state,
                         *job.reported_cancelled_at,
                         name,
                         "shown as cancelled, and nobody asked for it");
--- a/tools/soak/jobs_check.hpp
+++ b/tools/soak/jobs_check.hpp
@@ -24,10 +24,10 @@
     /// Judges an answer that came at `at`.
     static void judge(observed_history& seen,
                       core::common::time_point at,
-                      status_ended const& answer);
+                      status_query_ended const& answer);
     static void judge(observed_history& seen,
                       core::common::time_point at,
-                      waiting_ended const& answer);
+                      waiting_query_ended const& answer);
 
     /// What became of all accepted jobs; all answers have been judged.
     static void finish(observed_history& seen, core::common::time_point now);
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -74,8 +74,8 @@
     for (auto const& each : broken)
     {
         out << core::common::to_milliseconds(each.at - figures.began) << " ms "
-            << name_of(each.which) << ' ' << each.subject << ": " << each.why
-            << '\n';
+            << name_of(each.broken_rule) << ' ' << each.subject << ": "
+            << each.reason << '\n';
     }
     for (auto const& each : figures.complaints)
     {
@@ -95,12 +95,12 @@
     write(settings.folder + "/schedule.txt", to_text(draw(settings.what)));
     write(settings.folder + "/command.txt", command + '\n');
     core::common::failure reason;
-    checker check((limits()));
+    checker check((time_limits()));
     auto const figures = run(
         settings,
         [&check](observation const& seen)
         {
-            check.take(seen);
+            check.observe(seen);
         },
         reason);
     if (!figures)
--- a/tools/soak/observation.hpp
+++ b/tools/soak/observation.hpp
@@ -30,14 +30,14 @@
 };
 
 /// How a call of a caller ended.
-enum class call_end : std::uint8_t
+enum class call_outcome : std::uint8_t
 {
-    done,    ///< 2xx
-    refused, ///< 429, 503: nothing was done and nothing will be.
-    unknown, ///< 502, 504.
-    absent,  ///< 404 of a queue, 410 of a job.
-    broken,  ///< The connection ended before a whole answer.
-    silent,  ///< No answer within the caller's time limit.
+    done,         ///< 2xx
+    refused,      ///< 429, 503: nothing was done and nothing will be.
+    unknown,      ///< 502, 504.
+    not_found,    ///< 404 of a queue, 410 of a job.
+    disconnected, ///< The connection ended before a whole answer.
+    timed_out,    ///< No answer within the caller's time limit.
 };
 
 struct submit_sent
@@ -49,32 +49,32 @@
 struct submit_ended
 {
     std::string job;
-    call_end how = call_end::silent;
+    call_outcome outcome = call_outcome::timed_out;
 };
 
 struct cancel_ended
 {
     std::string job;
-    call_end how = call_end::silent;
+    call_outcome outcome = call_outcome::timed_out;
 };
 
 /// A question for the state of a job; `state` counts only where it is `done`.
-struct status_ended
+struct status_query_ended
 {
     std::string job;
     std::string instance;
-    core::common::time_point asked{};
-    call_end how = call_end::silent;
+    core::common::time_point requested_at{};
+    call_outcome outcome = call_outcome::timed_out;
     ports::job_state state = ports::job_state::queued;
 };
 
 /// A question for the jobs of a queue that wait.
-struct waiting_ended
+struct waiting_query_ended
 {
     std::string queue;
     std::string instance;
-    core::common::time_point asked{};
-    call_end how = call_end::silent;
+    core::common::time_point requested_at{};
+    call_outcome outcome = call_outcome::timed_out;
     std::uint64_t jobs = 0;
 };
 
@@ -83,15 +83,15 @@
 {
     std::string worker;
     std::string data_centre;
-    ports::pool_attempt what;
+    ports::pool_attempt run;
     std::uint64_t fence = 0;
 };
 
 struct run_ended
 {
     std::string worker;
-    ports::pool_attempt what;
-    ports::end_kind how = ports::end_kind::done;
+    ports::pool_attempt run;
+    ports::end_kind outcome = ports::end_kind::done;
 };
 
 /// The worker was told that this end is durable elsewhere. Never seen where
@@ -99,8 +99,8 @@
 struct end_acknowledged
 {
     std::string worker;
-    ports::pool_attempt what;
-    ports::end_kind how = ports::end_kind::done;
+    ports::pool_attempt run;
+    ports::end_kind outcome = ports::end_kind::done;
 };
 
 /// All that ran there is gone, and no end of it will be listed.
@@ -119,7 +119,7 @@
 struct data_centre_set
 {
     std::string name;
-    bool out = false;
+    bool out_of_service = false;
 };
 
 /// The store took a configuration with these queues.
@@ -135,7 +135,7 @@
     std::string queue;
     std::string instance;
     std::uint64_t incarnation = 0; ///< Of its process.
-    core::common::time_point asked{};
+    core::common::time_point requested_at{};
     bool present = false;
 };
 
@@ -155,8 +155,8 @@
 using event = std::variant<submit_sent,
                            submit_ended,
                            cancel_ended,
-                           status_ended,
-                           waiting_ended,
+                           status_query_ended,
+                           waiting_query_ended,
                            run_started,
                            run_ended,
                            end_acknowledged,
@@ -171,37 +171,39 @@
 struct observation
 {
     core::common::time_point at{};
-    event what;
+    event event_data;
 };
 
 /// The rules that an observer can check.
 enum class rule : std::uint8_t
 {
-    lost,        ///< Accepted, then unknown, unanswered, or never done.
-    refused_ran, ///< A task of a job whose callers were all refused started.
-    doubled,     ///< Two runs of a task at once, or one after its end was
-                 ///< acknowledged as done.
-    order,       ///< A start before the steps that it waits for were done.
-    attempts,    ///< A start after the last attempt had failed.
-    cancelled,   ///< A start, or a run, too long after an acknowledged cancel.
-    drain,       ///< A start on a worker too long after it said it leaves.
+    job_lost,         ///< Accepted, then unknown, unanswered, or never done.
+    refused_job_ran,  ///< A task of a job whose callers were all refused
+                      ///< started.
+    duplicate_run,    ///< Two runs of a task at once, or one after its end was
+                      ///< acknowledged as done.
+    step_order,       ///< A start before the steps that it waits for were done.
+    attempt_limit,    ///< A start after the last attempt had failed.
+    ran_after_cancel, ///< A start, or a run, too long after an acknowledged
+                      ///< cancel.
+    drain,            ///< A start on a worker too long after it said it leaves.
     data_centre, ///< A start in a data centre too long after it was taken out.
-    configuration, ///< A queue is shown as of an older configuration.
-    counts,        ///< Fewer jobs are told to wait than do.
-    state,         ///< A state is shown that the workers' runs contradict.
-    recovery,      ///< Too little is served too long after the last trouble.
+    configuration,  ///< A queue is shown as of an older configuration.
+    waiting_count,  ///< Fewer jobs are told to wait than do.
+    reported_state, ///< A state is shown that the workers' runs contradict.
+    recovery,       ///< Too little is served too long after the last trouble.
 };
 
 struct violation
 {
-    rule which = rule::lost;
+    rule broken_rule = rule::job_lost;
     core::common::time_point at{};
     std::string subject; ///< Job, task, queue or instance.
-    std::string why;
+    std::string reason;
 };
 
 /// Time limits of the platform's pages.
-struct limits
+struct time_limits
 {
     core::common::duration stable_window = std::chrono::milliseconds(3000);
     core::common::duration acknowledge = std::chrono::milliseconds(4000);
--- a/tools/soak/observed_history.cpp
+++ b/tools/soak/observed_history.cpp
@@ -132,7 +132,7 @@
     return accepted_at && !cancel_acknowledged_at && !first_possible_cancel_at;
 }
 
-observed_history::observed_history(limits value)
+observed_history::observed_history(time_limits value)
     : bounds(value), fault_intervals(value.stable_window)
 {
 }
--- a/tools/soak/observed_history.hpp
+++ b/tools/soak/observed_history.hpp
@@ -55,7 +55,7 @@
     std::optional<core::common::time_point> first_started_at;
     std::optional<core::common::time_point> reported_cancelled_at;
     /// The last answer on its state after the end of the traffic.
-    std::optional<status_ended> last_status;
+    std::optional<status_query_ended> last_status;
     bool unjustified_run_reported = false;
     std::map<std::pair<std::uint32_t, std::uint32_t>, task_history> tasks;
 
@@ -74,9 +74,9 @@
 
 struct observed_history
 {
-    explicit observed_history(limits value);
+    explicit observed_history(time_limits value);
 
-    limits bounds;
+    time_limits bounds;
     fault_interval_log fault_intervals;
     std::map<std::string, job_history> jobs;
     std::optional<core::common::time_point> traffic_end;
--- a/tools/soak/record.cpp
+++ b/tools/soak/record.cpp
@@ -14,7 +14,7 @@
 using core::common::clock;
 using core::common::to_milliseconds;
 
-std::string word(call_end how)
+std::string word(call_outcome how)
 {
     constexpr std::array<char const*, 6> names{
         "done", "refused", "unknown", "absent", "broken", "silent"};
@@ -54,35 +54,37 @@
     }
     std::string operator()(submit_ended const& it) const
     {
-        return "submitted " + it.job + ' ' + word(it.how);
+        return "submitted " + it.job + ' ' + word(it.outcome);
     }
     std::string operator()(cancel_ended const& it) const
     {
-        return "cancelled " + it.job + ' ' + word(it.how);
+        return "cancelled " + it.job + ' ' + word(it.outcome);
     }
-    std::string operator()(status_ended const& it) const
+    std::string operator()(status_query_ended const& it) const
     {
-        return "status " + it.job + " at " + it.instance + ' ' + word(it.how) +
-               ' ' + word(it.state) + ago(it.asked);
+        return "status " + it.job + " at " + it.instance + ' ' +
+               word(it.outcome) + ' ' + word(it.state) + ago(it.requested_at);
     }
-    std::string operator()(waiting_ended const& it) const
+    std::string operator()(waiting_query_ended const& it) const
     {
         return "waiting " + it.queue + " at " + it.instance + ' ' +
-               word(it.how) + ' ' + std::to_string(it.jobs) + ago(it.asked);
+               word(it.outcome) + ' ' + std::to_string(it.jobs) +
+               ago(it.requested_at);
     }
     std::string operator()(run_started const& it) const
     {
-        return "start " + word(it.what) + " on " + it.worker + " in " +
+        return "start " + word(it.run) + " on " + it.worker + " in " +
                it.data_centre + " fence " + std::to_string(it.fence);
     }
     std::string operator()(run_ended const& it) const
     {
-        return "end " + word(it.what) + " on " + it.worker + ' ' + word(it.how);
+        return "end " + word(it.run) + " on " + it.worker + ' ' +
+               word(it.outcome);
     }
     std::string operator()(end_acknowledged const& it) const
     {
-        return "noted " + word(it.what) + " on " + it.worker + ' ' +
-               word(it.how);
+        return "noted " + word(it.run) + " on " + it.worker + ' ' +
+               word(it.outcome);
     }
     std::string operator()(worker_crashed const& it) const
     {
@@ -94,7 +96,7 @@
     }
     std::string operator()(data_centre_set const& it) const
     {
-        return "data centre " + it.name + (it.out ? " out" : " in");
+        return "data centre " + it.name + (it.out_of_service ? " out" : " in");
     }
     std::string operator()(configuration_set const& it) const
     {
@@ -109,7 +111,7 @@
     {
         return "queue " + it.queue + " at " + it.instance + '/' +
                std::to_string(it.incarnation) +
-               (it.present ? " present" : " absent") + ago(it.asked);
+               (it.present ? " present" : " absent") + ago(it.requested_at);
     }
     std::string operator()(fault_state_set const& it) const
     {
@@ -131,7 +133,7 @@
 void record::take(event what)
 {
     observation const made{clock::now(), std::move(what)};
-    write(made.at, std::visit(describer{}, made.what));
+    write(made.at, std::visit(describer{}, made.event_data));
     take_(made);
 }
 
--- a/tools/soak/recovery_check.cpp
+++ b/tools/soak/recovery_check.cpp
@@ -29,9 +29,9 @@
     }
 };
 
-bool answered(call_end how)
+bool answered(call_outcome how)
 {
-    return how == call_end::done || how == call_end::absent;
+    return how == call_outcome::done || how == call_outcome::not_found;
 }
 
 } // namespace
@@ -49,7 +49,8 @@
         return;
     }
     auto& sent = entry->second;
-    submissions_.push_back({sent.front(), at, call.how == call_end::done});
+    submissions_.push_back(
+        {sent.front(), at, call.outcome == call_outcome::done});
     sent.erase(sent.begin());
     if (sent.empty())
     {
@@ -57,14 +58,14 @@
     }
 }
 
-void recovery_check::take(time_point at, status_ended const& call)
+void recovery_check::take(time_point at, status_query_ended const& call)
 {
-    questions_.push_back({call.asked, at, answered(call.how)});
+    questions_.push_back({call.requested_at, at, answered(call.outcome)});
 }
 
-void recovery_check::take(time_point at, waiting_ended const& call)
+void recovery_check::take(time_point at, waiting_query_ended const& call)
 {
-    questions_.push_back({call.asked, at, answered(call.how)});
+    questions_.push_back({call.requested_at, at, answered(call.outcome)});
 }
 
 void recovery_check::finish(observed_history& seen, time_point now) const
--- a/tools/soak/recovery_check.hpp
+++ b/tools/soak/recovery_check.hpp
@@ -16,8 +16,8 @@
 public:
     void take(core::common::time_point at, submit_sent const& call);
     void take(core::common::time_point at, submit_ended const& call);
-    void take(core::common::time_point at, status_ended const& call);
-    void take(core::common::time_point at, waiting_ended const& call);
+    void take(core::common::time_point at, status_query_ended const& call);
+    void take(core::common::time_point at, waiting_query_ended const& call);
 
     void finish(observed_history& seen, core::common::time_point now) const;
 
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -30,13 +30,15 @@
     if (!job.has_task(task))
     {
         seen.report(
-            rule::refused_ran, at, name_of(task), "nobody handed it in");
+            rule::refused_job_ran, at, name_of(task), "nobody handed it in");
         job.unjustified_run_reported = true;
     }
     else if (job.all_refused())
     {
-        seen.report(
-            rule::refused_ran, at, name_of(task), "starts after the refusal");
+        seen.report(rule::refused_job_ran,
+                    at,
+                    name_of(task),
+                    "starts after the refusal");
         job.unjustified_run_reported = true;
     }
 }
@@ -54,7 +56,7 @@
                                     });
     if (other != book.runs.end())
     {
-        seen.report(rule::doubled,
+        seen.report(rule::duplicate_run,
                     at,
                     name_of(task),
                     "runs already on " + other->worker);
@@ -62,7 +64,7 @@
     if (!lasting(seen.jobs[task.job], task) &&
         book.acknowledged_at(end_kind::done, 1))
     {
-        seen.report(rule::doubled, at, name_of(task), "was done");
+        seen.report(rule::duplicate_run, at, name_of(task), "was done");
     }
 }
 
@@ -75,7 +77,7 @@
     {
         if (!job.step_done(earlier))
         {
-            seen.report(rule::order,
+            seen.report(rule::step_order,
                         at,
                         name_of(task),
                         "step " + std::to_string(earlier) + " is not done");
@@ -93,7 +95,8 @@
             .acknowledged_at(end_kind::failed, job.shape.attempts);
     if (!lasting(job, task) && last)
     {
-        seen.report(rule::attempts, at, name_of(task), "had failed for good");
+        seen.report(
+            rule::attempt_limit, at, name_of(task), "had failed for good");
     }
 }
 
@@ -105,7 +108,8 @@
     duration const bound = seen.bounds.cancel;
     if (since && at > *since + bound && seen.fault_free_for(bound, at))
     {
-        seen.report(rule::cancelled, at, name_of(task), "its job is cancelled");
+        seen.report(
+            rule::ran_after_cancel, at, name_of(task), "its job is cancelled");
     }
 }
 
@@ -130,8 +134,10 @@
     duration const bound = seen.bounds.cancel + seen.bounds.stop;
     if (seen.fault_intervals.has_fault_free_interval(begin, at, bound))
     {
-        seen.report(
-            rule::cancelled, at, name_of(task), "ran on after the cancel");
+        seen.report(rule::ran_after_cancel,
+                    at,
+                    name_of(task),
+                    "ran on after the cancel");
     }
 }
 
@@ -164,7 +170,7 @@
     bool const decides = decided && (done || how == end_kind::failed);
     if (decides && !lasting(job, task) && ran_on(seen, book, *decided, at))
     {
-        seen.report(done ? rule::doubled : rule::attempts,
+        seen.report(done ? rule::duplicate_run : rule::attempt_limit,
                     at,
                     name_of(task),
                     "began again after this end");
@@ -192,7 +198,7 @@
                       time_point at,
                       run_started const& start)
 {
-    ports::task_name const& task = start.what.task;
+    ports::task_name const& task = start.run.task;
     job_history& job = seen.jobs[task.job];
     check_asked(seen, at, task);
     if (job.has_task(task))
@@ -208,8 +214,8 @@
         job.first_started_at = at;
     }
     auto& runs = task_of(seen, task).runs;
-    running_[{start.worker, start.what}] = runs.size();
-    runs.push_back({start.worker, start.what.attempt, at, {}, {}});
+    running_[{start.worker, start.run}] = runs.size();
+    runs.push_back({start.worker, start.run.attempt, at, {}, {}});
 }
 
 void runs_check::check_place(observed_history& seen,
@@ -222,7 +228,7 @@
         return entry != since.end() && at > entry->second + bound &&
                seen.fault_free_for(bound, at);
     };
-    std::string const task = name_of(start.what.task);
+    std::string const task = name_of(start.run.task);
     if (late(draining_, start.worker, seen.bounds.drain))
     {
         seen.report(rule::drain, at, task, start.worker + " leaves");
@@ -237,36 +243,36 @@
                       time_point at,
                       run_ended const& end)
 {
-    auto const entry = running_.find({end.worker, end.what});
+    auto const entry = running_.find({end.worker, end.run});
     if (entry == running_.end())
     {
         return;
     }
-    run_history& run = task_of(seen, end.what.task).runs[entry->second];
+    run_history& run = task_of(seen, end.run.task).runs[entry->second];
     run.ended_at = at;
-    run.outcome = end.how;
+    run.outcome = end.outcome;
     running_.erase(entry);
-    check_stopped(seen, at, end.what.task, run);
+    check_stopped(seen, at, end.run.task, run);
 }
 
 void runs_check::take(observed_history& seen,
                       time_point at,
                       end_acknowledged const& end)
 {
-    auto& runs = task_of(seen, end.what.task).runs;
-    auto const run =
-        std::find_if(runs.begin(),
-                     runs.end(),
-                     [&](run_history const& known)
-                     {
-                         return known.worker == end.worker &&
-                                known.attempt == end.what.attempt &&
-                                known.outcome == end.how && !known.acknowledged;
-                     });
+    auto& runs = task_of(seen, end.run.task).runs;
+    auto const run = std::find_if(runs.begin(),
+                                  runs.end(),
+                                  [&](run_history const& known)
+                                  {
+                                      return known.worker == end.worker &&
+                                             known.attempt == end.run.attempt &&
+                                             known.outcome == end.outcome &&
+                                             !known.acknowledged;
+                                  });
     if (run != runs.end())
     {
         run->acknowledged = true;
-        check_acknowledged(seen, at, end.what.task, end.how);
+        check_acknowledged(seen, at, end.run.task, end.outcome);
     }
 }
 
@@ -298,7 +304,7 @@
                       time_point at,
                       data_centre_set const& change)
 {
-    if (change.out)
+    if (change.out_of_service)
     {
         out_.emplace(change.name, at);
     }
@@ -320,8 +326,10 @@
         if (job.first_started_at && !job.unjustified_run_reported &&
             job.all_refused())
         {
-            seen.report(
-                rule::refused_ran, now, name, "ran, and was refused each time");
+            seen.report(rule::refused_job_ran,
+                        now,
+                        name,
+                        "ran, and was refused each time");
         }
     }
 }
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -289,7 +289,7 @@
         {
             since_ = now;
         }
-        bool const late = in_phase() > limits{}.finish + answer_reserve;
+        bool const late = in_phase() > time_limits{}.finish + answer_reserve;
         if (late || (healed && traffic_.all_over()))
         {
             out_.note(late ? "not all jobs are over" : "all jobs are over");
--- a/tools/soak/traffic.cpp
+++ b/tools/soak/traffic.cpp
@@ -23,25 +23,26 @@
 constexpr duration ask_all_interval = 500ms;
 constexpr std::uint32_t most_tries = 12;
 
-call_end end_of(exchange_status status, std::uint16_t code)
+call_outcome end_of(exchange_status status, std::uint16_t code)
 {
     if (status != exchange_status::answered)
     {
-        return status == exchange_status::timed_out ? call_end::silent
-                                                    : call_end::broken;
+        return status == exchange_status::timed_out
+                   ? call_outcome::timed_out
+                   : call_outcome::disconnected;
     }
     switch (code)
     {
     case 200:
-        return call_end::done;
+        return call_outcome::done;
     case 429:
     case 503:
-        return call_end::refused;
+        return call_outcome::refused;
     case 404:
     case 410:
-        return call_end::absent;
+        return call_outcome::not_found;
     default:
-        return call_end::unknown;
+        return call_outcome::unknown;
     }
 }
 
@@ -184,21 +185,21 @@
         plan.shape.queue,
         plan.id,
         body_of(plan),
-        [this, &job](call_end how, std::string const&)
+        [this, &job](call_outcome how, std::string const&)
         {
             out_.take(submit_ended{job.plan.id, how});
             on_submitted(job, how);
         });
 }
 
-void traffic::on_submitted(entry& job, call_end how)
+void traffic::on_submitted(entry& job, call_outcome how)
 {
     constexpr duration shortest_repeat = 500ms;
     constexpr duration longest_repeat = 4s;
-    job.refused = job.refused && how == call_end::refused;
-    if (how != call_end::done)
+    job.refused = job.refused && how == call_outcome::refused;
+    if (how != call_outcome::done)
     {
-        bool const again = how != call_end::refused || job.plan.persistent;
+        bool const again = how != call_outcome::refused || job.plan.persistent;
         if (again && job.tries < most_tries && !ended_at_)
         {
             later(try_again,
@@ -242,7 +243,7 @@
         plan.shape.queue,
         plan.id,
         body_of(plan),
-        [this, &job](call_end how, std::string const&)
+        [this, &job](call_outcome how, std::string const&)
         {
             out_.take(submit_ended{job.plan.id, how});
         });
@@ -253,17 +254,17 @@
 void traffic::cancel(entry& job, std::size_t instance)
 {
     auto const& plan = job.plan;
-    out_.take(cancel_ended{plan.id, call_end::unknown});
+    out_.take(cancel_ended{plan.id, call_outcome::unknown});
     ask(plan.caller,
         instance,
         "DELETE",
         plan.shape.queue,
         plan.id,
         "",
-        [this, &job, instance](call_end how, std::string const&)
+        [this, &job, instance](call_outcome how, std::string const&)
         {
             out_.take(cancel_ended{job.plan.id, how});
-            if (how != call_end::done && how != call_end::absent)
+            if (how != call_outcome::done && how != call_outcome::not_found)
             {
                 later(try_again,
                       [this, &job, instance]
@@ -284,18 +285,18 @@
         job.plan.shape.queue,
         job.plan.id,
         "",
-        [this, &job, at, asked](call_end how, std::string const& body)
+        [this, &job, at, asked](call_outcome how, std::string const& body)
         {
             auto const state =
-                how == call_end::done ? state_in(body) : job_state::queued;
-            if (how == call_end::done && !is_over(job.state))
+                how == call_outcome::done ? state_in(body) : job_state::queued;
+            if (how == call_outcome::done && !is_over(job.state))
             {
                 job.state = state;
             }
             job.confirmed = job.confirmed || (ended_at_ && is_over(state) &&
                                               asked >= *ended_at_);
-            out_.take(
-                status_ended{job.plan.id, to_.name(at), asked, how, state});
+            out_.take(status_query_ended{
+                job.plan.id, to_.name(at), asked, how, state});
         });
 }
 
@@ -310,10 +311,11 @@
         queue,
         "",
         "",
-        [this, queue, at, asked](call_end how, std::string const& body)
+        [this, queue, at, asked](call_outcome how, std::string const& body)
         {
-            auto const jobs = how == call_end::done ? number_in(body) : 0;
-            out_.take(waiting_ended{queue, to_.name(at), asked, how, jobs});
+            auto const jobs = how == call_outcome::done ? number_in(body) : 0;
+            out_.take(
+                waiting_query_ended{queue, to_.name(at), asked, how, jobs});
         });
 }
 
@@ -331,13 +333,17 @@
         queue,
         "",
         "",
-        [this, queue, at, asked, life](call_end how, std::string const&)
+        [this, queue, at, asked, life](call_outcome how, std::string const&)
         {
-            bool const told = how == call_end::done || how == call_end::absent;
+            bool const told =
+                how == call_outcome::done || how == call_outcome::not_found;
             if (told && life == to_.incarnation(at))
             {
-                out_.take(queue_seen{
-                    queue, to_.name(at), life, asked, how == call_end::done});
+                out_.take(queue_seen{queue,
+                                     to_.name(at),
+                                     life,
+                                     asked,
+                                     how == call_outcome::done});
             }
         });
 }
--- a/tools/soak/traffic.hpp
+++ b/tools/soak/traffic.hpp
@@ -58,7 +58,7 @@
         bool confirmed = false; ///< Told to be over, after the traffic.
         ports::job_state state = ports::job_state::queued;
     };
-    using after = std::function<void(call_end, std::string const& body)>;
+    using after = std::function<void(call_outcome, std::string const& body)>;
 
     void later(core::common::duration wait, std::function<void()> what);
     void ask(std::uint32_t caller,
@@ -69,7 +69,7 @@
              std::string const& body,
              after then);
     void submit(entry& job);
-    void on_submitted(entry& job, call_end how);
+    void on_submitted(entry& job, call_outcome how);
     void repeat(entry& job);
     void cancel(entry& job, std::size_t instance);
     void ask_state(entry& job, std::size_t instance);
