--- a/tools/soak/faults.cpp
+++ b/tools/soak/faults.cpp
@@ -44,7 +44,7 @@
 faults::faults(instances& under_test,
                standins::pool::pool_server& platform,
                relays workers,
-               record& out,
+               observation_log& out,
                bool stale)
     : instances_(under_test), platform_(platform), workers_(std::move(workers)),
       out_(out), stale_(stale)
@@ -97,11 +97,11 @@
                       std::to_string(what.target);
     if (suspends_time_limits(what.what))
     {
-        out_.take(fault_state_set{name, true});
+        out_.append(fault_state_set{name, true});
     }
     else
     {
-        out_.note(name);
+        out_.append_comment(name);
     }
     active_.push_back({what, name, clock::now() + what.length});
     begin_one(what);
@@ -156,12 +156,12 @@
         workers_[worker]->reset();
         break;
     case fault_kind::crash:
-        out_.take(worker_crashed{platform_.info(worker).id});
+        out_.append(worker_crashed{platform_.info(worker).id});
         platform_.crash(worker);
         break;
     case fault_kind::drain:
         platform_.drain(worker);
-        out_.take(worker_draining{platform_.info(worker).id});
+        out_.append(worker_draining{platform_.info(worker).id});
         break;
     case fault_kind::evacuation:
         set_data_centre(true);
@@ -193,7 +193,7 @@
         settle(ending.what);
         if (suspends_time_limits(ending.what.what))
         {
-            out_.take(fault_state_set{ending.name, false});
+            out_.append(fault_state_set{ending.name, false});
         }
     }
 }
@@ -209,7 +209,7 @@
         leave(what.target, what.value % 2 == 0);
         break;
     case fault_kind::drain:
-        out_.take(worker_crashed{platform_.info(what.target).id});
+        out_.append(worker_crashed{platform_.info(what.target).id});
         platform_.crash(what.target);
         leave(what.target, false);
         break;
@@ -411,7 +411,7 @@
         platform_.store().put("op/config",
                               standins::pool::encode_config(version_, queues));
     }
-    out_.take(configuration_set{version_, names});
+    out_.append(configuration_set{version_, names});
 }
 
 void faults::set_data_centre(bool out)
@@ -425,7 +425,7 @@
     {
         platform_.store().erase("op/evacuate/" + name);
     }
-    out_.take(data_centre_set{name, out});
+    out_.append(data_centre_set{name, out});
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/faults.hpp
+++ b/tools/soak/faults.hpp
@@ -3,8 +3,8 @@
 #include "standins/links/relay.hpp"
 #include "standins/pool/pool_server.hpp"
 #include "tools/soak/instances.hpp"
+#include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
-#include "tools/soak/record.hpp"
 
 #include <cstdint>
 #include <list>
@@ -29,7 +29,7 @@
     faults(instances& under_test,
            standins::pool::pool_server& platform,
            relays workers,
-           record& out,
+           observation_log& out,
            bool stale);
 
     /// Puts the first configuration into the store.
@@ -69,7 +69,7 @@
     instances& instances_;
     standins::pool::pool_server& platform_;
     relays workers_;
-    record& out_;
+    observation_log& out_;
     bool stale_;
     std::list<active> active_;
     std::uint64_t applied_ = 0;
--- a/tools/soak/instances.cpp
+++ b/tools/soak/instances.cpp
@@ -46,7 +46,7 @@
 
 instances::instances(boost::asio::io_context& io,
                      instances_settings settings,
-                     record& out)
+                     observation_log& out)
     : io_(io), settings_(std::move(settings)), out_(out),
       members_(settings_.count)
 {
@@ -129,7 +129,7 @@
     one.killed = false;
     one.paused = false;
     one.asked_to_stop.reset();
-    out_.note("started " + name(number));
+    out_.append_comment("started " + name(number));
 }
 
 void instances::kill(std::size_t number)
@@ -149,7 +149,7 @@
     {
         one.asked_to_stop = clock::now();
         one.process->signal(SIGTERM);
-        out_.note("SIGTERM to " + name(number));
+        out_.append_comment("SIGTERM to " + name(number));
     }
 }
 
@@ -226,7 +226,7 @@
 void instances::complain(std::size_t number, std::string const& why)
 {
     complaints_.push_back(name(number) + " " + why);
-    out_.note("complaint: " + complaints_.back());
+    out_.append_comment("complaint: " + complaints_.back());
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/instances.hpp
+++ b/tools/soak/instances.hpp
@@ -3,7 +3,7 @@
 #include "adapters/runtime/child.hpp"
 #include "ports/identity.hpp"
 #include "standins/links/relay.hpp"
-#include "tools/soak/record.hpp"
+#include "tools/soak/observation_log.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -33,7 +33,7 @@
 public:
     instances(boost::asio::io_context& io,
               instances_settings settings,
-              record& out);
+              observation_log& out);
 
     bool listen(core::common::failure& reason);
     std::size_t size() const noexcept;
@@ -74,7 +74,7 @@
 
     boost::asio::io_context& io_;
     instances_settings settings_;
-    record& out_;
+    observation_log& out_;
     std::vector<member> members_;
     std::vector<std::string> complaints_;
 };
--- a/tools/soak/record.cpp
+++ b/tools/soak/observation_log.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/record.hpp"
+#include "tools/soak/observation_log.hpp"
 
 #include "platform/order_codec.hpp"
 
@@ -125,29 +125,30 @@
 
 } // namespace
 
-record::record(std::string const& path, sink take)
+observation_log::observation_log(std::string const& path, sink take)
     : file_(path), take_(std::move(take)), first_(clock::now())
 {
 }
 
-void record::take(event what)
+void observation_log::append(event what)
 {
     observation const made{clock::now(), std::move(what)};
     write(made.at, std::visit(describer{}, made.event_data));
     take_(made);
 }
 
-void record::note(std::string const& text)
+void observation_log::append_comment(std::string const& text)
 {
     write(clock::now(), "-- " + text);
 }
 
-core::common::time_point record::first() const noexcept
+core::common::time_point observation_log::created_at() const noexcept
 {
     return first_;
 }
 
-void record::write(core::common::time_point at, std::string const& text)
+void observation_log::write(core::common::time_point at,
+                            std::string const& text)
 {
     file_ << to_milliseconds(at - first_) << ' ' << text << '\n';
 }
--- a/tools/soak/record.hpp
+++ b/tools/soak/observation_log.hpp
@@ -11,17 +11,17 @@
 
 /// Hands each observation on and writes it to a file, a line each: milliseconds
 /// since its making, and what was seen.
-class record
+class observation_log
 {
 public:
     using sink = std::function<void(observation const&)>;
 
-    record(std::string const& path, sink take);
-    void take(event what);
+    observation_log(std::string const& path, sink take);
+    void append(event what);
     /// Of what the soak itself does; for the reader of the file alone.
-    void note(std::string const& text);
+    void append_comment(std::string const& text);
     /// When it was made: zero of the file's times.
-    core::common::time_point first() const noexcept;
+    core::common::time_point created_at() const noexcept;
 
 private:
     void write(core::common::time_point at, std::string const& text);
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -44,7 +44,7 @@
 class world
 {
 public:
-    world(soak_settings const& settings, record::sink const& take)
+    world(soak_settings const& settings, observation_log::sink const& take)
         : settings_(settings), drawn_(draw(settings.what)),
           out_(settings.folder + "/observations.txt", take),
           address_(standins::process_loopback_address()),
@@ -92,7 +92,7 @@
         tick();
         io_.run();
         soak_figures made;
-        made.began = out_.first();
+        made.began = out_.created_at();
         made.jobs = traffic_.counts();
         made.runs = runs_;
         made.faults = faults_.applied();
@@ -150,14 +150,15 @@
         {
         case worker_moment::started:
             ++runs_;
-            out_.take(run_started{
+            out_.append(run_started{
                 worker.id, worker.data_centre, event.run, event.fence});
             break;
         case worker_moment::ended:
-            out_.take(run_ended{worker.id, event.run, event.end_result});
+            out_.append(run_ended{worker.id, event.run, event.end_result});
             break;
         case worker_moment::acknowledged:
-            out_.take(end_acknowledged{worker.id, event.run, event.end_result});
+            out_.append(
+                end_acknowledged{worker.id, event.run, event.end_result});
             break;
         }
     }
@@ -239,7 +240,7 @@
         if (late != late_)
         {
             late_ = late;
-            out_.take(fault_state_set{"busy machine", late});
+            out_.append(fault_state_set{"busy machine", late});
         }
     }
 
@@ -253,7 +254,7 @@
         }
         if (ready_ == instances_.size())
         {
-            out_.note("traffic begins");
+            out_.append_comment("traffic begins");
             traffic_.begin(drawn_.jobs);
             enter(phase::traffic);
         }
@@ -273,7 +274,7 @@
         faults_.advance(now);
         if (in_phase() >= settings_.what.traffic)
         {
-            out_.take(traffic_ended{});
+            out_.append(traffic_ended{});
             traffic_.end();
             enter(phase::finishing);
         }
@@ -292,7 +293,8 @@
         bool const late = in_phase() > time_limits{}.finish + answer_reserve;
         if (late || (healed && traffic_.all_over()))
         {
-            out_.note(late ? "not all jobs are over" : "all jobs are over");
+            out_.append_comment(late ? "not all jobs are over"
+                                     : "all jobs are over");
             begin_stop();
         }
     }
@@ -325,7 +327,7 @@
 
     soak_settings const& settings_;
     plan drawn_;
-    record out_;
+    observation_log out_;
     std::string address_;
     boost::asio::io_context io_{1};
     faults::relays worker_links_;
@@ -372,7 +374,7 @@
 }
 
 std::optional<soak_figures> run(soak_settings const& settings,
-                                record::sink const& take,
+                                observation_log::sink const& take,
                                 core::common::failure& reason)
 {
     world made(settings, take);
--- a/tools/soak/soak.hpp
+++ b/tools/soak/soak.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "standins/pool/pool_server.hpp"
+#include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
-#include "tools/soak/record.hpp"
 #include "tools/soak/traffic.hpp"
 
 #include <cstdint>
@@ -44,7 +44,7 @@
 /// Runs it from the start of the processes to their end; `take` is called with
 /// each observation. Empty, with the reason, where it can't begin.
 std::optional<soak_figures> run(soak_settings const& settings,
-                                record::sink const& take,
+                                observation_log::sink const& take,
                                 core::common::failure& reason);
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/traffic.cpp
+++ b/tools/soak/traffic.cpp
@@ -105,7 +105,7 @@
 
 traffic::traffic(boost::asio::io_context& io,
                  instances& to,
-                 record& out,
+                 observation_log& out,
                  std::uint64_t seed)
     : io_(io), to_(to), out_(out), random_(seed + 3)
 {
@@ -178,7 +178,7 @@
 void traffic::submit(entry& job)
 {
     auto const& plan = job.plan;
-    out_.take(submit_sent{plan.id, plan.shape});
+    out_.append(submit_sent{plan.id, plan.shape});
     ask(plan.caller,
         plan.instance + job.tries++,
         "POST",
@@ -187,7 +187,7 @@
         body_of(plan),
         [this, &job](call_outcome how, std::string const&)
         {
-            out_.take(submit_ended{job.plan.id, how});
+            out_.append(submit_ended{job.plan.id, how});
             on_submitted(job, how);
         });
 }
@@ -236,7 +236,7 @@
 void traffic::repeat(entry& job)
 {
     auto const& plan = job.plan;
-    out_.take(submit_sent{plan.id, plan.shape});
+    out_.append(submit_sent{plan.id, plan.shape});
     ask(plan.caller,
         plan.instance + job.tries + 1,
         "POST",
@@ -245,7 +245,7 @@
         body_of(plan),
         [this, &job](call_outcome how, std::string const&)
         {
-            out_.take(submit_ended{job.plan.id, how});
+            out_.append(submit_ended{job.plan.id, how});
         });
 }
 
@@ -254,7 +254,7 @@
 void traffic::cancel(entry& job, std::size_t instance)
 {
     auto const& plan = job.plan;
-    out_.take(cancel_ended{plan.id, call_outcome::unknown});
+    out_.append(cancel_ended{plan.id, call_outcome::unknown});
     ask(plan.caller,
         instance,
         "DELETE",
@@ -263,7 +263,7 @@
         "",
         [this, &job, instance](call_outcome how, std::string const&)
         {
-            out_.take(cancel_ended{job.plan.id, how});
+            out_.append(cancel_ended{job.plan.id, how});
             if (how != call_outcome::done && how != call_outcome::not_found)
             {
                 later(try_again,
@@ -295,7 +295,7 @@
             }
             job.confirmed = job.confirmed || (ended_at_ && is_over(state) &&
                                               asked >= *ended_at_);
-            out_.take(status_query_ended{
+            out_.append(status_query_ended{
                 job.plan.id, to_.name(at), asked, how, state});
         });
 }
@@ -314,7 +314,7 @@
         [this, queue, at, asked](call_outcome how, std::string const& body)
         {
             auto const jobs = how == call_outcome::done ? number_in(body) : 0;
-            out_.take(
+            out_.append(
                 waiting_query_ended{queue, to_.name(at), asked, how, jobs});
         });
 }
@@ -339,11 +339,11 @@
                 how == call_outcome::done || how == call_outcome::not_found;
             if (told && life == to_.incarnation(at))
             {
-                out_.take(queue_seen{queue,
-                                     to_.name(at),
-                                     life,
-                                     asked,
-                                     how == call_outcome::done});
+                out_.append(queue_seen{queue,
+                                       to_.name(at),
+                                       life,
+                                       asked,
+                                       how == call_outcome::done});
             }
         });
 }
--- a/tools/soak/traffic.hpp
+++ b/tools/soak/traffic.hpp
@@ -4,8 +4,8 @@
 #include "adapters/runtime/timer.hpp"
 #include "tools/soak/dice.hpp"
 #include "tools/soak/instances.hpp"
+#include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
-#include "tools/soak/record.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -34,7 +34,7 @@
 public:
     traffic(boost::asio::io_context& io,
             instances& to,
-            record& out,
+            observation_log& out,
             std::uint64_t seed);
 
     void begin(std::vector<planned_job> const& jobs);
@@ -80,7 +80,7 @@
 
     boost::asio::io_context& io_;
     instances& to_;
-    record& out_;
+    observation_log& out_;
     dice random_;
     std::vector<std::unique_ptr<adapters::http::client>> clients_;
     std::vector<std::unique_ptr<entry>> jobs_;
