--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -1,6 +1,6 @@
 #include "tools/soak/plan.hpp"
 
-#include "tools/soak/dice.hpp"
+#include "tools/soak/random_source.hpp"
 
 #include <algorithm>
 #include <array>
@@ -73,7 +73,7 @@
 void draw_fault(duration at,
                 std::vector<kind_row> const& from,
                 plan_settings const& settings,
-                dice& random,
+                random_source& random,
                 std::vector<fault>& out)
 {
     auto const& row = from[random.below(from.size())];
@@ -83,7 +83,7 @@
     made.length = random.between(row.shortest, row.longest);
     made.target = random.below(1000);
     made.value = random.below(1000);
-    made.at_owner = random.percent(30);
+    made.at_owner = random.true_with_percent(30);
     made.target %= row.kind >= fault_kind::worker_cut ? settings.workers
                                                       : settings.instances;
     out.push_back(made);
@@ -105,7 +105,7 @@
 void draw_troubles(plan_settings const& settings, std::vector<fault>& out)
 {
     auto const from = chosen(settings, true);
-    dice random(settings.seed);
+    random_source random(settings.seed);
     duration at = 1s;
     while (!from.empty() && at < settings.traffic)
     {
@@ -116,7 +116,7 @@
         {
             draw_fault(at, from, settings, random, out);
             at += random.between(0ms,
-                                 random.percent(series_percent)
+                                 random.true_with_percent(series_percent)
                                      ? longest_gap_in_series
                                      : longest_gap);
         }
@@ -129,7 +129,7 @@
 {
     constexpr duration longest_wait = 2500ms;
     auto const from = chosen(settings, false);
-    dice random(settings.seed + 1);
+    random_source random(settings.seed + 1);
     duration at = random.between(0ms, longest_wait);
     while (!from.empty() && at < settings.traffic)
     {
@@ -146,7 +146,7 @@
     lasting,
 };
 
-job_kind draw_kind(dice& random)
+job_kind draw_kind(random_source& random)
 {
     constexpr std::uint32_t lasting_percent = 8;
     constexpr std::uint32_t lengthy_percent = 22;
@@ -156,13 +156,13 @@
                                                        : job_kind::brief;
 }
 
-job_shape draw_shape(dice& random, job_kind kind)
+job_shape draw_shape(random_source& random, job_kind kind)
 {
     constexpr std::uint32_t most_steps = 3;
     constexpr std::uint32_t most_tasks = 4;
     constexpr std::uint32_t most_lengthy = 2;
     job_shape made;
-    made.queue = random.percent(75) ? first_queue : second_queue;
+    made.queue = random.true_with_percent(75) ? first_queue : second_queue;
     made.attempts = 3;
     auto const steps =
         kind == job_kind::brief ? 1 + random.below(most_steps) : 1;
@@ -172,7 +172,7 @@
         step.count = 1 + random.below(kind == job_kind::brief ? most_tasks
                                                               : most_lengthy);
         step.lasting = kind == job_kind::lasting;
-        if (number > 0 && random.percent(80))
+        if (number > 0 && random.true_with_percent(80))
         {
             step.after = {random.below(number)};
         }
@@ -181,7 +181,7 @@
     return made;
 }
 
-planned_job draw_job(std::uint32_t number, duration at, dice& random)
+planned_job draw_job(std::uint32_t number, duration at, random_source& random)
 {
     planned_job made;
     made.at = at;
@@ -202,9 +202,9 @@
                              : "";
     made.caller = random.below(callers);
     made.instance = random.below(1000);
-    made.persistent = random.percent(60);
-    made.repeated = random.percent(10);
-    if (lasting || random.percent(12))
+    made.persistent = random.true_with_percent(60);
+    made.repeated = random.true_with_percent(10);
+    if (lasting || random.true_with_percent(12))
     {
         made.cancel_after = random.between(0ms, lasting ? 6s : 1500ms);
     }
@@ -263,10 +263,10 @@
                      {
                          return left.at < right.at;
                      });
-    dice random(settings.seed + 2);
+    random_source random(settings.seed + 2);
     std::uint32_t number = 0;
     for (duration at{}; at < settings.traffic;
-         at += random.percent(burst_percent)
+         at += random.true_with_percent(burst_percent)
                    ? duration{}
                    : random.between(0ms, 2 * mean_gap))
     {
--- a/tools/soak/dice.hpp
+++ b/tools/soak/random_source.hpp
@@ -9,10 +9,10 @@
 {
 
 /// Draws that are the same on every machine for one seed.
-class dice
+class random_source
 {
 public:
-    explicit dice(std::uint64_t seed) : random_(seed)
+    explicit random_source(std::uint64_t seed) : random_(seed)
     {
     }
 
@@ -22,7 +22,7 @@
         return static_cast<std::uint32_t>(random_() % end);
     }
 
-    bool percent(std::uint32_t share)
+    bool true_with_percent(std::uint32_t share)
     {
         return below(100) < share;
     }
--- a/tools/soak/traffic.cpp
+++ b/tools/soak/traffic.cpp
@@ -303,7 +303,8 @@
 void traffic::ask_waiting()
 {
     auto const at = random_.below(to_.size());
-    std::string const queue(random_.percent(50) ? first_queue : second_queue);
+    std::string const queue(random_.true_with_percent(50) ? first_queue
+                                                          : second_queue);
     auto const asked = clock::now();
     ask(random_.below(callers),
         at,
@@ -360,7 +361,7 @@
         ask_state(job, random_.below(to_.size()));
     }
     ask_queue();
-    if (random_.percent(40))
+    if (random_.true_with_percent(40))
     {
         ask_waiting();
     }
--- a/tools/soak/traffic.hpp
+++ b/tools/soak/traffic.hpp
@@ -2,10 +2,10 @@
 
 #include "adapters/http/client.hpp"
 #include "adapters/runtime/timer.hpp"
-#include "tools/soak/dice.hpp"
 #include "tools/soak/instances.hpp"
 #include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
+#include "tools/soak/random_source.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -81,7 +81,7 @@
     boost::asio::io_context& io_;
     instances& to_;
     observation_log& out_;
-    dice random_;
+    random_source random_;
     std::vector<std::unique_ptr<adapters::http::client>> clients_;
     std::vector<std::unique_ptr<entry>> jobs_;
     std::vector<entry*> accepted_;
