--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -9,19 +9,19 @@
 {
     plan_settings settings;
     settings.seed = 7;
-    auto const first = to_text(draw(settings));
-    EXPECT_EQ(first, to_text(draw(settings)));
+    auto const first = to_text(make_plan(settings));
+    EXPECT_EQ(first, to_text(make_plan(settings)));
     settings.seed = 8;
-    EXPECT_NE(first, to_text(draw(settings)));
+    EXPECT_NE(first, to_text(make_plan(settings)));
 }
 
 // Fewer kinds of fault, to narrow a failure down, would also change the jobs.
 TEST(soak_plan, jobs_do_not_depend_on_the_kinds_of_fault)
 {
     plan_settings settings;
-    auto all = draw(settings);
+    auto all = make_plan(settings);
     settings.kinds = {fault_kind::kill};
-    auto one = draw(settings);
+    auto one = make_plan(settings);
     ASSERT_FALSE(one.faults.empty());
     for (auto const& each : one.faults)
     {
@@ -38,7 +38,7 @@
     plan_settings settings;
     settings.traffic = std::chrono::seconds(2000);
     std::set<fault_kind> seen;
-    for (auto const& each : draw(settings).faults)
+    for (auto const& each : make_plan(settings).faults)
     {
         seen.insert(each.what);
         EXPECT_EQ(fault_kind_from(name_of(each.what)), each.what);
--- a/tools/soak/faults.cpp
+++ b/tools/soak/fault_injector.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/faults.hpp"
+#include "tools/soak/fault_injector.hpp"
 
 #include "core/pool/claim_holder.hpp"
 #include "standins/pool/pool_codec.hpp"
@@ -25,7 +25,7 @@
 
 core::common::duration delay_of(fault const& what)
 {
-    return 10ms + std::chrono::milliseconds(what.value);
+    return 10ms + std::chrono::milliseconds(what.variant);
 }
 
 // Its process is gone until the fault ends.
@@ -41,22 +41,22 @@
 
 } // namespace
 
-faults::faults(instances& under_test,
-               standins::pool::pool_server& platform,
-               relays workers,
-               observation_log& out,
-               bool stale)
+fault_injector::fault_injector(instance_group& under_test,
+                               standins::pool::pool_server& platform,
+                               relays workers,
+                               observation_log& out,
+                               bool stale)
     : instances_(under_test), platform_(platform), workers_(std::move(workers)),
       out_(out), stale_(stale)
 {
 }
 
-void faults::begin()
+void fault_injector::begin()
 {
     put_configuration();
 }
 
-std::optional<std::uint32_t> faults::owner() const
+std::optional<std::uint32_t> fault_injector::owner() const
 {
     auto const item = platform_.store().find("pool/claim");
     core::common::failure reason;
@@ -74,7 +74,7 @@
     return std::nullopt;
 }
 
-void faults::apply(fault const& planned)
+void fault_injector::apply(fault const& planned)
 {
     auto what = planned;
     if (what.at_owner && what.what < fault_kind::worker_cut)
@@ -108,7 +108,7 @@
     settle(what);
 }
 
-void faults::begin_one(fault const& what)
+void fault_injector::begin_one(fault const& what)
 {
     switch (what.what)
     {
@@ -120,8 +120,8 @@
         ending_.insert(what.target);
         instances_.terminate(what.target);
         break;
-    case fault_kind::hangup:
-        instances_.change_settings(what.target, what.value % 2 == 0);
+    case fault_kind::settings_change:
+        instances_.change_settings(what.target, what.variant % 2 == 0);
         break;
     case fault_kind::store_reset:
         instances_.store_link(what.target).reset();
@@ -139,7 +139,7 @@
         platform_.store().expire_all_leases();
         break;
     case fault_kind::configuration:
-        change_configuration(what.value);
+        change_configuration(what.variant);
         break;
     default:
         begin_worker(what);
@@ -147,7 +147,7 @@
     }
 }
 
-void faults::begin_worker(fault const& what)
+void fault_injector::begin_worker(fault const& what)
 {
     auto const worker = what.target;
     switch (what.what)
@@ -171,12 +171,12 @@
     }
 }
 
-void faults::advance(time_point now)
+void fault_injector::advance(time_point now)
 {
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
         auto const one = static_cast<std::uint32_t>(number);
-        if (instances_.gone(number) && !ending_.contains(one))
+        if (instances_.has_exited(number) && !ending_.contains(one))
         {
             instances_.start(number); // It ended by itself.
         }
@@ -198,7 +198,7 @@
     }
 }
 
-bool faults::end_one(fault const& what)
+bool fault_injector::end_one(fault const& what)
 {
     switch (what.what)
     {
@@ -206,7 +206,7 @@
     case fault_kind::stop:
         return restart(what.target);
     case fault_kind::crash:
-        leave(what.target, what.value % 2 == 0);
+        leave(what.target, what.variant % 2 == 0);
         break;
     case fault_kind::drain:
         out_.append(worker_crashed{platform_.info(what.target).id});
@@ -220,7 +220,7 @@
 }
 
 // The last fault that keeps it down starts it; the others only end.
-bool faults::restart(std::uint32_t instance)
+bool fault_injector::restart(std::uint32_t instance)
 {
     auto const others =
         std::count_if(active_.begin(),
@@ -234,7 +234,7 @@
     {
         return true;
     }
-    if (!instances_.gone(instance))
+    if (!instances_.has_exited(instance))
     {
         return false;
     }
@@ -243,13 +243,13 @@
     return true;
 }
 
-void faults::leave(std::uint32_t worker, bool same_id)
+void fault_injector::leave(std::uint32_t worker, bool same_id)
 {
     platform_.restart(worker, same_id);
     busy_workers_.erase(worker);
 }
 
-fault const* faults::last(fault_kind kind, std::uint32_t target) const
+fault const* fault_injector::last(fault_kind kind, std::uint32_t target) const
 {
     auto const found = std::find_if(active_.rbegin(),
                                     active_.rend(),
@@ -261,7 +261,7 @@
     return found == active_.rend() ? nullptr : &found->what;
 }
 
-void faults::settle(fault const& what)
+void fault_injector::settle(fault const& what)
 {
     if (what.what == fault_kind::pause)
     {
@@ -283,7 +283,7 @@
     }
 }
 
-void faults::settle_links(fault const& what)
+void fault_injector::settle_links(fault const& what)
 {
     auto const delay = [this, &what]
     {
@@ -293,7 +293,7 @@
     auto const cut = [this, &what]
     {
         auto const* const found = last(what.what, what.target);
-        return found != nullptr ? cuts[found->value % cuts.size()]
+        return found != nullptr ? cuts[found->variant % cuts.size()]
                                 : cut_state::none;
     };
     switch (what.what)
@@ -319,7 +319,7 @@
 }
 
 // Of several faults of one service the last one counts.
-void faults::settle_gates(fault const& what)
+void fault_injector::settle_gates(fault const& what)
 {
     struct mode_row
     {
@@ -365,7 +365,7 @@
     gate.process_due(clock::now());
 }
 
-bool faults::heal()
+bool fault_injector::end_all()
 {
     for (auto& each : active_)
     {
@@ -375,14 +375,14 @@
     return active_.empty();
 }
 
-std::uint64_t faults::applied() const noexcept
+std::uint64_t fault_injector::applied() const noexcept
 {
     return applied_;
 }
 
-void faults::change_configuration(std::uint32_t value)
+void fault_injector::change_configuration(std::uint32_t value)
 {
-    auto const queue = value % extra_queues;
+    auto const queue = value % extra_queue_count;
     if (extra_.erase(queue) == 0)
     {
         extra_.insert(queue);
@@ -391,7 +391,7 @@
     put_configuration();
 }
 
-void faults::put_configuration()
+void fault_injector::put_configuration()
 {
     std::vector<standins::pool::queue_entry> queues;
     std::set<std::string> names;
@@ -414,7 +414,7 @@
     out_.append(configuration_set{version_, names});
 }
 
-void faults::set_data_centre(bool out)
+void fault_injector::set_data_centre(bool out)
 {
     std::string const name(data_centre_out);
     if (out)
--- a/tools/soak/faults.hpp
+++ b/tools/soak/fault_injector.hpp
@@ -2,7 +2,7 @@
 
 #include "standins/links/relay.hpp"
 #include "standins/pool/pool_server.hpp"
-#include "tools/soak/instances.hpp"
+#include "tools/soak/instance_group.hpp"
 #include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
 
@@ -19,18 +19,18 @@
 
 /// Brings the faults of a plan about, and heals them. Faults of one kind and
 /// target may overlap: the last one lasts.
-class faults
+class fault_injector
 {
 public:
     using relays = std::vector<std::shared_ptr<standins::links::relay>>;
 
     /// `stale`: the operator's configurations after the first never reach the
     /// store, though they are told to have.
-    faults(instances& under_test,
-           standins::pool::pool_server& platform,
-           relays workers,
-           observation_log& out,
-           bool stale);
+    fault_injector(instance_group& under_test,
+                   standins::pool::pool_server& platform,
+                   relays workers,
+                   observation_log& out,
+                   bool stale);
 
     /// Puts the first configuration into the store.
     void begin();
@@ -38,7 +38,7 @@
     /// Ends what is over by now; starts again what was to end.
     void advance(core::common::time_point now);
     /// Ends all; what is dead is up again once this is true.
-    bool heal();
+    bool end_all();
     std::uint64_t applied() const noexcept;
 
 private:
@@ -66,7 +66,7 @@
     void put_configuration();
     void set_data_centre(bool out);
 
-    instances& instances_;
+    instance_group& instances_;
     standins::pool::pool_server& platform_;
     relays workers_;
     observation_log& out_;
--- a/tools/soak/instances.cpp
+++ b/tools/soak/instance_group.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/instances.hpp"
+#include "tools/soak/instance_group.hpp"
 
 #include "adapters/http/message.hpp"
 
@@ -44,15 +44,15 @@
 
 } // namespace
 
-instances::instances(boost::asio::io_context& io,
-                     instances_settings settings,
-                     observation_log& out)
+instance_group::instance_group(boost::asio::io_context& io,
+                               instance_group_settings settings,
+                               observation_log& out)
     : io_(io), settings_(std::move(settings)), out_(out),
       members_(settings_.count)
 {
 }
 
-bool instances::listen(core::common::failure& reason)
+bool instance_group::listen(core::common::failure& reason)
 {
     for (std::size_t number = 0; number < size(); ++number)
     {
@@ -74,49 +74,49 @@
     return true;
 }
 
-std::size_t instances::size() const noexcept
+std::size_t instance_group::size() const noexcept
 {
     return members_.size();
 }
 
-std::string instances::name(std::size_t number) const
+std::string instance_group::name(std::size_t number) const
 {
     return "pool-" + std::to_string(number);
 }
 
-ports::endpoint instances::at(std::size_t number, std::uint16_t role) const
+ports::endpoint instance_group::at(std::size_t number, std::uint16_t role) const
 {
     return {settings_.address,
             static_cast<std::uint16_t>(settings_.first_port +
                                        number * ports_of_one + role)};
 }
 
-ports::endpoint instances::submissions(std::size_t number) const
+ports::endpoint instance_group::submissions(std::size_t number) const
 {
     return at(number, caller_link_port);
 }
 
-ports::endpoint instances::readiness(std::size_t number) const
+ports::endpoint instance_group::readiness(std::size_t number) const
 {
     return at(number, readiness_port);
 }
 
-std::uint64_t instances::incarnation(std::size_t number) const
+std::uint64_t instance_group::incarnation(std::size_t number) const
 {
     return members_[number].starts;
 }
 
-relay& instances::caller_link(std::size_t number)
+relay& instance_group::caller_link(std::size_t number)
 {
     return *members_[number].caller_link;
 }
 
-relay& instances::store_link(std::size_t number)
+relay& instance_group::store_link(std::size_t number)
 {
     return *members_[number].store_link;
 }
 
-void instances::start(std::size_t number)
+void instance_group::start(std::size_t number)
 {
     auto& one = members_[number];
     write_settings(number);
@@ -132,20 +132,20 @@
     out_.append_comment("started " + name(number));
 }
 
-void instances::kill(std::size_t number)
+void instance_group::kill(std::size_t number)
 {
     auto& one = members_[number];
-    if (!gone(number))
+    if (!has_exited(number))
     {
         one.killed = true;
         one.process->kill();
     }
 }
 
-void instances::terminate(std::size_t number)
+void instance_group::terminate(std::size_t number)
 {
     auto& one = members_[number];
-    if (!gone(number) && !one.asked_to_stop)
+    if (!has_exited(number) && !one.asked_to_stop)
     {
         one.asked_to_stop = clock::now();
         one.process->signal(SIGTERM);
@@ -153,10 +153,10 @@
     }
 }
 
-void instances::pause(std::size_t number, bool on)
+void instance_group::pause(std::size_t number, bool on)
 {
     auto& one = members_[number];
-    if (one.paused != on && !gone(number))
+    if (one.paused != on && !has_exited(number))
     {
         one.process->signal(on ? SIGSTOP : SIGCONT);
     }
@@ -167,17 +167,17 @@
     one.paused = on;
 }
 
-void instances::change_settings(std::size_t number, bool tell)
+void instance_group::change_settings(std::size_t number, bool tell)
 {
     ++members_[number].changes;
     write_settings(number);
-    if (tell && !gone(number))
+    if (tell && !has_exited(number))
     {
         members_[number].process->signal(SIGHUP);
     }
 }
 
-bool instances::gone(std::size_t number)
+bool instance_group::has_exited(std::size_t number)
 {
     auto& one = members_[number];
     auto const status = one.process->status();
@@ -201,12 +201,13 @@
     return true;
 }
 
-std::vector<std::string> const& instances::complaints() const noexcept
+std::vector<std::string> const&
+instance_group::process_failures() const noexcept
 {
     return complaints_;
 }
 
-void instances::write_settings(std::size_t number) const
+void instance_group::write_settings(std::size_t number) const
 {
     auto const path = settings_.folder + "/" + name(number);
     bool const odd = members_[number].changes % 2 != 0;
@@ -223,7 +224,7 @@
     std::rename((path + ".new").c_str(), (path + ".toml").c_str());
 }
 
-void instances::complain(std::size_t number, std::string const& why)
+void instance_group::complain(std::size_t number, std::string const& why)
 {
     complaints_.push_back(name(number) + " " + why);
     out_.append_comment("complaint: " + complaints_.back());
--- a/tools/soak/instances.hpp
+++ b/tools/soak/instance_group.hpp
@@ -15,7 +15,7 @@
 namespace fuchsia::tools::soak
 {
 
-struct instances_settings
+struct instance_group_settings
 {
     std::string program; ///< Path of fuchsia-pool.
     std::string folder;  ///< For settings files and logs.
@@ -28,12 +28,12 @@
 /// The processes under test, each between two relays: from its callers, and to
 /// the store. Complains of one that ends by itself, with a status other than 0
 /// after SIGTERM, or too late after it.
-class instances
+class instance_group
 {
 public:
-    instances(boost::asio::io_context& io,
-              instances_settings settings,
-              observation_log& out);
+    instance_group(boost::asio::io_context& io,
+                   instance_group_settings settings,
+                   observation_log& out);
 
     bool listen(core::common::failure& reason);
     std::size_t size() const noexcept;
@@ -52,8 +52,8 @@
     /// Writes the settings anew, a little different.
     void change_settings(std::size_t number, bool tell);
     /// Looks for ends; true where the process is gone.
-    bool gone(std::size_t number);
-    std::vector<std::string> const& complaints() const noexcept;
+    bool has_exited(std::size_t number);
+    std::vector<std::string> const& process_failures() const noexcept;
 
 private:
     struct member
@@ -73,7 +73,7 @@
     void complain(std::size_t number, std::string const& why);
 
     boost::asio::io_context& io_;
-    instances_settings settings_;
+    instance_group_settings settings_;
     observation_log& out_;
     std::vector<member> members_;
     std::vector<std::string> complaints_;
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -36,7 +36,7 @@
     return made;
 }
 
-std::string to_text(soak_figures const& figures, std::size_t violations)
+std::string to_text(soak_result const& figures, std::size_t violations)
 {
     auto const& jobs = figures.jobs;
     return "jobs accepted " + std::to_string(jobs.accepted) + ", refused " +
@@ -67,17 +67,17 @@
 }
 
 // A line each, with the time as in observations.txt.
-std::string to_text(soak_figures const& figures,
+std::string to_text(soak_result const& figures,
                     std::vector<violation> const& broken)
 {
     std::ostringstream out;
     for (auto const& each : broken)
     {
-        out << core::common::to_milliseconds(each.at - figures.began) << " ms "
-            << name_of(each.broken_rule) << ' ' << each.subject << ": "
-            << each.reason << '\n';
+        out << core::common::to_milliseconds(each.at - figures.started_at)
+            << " ms " << name_of(each.broken_rule) << ' ' << each.subject
+            << ": " << each.reason << '\n';
     }
-    for (auto const& each : figures.complaints)
+    for (auto const& each : figures.process_failures)
     {
         out << "process " << each << '\n';
     }
@@ -92,11 +92,11 @@
 // Exit status: 1 where something was broken, 2 where it can't begin.
 int play(soak_settings const& settings, std::string const& command)
 {
-    write(settings.folder + "/schedule.txt", to_text(draw(settings.what)));
+    write(settings.folder + "/schedule.txt", to_text(make_plan(settings.plan)));
     write(settings.folder + "/command.txt", command + '\n');
     core::common::failure reason;
     checker check((time_limits()));
-    auto const figures = run(
+    auto const figures = run_soak(
         settings,
         [&check](observation const& seen)
         {
@@ -113,7 +113,7 @@
     auto const text = to_text(*figures, broken);
     write(settings.folder + "/violations.txt", text);
     std::cout << text;
-    auto const found = broken.size() + figures->complaints.size();
+    auto const found = broken.size() + figures->process_failures.size();
     if (found > 0)
     {
         std::cout << "again: " << command << "\nseen: " << settings.folder
@@ -132,12 +132,12 @@
     std::uint32_t seconds = 20;
     std::vector<std::string> kinds;
     std::string planted;
-    app.add_option("--seed", settings.what.seed, "of jobs and faults");
+    app.add_option("--seed", settings.plan.seed, "of jobs and faults");
     app.add_option("--seconds", seconds, "of traffic")
         ->check(CLI::Range(1, 3600));
-    app.add_option("--instances", settings.what.instances)
+    app.add_option("--instances", settings.plan.instances)
         ->check(CLI::Range(1, 40));
-    app.add_option("--workers", settings.what.workers)
+    app.add_option("--workers", settings.plan.workers)
         ->check(CLI::Range(2, 64));
     app.add_option("--out", settings.folder, "folder for what was seen");
     app.add_option("--fault-set", kinds, "kinds of fault; \"none\"")
@@ -145,11 +145,11 @@
     app.add_option("--plant", planted, "a lie that has to be found");
     CLI11_PARSE(app, count, arguments);
 
-    settings.what.traffic = std::chrono::seconds(seconds);
+    settings.plan.traffic = std::chrono::seconds(seconds);
     settings.program = program_beside();
     if (!kinds.empty())
     {
-        settings.what.kinds.clear();
+        settings.plan.kinds.clear();
     }
     for (auto const& name : kinds)
     {
@@ -162,10 +162,10 @@
         }
         if (kind)
         {
-            settings.what.kinds.insert(*kind);
+            settings.plan.kinds.insert(*kind);
         }
     }
-    if (!planted.empty() && !plant(planted, settings))
+    if (!planted.empty() && !set_planted_defect(planted, settings))
     {
         std::cerr << "fuchsia-soak: no such lie: " << planted << '\n';
         return bad_options;
--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -30,7 +30,7 @@
     {fault_kind::kill, "kill", true, 200ms, 2500ms},
     {fault_kind::stop, "stop", true, 200ms, 2500ms},
     {fault_kind::pause, "pause", true, 100ms, 6000ms},
-    {fault_kind::hangup, "hangup", false, 0ms, 0ms},
+    {fault_kind::settings_change, "hangup", false, 0ms, 0ms},
     {fault_kind::store_delay, "store_delay", true, 500ms, 2500ms},
     {fault_kind::store_cut, "store_cut", true, 300ms, 6000ms},
     {fault_kind::store_reset, "store_reset", true, 0ms, 0ms},
@@ -82,7 +82,7 @@
     made.what = row.kind;
     made.length = random.between(row.shortest, row.longest);
     made.target = random.below(1000);
-    made.value = random.below(1000);
+    made.variant = random.below(1000);
     made.at_owner = random.true_with_percent(30);
     made.target %= row.kind >= fault_kind::worker_cut ? settings.workers
                                                       : settings.instances;
@@ -200,10 +200,10 @@
                  : fate < 8  ? " fail_first"
                  : fate < 12 ? " fail"
                              : "";
-    made.caller = random.below(callers);
+    made.caller = random.below(caller_count);
     made.instance = random.below(1000);
-    made.persistent = random.true_with_percent(60);
-    made.repeated = random.true_with_percent(10);
+    made.retries_refusals = random.true_with_percent(60);
+    made.resubmitted = random.true_with_percent(10);
     if (lasting || random.true_with_percent(12))
     {
         made.cancel_after = random.between(0ms, lasting ? 6s : 1500ms);
@@ -250,7 +250,7 @@
     return "extra" + std::to_string(number);
 }
 
-plan draw(plan_settings const& settings)
+plan make_plan(plan_settings const& settings)
 {
     constexpr duration mean_gap = 240ms;
     constexpr std::uint32_t burst_percent = 30;
@@ -282,16 +282,16 @@
     {
         out << to_milliseconds(each.at) << " fault " << name_of(each.what)
             << ' ' << each.target << " for " << to_milliseconds(each.length)
-            << " value " << each.value << (each.at_owner ? " at the owner" : "")
-            << '\n';
+            << " value " << each.variant
+            << (each.at_owner ? " at the owner" : "") << '\n';
     }
     for (auto const& each : drawn.jobs)
     {
         out << to_milliseconds(each.at) << " job " << each.id << " to "
             << each.shape.queue << " caller " << each.caller << " instance "
             << each.instance << " steps " << each.shape.steps.size() << ' '
-            << each.spec << (each.repeated ? " repeated" : "")
-            << (each.persistent ? "" : " gives up");
+            << each.spec << (each.resubmitted ? " repeated" : "")
+            << (each.retries_refusals ? "" : " gives up");
         if (each.cancel_after)
         {
             out << " cancel after " << to_milliseconds(*each.cancel_after);
--- a/tools/soak/plan.hpp
+++ b/tools/soak/plan.hpp
@@ -16,10 +16,10 @@
 
 enum class fault_kind : std::uint8_t
 {
-    kill,   ///< SIGKILL; started again at the end.
-    stop,   ///< SIGTERM; started again at the end.
-    pause,  ///< SIGSTOP and SIGCONT.
-    hangup, ///< The settings file changes; SIGHUP for half of them.
+    kill,            ///< SIGKILL; started again at the end.
+    stop,            ///< SIGTERM; started again at the end.
+    pause,           ///< SIGSTOP and SIGCONT.
+    settings_change, ///< The settings file changes; SIGHUP for half of them.
     store_delay,
     store_cut,
     store_reset, ///< Of one instance's connections.
@@ -55,8 +55,8 @@
     core::common::duration at{}; ///< From the start of the traffic.
     core::common::duration length{};
     fault_kind what = fault_kind::kill;
-    std::uint32_t target = 0; ///< Instance or worker.
-    std::uint32_t value = 0;  ///< Its kind's choice among variants.
+    std::uint32_t target = 0;  ///< Instance or worker.
+    std::uint32_t variant = 0; ///< Its kind's choice among variants.
     /// Of one that meets an instance: it meets whoever owns the pool then.
     bool at_owner = false;
 };
@@ -68,9 +68,9 @@
     std::string spec;
     job_shape shape;
     std::uint32_t caller = 0;
-    std::uint32_t instance = 0; ///< Where the first try goes.
-    bool persistent = true;     ///< Its caller tries again after a refusal.
-    bool repeated = false;      ///< Sent once more after its acceptance.
+    std::uint32_t instance = 0;   ///< Where the first try goes.
+    bool retries_refusals = true; ///< Its caller tries again after a refusal.
+    bool resubmitted = false;     ///< Sent once more after its acceptance.
     std::optional<core::common::duration> cancel_after;
 };
 
@@ -89,15 +89,15 @@
     std::vector<planned_job> jobs;
 };
 
-constexpr std::uint32_t callers = 12;
+constexpr std::uint32_t caller_count = 12;
 /// The queues that jobs go to; these never change.
 constexpr std::string_view first_queue = "jobs";
 constexpr std::string_view second_queue = "side";
 /// Queues that the operator adds and removes: "extra0" and so on.
-constexpr std::uint32_t extra_queues = 3;
+constexpr std::uint32_t extra_queue_count = 3;
 std::string extra_queue(std::uint32_t number);
 
-plan draw(plan_settings const& settings);
+plan make_plan(plan_settings const& settings);
 /// One line for each fault and job.
 std::string to_text(plan const& drawn);
 
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -2,8 +2,8 @@
 
 #include "adapters/runtime/signals.hpp"
 #include "standins/common/process_address.hpp"
-#include "tools/soak/faults.hpp"
-#include "tools/soak/instances.hpp"
+#include "tools/soak/fault_injector.hpp"
+#include "tools/soak/instance_group.hpp"
 
 #include <algorithm>
 #include <array>
@@ -45,11 +45,11 @@
 {
 public:
     world(soak_settings const& settings, observation_log::sink const& take)
-        : settings_(settings), drawn_(draw(settings.what)),
+        : settings_(settings), drawn_(make_plan(settings.plan)),
           out_(settings.folder + "/observations.txt", take),
           address_(standins::process_loopback_address()),
           platform_(io_, platform()), instances_(io_, instances_of(), out_),
-          traffic_(io_, instances_, out_, settings.what.seed),
+          traffic_(io_, instances_, out_, settings.plan.seed),
           faults_(instances_,
                   platform_,
                   worker_links(),
@@ -78,7 +78,7 @@
         return platform_.listen(reason) && instances_.listen(reason);
     }
 
-    soak_figures play()
+    soak_result play()
     {
         adapters::runtime::on_stop_signal(
             io_,
@@ -91,14 +91,15 @@
         ask_readiness();
         tick();
         io_.run();
-        soak_figures made;
-        made.began = out_.created_at();
+        soak_result made;
+        made.started_at = out_.created_at();
         made.jobs = traffic_.counts();
         made.runs = runs_;
         made.faults = faults_.applied();
-        made.complaints = instances_.complaints();
-        made.complaints.insert(
-            made.complaints.end(), complaints_.begin(), complaints_.end());
+        made.process_failures = instances_.process_failures();
+        made.process_failures.insert(made.process_failures.end(),
+                                     complaints_.begin(),
+                                     complaints_.end());
         made.lag = lag_;
         return made;
     }
@@ -110,24 +111,24 @@
         made.store = {address_, store_port};
         made.first_worker_port = first_worker_port;
         made.advertised_worker_port = first_worker_link_port;
-        made.workers = settings_.what.workers;
+        made.workers = settings_.plan.workers;
         made.capacity.millicores = pool_millicores / made.workers;
         return made;
     }
 
-    instances_settings instances_of() const
+    instance_group_settings instances_of() const
     {
         return {settings_.program,
                 settings_.folder,
                 address_,
                 first_instance_port,
                 {address_, store_port},
-                settings_.what.instances};
+                settings_.plan.instances};
     }
 
-    faults::relays worker_links()
+    fault_injector::relays worker_links()
     {
-        for (std::uint16_t number = 0; number < settings_.what.workers;
+        for (std::uint16_t number = 0; number < settings_.plan.workers;
              ++number)
         {
             auto const at = [this, number](std::uint16_t first)
@@ -272,7 +273,7 @@
             faults_.apply(drawn_.faults[next_fault_++]);
         }
         faults_.advance(now);
-        if (in_phase() >= settings_.what.traffic)
+        if (in_phase() >= settings_.plan.traffic)
         {
             out_.append(traffic_ended{});
             traffic_.end();
@@ -284,14 +285,14 @@
     void tick_finish(time_point now)
     {
         constexpr duration answer_reserve = 2s;
-        bool const healed = faults_.heal();
+        bool const healed = faults_.end_all();
         faults_.advance(now);
         if (!healed)
         {
             since_ = now;
         }
         bool const late = in_phase() > time_limits{}.finish + answer_reserve;
-        if (late || (healed && traffic_.all_over()))
+        if (late || (healed && traffic_.all_finished()))
         {
             out_.append_comment(late ? "not all jobs are over"
                                      : "all jobs are over");
@@ -314,7 +315,7 @@
         bool all = true;
         for (std::size_t number = 0; number < instances_.size(); ++number)
         {
-            all = instances_.gone(number) && all;
+            all = instances_.has_exited(number) && all;
         }
         if (!all)
         {
@@ -330,11 +331,11 @@
     observation_log out_;
     std::string address_;
     boost::asio::io_context io_{1};
-    faults::relays worker_links_;
+    fault_injector::relays worker_links_;
     standins::pool::pool_server platform_;
-    instances instances_;
-    traffic traffic_;
-    faults faults_;
+    instance_group instances_;
+    traffic_generator traffic_;
+    fault_injector faults_;
     adapters::http::client probe_;
     adapters::runtime::timer ticker_;
     phase phase_ = phase::starting;
@@ -352,7 +353,7 @@
 
 } // namespace
 
-bool plant(std::string_view name, soak_settings& out) noexcept
+bool set_planted_defect(std::string_view name, soak_settings& out) noexcept
 {
     constexpr std::array<std::pair<std::string_view, planted>, 5> names{{
         {"two_places", planted::duplicate_placement},
@@ -373,9 +374,9 @@
     return out.stale_configuration;
 }
 
-std::optional<soak_figures> run(soak_settings const& settings,
-                                observation_log::sink const& take,
-                                core::common::failure& reason)
+std::optional<soak_result> run_soak(soak_settings const& settings,
+                                    observation_log::sink const& take,
+                                    core::common::failure& reason)
 {
     world made(settings, take);
     if (!made.listen(reason))
--- a/tools/soak/soak.hpp
+++ b/tools/soak/soak.hpp
@@ -3,7 +3,7 @@
 #include "standins/pool/pool_server.hpp"
 #include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
-#include "tools/soak/traffic.hpp"
+#include "tools/soak/traffic_generator.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
 
 struct soak_settings
 {
-    plan_settings what;
+    plan_settings plan;
     std::string program; ///< Path of fuchsia-pool.
     std::string folder;  ///< Exists; for settings files, logs, observations.
     /// A lie that the checks have to find: of the stand-ins, or, by
@@ -27,24 +27,24 @@
 };
 
 /// Sets the lie of this name; false where there is none.
-bool plant(std::string_view name, soak_settings& out) noexcept;
+bool set_planted_defect(std::string_view name, soak_settings& out) noexcept;
 
-struct soak_figures
+struct soak_result
 {
-    core::common::time_point began{}; ///< Zero of observations.txt.
+    core::common::time_point started_at{}; ///< Zero of observations.txt.
     traffic_counts jobs;
     std::uint64_t runs = 0;
     std::uint64_t faults = 0;
     /// Of processes that ended by themselves, wrongly, or too late.
-    std::vector<std::string> complaints;
+    std::vector<std::string> process_failures;
     /// By how much the soak itself came late at most: what it saw is as late.
     core::common::duration lag{};
 };
 
 /// Runs it from the start of the processes to their end; `take` is called with
 /// each observation. Empty, with the reason, where it can't begin.
-std::optional<soak_figures> run(soak_settings const& settings,
-                                observation_log::sink const& take,
-                                core::common::failure& reason);
+std::optional<soak_result> run_soak(soak_settings const& settings,
+                                    observation_log::sink const& take,
+                                    core::common::failure& reason);
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/traffic.cpp
+++ b/tools/soak/traffic_generator.cpp
@@ -1,4 +1,4 @@
-#include "tools/soak/traffic.hpp"
+#include "tools/soak/traffic_generator.hpp"
 
 #include <array>
 #include <charconv>
@@ -103,22 +103,22 @@
 
 } // namespace
 
-traffic::traffic(boost::asio::io_context& io,
-                 instances& to,
-                 observation_log& out,
-                 std::uint64_t seed)
+traffic_generator::traffic_generator(boost::asio::io_context& io,
+                                     instance_group& to,
+                                     observation_log& out,
+                                     std::uint64_t seed)
     : io_(io), to_(to), out_(out), random_(seed + 3)
 {
     adapters::http::client_settings settings;
     settings.idle_timeout = std::chrono::hours(1);
-    for (std::uint32_t number = 0; number < callers; ++number)
+    for (std::uint32_t number = 0; number < caller_count; ++number)
     {
         clients_.push_back(
             std::make_unique<adapters::http::client>(io_, settings));
     }
 }
 
-void traffic::later(duration wait, std::function<void()> what)
+void traffic_generator::later(duration wait, std::function<void()> what)
 {
     auto const timer = std::make_shared<adapters::runtime::timer>(io_);
     timer->expires_after(wait);
@@ -132,7 +132,7 @@
         });
 }
 
-void traffic::begin(std::vector<planned_job> const& jobs)
+void traffic_generator::begin(std::vector<planned_job> const& jobs)
 {
     for (auto const& each : jobs)
     {
@@ -147,13 +147,13 @@
     ask_some();
 }
 
-void traffic::ask(std::uint32_t caller,
-                  std::size_t instance,
-                  std::string const& method,
-                  std::string const& queue,
-                  std::string const& id,
-                  std::string const& body,
-                  after then)
+void traffic_generator::ask(std::uint32_t caller,
+                            std::size_t instance,
+                            std::string const& method,
+                            std::string const& queue,
+                            std::string const& id,
+                            std::string const& body,
+                            after then)
 {
     adapters::http::client_call call;
     call.remote_endpoint = to_.submissions(instance % to_.size());
@@ -163,7 +163,7 @@
                     body,
                     ""};
     call.timeout = answer_limit;
-    clients_[caller % callers]->send(
+    clients_[caller % caller_count]->send(
         std::move(call),
         [this, then = std::move(then)](exchange_status status,
                                        adapters::http::response const& answer)
@@ -175,7 +175,7 @@
         });
 }
 
-void traffic::submit(entry& job)
+void traffic_generator::submit(entry& job)
 {
     auto const& plan = job.plan;
     out_.append(submit_sent{plan.id, plan.shape});
@@ -192,14 +192,15 @@
         });
 }
 
-void traffic::on_submitted(entry& job, call_outcome how)
+void traffic_generator::on_submitted(entry& job, call_outcome how)
 {
     constexpr duration shortest_repeat = 500ms;
     constexpr duration longest_repeat = 4s;
     job.refused = job.refused && how == call_outcome::refused;
     if (how != call_outcome::done)
     {
-        bool const again = how != call_outcome::refused || job.plan.persistent;
+        bool const again =
+            how != call_outcome::refused || job.plan.retries_refusals;
         if (again && job.tries < most_tries && !ended_at_)
         {
             later(try_again,
@@ -223,7 +224,7 @@
                   }
               });
     }
-    if (job.plan.repeated)
+    if (job.plan.resubmitted)
     {
         later(random_.between(shortest_repeat, longest_repeat),
               [this, &job]
@@ -233,7 +234,7 @@
     }
 }
 
-void traffic::repeat(entry& job)
+void traffic_generator::repeat(entry& job)
 {
     auto const& plan = job.plan;
     out_.append(submit_sent{plan.id, plan.shape});
@@ -251,7 +252,7 @@
 
 // From the sending on it may be carried out, which is told as a cancel whose
 // fate is unknown.
-void traffic::cancel(entry& job, std::size_t instance)
+void traffic_generator::cancel(entry& job, std::size_t instance)
 {
     auto const& plan = job.plan;
     out_.append(cancel_ended{plan.id, call_outcome::unknown});
@@ -275,7 +276,7 @@
         });
 }
 
-void traffic::ask_state(entry& job, std::size_t instance)
+void traffic_generator::ask_state(entry& job, std::size_t instance)
 {
     auto const at = instance % to_.size();
     auto const asked = clock::now();
@@ -300,13 +301,13 @@
         });
 }
 
-void traffic::ask_waiting()
+void traffic_generator::ask_waiting()
 {
     auto const at = random_.below(to_.size());
     std::string const queue(random_.true_with_percent(50) ? first_queue
                                                           : second_queue);
     auto const asked = clock::now();
-    ask(random_.below(callers),
+    ask(random_.below(caller_count),
         at,
         "GET",
         queue,
@@ -322,13 +323,13 @@
 
 // An answer that came from another life of the process than was asked counts
 // for neither.
-void traffic::ask_queue()
+void traffic_generator::ask_queue()
 {
     auto const at = random_.below(to_.size());
-    auto const queue = extra_queue(random_.below(extra_queues));
+    auto const queue = extra_queue(random_.below(extra_queue_count));
     auto const asked = clock::now();
     auto const life = to_.incarnation(at);
-    ask(random_.below(callers),
+    ask(random_.below(caller_count),
         at,
         "GET",
         queue,
@@ -349,7 +350,7 @@
         });
 }
 
-void traffic::ask_some()
+void traffic_generator::ask_some()
 {
     if (ended_at_)
     {
@@ -372,7 +373,7 @@
           });
 }
 
-void traffic::end()
+void traffic_generator::end()
 {
     ended_at_ = clock::now();
     for (auto* const job : accepted_)
@@ -386,7 +387,7 @@
     ask_all();
 }
 
-void traffic::ask_all()
+void traffic_generator::ask_all()
 {
     ++round_;
     for (std::size_t number = 0; number < accepted_.size(); ++number)
@@ -403,7 +404,7 @@
           });
 }
 
-bool traffic::all_over() const
+bool traffic_generator::all_finished() const
 {
     for (auto const* const job : accepted_)
     {
@@ -415,7 +416,7 @@
     return ended_at_.has_value();
 }
 
-void traffic::stop()
+void traffic_generator::stop()
 {
     stopped_ = true;
     for (auto const& each : clients_)
@@ -424,7 +425,7 @@
     }
 }
 
-traffic_counts traffic::counts() const
+traffic_counts traffic_generator::counts() const
 {
     traffic_counts made;
     for (auto const& each : jobs_)
--- a/tools/soak/traffic.hpp
+++ b/tools/soak/traffic_generator.hpp
@@ -2,7 +2,7 @@
 
 #include "adapters/http/client.hpp"
 #include "adapters/runtime/timer.hpp"
-#include "tools/soak/instances.hpp"
+#include "tools/soak/instance_group.hpp"
 #include "tools/soak/observation_log.hpp"
 #include "tools/soak/plan.hpp"
 #include "tools/soak/random_source.hpp"
@@ -29,20 +29,20 @@
 
 /// Callers: each keeps its connections until they break, hands in its jobs,
 /// tries again at other instances, cancels, and asks.
-class traffic
+class traffic_generator
 {
 public:
-    traffic(boost::asio::io_context& io,
-            instances& to,
-            observation_log& out,
-            std::uint64_t seed);
+    traffic_generator(boost::asio::io_context& io,
+                      instance_group& to,
+                      observation_log& out,
+                      std::uint64_t seed);
 
     void begin(std::vector<planned_job> const& jobs);
     /// No more jobs; cancels those that last, and asks for each accepted job
     /// again and again until it is over.
     void end();
     /// Every accepted job was told to be over since `end`.
-    bool all_over() const;
+    bool all_finished() const;
     /// Cancels all that is under way.
     void stop();
     traffic_counts counts() const;
@@ -79,7 +79,7 @@
     void ask_all();
 
     boost::asio::io_context& io_;
-    instances& to_;
+    instance_group& to_;
     observation_log& out_;
     random_source random_;
     std::vector<std::unique_ptr<adapters::http::client>> clients_;
