--- a/tests/unit/soak/checker_walk_test.cpp
+++ b/tests/unit/soak/checker_walk_test.cpp
@@ -15,7 +15,7 @@
 struct planted
 {
     char const* name;
-    lie what;
+    model_defect what;
     rule which; ///< Has to be reported.
 };
 
@@ -24,10 +24,10 @@
     return out << one.name;
 }
 
-bool reports(walk_result const& walked, rule which)
+bool reports(model_result const& walked, rule which)
 {
-    return std::any_of(walked.found.begin(),
-                       walked.found.end(),
+    return std::any_of(walked.violations.begin(),
+                       walked.violations.end(),
                        [&](violation const& one)
                        {
                            return one.broken_rule == which;
@@ -49,8 +49,8 @@
     std::size_t cancels = 0;
     for (std::uint64_t seed = 1; seed <= honest_walks; ++seed)
     {
-        walk_result const walked = walk(seed, lie::none);
-        for (violation const& one : walked.found)
+        model_result const walked = run_model(seed, model_defect::none);
+        for (violation const& one : walked.violations)
         {
             ADD_FAILURE() << "seed " << seed << ": rule "
                           << static_cast<int>(one.broken_rule) << " of "
@@ -71,9 +71,9 @@
     std::uint64_t told = 0;
     for (std::uint64_t seed = 1; seed <= walks_with_a_lie; ++seed)
     {
-        walk_result const walked = walk(seed, GetParam().what);
-        told += walked.told ? 1 : 0;
-        EXPECT_EQ(reports(walked, GetParam().which), walked.told)
+        model_result const walked = run_model(seed, GetParam().what);
+        told += walked.defect_occurred ? 1 : 0;
+        EXPECT_EQ(reports(walked, GetParam().which), walked.defect_occurred)
             << "seed " << seed;
     }
     EXPECT_GT(told, walks_with_a_lie / 2);
@@ -83,24 +83,34 @@
     each,
     soak_lies,
     testing::Values(
-        planted{"forgotten_job", lie::forgotten_job, rule::job_lost},
-        planted{"idle_job", lie::idle_job, rule::job_lost},
-        planted{"refused_job", lie::refused_job, rule::refused_job_ran},
-        planted{"second_run", lie::second_run, rule::duplicate_run},
-        planted{"repeated_run", lie::repeated_run, rule::duplicate_run},
-        planted{"early_start", lie::early_start, rule::step_order},
-        planted{"extra_attempt", lie::extra_attempt, rule::attempt_limit},
+        planted{"forgotten_job", model_defect::forgotten_job, rule::job_lost},
+        planted{"idle_job", model_defect::never_run_job, rule::job_lost},
         planted{
-            "forgotten_cancel", lie::forgotten_cancel, rule::ran_after_cancel},
-        planted{"draining_worker", lie::draining_worker, rule::drain},
+            "refused_job", model_defect::refused_job, rule::refused_job_ran},
+        planted{"second_run", model_defect::second_run, rule::duplicate_run},
         planted{
-            "closed_data_centre", lie::closed_data_centre, rule::data_centre},
+            "repeated_run", model_defect::repeated_run, rule::duplicate_run},
+        planted{"early_start", model_defect::early_start, rule::step_order},
         planted{
-            "old_configuration", lie::old_configuration, rule::configuration},
-        planted{"low_count", lie::low_count, rule::waiting_count},
-        planted{"false_completed", lie::false_completed, rule::reported_state},
-        planted{"false_failed", lie::false_failed, rule::reported_state},
-        planted{"no_recovery", lie::no_recovery, rule::recovery}),
+            "extra_attempt", model_defect::extra_attempt, rule::attempt_limit},
+        planted{"forgotten_cancel",
+                model_defect::forgotten_cancel,
+                rule::ran_after_cancel},
+        planted{"draining_worker", model_defect::draining_worker, rule::drain},
+        planted{"closed_data_centre",
+                model_defect::closed_data_centre,
+                rule::data_centre},
+        planted{"old_configuration",
+                model_defect::old_configuration,
+                rule::configuration},
+        planted{
+            "low_count", model_defect::low_waiting_count, rule::waiting_count},
+        planted{"false_completed",
+                model_defect::false_completed,
+                rule::reported_state},
+        planted{
+            "false_failed", model_defect::false_failed, rule::reported_state},
+        planted{"no_recovery", model_defect::no_recovery, rule::recovery}),
     [](auto const& one)
     {
         return std::string(one.param.name);
--- /dev/null
+++ b/tests/unit/soak/scenario.hpp
@@ -0,0 +1,139 @@
+#pragma once
+
+#include "tools/soak/checker.hpp"
+
+#include <cstdint>
+#include <set>
+#include <string>
+#include <utility>
+
+// A sequence of observations, told step by step.
+namespace fuchsia::tests::unit::soak
+{
+
+using namespace std::chrono_literals;
+using namespace fuchsia::tools::soak;
+using core::common::duration;
+using core::common::time_point;
+using ports::end_kind;
+using ports::job_state;
+
+constexpr time_point origin{1h};
+
+inline ports::task_name
+task(std::string job, std::uint32_t step = 0, std::uint32_t index = 0)
+{
+    return {std::move(job), 0, step, index};
+}
+
+/// A job of one task.
+inline job_shape single_task_job(std::uint32_t attempts = 1)
+{
+    return {"q", {{1, {}, false}}, attempts};
+}
+
+/// A job of one task that lasts.
+inline job_shape lasting_job()
+{
+    return {"q", {{1, {}, true}}, 1};
+}
+
+/// A step of two tasks, then one of one.
+inline job_shape two_step_job()
+{
+    return {"q", {{2, {}, false}, {1, {0}, false}}, 1};
+}
+
+class scenario
+{
+public:
+    /// Moves on to this time after the begin.
+    scenario& at(duration since_begin)
+    {
+        now_ = origin + since_begin;
+        return *this;
+    }
+
+    template<class Event>
+    scenario& observe(Event event)
+    {
+        checker_.observe({now_, std::move(event)});
+        return *this;
+    }
+
+    scenario& submit(std::string const& job,
+                     job_shape const& shape,
+                     call_outcome how = call_outcome::done)
+    {
+        observe(submit_sent{job, shape});
+        return observe(submit_ended{job, how});
+    }
+
+    scenario& start(ports::task_name const& what,
+                    std::uint32_t attempt = 1,
+                    std::string const& worker = "w1",
+                    std::string const& data_centre = "dc1")
+    {
+        return observe(run_started{worker, data_centre, {what, attempt}, 1});
+    }
+
+    scenario& end(ports::task_name const& what,
+                  end_kind how = end_kind::done,
+                  std::uint32_t attempt = 1,
+                  std::string const& worker = "w1")
+    {
+        return observe(run_ended{worker, {what, attempt}, how});
+    }
+
+    scenario& acknowledge(ports::task_name const& what,
+                          end_kind how = end_kind::done,
+                          std::uint32_t attempt = 1,
+                          std::string const& worker = "w1")
+    {
+        return observe(end_acknowledged{worker, {what, attempt}, how});
+    }
+
+    scenario& status(std::string const& job,
+                     job_state state,
+                     call_outcome how = call_outcome::done)
+    {
+        return observe(status_query_ended{job, "i1", now_, how, state});
+    }
+
+    scenario& waiting(std::uint64_t jobs)
+    {
+        return observe(
+            waiting_query_ended{"q", "i1", now_, call_outcome::done, jobs});
+    }
+
+    scenario& queue_shown(std::string const& queue,
+                          bool present,
+                          std::uint64_t incarnation = 1)
+    {
+        return observe(queue_seen{queue, "i1", incarnation, now_, present});
+    }
+
+    /// Trouble from `from` to `to`; the story goes on at `to`.
+    scenario& with_fault(duration from, duration to)
+    {
+        at(from).observe(fault_state_set{"link", true});
+        return at(to).observe(fault_state_set{"link", false});
+    }
+
+    /// The rules broken, with the end at the present time.
+    std::set<rule> broken_rules()
+    {
+        std::set<rule> rules;
+        for (violation const& one : checker_.finish(now_))
+        {
+            rules.insert(one.broken_rule);
+        }
+        return rules;
+    }
+
+private:
+    checker checker_{time_limits{}};
+    time_point now_ = origin;
+};
+
+} // namespace fuchsia::tests::unit::soak
--- a/tests/unit/soak/model.cpp
+++ b/tests/unit/soak/scheduler_model.cpp
@@ -135,11 +135,11 @@
 class model
 {
 public:
-    model(std::uint64_t seed, lie what) : random_(seed), lie_(what)
+    model(std::uint64_t seed, model_defect what) : random_(seed), lie_(what)
     {
     }
 
-    walk_result run()
+    model_result run()
     {
         change_configuration();
         while (now_ < origin + walk_end)
@@ -147,7 +147,7 @@
             now_ += tick;
             step();
         }
-        result_.found = judge_.finish(now_);
+        result_.violations = judge_.finish(now_);
         return result_;
     }
 
@@ -170,7 +170,7 @@
         end_runs();
         start_runs();
         ask();
-        if (lie_ != lie::none && !result_.told && one_in(4))
+        if (lie_ != model_defect::none && !result_.defect_occurred && one_in(4))
         {
             tell();
         }
@@ -211,7 +211,7 @@
     }
     bool may_trouble() const
     {
-        bool const forced = lie_ == lie::no_recovery;
+        bool const forced = lie_ == model_defect::no_recovery;
         return now_ > quiet_until_ && (!forced || now_ < origin + 5s);
     }
 
@@ -346,7 +346,7 @@
             see(traffic_ended{});
         }
         if (now_ < origin + traffic_end &&
-            one_in(lie_ == lie::no_recovery ? 5 : 10))
+            one_in(lie_ == model_defect::no_recovery ? 5 : 10))
         {
             submit();
         }
@@ -354,10 +354,10 @@
         {
             cancel(any(jobs_));
         }
-        if (lie_ == lie::no_recovery && now_ == origin + 10s)
+        if (lie_ == model_defect::no_recovery && now_ == origin + 10s)
         {
             begin_trouble("last", 1s);
-            result_.told = true;
+            result_.defect_occurred = true;
         }
     }
     job_shape any_shape()
@@ -402,7 +402,7 @@
         see(submit_sent{job.name, job.shape});
         std::uint64_t const chance = below(10);
         bool const overcome =
-            lie_ == lie::no_recovery && calm_since_ > origin + 10s;
+            lie_ == model_defect::no_recovery && calm_since_ > origin + 10s;
         bool const refused = overcome || chance == 0;
         bool const silent = !refused && chance == 1;
         job.rejected = refused;
@@ -586,7 +586,7 @@
                           (tell_of_jobs() || tell_of_places());
         if (told)
         {
-            result_.told = true;
+            result_.defect_occurred = true;
             quiet_until_ = now_ + quiet_after_lie;
         }
     }
@@ -598,29 +598,29 @@
         bool const runs = task.now == stage::running && !task.ended;
         switch (lie_)
         {
-        case lie::forgotten_job:
+        case model_defect::forgotten_job:
             return job.open() && job.answered && forget(job);
-        case lie::idle_job:
+        case model_defect::never_run_job:
             return job.open() && job.answered && !job.started &&
                    leave_idle(job);
-        case lie::refused_job:
+        case model_defect::refused_job:
             return job.rejected && invent(job, task);
-        case lie::second_run:
+        case model_defect::second_run:
             return runs && invent(job, task);
-        case lie::repeated_run:
+        case model_defect::repeated_run:
             return task.now == stage::done && invent(job, task);
-        case lie::early_start:
+        case model_defect::early_start:
             return job.open() && job.bare_before(task) && invent(job, task);
-        case lie::extra_attempt:
+        case model_defect::extra_attempt:
             return task.failures == job.shape.attempts && invent(job, task);
-        case lie::forgotten_cancel:
+        case model_defect::forgotten_cancel:
             return lasting && runs && job.open() && forget_cancel(job, task);
-        case lie::low_count:
+        case model_defect::low_waiting_count:
             return tell_low_count(job);
-        case lie::false_completed:
+        case model_defect::false_completed:
             return job.open() && task.attempt == 0 &&
                    tell_state(job, job_state::completed);
-        case lie::false_failed:
+        case model_defect::false_failed:
             return job.open() && !job.started &&
                    tell_state(job, job_state::failed);
         default:
@@ -631,19 +631,20 @@
     {
         worker_model const& worker = any(workers_);
         time_limits const bounds;
-        if (lie_ == lie::draining_worker)
+        if (lie_ == model_defect::draining_worker)
         {
             return worker.up && worker.draining && quiet(bounds.drain) &&
                    *worker.draining + bounds.drain < now_ && start_on(worker);
         }
-        if (lie_ == lie::closed_data_centre)
+        if (lie_ == model_defect::closed_data_centre)
         {
             auto const out = out_.find(worker.data_centre);
             return worker.up && out != out_.end() &&
                    quiet(bounds.data_centre) &&
                    out->second + bounds.data_centre < now_ && start_on(worker);
         }
-        return lie_ == lie::old_configuration && show_old_configuration();
+        return lie_ == model_defect::old_configuration &&
+               show_old_configuration();
     }
 
     bool forget(job_model& job)
@@ -733,9 +734,9 @@
     }
 
     std::mt19937_64 random_;
-    lie lie_;
+    model_defect lie_;
     checker judge_{time_limits{}};
-    walk_result result_;
+    model_result result_;
     time_point now_ = origin;
     time_point calm_since_{};  ///< The end of the last trouble.
     time_point quiet_until_{}; ///< No trouble, cancel or change before.
@@ -752,7 +753,7 @@
 
 } // namespace
 
-walk_result walk(std::uint64_t seed, lie what)
+model_result run_model(std::uint64_t seed, model_defect what)
 {
     return model(seed, what).run();
 }
--- a/tests/unit/soak/model.hpp
+++ b/tests/unit/soak/scheduler_model.hpp
@@ -23,11 +23,11 @@
 using ports::job_state;
 
 /// What the model does wrong.
-enum class lie : std::uint8_t
+enum class model_defect : std::uint8_t
 {
     none,
     forgotten_job,      ///< Accepted, and unknown ever after.
-    idle_job,           ///< Accepted and known, and never run.
+    never_run_job,      ///< Accepted and known, and never run.
     refused_job,        ///< Refused, and run.
     second_run,         ///< Beside one that works.
     repeated_run,       ///< After a recorded end.
@@ -37,23 +37,23 @@
     draining_worker,    ///< A start there.
     closed_data_centre, ///< A start there.
     old_configuration,  ///< Shown after a newer one.
-    low_count,          ///< None is told to wait while some do.
+    low_waiting_count,  ///< None is told to wait while some do.
     false_completed,
     false_failed,
     no_recovery, ///< Nothing is accepted after the last trouble.
 };
 
 /// What came of one walk.
-struct walk_result
+struct model_result
 {
-    bool told = false; ///< There was an occasion for the lie.
-    std::vector<violation> found;
+    bool defect_occurred = false; ///< There was an occasion for the lie.
+    std::vector<violation> violations;
     std::size_t starts = 0;
     std::size_t crashes = 0;
     std::size_t cancels = 0;
 };
 
 /// A minute of the model; all choices follow from `seed`.
-walk_result walk(std::uint64_t seed, lie what);
+model_result run_model(std::uint64_t seed, model_defect what);
 
 } // namespace fuchsia::tests::unit::soak
