--- a/tests/unit/pool/pool_world.hpp
+++ b/tests/unit/pool/pool_world.hpp
@@ -3,7 +3,7 @@
 #include "core/pool/engine.hpp"
 #include "standins/pool/kv_state.hpp"
 #include "standins/pool/worker_state.hpp"
-#include "unit/walks/timeline.hpp"
+#include "unit/walks/virtual_clock.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -161,7 +161,7 @@
     std::uint64_t ask(std::size_t instance, core::pool::pool_request request);
 
     duration store_way_ = 2ms;
-    walks::timeline timeline_;
+    walks::virtual_clock timeline_;
     standins::pool::kv_state store_;
     std::vector<std::unique_ptr<standins::pool::worker_state>> workers_;
     std::vector<instance> instances_;
--- a/tests/unit/requests/entry_world.hpp
+++ b/tests/unit/requests/entry_world.hpp
@@ -3,7 +3,7 @@
 #include "core/requests/entry_engine.hpp"
 #include "unit/walks/fake_link.hpp"
 #include "unit/walks/fake_store.hpp"
-#include "unit/walks/timeline.hpp"
+#include "unit/walks/virtual_clock.hpp"
 
 #include <cstdint>
 #include <deque>
@@ -80,7 +80,7 @@
 public:
     explicit entry_world(world_options const& options);
 
-    walks::timeline time;
+    walks::virtual_clock time;
     walks::fake_store store;
     walks::fake_link link;
     upstream_faults faults;
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "ports/workers.hpp"
-#include "unit/walks/timeline.hpp"
+#include "unit/walks/virtual_clock.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -19,7 +19,7 @@
 
 using walks::duration;
 using walks::time_point;
-using walks::timeline;
+using walks::virtual_clock;
 
 struct worker_faults
 {
--- a/tests/unit/walks/fake_link.hpp
+++ b/tests/unit/walks/fake_link.hpp
@@ -36,7 +36,7 @@
                                         ports::member_identity const& to,
                                         ports::peer_receive const& message)>;
 
-    fake_link(timeline& time, std::uint64_t seed, receiver deliver)
+    fake_link(virtual_clock& time, std::uint64_t seed, receiver deliver)
         : time_(time), random_(seed), deliver_(std::move(deliver))
     {
     }
@@ -95,7 +95,7 @@
                     });
     }
 
-    timeline& time_;
+    virtual_clock& time_;
     std::mt19937_64 random_;
     receiver deliver_;
 };
--- a/tests/unit/walks/fake_store.hpp
+++ b/tests/unit/walks/fake_store.hpp
@@ -162,7 +162,8 @@
 public:
     using answer = std::function<void(ports::store_reply const&)>;
 
-    fake_store(timeline& time, std::uint64_t seed) : time_(time), random_(seed)
+    fake_store(virtual_clock& time, std::uint64_t seed)
+        : time_(time), random_(seed)
     {
     }
 
@@ -398,7 +399,7 @@
                     });
     }
 
-    timeline& time_;
+    virtual_clock& time_;
     std::mt19937_64 random_;
     std::vector<call_pointer> watches_;
     std::deque<store_contents> older_;
--- a/tests/unit/walks/small_system.hpp
+++ b/tests/unit/walks/small_system.hpp
@@ -70,7 +70,7 @@
 public:
     explicit small_system(system_options const& options);
 
-    timeline time;
+    virtual_clock time;
     fake_store store;
     fake_link link;
 
--- a/tests/unit/walks/timeline.hpp
+++ b/tests/unit/walks/virtual_clock.hpp
@@ -15,7 +15,7 @@
 using core::common::duration;
 using core::common::time_point;
 
-class timeline
+class virtual_clock
 {
 public:
     using event = std::function<void()>;
