--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -99,7 +99,7 @@
             back(reply);
         }
     };
-    time_.after(faults.time_out,
+    time_.after(faults.timeout,
                 [finish]
                 {
                     finish({});
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -34,7 +34,7 @@
     duration delay = std::chrono::milliseconds(2);
     duration late_delay = std::chrono::seconds(5);
     std::uint32_t late_permille = 0;
-    duration time_out = std::chrono::seconds(2);
+    duration timeout = std::chrono::seconds(2);
 };
 
 class fake_workers
--- a/tests/unit/tasks/planner_test.cpp
+++ b/tests/unit/tasks/planner_test.cpp
@@ -319,7 +319,7 @@
     auto const where = system.workers.places_of("report/0");
     ASSERT_EQ(where.size(), 1U);
     system.workers.faults.delay = 1800ms;
-    system.workers.faults.time_out = 10s;
+    system.workers.faults.timeout = 10s;
     system.workers.report_lag = 4s;
     system.set_out(system.workers.all.at(where.front()).info.data_centre, true);
     EXPECT_TRUE(reaches("report", "finished", 60s));
@@ -331,7 +331,7 @@
 // are in commit. What was decided before must not start after.
 TEST_F(planners, start_nothing_late_where_a_commit_took_long)
 {
-    system.store.faults.time_out = 30s;
+    system.store.faults.timeout = 30s;
     for (int number = 0; number < 3; ++number)
     {
         system.request(number,
--- a/tests/unit/walks/fake_store.hpp
+++ b/tests/unit/walks/fake_store.hpp
@@ -126,10 +126,11 @@
 struct store_faults
 {
     bool down = false;
-    std::set<std::string> cut;  ///< Callers that can't reach it.
-    std::set<std::string> deaf; ///< Callers whose calls lose their answers.
-    std::set<std::string> mute; ///< Callers whose calls don't arrive.
-    std::set<std::string> slow; ///< Callers whose answers are all late.
+    std::set<std::string> cut; ///< Callers that can't reach it.
+    std::set<std::string>
+        replies_lost; ///< Callers whose calls lose their answers.
+    std::set<std::string> requests_lost; ///< Callers whose calls don't arrive.
+    std::set<std::string> replies_late; ///< Callers whose answers are all late.
     std::uint32_t lose_request_permille = 0;
     std::uint32_t lose_reply_permille = 0;
     std::uint32_t duplicate_permille = 0;
@@ -140,7 +141,7 @@
     duration late_delay = std::chrono::seconds(4);
     std::uint32_t late_permille = 0;
     /// The adapter says `unclear` after this long; a watch's wait is added.
-    duration time_out = std::chrono::seconds(1);
+    duration timeout = std::chrono::seconds(1);
     /// The next writes below `lose_prefix` whose answers are dropped.
     std::uint32_t lose_next_replies = 0;
     std::string lose_prefix;
@@ -185,7 +186,7 @@
             finish_later(pending, ports::store_status::unavailable);
             return;
         }
-        duration wait = faults.time_out;
+        duration wait = faults.timeout;
         if (auto const* watch =
                 std::get_if<ports::store_watch>(&what.operation))
         {
@@ -272,7 +273,8 @@
 
     void arrive(call_pointer const& pending)
     {
-        if (is_cut(pending->caller) || faults.mute.count(pending->caller) != 0)
+        if (is_cut(pending->caller) ||
+            faults.requests_lost.count(pending->caller) != 0)
         {
             return;
         }
@@ -388,11 +390,11 @@
         {
             return;
         }
-        time_.after(way(faults.slow.count(pending->caller) != 0),
+        time_.after(way(faults.replies_late.count(pending->caller) != 0),
                     [this, pending, reply]
                     {
                         if (!is_cut(pending->caller) &&
-                            faults.deaf.count(pending->caller) == 0)
+                            faults.replies_lost.count(pending->caller) == 0)
                         {
                             finish(*pending, reply);
                         }
--- a/tests/unit/walks/walk.cpp
+++ b/tests/unit/walks/walk.cpp
@@ -99,7 +99,7 @@
         store.stale_permille = any_of({0, 0, 100, 500});
         store.duplicate_permille = any_of({0, 50});
         store.late_permille = any_of({0, 20, 200});
-        store.time_out = std::chrono::milliseconds(any_of({500, 1000, 5000}));
+        store.timeout = std::chrono::milliseconds(any_of({500, 1000, 5000}));
     }
 
     void one()
@@ -178,11 +178,11 @@
     void lose_beat(std::size_t slot)
     {
         std::string const caller = system_.address_of(slot);
-        system_.store.faults.deaf.insert(caller);
+        system_.store.faults.replies_lost.insert(caller);
         system_.time.after(between(500ms, 2s),
                            [this, slot, caller]
                            {
-                               system_.store.faults.deaf.erase(caller);
+                               system_.store.faults.replies_lost.erase(caller);
                                store_cut(slot, between(4s, 12s));
                            });
         lose_some_peers(slot, between(4s, 12s));
@@ -231,18 +231,19 @@
     void answer_late(std::size_t slot)
     {
         std::string const caller = system_.address_of(slot);
-        system_.store.faults.slow.insert(caller);
+        system_.store.faults.replies_late.insert(caller);
         system_.time.after(between(200ms, 2s),
                            [this, caller]
                            {
                                auto& faults = system_.store.faults;
-                               faults.slow.erase(caller);
-                               faults.mute.insert(caller);
+                               faults.replies_late.erase(caller);
+                               faults.requests_lost.insert(caller);
                                system_.time.after(
                                    between(4s, 10s),
                                    [this, caller]
                                    {
-                                       system_.store.faults.mute.erase(caller);
+                                       system_.store.faults.requests_lost.erase(
+                                           caller);
                                    });
                            });
         isolate(slot, between(1s, 10s));
