--- a/tests/unit/claims/claim_table_test.cpp
+++ b/tests/unit/claims/claim_table_test.cpp
@@ -1,5 +1,5 @@
 #include "core/claims/claim_record.hpp"
-#include "unit/walks/small_system.hpp"
+#include "unit/walks/membership_simulation.hpp"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -18,9 +18,9 @@
     {
     }
 
-    static system_options many_partitions()
+    static membership_simulation_options many_partitions()
     {
-        system_options options;
+        membership_simulation_options options;
         options.partitions = 32;
         return options;
     }
@@ -57,7 +57,7 @@
         return names;
     }
 
-    small_system system;
+    membership_simulation system;
 };
 
 } // namespace
@@ -177,11 +177,11 @@
     };
     for (auto const& [members, bound] : bounds)
     {
-        system_options options;
+        membership_simulation_options options;
         options.members = members;
         options.partitions = 64;
         options.settings.witness_count = 5;
-        small_system system(options);
+        membership_simulation system(options);
         for (std::size_t slot = 0; slot < members; ++slot)
         {
             system.start(slot);
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -1,4 +1,4 @@
-#include "unit/walks/small_system.hpp"
+#include "unit/walks/membership_simulation.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -15,14 +15,15 @@
 class outage : public testing::Test
 {
 protected:
-    explicit outage(system_options const& options = three_witnesses())
+    explicit outage(
+        membership_simulation_options const& options = three_witnesses())
         : system(options)
     {
     }
 
-    static system_options three_witnesses()
+    static membership_simulation_options three_witnesses()
     {
-        system_options options;
+        membership_simulation_options options;
         options.members = member_count;
         options.settings.witness_count = 3;
         return options;
@@ -68,7 +69,7 @@
         }
     }
 
-    small_system system;
+    membership_simulation system;
 };
 
 } // namespace
@@ -178,7 +179,7 @@
     {
     }
 
-    static system_options untrusted()
+    static membership_simulation_options untrusted()
     {
         auto options = three_witnesses();
         options.settings.platform_list_replaces_consent = false;
@@ -215,7 +216,7 @@
         },
         20s));
     EXPECT_FALSE(frozen.inbox.empty());
-    system.wake(2);
+    system.unfreeze(2);
     EXPECT_FALSE(frozen.may_act(system.time.now()));
     EXPECT_TRUE(system.run_until(
         [&frozen]
@@ -241,13 +242,13 @@
     EXPECT_TRUE(system.run_until(
         [this]
         {
-            return system.burial_writes > 0;
+            return system.fencing_writes > 0;
         },
         20s));
     system.store.faults.lose_prefix = "members/entry/entry-2";
     system.store.faults.lose_next_replies = 1;
     system.run(5ms);
-    system.wake(2);
+    system.unfreeze(2);
     EXPECT_TRUE(system.run_until(
         [&]
         {
@@ -262,7 +263,8 @@
 
 /// Cuts member 0 off from the store and from all that could promise it
 /// something but `friends`.
-void leave_only(small_system& system, std::vector<std::size_t> const& friends)
+void leave_only(membership_simulation& system,
+                std::vector<std::size_t> const& friends)
 {
     system.cut_store(0, true);
     for (std::size_t slot = 1; slot < member_count; ++slot)
@@ -280,11 +282,11 @@
 /// and d know nothing of it, a majority of the new one. What is violated.
 std::string change_witnesses_unclearly(bool both_lists)
 {
-    system_options options;
+    membership_simulation_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
     options.parts.require_both_witness_lists = both_lists;
-    small_system system(options);
+    membership_simulation system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
     for (std::size_t slot : {0, 2, 3, 4})
@@ -315,7 +317,7 @@
     EXPECT_TRUE(system.run_until(
         [&]
         {
-            return system.burial_writes > 0 || subject.ended;
+            return system.fencing_writes > 0 || subject.ended;
         },
         20s));
     system.run(3s);
--- a/tests/unit/walks/small_system.cpp
+++ b/tests/unit/walks/membership_simulation.cpp
@@ -55,13 +55,13 @@
 process::process(std::string name,
                  std::uint64_t incarnation,
                  std::string where,
-                 system_options const& options,
+                 membership_simulation_options const& options,
                  time_point born,
                  std::int64_t rate_permille)
     : id{std::move(name), incarnation}, address(std::move(where)),
       member(
           options.settings, describe(id, address), incarnation, options.parts),
-      claims(role, partition_names(options.partitions)), born_(born),
+      claims(role, partition_names(options.partitions)), started_at_(born),
       rate_permille_(rate_permille)
 {
 }
@@ -69,7 +69,7 @@
 // Each clock has an origin of its own, so that no time is meant for another.
 time_point process::local(time_point now) const
 {
-    auto const run = (now - born_) * rate_permille_ / 1000;
+    auto const run = (now - started_at_) * rate_permille_ / 1000;
     return time_point(
         std::chrono::seconds(1000 + static_cast<int>(id.incarnation % 977)) +
         run);
@@ -85,7 +85,8 @@
     return !ended && !frozen && claims.owns(local(now), partition, member);
 }
 
-small_system::small_system(system_options const& options)
+membership_simulation::membership_simulation(
+    membership_simulation_options const& options)
     : store(time, options.seed * 2 + 1),
       link(time,
            options.seed * 3 + 1,
@@ -97,18 +98,18 @@
                {
                    if (who->address == address && who->id == to)
                    {
-                       hand(who,
-                            [this, message](process& receiver)
-                            {
-                                run_in(receiver.shared_from_this(),
-                                       [&message](process& self,
-                                                  time_point local,
-                                                  ports::actions& out)
-                                       {
-                                           self.member.on_peer(
-                                               local, message, out);
-                                       });
-                            });
+                       deliver(who,
+                               [this, message](process& receiver)
+                               {
+                                   run_in(receiver.shared_from_this(),
+                                          [&message](process& self,
+                                                     time_point local,
+                                                     ports::actions& out)
+                                          {
+                                              self.member.on_peer(
+                                                  local, message, out);
+                                          });
+                               });
                        return;
                    }
                }
@@ -119,7 +120,7 @@
     publish_list();
 }
 
-process& small_system::start(std::size_t slot, bool zombie)
+process& membership_simulation::start(std::size_t slot, bool zombie)
 {
     if (slots_[slot] && !zombie)
     {
@@ -155,7 +156,7 @@
     return *who;
 }
 
-void small_system::end(std::size_t slot)
+void membership_simulation::end(std::size_t slot)
 {
     if (slots_[slot])
     {
@@ -163,7 +164,7 @@
     }
 }
 
-void small_system::freeze(std::size_t slot)
+void membership_simulation::freeze(std::size_t slot)
 {
     if (slots_[slot])
     {
@@ -171,7 +172,7 @@
     }
 }
 
-void small_system::wake(std::size_t slot)
+void membership_simulation::unfreeze(std::size_t slot)
 {
     auto const who = slots_[slot];
     if (who && std::exchange(who->frozen, false))
@@ -180,7 +181,7 @@
     }
 }
 
-void small_system::wake_all()
+void membership_simulation::unfreeze_all()
 {
     auto const all = everyone_;
     for (auto const& who : all)
@@ -193,7 +194,7 @@
 }
 
 // What waited is handled before the next tick as often as after it.
-void small_system::drain(process_pointer const& who)
+void membership_simulation::drain(process_pointer const& who)
 {
     check();
     auto waiting = std::exchange(who->inbox, {});
@@ -203,11 +204,11 @@
     }
     for (auto const& what : waiting)
     {
-        hand(who, what);
+        deliver(who, what);
     }
 }
 
-void small_system::begin_leaving(std::size_t slot)
+void membership_simulation::begin_leaving(std::size_t slot)
 {
     auto const who = slots_[slot];
     if (!who || who->ended || std::exchange(who->leaving, true))
@@ -222,13 +223,13 @@
            });
 }
 
-process& small_system::at(std::size_t slot)
+process& membership_simulation::at(std::size_t slot)
 {
     return *slots_[slot];
 }
 
-bool small_system::run_until(std::function<bool()> const& wanted,
-                             duration limit)
+bool membership_simulation::run_until(std::function<bool()> const& wanted,
+                                      duration limit)
 {
     time_point const until = time.now() + limit;
     while (!wanted())
@@ -241,12 +242,12 @@
     return true;
 }
 
-void small_system::run(duration length)
+void membership_simulation::run(duration length)
 {
     time.run(length);
 }
 
-process* small_system::owner(std::string const& partition)
+process* membership_simulation::owner(std::string const& partition)
 {
     for (auto const& who : everyone_)
     {
@@ -258,7 +259,7 @@
     return nullptr;
 }
 
-bool small_system::all_owned()
+bool membership_simulation::all_owned()
 {
     return std::all_of(partitions_.begin(),
                        partitions_.end(),
@@ -268,17 +269,18 @@
                        });
 }
 
-std::vector<std::string> const& small_system::partitions() const noexcept
+std::vector<std::string> const&
+membership_simulation::partitions() const noexcept
 {
     return partitions_;
 }
 
-std::string small_system::address_of(std::size_t slot) const
+std::string membership_simulation::address_of(std::size_t slot) const
 {
     return address_name(slot);
 }
 
-void small_system::cut(std::size_t from, std::size_t to, bool is_cut)
+void membership_simulation::cut(std::size_t from, std::size_t to, bool is_cut)
 {
     auto const way = std::pair(address_name(from), address_name(to));
     if (is_cut)
@@ -291,7 +293,7 @@
     }
 }
 
-void small_system::cut_store(std::size_t slot, bool is_cut)
+void membership_simulation::cut_store(std::size_t slot, bool is_cut)
 {
     if (is_cut)
     {
@@ -303,7 +305,7 @@
     }
 }
 
-void small_system::tick(process_pointer const& who)
+void membership_simulation::tick(process_pointer const& who)
 {
     if (who->ended)
     {
@@ -326,8 +328,8 @@
                });
 }
 
-void small_system::hand(process_pointer const& who,
-                        process::delivery const& what)
+void membership_simulation::deliver(process_pointer const& who,
+                                    process::delivery const& what)
 {
     if (who->ended)
     {
@@ -343,7 +345,7 @@
     }
 }
 
-void small_system::run_in(
+void membership_simulation::run_in(
     process_pointer const& who,
     std::function<void(process&, time_point, ports::actions&)> const& what)
 {
@@ -355,9 +357,9 @@
     check();
 }
 
-void small_system::follow_changes(process& who,
-                                  time_point local,
-                                  ports::actions& out)
+void membership_simulation::follow_changes(process& who,
+                                           time_point local,
+                                           ports::actions& out)
 {
     for (auto const& change : who.claims.take_changes())
     {
@@ -377,8 +379,8 @@
     }
 }
 
-void small_system::act(process_pointer const& who,
-                       ports::actions const& actions)
+void membership_simulation::act(process_pointer const& who,
+                                ports::actions const& actions)
 {
     for (auto const& action : actions)
     {
@@ -389,10 +391,11 @@
                 *call,
                 [this, who](ports::store_reply const& reply)
                 {
-                    hand(who,
-                         [this, reply](process& receiver)
-                         {
-                             run_in(receiver.shared_from_this(),
+                    deliver(who,
+                            [this, reply](process& receiver)
+                            {
+                                run_in(
+                                    receiver.shared_from_this(),
                                     [&reply](process& self,
                                              time_point local,
                                              ports::actions& out)
@@ -409,7 +412,7 @@
                                                 local, reply, out);
                                         }
                                     });
-                         });
+                            });
                 });
         }
         else if (auto const* send = std::get_if<ports::peer_send>(&action))
@@ -418,7 +421,7 @@
         }
         else if (auto const* log = std::get_if<ports::log_event>(&action))
         {
-            burial_writes += log->event == "member_burial" ? 1 : 0;
+            fencing_writes += log->event == "member_burial" ? 1 : 0;
             pauses += log->event == "member_paused" ? 1 : 0;
         }
         else if (std::holds_alternative<ports::rejoin>(action))
@@ -430,7 +433,7 @@
 
 // The program goes on with a new incarnation; one that was superseded by a
 // newer process under its name ends.
-void small_system::rejoin(process_pointer const& who)
+void membership_simulation::rejoin(process_pointer const& who)
 {
     who->ended = true;
     ++rejoins;
@@ -450,7 +453,7 @@
     }
 }
 
-void small_system::publish_list()
+void membership_simulation::publish_list()
 {
     ports::instance_list list;
     for (auto const& who : everyone_)
@@ -465,20 +468,20 @@
                {
                    for (auto const& who : everyone_)
                    {
-                       hand(who,
-                            [this, list](process& receiver)
-                            {
-                                run_in(receiver.shared_from_this(),
-                                       [&list](process& self,
-                                               time_point local,
-                                               ports::actions& out)
-                                       {
-                                           auto received = list;
-                                           received.received = local;
-                                           self.member.on_instances(
-                                               local, received, out);
-                                       });
-                            });
+                       deliver(who,
+                               [this, list](process& receiver)
+                               {
+                                   run_in(receiver.shared_from_this(),
+                                          [&list](process& self,
+                                                  time_point local,
+                                                  ports::actions& out)
+                                          {
+                                              auto received = list;
+                                              received.received = local;
+                                              self.member.on_instances(
+                                                  local, received, out);
+                                          });
+                               });
                    }
                });
     time.after(std::chrono::seconds(1),
@@ -488,7 +491,7 @@
                });
 }
 
-void small_system::check()
+void membership_simulation::check()
 {
     if (!violation.empty())
     {
@@ -498,8 +501,8 @@
     {
         if (who->may_act(time.now()))
         {
-            check_buried(*who);
-            acted_by_witnesses += who->member.proved_by_store() ? 0 : 1;
+            check_fenced(*who);
+            checks_proved_by_witnesses += who->member.proved_by_store() ? 0 : 1;
         }
     }
     for (auto const& partition : partitions_)
@@ -519,26 +522,27 @@
 }
 
 // Whoever may act must have its record in the store, and not as buried.
-void small_system::check_buried(process& who)
+void membership_simulation::check_fenced(process& who)
 {
     auto const& shown = stored(who.id.name);
     if (shown.version == 0)
     {
         violation = who.id.name + " acts though its record was removed";
     }
-    else if (shown.buried || shown.incarnation != who.id.incarnation)
+    else if (shown.fenced || shown.incarnation != who.id.incarnation)
     {
         violation = who.id.name + " acts though it is buried";
     }
 }
 
 core::membership::witness_list const&
-small_system::stored_witnesses(std::size_t slot)
+membership_simulation::stored_witnesses(std::size_t slot)
 {
     return stored(slot_name(slot)).witnesses;
 }
 
-small_system::shown_record const& small_system::stored(std::string const& name)
+membership_simulation::shown_record const&
+membership_simulation::stored(std::string const& name)
 {
     auto const* entry =
         store.contents.find(core::membership::members_prefix(role) + name);
--- a/tests/unit/walks/small_system.hpp
+++ b/tests/unit/walks/membership_simulation.hpp
@@ -19,7 +19,7 @@
 namespace fuchsia::tests::unit::walks
 {
 
-struct system_options
+struct membership_simulation_options
 {
     std::size_t members = 5;
     std::size_t partitions = 6;
@@ -39,7 +39,7 @@
     process(std::string name,
             std::uint64_t incarnation,
             std::string address,
-            system_options const& options,
+            membership_simulation_options const& options,
             time_point born,
             std::int64_t rate_permille);
 
@@ -59,16 +59,17 @@
     bool removed = false;
 
 private:
-    time_point born_;
+    time_point started_at_;
     std::int64_t rate_permille_;
 };
 
 /// The processes and what joins them. Each slot is a name of the settings, in
 /// which one process runs at a time, or none.
-class small_system
+class membership_simulation
 {
 public:
-    explicit small_system(system_options const& options);
+    explicit membership_simulation(
+        membership_simulation_options const& options);
 
     virtual_clock time;
     fake_store store;
@@ -79,9 +80,9 @@
     process& start(std::size_t slot, bool zombie = false);
     void end(std::size_t slot);
     void freeze(std::size_t slot);
-    void wake(std::size_t slot);
+    void unfreeze(std::size_t slot);
     /// Wakes every frozen process, zombies included.
-    void wake_all();
+    void unfreeze_all();
     void begin_leaving(std::size_t slot);
     process& at(std::size_t slot);
     /// Runs on until `wanted` holds, at most `limit`; whether it does.
@@ -104,9 +105,9 @@
     duration list_lag = std::chrono::seconds(2);
     /// Empty while everything that must hold does.
     std::string violation;
-    std::uint64_t acted_by_witnesses = 0; ///< Checks that found one.
+    std::uint64_t checks_proved_by_witnesses = 0; ///< Checks that found one.
     std::uint64_t rejoins = 0;
-    std::uint64_t burial_writes = 0;
+    std::uint64_t fencing_writes = 0;
     std::uint64_t pauses = 0;
 
 private:
@@ -114,7 +115,7 @@
 
     void tick(process_pointer const& who);
     void act(process_pointer const& who, ports::actions const& actions);
-    void hand(process_pointer const& who, process::delivery const& what);
+    void deliver(process_pointer const& who, process::delivery const& what);
     void run_in(
         process_pointer const& who,
         std::function<void(process&, time_point, ports::actions&)> const& what);
@@ -123,20 +124,20 @@
     void rejoin(process_pointer const& who);
     void publish_list();
     void check();
-    void check_buried(process& who);
+    void check_fenced(process& who);
 
     /// What the store shows under one name, parsed once a version.
     struct shown_record
     {
         std::uint64_t version = 0;
         std::uint64_t incarnation = 0;
-        bool buried = false;
+        bool fenced = false;
         core::membership::witness_list witnesses;
     };
 
     shown_record const& stored(std::string const& name);
 
-    system_options options_;
+    membership_simulation_options options_;
     std::mt19937_64 random_;
     std::vector<std::string> partitions_;
     std::vector<process_pointer> slots_;
--- a/tests/unit/walks/small_system_test.cpp
+++ b/tests/unit/walks/membership_simulation_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-void start_all(small_system& system, std::size_t count)
+void start_all(membership_simulation& system, std::size_t count)
 {
     for (std::size_t slot = 0; slot < count; ++slot)
     {
@@ -20,8 +20,8 @@
 
 TEST(small_system, members_join_and_share_out_all_partitions)
 {
-    system_options options;
-    small_system system(options);
+    membership_simulation_options options;
+    membership_simulation system(options);
     start_all(system, options.members);
     EXPECT_TRUE(system.run_until(
         [&system]
@@ -36,8 +36,8 @@
 
 TEST(small_system, planned_stop_hands_over_and_removes_the_record)
 {
-    system_options options;
-    small_system system(options);
+    membership_simulation_options options;
+    membership_simulation system(options);
     start_all(system, options.members);
     system.run(20s);
     system.begin_leaving(1);
@@ -61,8 +61,8 @@
 // taken its partitions.
 TEST(small_system, partitions_of_a_killed_member_are_taken_over)
 {
-    system_options options;
-    small_system system(options);
+    membership_simulation_options options;
+    membership_simulation system(options);
     start_all(system, options.members);
     system.run(20s);
     system.end(2);
@@ -80,8 +80,8 @@
 // buried; then it joins.
 TEST(small_system, restarted_member_joins_after_its_former_self_is_buried)
 {
-    system_options options;
-    small_system system(options);
+    membership_simulation_options options;
+    membership_simulation system(options);
     start_all(system, options.members);
     system.run(20s);
     auto& again = system.start(2);
--- a/tests/unit/walks/walk.cpp
+++ b/tests/unit/walks/walk.cpp
@@ -16,9 +16,9 @@
 constexpr duration calm_start = std::chrono::seconds(9);
 constexpr duration recovery_limit = std::chrono::seconds(90);
 
-system_options describe(walk_options const& options)
+membership_simulation_options describe(walk_options const& options)
 {
-    system_options described;
+    membership_simulation_options described;
     described.members = member_count;
     described.partitions = 6;
     described.seed = options.seed;
@@ -33,7 +33,7 @@
 class trouble
 {
 public:
-    trouble(small_system& system, walk_options const& options)
+    trouble(membership_simulation& system, walk_options const& options)
         : system_(system), random_(options.seed * 7919),
           zombies_(options.seed % 2 != 0)
     {
@@ -59,7 +59,7 @@
     {
         system_.store.faults = {};
         system_.link.faults = {};
-        system_.wake_all();
+        system_.unfreeze_all();
         for (std::size_t slot = 0; slot < member_count; ++slot)
         {
             if (system_.at(slot).ended)
@@ -297,9 +297,9 @@
                            {
                                if (second)
                                {
-                                   system_.wake_all();
+                                   system_.unfreeze_all();
                                }
-                               system_.wake(slot);
+                               system_.unfreeze(slot);
                            });
     }
 
@@ -328,7 +328,7 @@
         }
     }
 
-    small_system& system_;
+    membership_simulation& system_;
     std::mt19937_64 random_;
     bool zombies_;
     /// Members whose next change of witnesses is lost, and these before it.
@@ -339,7 +339,7 @@
 
 walk_result run_walk(walk_options const& options)
 {
-    small_system system(describe(options));
+    membership_simulation system(describe(options));
     trouble faults(system, options);
     for (std::size_t slot = 0; slot < member_count; ++slot)
     {
@@ -362,8 +362,8 @@
                                     },
                                     recovery_limit);
     result.violation = system.violation;
-    result.burial_writes = system.burial_writes;
-    result.acted_by_witnesses = system.acted_by_witnesses;
+    result.fencing_writes = system.fencing_writes;
+    result.checks_proved_by_witnesses = system.checks_proved_by_witnesses;
     result.pauses = system.pauses;
     return result;
 }
--- a/tests/unit/walks/walk.hpp
+++ b/tests/unit/walks/walk.hpp
@@ -23,8 +23,8 @@
 struct walk_result
 {
     std::string violation; ///< Empty where all held.
-    std::uint64_t burial_writes = 0;
-    std::uint64_t acted_by_witnesses = 0;
+    std::uint64_t fencing_writes = 0;
+    std::uint64_t checks_proved_by_witnesses = 0;
     std::uint64_t pauses = 0;
     bool recovered = false;
 };
--- a/tests/unit/walks/walk_test.cpp
+++ b/tests/unit/walks/walk_test.cpp
@@ -68,8 +68,8 @@
         ASSERT_EQ(result.violation, "") << "seed " << options.seed;
         ASSERT_TRUE(result.recovered || !options.must_recover)
             << "seed " << options.seed;
-        burials += result.burial_writes > 0 ? 1 : 0;
-        by_witnesses += result.acted_by_witnesses > 0 ? 1 : 0;
+        burials += result.fencing_writes > 0 ? 1 : 0;
+        by_witnesses += result.checks_proved_by_witnesses > 0 ? 1 : 0;
     }
     // Walks in which nothing happens would prove nothing.
     EXPECT_GE(burials * 2, walks);
