--- a/tests/process/entry_deployment.cpp
+++ b/tests/process/entry_deployment.cpp
@@ -152,16 +152,17 @@
     {
         start_entry(number);
     }
-    is_ready = up && wait_until(
-                         [this]
-                         {
-                             bool const all = ready(0) && ready(1) && ready(2);
-                             auto const served = bid(0, "probe", 1, "T");
-                             return all && is_settled() && is_own(served, "T");
-                         });
+    is_ready =
+        up && wait_until(
+                  [this]
+                  {
+                      bool const all = ready(0) && ready(1) && ready(2);
+                      auto const served = bid(0, "probe", 1, "T");
+                      return all && owns_as_assigned() && is_own(served, "T");
+                  });
 }
 
-bool entry_deployment::is_settled() const
+bool entry_deployment::owns_as_assigned() const
 {
     std::vector<std::string> names;
     std::vector<std::int64_t> wished(entries, 0);
--- a/tests/process/entry_deployment.hpp
+++ b/tests/process/entry_deployment.hpp
@@ -42,7 +42,7 @@
                                                 std::string const& token) const;
     /// Whether each entry owns just the partitions that are wished to be its,
     /// by its metrics: claims move until then.
-    bool is_settled() const;
+    bool owns_as_assigned() const;
     /// A number in the books of the upstreams' stand-in.
     std::int64_t upstream_count(std::string const& name) const;
     /// Sets faults of the platform's stand-in.
--- a/tests/unit/requests/entry_cases_test.cpp
+++ b/tests/unit/requests/entry_cases_test.cpp
@@ -14,11 +14,11 @@
 class entry_cases : public testing::Test
 {
 protected:
-    void begin(world_options options = {})
+    void begin(entry_simulation_options options = {})
     {
-        world_ = std::make_unique<entry_world>(options);
+        world_ = std::make_unique<entry_simulation>(options);
         world_->start_all();
-        ASSERT_TRUE(world_->settle());
+        ASSERT_TRUE(world_->run_until_stable());
     }
 
     void TearDown() override
@@ -26,7 +26,7 @@
         EXPECT_EQ(world_->violation, "");
     }
 
-    entry_world& world()
+    entry_simulation& world()
     {
         return *world_;
     }
@@ -61,7 +61,7 @@
     }
 
 private:
-    std::unique_ptr<entry_world> world_;
+    std::unique_ptr<entry_simulation> world_;
 };
 
 } // namespace
@@ -72,13 +72,13 @@
 {
     begin();
     world().faults.fastest = world().faults.slowest = 500ms;
-    auto const first = world().send(world().owner_of("a"), bid("a", 1));
-    auto const second = world().send(far_from("a"), bid("a", 2), 100ms);
+    auto const first = world().send(world().owner_of("a"), bid_request("a", 1));
+    auto const second = world().send(far_from("a"), bid_request("a", 2), 100ms);
     wait_for(first);
     wait_for(second);
     EXPECT_EQ(world().at(first).answer.outcome, outcome::ran);
     EXPECT_EQ(world().at(second).answer.outcome, outcome::ran);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // The answer is lost on its way to the caller, who sends the bid again later.
@@ -86,16 +86,16 @@
 TEST_F(entry_cases, retry_after_the_first_ended_gets_the_same_answer)
 {
     begin();
-    auto const first = world().send(far_from("a"), bid("a", 1));
+    auto const first = world().send(far_from("a"), bid_request("a", 1));
     wait_for(first);
     for (std::size_t entry = 0; entry < 3; ++entry)
     {
-        auto const again = world().send(entry, bid("a", 2));
+        auto const again = world().send(entry, bid_request("a", 2));
         wait_for(again);
         EXPECT_EQ(world().at(again).answer.outcome, outcome::ran);
         EXPECT_EQ(world().at(again).answer.body, "body of a");
     }
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // The entry that ran the bid is killed and its memory is gone. A retry must
@@ -103,17 +103,17 @@
 TEST_F(entry_cases, retry_after_the_owner_was_killed_is_told_unknown)
 {
     begin();
-    auto const first = world().send(world().owner_of("a"), bid("a", 1));
+    auto const first = world().send(world().owner_of("a"), bid_request("a", 1));
     wait_for(first);
     kill_owner_and_wait("a");
-    auto const again = world().send(world().owner_of("a"), bid("a", 2));
-    auto const through = world().send(far_from("a"), bid("a", 2));
+    auto const again = world().send(world().owner_of("a"), bid_request("a", 2));
+    auto const through = world().send(far_from("a"), bid_request("a", 2));
     wait_for(again);
     wait_for(through);
     EXPECT_EQ(world().at(again).answer.code, result_code::key_memory_lost);
     EXPECT_EQ(world().at(again).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().at(through).answer.outcome, outcome::unknown);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // The owner is killed while it runs the bid of another entry's caller. That
@@ -123,7 +123,7 @@
 {
     begin();
     world().faults.fastest = world().faults.slowest = 1s;
-    auto request = bid("a", 1);
+    auto request = bid_request("a", 1);
     request.deadline = 60s;
     auto const owner = world().owner_of("a");
     auto const sent = world().send(world().other_than(owner), request);
@@ -139,12 +139,13 @@
 TEST_F(entry_cases, first_sending_overtaken_by_the_second_runs_once)
 {
     begin();
-    auto const first = world().send(far_from("a"), bid("a", 1), 1500ms);
-    auto const second = world().send(world().owner_of("a"), bid("a", 2));
+    auto const first = world().send(far_from("a"), bid_request("a", 1), 1500ms);
+    auto const second =
+        world().send(world().owner_of("a"), bid_request("a", 2));
     wait_for(second);
     wait_for(first);
     EXPECT_EQ(world().at(first).answer.outcome, outcome::ran);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // The first sending is overtaken by the second, the owner that ran the second
@@ -153,17 +154,19 @@
 TEST_F(entry_cases, overtaken_first_sending_does_not_run_after_a_takeover)
 {
     begin();
-    auto const second = world().send(world().owner_of("a"), bid("a", 2));
+    auto const second =
+        world().send(world().owner_of("a"), bid_request("a", 2));
     wait_for(second);
     kill_owner_and_wait("a");
     auto const owner = world().owner_of("a");
-    auto const first = world().send(owner, bid("a", 1));
-    auto const through = world().send(world().other_than(owner), bid("a", 1));
+    auto const first = world().send(owner, bid_request("a", 1));
+    auto const through =
+        world().send(world().other_than(owner), bid_request("a", 1));
     wait_for(first);
     wait_for(through);
     EXPECT_EQ(world().at(first).answer.outcome, outcome::unknown);
     EXPECT_EQ(world().at(through).answer.outcome, outcome::unknown);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // After a takeover new bids must not wait until the whole memory is rebuilt: a
@@ -173,8 +176,8 @@
     begin();
     kill_owner_and_wait("a");
     world().run(4s);
-    auto const sent = world().send(world().owner_of("a"), bid("a", 1));
-    auto const through = world().send(far_from("b"), bid("b", 1));
+    auto const sent = world().send(world().owner_of("a"), bid_request("a", 1));
+    auto const through = world().send(far_from("b"), bid_request("b", 1));
     wait_for(sent);
     wait_for(through);
     EXPECT_EQ(world().at(sent).answer.outcome, outcome::ran);
@@ -190,14 +193,14 @@
     auto const owner = world().owner_of("a");
     auto const frozen = world().other_than(owner);
     world().freeze(frozen);
-    auto const first = world().send(frozen, bid("a", 1));
-    auto const second = world().send(owner, bid("a", 2));
+    auto const first = world().send(frozen, bid_request("a", 1));
+    auto const second = world().send(owner, bid_request("a", 2));
     wait_for(second);
     world().kill(owner);
     world().run(15s);
-    world().wake(frozen);
+    world().unfreeze(frozen);
     world().run(15s);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
     EXPECT_NE(world().at(first).answer.outcome, outcome::ran);
 }
 
@@ -206,13 +209,13 @@
 TEST_F(entry_cases, key_of_another_request_gets_no_foreign_answer)
 {
     begin();
-    wait_for(world().send(0, bid("a", 1)));
-    auto other = bid("a", 1);
+    wait_for(world().send(0, bid_request("a", 1)));
+    auto other = bid_request("a", 1);
     other.body = "another body";
     auto const sent = world().send(1, other);
     wait_for(sent);
     EXPECT_EQ(world().at(sent).answer.code, result_code::bad_header);
-    EXPECT_EQ(world().runs("another body"), 0U);
+    EXPECT_EQ(world().run_count("another body"), 0U);
 }
 
 // The upstream answers after the caller's deadline. The caller was told
@@ -220,7 +223,7 @@
 // nobody else gets that answer.
 TEST_F(entry_cases, late_answer_keeps_its_slot_and_reaches_nobody)
 {
-    world_options options;
+    entry_simulation_options options;
     options.upstreams = 3;
     options.slots = 1;
     begin(options);
@@ -228,7 +231,7 @@
     std::vector<std::uint64_t> late;
     for (int at = 0; at < 3; ++at)
     {
-        auto request = unkeyed("late " + std::to_string(at));
+        auto request = unkeyed_request("late " + std::to_string(at));
         request.deadline = 300ms;
         late.push_back(world().send(0, request));
     }
@@ -243,7 +246,7 @@
     std::vector<std::uint64_t> next;
     for (int at = 0; at < 6; ++at)
     {
-        auto request = unkeyed("next " + std::to_string(at));
+        auto request = unkeyed_request("next " + std::to_string(at));
         request.deadline = 5s;
         next.push_back(world().send(0, request));
     }
@@ -258,7 +261,7 @@
 TEST_F(entry_cases,
        successor_does_not_overfill_what_its_predecessor_left_running)
 {
-    world_options options;
+    entry_simulation_options options;
     options.upstreams = 6;
     options.slots = 1;
     options.in_flight = 1000;
@@ -268,7 +271,7 @@
     world().faults.fastest = world().faults.slowest = 12s;
     for (int at = 0; at < 12; ++at)
     {
-        auto request = unkeyed("left " + std::to_string(at));
+        auto request = unkeyed_request("left " + std::to_string(at));
         request.deadline = 20s;
         world().send(at % 3, request);
     }
@@ -277,7 +280,7 @@
     world().faults.fastest = world().faults.slowest = 100ms;
     for (int at = 0; at < 400; ++at)
     {
-        auto request = unkeyed("next " + std::to_string(at));
+        auto request = unkeyed_request("next " + std::to_string(at));
         request.deadline = 500ms;
         world().send(at % 2, request, at * 30ms);
     }
@@ -288,7 +291,7 @@
 // seconds all entries together keep to the new one.
 TEST_F(entry_cases, lowered_contract_holds_everywhere_within_seconds)
 {
-    world_options options;
+    entry_simulation_options options;
     options.upstreams = 30;
     begin(options);
     world().faults.fastest = world().faults.slowest = 200ms;
@@ -296,7 +299,8 @@
     {
         for (int at = 0; at < 600; ++at)
         {
-            world().send(at % 3, unkeyed(name + std::to_string(at)), at * 10ms);
+            world().send(
+                at % 3, unkeyed_request(name + std::to_string(at)), at * 10ms);
         }
     };
     load("before ");
@@ -320,15 +324,15 @@
     for (int at = 0; at < 40; ++at)
     {
         keys.push_back("k" + std::to_string(at));
-        wait_for(world().send(at % 3, bid(keys.back(), 1)));
+        wait_for(world().send(at % 3, bid_request(keys.back(), 1)));
     }
     std::vector<std::uint64_t> during;
     for (int at = 0; at < 100; ++at)
     {
         // The balancer learns of the stop within its lag of 500 ms.
         std::size_t const entry = at < 20 ? 2 : at % 2;
-        during.push_back(
-            world().send(entry, bid("d" + std::to_string(at), 1), at * 20ms));
+        during.push_back(world().send(
+            entry, bid_request("d" + std::to_string(at), 1), at * 20ms));
     }
     world().stop(2);
     EXPECT_TRUE(world().run_until(
@@ -346,7 +350,7 @@
     }
     for (auto const& key : keys)
     {
-        auto const again = world().send(key.size() % 2, bid(key, 2));
+        auto const again = world().send(key.size() % 2, bid_request(key, 2));
         wait_for(again);
         EXPECT_EQ(world().at(again).answer.outcome, outcome::ran) << key;
     }
@@ -356,7 +360,7 @@
 // at once, and told different times to come back.
 TEST_F(entry_cases, full_queue_refuses_at_once_and_spreads_returns)
 {
-    world_options options;
+    entry_simulation_options options;
     options.upstreams = 3;
     options.slots = 1;
     options.in_flight = 100'000;
@@ -364,14 +368,16 @@
     world().faults.fastest = world().faults.slowest = 500ms;
     for (int at = 0; at < 30; ++at)
     {
-        wait_for(world().send(0, unkeyed("warm " + std::to_string(at))));
+        wait_for(
+            world().send(0, unkeyed_request("warm " + std::to_string(at))));
     }
     constexpr std::size_t offered = 60;
     std::vector<std::uint64_t> sent;
     sent.reserve(offered);
     for (std::size_t at = 0; at < offered; ++at)
     {
-        sent.push_back(world().send(0, unkeyed("load " + std::to_string(at))));
+        sent.push_back(
+            world().send(0, unkeyed_request("load " + std::to_string(at))));
     }
     world().run(400ms);
     std::set<std::int64_t> waits;
@@ -400,7 +406,7 @@
         world().cut(other, 0, true);
     }
     world().run(4s);
-    auto const refused = world().send(0, unkeyed("cut off"));
+    auto const refused = world().send(0, unkeyed_request("cut off"));
     world().run(1ms);
     ASSERT_TRUE(world().answered(refused));
     EXPECT_EQ(world().at(refused).answer.code, result_code::no_proof);
@@ -417,9 +423,10 @@
     for (int at = 0; at < 60; ++at)
     {
         world().run(1s);
-        auto const plain = world().send(at % 3, unkeyed(std::to_string(at)));
+        auto const plain =
+            world().send(at % 3, unkeyed_request(std::to_string(at)));
         auto const keyed =
-            world().send(at % 3, bid("down " + std::to_string(at), 1));
+            world().send(at % 3, bid_request("down " + std::to_string(at), 1));
         wait_for(plain);
         wait_for(keyed);
         ran += world().at(plain).answer.outcome == outcome::ran ? 1 : 0;
@@ -434,19 +441,19 @@
 {
     begin();
     world().faults.lost_permille = 1000;
-    auto const lost_bid = world().send(0, bid("a", 1));
+    auto const lost_bid = world().send(0, bid_request("a", 1));
     wait_for(lost_bid);
     EXPECT_EQ(world().at(lost_bid).answer.outcome, outcome::unknown);
-    EXPECT_EQ(world().runs("body of a"), 1U);
-    auto const lost_query = world().send(0, query("q"));
+    EXPECT_EQ(world().run_count("body of a"), 1U);
+    auto const lost_query = world().send(0, get_request("q"));
     wait_for(lost_query);
     EXPECT_EQ(world().at(lost_query).answer.outcome, outcome::unknown);
-    EXPECT_GT(world().runs("q"), 1U);
+    EXPECT_GT(world().run_count("q"), 1U);
     world().faults.lost_permille = 0;
-    auto const again = world().send(1, bid("a", 2));
+    auto const again = world().send(1, bid_request("a", 2));
     wait_for(again);
     EXPECT_EQ(world().at(again).answer.outcome, outcome::unknown);
-    EXPECT_EQ(world().runs("body of a"), 1U);
+    EXPECT_EQ(world().run_count("body of a"), 1U);
 }
 
 // An upstream that is full or starting refuses and says that it did not run the
@@ -459,16 +466,17 @@
     std::uint32_t ran = 0;
     for (int at = 0; at < 40; ++at)
     {
-        auto const id = world().send(0, bid("r" + std::to_string(at), 1));
+        auto const id =
+            world().send(0, bid_request("r" + std::to_string(at), 1));
         wait_for(id);
         ran += world().at(id).answer.outcome == outcome::ran ? 1 : 0;
     }
     EXPECT_GE(ran, 30U);
     world().faults.refused_permille = 1000;
-    auto const refused = world().send(0, bid("never", 1));
+    auto const refused = world().send(0, bid_request("never", 1));
     wait_for(refused);
     EXPECT_EQ(world().at(refused).answer.outcome, outcome::not_run);
-    EXPECT_EQ(world().runs("body of never"), 0U);
+    EXPECT_EQ(world().run_count("body of never"), 0U);
 }
 
 // The queue has grown beyond what can be served in time. Serving by deadline
@@ -476,7 +484,7 @@
 // waits for, and the caller is told "unknown" instead of "not run".
 TEST_F(entry_cases, overload_wastes_no_slot_on_what_is_too_late)
 {
-    world_options options;
+    entry_simulation_options options;
     options.upstreams = 3;
     options.slots = 2;
     options.in_flight = 100'000;
@@ -486,7 +494,7 @@
     std::vector<std::uint64_t> sent;
     for (int at = 0; at < 600; ++at)
     {
-        auto request = query("load " + std::to_string(at));
+        auto request = get_request("load " + std::to_string(at));
         request.deadline = 300ms;
         sent.push_back(world().send(at % 3, request, at * 5ms));
     }
@@ -513,7 +521,8 @@
     std::uint32_t unknown = 0;
     for (int at = 0; at < 100; ++at)
     {
-        auto const id = world().send(reader, bid("u" + std::to_string(at), 2));
+        auto const id =
+            world().send(reader, bid_request("u" + std::to_string(at), 2));
         wait_for(id);
         unknown += world().at(id).answer.outcome == outcome::unknown ? 1 : 0;
     }
--- a/tests/unit/requests/entry_world.cpp
+++ b/tests/unit/requests/entry_simulation.cpp
@@ -62,7 +62,7 @@
     return settings;
 }
 
-ports::caller_request bid(std::string const& key, std::uint32_t attempt)
+ports::caller_request bid_request(std::string const& key, std::uint32_t attempt)
 {
     auto request = make("POST", "body of " + key);
     request.idempotency_key = key;
@@ -70,17 +70,17 @@
     return request;
 }
 
-ports::caller_request unkeyed(std::string const& body)
+ports::caller_request unkeyed_request(std::string const& body)
 {
     return make("POST", body);
 }
 
-ports::caller_request query(std::string const& body)
+ports::caller_request get_request(std::string const& body)
 {
     return make("GET", body);
 }
 
-entry_world::entry_world(world_options const& options)
+entry_simulation::entry_simulation(entry_simulation_options const& options)
     : store(time, options.seed * 2 + 1),
       link(time,
            options.seed * 3 + 1,
@@ -92,13 +92,13 @@
                {
                    if (who && who->address == address && who->id == to)
                    {
-                       hand(who,
-                            [message](entry_engine& engine,
-                                      time_point now,
-                                      ports::actions& out)
-                            {
-                                engine.on_peer(now, message, out);
-                            });
+                       deliver(who,
+                               [message](entry_engine& engine,
+                                         time_point now,
+                                         ports::actions& out)
+                               {
+                                   engine.on_peer(now, message, out);
+                               });
                    }
                }
            }),
@@ -112,15 +112,15 @@
     publish_list();
 }
 
-void entry_world::start(std::size_t entry)
+void entry_simulation::start(std::size_t entry)
 {
     kill(entry);
     begin(entry);
 }
 
-void entry_world::begin(std::size_t entry)
+void entry_simulation::begin(std::size_t entry)
 {
-    auto const who = std::make_shared<node>();
+    auto const who = std::make_shared<simulated_entry>();
     who->id = {"entry-" + std::to_string(entry), random_() | 1U};
     who->address = "10.0.0." + std::to_string(entry);
     core::membership::member_info info;
@@ -140,7 +140,7 @@
     tick(who);
 }
 
-void entry_world::start_all()
+void entry_simulation::start_all()
 {
     for (std::size_t entry = 0; entry < options_.entries; ++entry)
     {
@@ -148,7 +148,7 @@
     }
 }
 
-void entry_world::kill(std::size_t entry)
+void entry_simulation::kill(std::size_t entry)
 {
     if (!nodes_[entry])
     {
@@ -161,7 +161,7 @@
     }
 }
 
-void entry_world::freeze(std::size_t entry)
+void entry_simulation::freeze(std::size_t entry)
 {
     if (nodes_[entry])
     {
@@ -170,14 +170,14 @@
     }
 }
 
-void entry_world::wake(std::size_t entry)
+void entry_simulation::unfreeze(std::size_t entry)
 {
     auto const who = nodes_[entry];
     if (!who || !std::exchange(who->frozen, false))
     {
         return;
     }
-    who->waking = true;
+    who->processing_backlog = true;
     auto waiting = std::exchange(who->inbox, {});
     for (auto const& what : waiting)
     {
@@ -185,45 +185,46 @@
     }
     // The engine must hold its promises though the tick comes last here; a
     // daemon ticks first of all.
-    hand(who,
-         [](entry_engine& engine, time_point now, ports::actions& out)
-         {
-             engine.tick(now, out);
-         });
-    who->waking = false;
+    deliver(who,
+            [](entry_engine& engine, time_point now, ports::actions& out)
+            {
+                engine.tick(now, out);
+            });
+    who->processing_backlog = false;
 }
 
-void entry_world::stop(std::size_t entry)
+void entry_simulation::stop(std::size_t entry)
 {
-    hand(nodes_[entry],
-         [](entry_engine& engine, time_point now, ports::actions& out)
-         {
-             engine.begin_stop(now, out);
-         });
+    deliver(nodes_[entry],
+            [](entry_engine& engine, time_point now, ports::actions& out)
+            {
+                engine.begin_stop(now, out);
+            });
 }
 
-bool entry_world::is_running(std::size_t entry) const
+bool entry_simulation::is_running(std::size_t entry) const
 {
     auto const& who = nodes_[entry];
     return who && !who->ended && !who->frozen;
 }
 
-bool entry_world::has_stopped(std::size_t entry) const
+bool entry_simulation::has_stopped(std::size_t entry) const
 {
     return nodes_[entry] && nodes_[entry]->stopped;
 }
 
-entry_engine& entry_world::engine(std::size_t entry)
+entry_engine& entry_simulation::engine(std::size_t entry)
 {
     return *nodes_[entry]->engine;
 }
 
-void entry_world::run(duration length)
+void entry_simulation::run(duration length)
 {
     time.run(length);
 }
 
-bool entry_world::run_until(std::function<bool()> const& wanted, duration limit)
+bool entry_simulation::run_until(std::function<bool()> const& wanted,
+                                 duration limit)
 {
     time_point const until = time.now() + limit;
     while (!wanted())
@@ -236,7 +237,7 @@
     return true;
 }
 
-bool entry_world::settle()
+bool entry_simulation::run_until_stable()
 {
     bool const served = run_until(
         [this]
@@ -258,9 +259,9 @@
     return served;
 }
 
-std::uint64_t entry_world::send(std::size_t entry,
-                                ports::caller_request request,
-                                duration delay)
+std::uint64_t entry_simulation::send(std::size_t entry,
+                                     ports::caller_request request,
+                                     duration delay)
 {
     std::uint64_t const id = ++last_sending_;
     request.headers.push_back({sending_header, std::to_string(id)});
@@ -273,46 +274,47 @@
     return id;
 }
 
-void entry_world::read(std::uint64_t id, node_pointer const& who)
+void entry_simulation::read(std::uint64_t id,
+                            simulated_entry_pointer const& who)
 {
-    hand(who,
-         [this, id, who](
-             entry_engine& engine, time_point now, ports::actions& out)
-         {
-             auto& one = sendings_.at(id);
-             one.reader = who;
-             one.read_at = now;
-             engine.on_caller_request(now, id, one.request, out);
-             time.after(one.request.deadline + answer_grace,
-                        [this, id, who]
-                        {
-                            bool const there = !who->ended && !who->frozen;
-                            if (there && !answered(id))
-                            {
-                                fail("sending " + std::to_string(id) +
-                                     " was not answered in time");
-                            }
-                        });
-         });
+    deliver(who,
+            [this, id, who](
+                entry_engine& engine, time_point now, ports::actions& out)
+            {
+                auto& one = sendings_.at(id);
+                one.receiving_entry = who;
+                one.read_at = now;
+                engine.on_caller_request(now, id, one.request, out);
+                time.after(one.request.deadline + answer_grace,
+                           [this, id, who]
+                           {
+                               bool const there = !who->ended && !who->frozen;
+                               if (there && !answered(id))
+                               {
+                                   fail("sending " + std::to_string(id) +
+                                        " was not answered in time");
+                               }
+                           });
+            });
 }
 
-sending const& entry_world::at(std::uint64_t id) const
+sent_request const& entry_simulation::at(std::uint64_t id) const
 {
     return sendings_.at(id);
 }
 
-bool entry_world::answered(std::uint64_t id) const
+bool entry_simulation::answered(std::uint64_t id) const
 {
     return sendings_.at(id).answers > 0;
 }
 
-std::uint32_t entry_world::runs(std::string const& body) const
+std::uint32_t entry_simulation::run_count(std::string const& body) const
 {
     auto const found = runs_.find(body);
     return found == runs_.end() ? 0 : found->second;
 }
 
-std::uint32_t entry_world::running() const
+std::uint32_t entry_simulation::running() const
 {
     std::uint32_t sum = 0;
     for (auto const& [id, one] : upstreams_)
@@ -322,7 +324,7 @@
     return sum;
 }
 
-std::size_t entry_world::owner_of(std::string const& key) const
+std::size_t entry_simulation::owner_of(std::string const& key) const
 {
     auto const partition =
         core::common::partition_of(core::requests::customer_key(customer, key));
@@ -341,12 +343,12 @@
     return nodes_.size();
 }
 
-std::size_t entry_world::other_than(std::size_t entry) const
+std::size_t entry_simulation::other_than(std::size_t entry) const
 {
     return entry == 0 ? 1 : 0;
 }
 
-void entry_world::put_contract(std::uint32_t in_flight)
+void entry_simulation::put_contract(std::uint32_t in_flight)
 {
     ++revision_;
     core::contracts::contract limits;
@@ -370,7 +372,7 @@
         key, core::config::to_json(index), known ? known->version : 0});
 }
 
-void entry_world::cut(std::size_t from, std::size_t to, bool is_cut)
+void entry_simulation::cut(std::size_t from, std::size_t to, bool is_cut)
 {
     auto const way = std::pair("10.0.0." + std::to_string(from),
                                "10.0.0." + std::to_string(to));
@@ -384,7 +386,7 @@
     }
 }
 
-std::uint32_t entry_world::in_flight() const
+std::uint32_t entry_simulation::in_flight() const
 {
     std::uint32_t sum = 0;
     for (auto const& who : nodes_)
@@ -395,7 +397,7 @@
     return sum;
 }
 
-void entry_world::tick(node_pointer const& who)
+void entry_simulation::tick(simulated_entry_pointer const& who)
 {
     if (who->ended)
     {
@@ -416,7 +418,8 @@
                });
 }
 
-void entry_world::hand(node_pointer const& who, event const& what)
+void entry_simulation::deliver(simulated_entry_pointer const& who,
+                               event const& what)
 {
     if (!who || who->ended)
     {
@@ -434,7 +437,8 @@
     run_in(who, what);
 }
 
-void entry_world::run_in(node_pointer const& who, event const& what)
+void entry_simulation::run_in(simulated_entry_pointer const& who,
+                              event const& what)
 {
     if (who->ended)
     {
@@ -446,8 +450,8 @@
     check_contract();
 }
 
-void entry_world::perform(node_pointer const& who,
-                          ports::actions const& actions)
+void entry_simulation::perform(simulated_entry_pointer const& who,
+                               ports::actions const& actions)
 {
     for (auto const& action : actions)
     {
@@ -457,13 +461,13 @@
                        *call,
                        [this, who](ports::store_reply const& reply)
                        {
-                           hand(who,
-                                [reply](entry_engine& engine,
-                                        time_point now,
-                                        ports::actions& out)
-                                {
-                                    engine.on_store_reply(now, reply, out);
-                                });
+                           deliver(who,
+                                   [reply](entry_engine& engine,
+                                           time_point now,
+                                           ports::actions& out)
+                                   {
+                                       engine.on_store_reply(now, reply, out);
+                                   });
                        });
         }
         else if (auto const* message = std::get_if<ports::peer_send>(&action))
@@ -505,8 +509,8 @@
     }
 }
 
-void entry_world::run_on_upstream(node_pointer const& who,
-                                  ports::upstream_send const& what)
+void entry_simulation::run_on_upstream(simulated_entry_pointer const& who,
+                                       ports::upstream_send const& what)
 {
     using enum ports::exchange_status;
     if (chance(faults.not_sent_permille))
@@ -543,9 +547,9 @@
               loses ? 2 * way : 2 * way + service);
 }
 
-void entry_world::refuse_later(node_pointer const& who,
-                               std::uint64_t exchange,
-                               duration after)
+void entry_simulation::refuse_later(simulated_entry_pointer const& who,
+                                    std::uint64_t exchange,
+                                    duration after)
 {
     ports::upstream_end end;
     end.exchange = exchange;
@@ -555,17 +559,17 @@
     time.after(after,
                [this, who, end]
                {
-                   hand(who,
-                        [end](entry_engine& engine,
-                              time_point now,
-                              ports::actions& out)
-                        {
-                            engine.on_exchange_end(now, end, out);
-                        });
+                   deliver(who,
+                           [end](entry_engine& engine,
+                                 time_point now,
+                                 ports::actions& out)
+                           {
+                               engine.on_exchange_end(now, end, out);
+                           });
                });
 }
 
-void entry_world::begin_on_upstream(ports::upstream_send const& what)
+void entry_simulation::begin_on_upstream(ports::upstream_send const& what)
 {
     auto& one = upstreams_.at(what.upstream);
     if (++one.running > options_.slots)
@@ -588,11 +592,11 @@
     }
 }
 
-void entry_world::end_later(node_pointer const& who,
-                            std::uint64_t exchange,
-                            ports::exchange_status status,
-                            ports::caller_request const& request,
-                            duration wait)
+void entry_simulation::end_later(simulated_entry_pointer const& who,
+                                 std::uint64_t exchange,
+                                 ports::exchange_status status,
+                                 ports::caller_request const& request,
+                                 duration wait)
 {
     ports::upstream_end end;
     end.exchange = exchange;
@@ -605,17 +609,17 @@
     time.after(wait,
                [this, who, end]
                {
-                   hand(who,
-                        [end](entry_engine& engine,
-                              time_point now,
-                              ports::actions& out)
-                        {
-                            engine.on_exchange_end(now, end, out);
-                        });
+                   deliver(who,
+                           [end](entry_engine& engine,
+                                 time_point now,
+                                 ports::actions& out)
+                           {
+                               engine.on_exchange_end(now, end, out);
+                           });
                });
 }
 
-void entry_world::on_reply(ports::caller_reply const& reply)
+void entry_simulation::on_reply(ports::caller_reply const& reply)
 {
     auto& one = sendings_.at(reply.caller);
     std::string const name = "sending " + std::to_string(one.id);
@@ -638,7 +642,7 @@
 // The sending itself must not have run. Of a later sending no other one may
 // have run before it was read, or, where the entry that read it owns the key,
 // before it was refused. Another one that is still on its way may yet run.
-void entry_world::check_not_run(sending const& one)
+void entry_simulation::check_not_run(sent_request const& one)
 {
     std::string const name = "sending " + std::to_string(one.id);
     if (ran_sendings_.contains(std::to_string(one.id)))
@@ -651,14 +655,15 @@
         return;
     }
     auto const owner = owner_of(one.request.idempotency_key);
-    bool const own = owner < nodes_.size() && nodes_[owner] == one.reader;
+    bool const own =
+        owner < nodes_.size() && nodes_[owner] == one.receiving_entry;
     if (own || first->second < one.read_at)
     {
         fail(name + " was told its key did not run, but it did");
     }
 }
 
-void entry_world::publish_list()
+void entry_simulation::publish_list()
 {
     ports::instance_list list;
     for (auto const& [id, one] : upstreams_)
@@ -690,13 +695,13 @@
                    }
                    for (auto const& who : nodes_)
                    {
-                       hand(who,
-                            [list](entry_engine& engine,
-                                   time_point now,
-                                   ports::actions& out)
-                            {
-                                engine.on_instances(now, list, out);
-                            });
+                       deliver(who,
+                               [list](entry_engine& engine,
+                                      time_point now,
+                                      ports::actions& out)
+                               {
+                                   engine.on_instances(now, list, out);
+                               });
                    }
                });
     time.after(list_interval,
@@ -708,16 +713,16 @@
 
 // What an entry had running when it was frozen has ended once the longest
 // execution has passed; the entry itself learns of it when it wakes.
-bool entry_world::counts_stand_still(node const& who) const
+bool entry_simulation::counts_stand_still(simulated_entry const& who) const
 {
-    return (who.frozen || who.waking) &&
+    return (who.frozen || who.processing_backlog) &&
            time.now() - who.frozen_at >
                options_.settings.upstreams.max_execution;
 }
 
 // The counts of a frozen entry stand still, so the time of a lowered contract
 // does too.
-void entry_world::check_contract()
+void entry_simulation::check_contract()
 {
     for (auto const& who : nodes_)
     {
@@ -751,7 +756,7 @@
     }
 }
 
-void entry_world::fail(std::string what)
+void entry_simulation::fail(std::string what)
 {
     if (violation.empty())
     {
@@ -762,7 +767,7 @@
     }
 }
 
-bool entry_world::chance(std::uint32_t permille)
+bool entry_simulation::chance(std::uint32_t permille)
 {
     return permille != 0 && random_() % 1000 < permille;
 }
--- a/tests/unit/requests/entry_world.hpp
+++ b/tests/unit/requests/entry_simulation.hpp
@@ -28,7 +28,7 @@
 /// Short bounds, so that a test need not run for minutes.
 entry_settings short_settings();
 
-struct world_options
+struct entry_simulation_options
 {
     std::size_t entries = 3;
     std::size_t upstreams = 12;
@@ -50,7 +50,7 @@
 };
 
 /// One process of an entry.
-struct node
+struct simulated_entry
 {
     ports::member_identity id;
     std::string address;
@@ -58,27 +58,27 @@
     std::deque<std::function<void()>> inbox; ///< What came while frozen.
     bool frozen = false;
     time_point frozen_at;
-    bool waking = false; ///< Handles what came while it was frozen.
+    bool processing_backlog = false; ///< Handles what came while it was frozen.
     bool ended = false;
     bool stopped = false;
 };
-using node_pointer = std::shared_ptr<node>;
+using simulated_entry_pointer = std::shared_ptr<simulated_entry>;
 
 /// One sending of a caller's request.
-struct sending
+struct sent_request
 {
     std::uint64_t id = 0;
-    node_pointer reader; ///< Who read it from the caller.
+    simulated_entry_pointer receiving_entry; ///< Who read it from the caller.
     time_point read_at;
     ports::caller_request request;
     std::uint32_t answers = 0;
     ports::caller_answer answer;
 };
 
-class entry_world
+class entry_simulation
 {
 public:
-    explicit entry_world(world_options const& options);
+    explicit entry_simulation(entry_simulation_options const& options);
 
     walks::virtual_clock time;
     walks::fake_store store;
@@ -91,7 +91,7 @@
     void start_all();
     void kill(std::size_t entry);
     void freeze(std::size_t entry);
-    void wake(std::size_t entry);
+    void unfreeze(std::size_t entry);
     void stop(std::size_t entry);
     bool is_running(std::size_t entry) const;
     bool has_stopped(std::size_t entry) const;
@@ -100,15 +100,15 @@
     void run(duration length);
     bool run_until(std::function<bool()> const& wanted, duration limit);
     /// Runs until all entries serve and all partitions are owned.
-    bool settle();
+    bool run_until_stable();
 
     /// A caller's request reaches `entry` after `delay`; the sending's id.
     std::uint64_t
     send(std::size_t entry, ports::caller_request request, duration delay = {});
-    sending const& at(std::uint64_t id) const;
+    sent_request const& at(std::uint64_t id) const;
     bool answered(std::uint64_t id) const;
     /// Times that any sending of this body began on an upstream.
-    std::uint32_t runs(std::string const& body) const;
+    std::uint32_t run_count(std::string const& body) const;
     std::uint32_t running() const;
 
     /// The entry that owns the key, or one that does not.
@@ -127,19 +127,20 @@
     using event =
         std::function<void(entry_engine&, time_point, ports::actions&)>;
 
-    void tick(node_pointer const& who);
+    void tick(simulated_entry_pointer const& who);
     void begin(std::size_t entry);
-    void read(std::uint64_t id, node_pointer const& who);
-    void hand(node_pointer const& who, event const& what);
-    void run_in(node_pointer const& who, event const& what);
-    void perform(node_pointer const& who, ports::actions const& actions);
-    void run_on_upstream(node_pointer const& who,
+    void read(std::uint64_t id, simulated_entry_pointer const& who);
+    void deliver(simulated_entry_pointer const& who, event const& what);
+    void run_in(simulated_entry_pointer const& who, event const& what);
+    void perform(simulated_entry_pointer const& who,
+                 ports::actions const& actions);
+    void run_on_upstream(simulated_entry_pointer const& who,
                          ports::upstream_send const& what);
-    void refuse_later(node_pointer const& who,
+    void refuse_later(simulated_entry_pointer const& who,
                       std::uint64_t exchange,
                       duration after);
     void begin_on_upstream(ports::upstream_send const& what);
-    void end_later(node_pointer const& who,
+    void end_later(simulated_entry_pointer const& who,
                    std::uint64_t exchange,
                    ports::exchange_status status,
                    ports::caller_request const& request,
@@ -147,18 +148,18 @@
     void on_reply(ports::caller_reply const& reply);
     void publish_list();
     void check_contract();
-    bool counts_stand_still(node const& who) const;
-    void check_not_run(sending const& one);
+    bool counts_stand_still(simulated_entry const& who) const;
+    void check_not_run(sent_request const& one);
     void fail(std::string what);
     bool chance(std::uint32_t permille);
 
-    world_options options_;
+    entry_simulation_options options_;
     std::mt19937_64 random_;
-    std::vector<node_pointer> nodes_;
+    std::vector<simulated_entry_pointer> nodes_;
     /// Buried incarnations whose requests still end.
-    std::vector<node_pointer> retired_;
+    std::vector<simulated_entry_pointer> retired_;
     std::map<std::string, upstream> upstreams_;
-    std::map<std::uint64_t, sending> sendings_;
+    std::map<std::uint64_t, sent_request> sendings_;
     std::map<std::string, std::uint32_t> runs_;    ///< By body.
     std::map<std::string, time_point> first_runs_; ///< By body.
     std::set<std::string> ran_sendings_;
@@ -169,9 +170,10 @@
 };
 
 /// A POST that must run at most once, by its key.
-ports::caller_request bid(std::string const& key, std::uint32_t attempt);
+ports::caller_request bid_request(std::string const& key,
+                                  std::uint32_t attempt);
 /// A POST without a key, and a GET.
-ports::caller_request unkeyed(std::string const& body);
-ports::caller_request query(std::string const& body);
+ports::caller_request unkeyed_request(std::string const& body);
+ports::caller_request get_request(std::string const& body);
 
 } // namespace fuchsia::tests::unit::requests
--- a/tests/unit/requests/entry_walk_test.cpp
+++ b/tests/unit/requests/entry_walk_test.cpp
@@ -51,9 +51,9 @@
     }
 
 private:
-    static world_options options(std::uint64_t seed)
+    static entry_simulation_options options(std::uint64_t seed)
     {
-        world_options chosen;
+        entry_simulation_options chosen;
         chosen.seed = seed;
         chosen.upstreams = 4 + seed % 9;
         chosen.slots = 1 + seed % 3;
@@ -85,9 +85,9 @@
         {
             ++number_;
             auto const name = std::to_string(number_);
-            auto request = chance(300)   ? unkeyed("u" + name)
-                           : chance(300) ? query("q" + name)
-                                         : bid("k" + name, 1);
+            auto request = chance(300)   ? unkeyed_request("u" + name)
+                           : chance(300) ? get_request("q" + name)
+                                         : bid_request("k" + name, 1);
             request.deadline = milliseconds(2500);
             world_.send(any(), request, milliseconds(20));
             if (!request.idempotency_key.empty())
@@ -166,7 +166,7 @@
     {
         for (std::size_t entry = 0; entry < 3; ++entry)
         {
-            world_.wake(entry);
+            world_.unfreeze(entry);
             for (std::size_t other = 0; other < 3; ++other)
             {
                 world_.cut(entry, other, false);
@@ -182,7 +182,7 @@
     }
 
     std::mt19937_64 random_;
-    entry_world world_;
+    entry_simulation world_;
     duration slowest_; ///< Execution time when upstreams are slow.
     std::uint64_t number_ = 0;
 };
