--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -25,7 +25,7 @@
 
 void fake_workers::add(ports::worker_instance info)
 {
-    auto& at = all[info.id];
+    auto& at = workers[info.id];
     at.clock_offset_ms = random_() % 3'600'000;
     at.info = std::move(info);
 }
@@ -33,7 +33,7 @@
 ports::worker_list fake_workers::list() const
 {
     ports::worker_list out;
-    for (auto const& [id, at] : all)
+    for (auto const& [id, at] : workers)
     {
         out.workers.push_back(at.info);
     }
@@ -42,7 +42,7 @@
 
 void fake_workers::cut(std::string const& worker, bool is_cut)
 {
-    auto& at = all.at(worker);
+    auto& at = workers.at(worker);
     advance(at);
     at.faults.cut = is_cut;
     std::erase_if(finished_at,
@@ -111,8 +111,8 @@
     time_.after(way(),
                 [this, what, finish]
                 {
-                    auto const found = all.find(what.worker);
-                    if (found == all.end() || found->second.faults.cut)
+                    auto const found = workers.find(what.worker);
+                    if (found == workers.end() || found->second.faults.cut)
                     {
                         return;
                     }
@@ -149,7 +149,7 @@
     {
         on_start(at.info.id, call);
     }
-    for (auto& [id, other] : all)
+    for (auto& [id, other] : workers)
     {
         advance(other);
     }
@@ -169,8 +169,8 @@
     {
         note(at.info.id + " over its capacity");
     }
-    auto const out = out_since.find(at.info.data_centre);
-    if (out != out_since.end() && time_.now() - out->second > grace)
+    auto const out = out_of_service_since.find(at.info.data_centre);
+    if (out != out_of_service_since.end() && time_.now() - out->second > grace)
     {
         note(call.attempt_id.task + " started in a data centre that is out");
     }
@@ -350,7 +350,7 @@
 
 void fake_workers::tick()
 {
-    for (auto& [id, at] : all)
+    for (auto& [id, at] : workers)
     {
         advance(at);
         std::erase_if(at.attempts,
@@ -371,7 +371,7 @@
 fake_workers::reports(std::string const& rack) const
 {
     std::vector<ports::worker_report> out;
-    for (auto const& [id, at] : all)
+    for (auto const& [id, at] : workers)
     {
         if (at.info.rack != rack || at.faults.cut)
         {
@@ -395,7 +395,7 @@
 std::vector<std::string> fake_workers::places_of(std::string const& task) const
 {
     std::vector<std::string> out;
-    for (auto const& [id, at] : all)
+    for (auto const& [id, at] : workers)
     {
         for (auto const& [what, which] : at.attempts)
         {
@@ -412,7 +412,7 @@
     std::function<std::string(std::string const&)> const& customer_of) const
 {
     std::map<std::string, ports::resources> out;
-    for (auto const& [id, at] : all)
+    for (auto const& [id, at] : workers)
     {
         for (auto const& [what, which] : at.attempts)
         {
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -84,9 +84,9 @@
     in_use(std::function<std::string(std::string const&)> const&) const;
 
     call_faults faults;
-    std::map<std::string, worker> all;
+    std::map<std::string, worker> workers;
     /// What operators decided, and since when.
-    std::map<std::string, time_point> out_since;
+    std::map<std::string, time_point> out_of_service_since;
     duration grace = std::chrono::seconds(5);
     duration report_lag = std::chrono::milliseconds(1500);
     /// Classes of tasks that fail wherever they start.
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -3,7 +3,7 @@
 #include "core/tasks/job.hpp"
 #include "core/tasks/quota.hpp"
 #include "core/tasks/worker_registry.hpp"
-#include "unit/tasks/planner_system.hpp"
+#include "unit/tasks/planner_simulation.hpp"
 
 #include <gtest/gtest.h>
 #include <random>
--- a/tests/unit/tasks/planner_system.cpp
+++ b/tests/unit/tasks/planner_simulation.cpp
@@ -50,7 +50,8 @@
            ",\"checkpointable\":true" + extra + "}";
 }
 
-planner_system::planner_system(system_options const& options)
+planner_simulation::planner_simulation(
+    planner_simulation_options const& options)
     : store(time, options.seed * 2 + 1), workers(time, options.seed * 5 + 1),
       link(time,
            options.seed * 3 + 1,
@@ -91,7 +92,7 @@
     tick_world();
 }
 
-void planner_system::tick_world()
+void planner_simulation::tick_world()
 {
     workers.tick();
     check_contracts();
@@ -102,7 +103,7 @@
                });
 }
 
-void planner_system::check_contracts()
+void planner_simulation::check_contracts()
 {
     if (violation.empty())
     {
@@ -125,7 +126,7 @@
     }
 }
 
-void planner_system::make_engine(process& who)
+void planner_simulation::make_engine(process& who)
 {
     who.id = {name_of_slot(who.slot), random_() | 1};
     core::membership::member_info self;
@@ -138,7 +139,7 @@
         options_.settings, self, who.id.incarnation);
 }
 
-void planner_system::start(std::size_t planner)
+void planner_simulation::start(std::size_t planner)
 {
     kill(planner);
     auto const who = std::make_shared<process>();
@@ -154,7 +155,7 @@
     poll(who);
 }
 
-void planner_system::kill(std::size_t planner)
+void planner_simulation::kill(std::size_t planner)
 {
     if (slots_[planner])
     {
@@ -162,12 +163,12 @@
     }
 }
 
-void planner_system::freeze(std::size_t planner)
+void planner_simulation::freeze(std::size_t planner)
 {
     slots_[planner]->frozen = true;
 }
 
-void planner_system::wake(std::size_t planner)
+void planner_simulation::unfreeze(std::size_t planner)
 {
     auto const who = slots_[planner];
     who->frozen = false;
@@ -183,7 +184,7 @@
     }
 }
 
-void planner_system::begin_stop(std::size_t planner)
+void planner_simulation::begin_stop(std::size_t planner)
 {
     auto const who = slots_[planner];
     run_in(who,
@@ -193,7 +194,7 @@
            });
 }
 
-void planner_system::cut_store(std::size_t planner, bool is_cut)
+void planner_simulation::cut_store(std::size_t planner, bool is_cut)
 {
     if (is_cut)
     {
@@ -205,23 +206,23 @@
     }
 }
 
-bool planner_system::alive(std::size_t planner) const
+bool planner_simulation::alive(std::size_t planner) const
 {
     auto const& who = slots_[planner];
     return who && !who->ended && !who->frozen;
 }
 
-bool planner_system::stopped(std::size_t planner) const
+bool planner_simulation::stopped(std::size_t planner) const
 {
     return slots_[planner] && slots_[planner]->stopped;
 }
 
-planner_engine& planner_system::engine(std::size_t planner)
+planner_engine& planner_simulation::engine(std::size_t planner)
 {
     return *slots_[planner]->engine;
 }
 
-std::optional<std::size_t> planner_system::owner_of(std::string const& cell)
+std::optional<std::size_t> planner_simulation::owner_of(std::string const& cell)
 {
     for (std::size_t slot = 0; slot < slots_.size(); ++slot)
     {
@@ -240,7 +241,7 @@
     return std::nullopt;
 }
 
-void planner_system::run(duration length)
+void planner_simulation::run(duration length)
 {
     auto const until = time.now() + length;
     while (time.step(until))
@@ -248,8 +249,8 @@
     }
 }
 
-bool planner_system::run_until(std::function<bool()> const& wanted,
-                               duration limit)
+bool planner_simulation::run_until(std::function<bool()> const& wanted,
+                                   duration limit)
 {
     auto const until = time.now() + limit;
     while (time.now() < until)
@@ -263,7 +264,7 @@
     return wanted();
 }
 
-bool planner_system::settled()
+bool planner_simulation::is_stable()
 {
     for (std::size_t rack = 0; rack < options_.racks; ++rack)
     {
@@ -275,8 +276,9 @@
     return true;
 }
 
-void planner_system::run_in(process_pointer const& who,
-                            std::function<void(ports::actions&)> const& what)
+void planner_simulation::run_in(
+    process_pointer const& who,
+    std::function<void(ports::actions&)> const& what)
 {
     if (who->ended)
     {
@@ -296,7 +298,7 @@
     perform(who, out);
 }
 
-void planner_system::tick(process_pointer const& who)
+void planner_simulation::tick(process_pointer const& who)
 {
     if (who->ended)
     {
@@ -317,7 +319,7 @@
                });
 }
 
-void planner_system::poll(process_pointer const& who)
+void planner_simulation::poll(process_pointer const& who)
 {
     if (who->ended)
     {
@@ -349,7 +351,7 @@
                });
 }
 
-ports::instance_list planner_system::instances() const
+ports::instance_list planner_simulation::instances() const
 {
     ports::instance_list out;
     out.received = time.now();
@@ -363,8 +365,8 @@
     return out;
 }
 
-void planner_system::perform(process_pointer const& who,
-                             ports::actions const& actions)
+void planner_simulation::perform(process_pointer const& who,
+                                 ports::actions const& actions)
 {
     auto const generation = who->id.incarnation;
     auto const same = [who, generation]
@@ -396,7 +398,7 @@
         }
         else if (auto const* work = std::get_if<ports::worker_call>(&action))
         {
-            if (filter && !filter(who->slot, *work))
+            if (worker_call_filter && !worker_call_filter(who->slot, *work))
             {
                 continue;
             }
@@ -440,7 +442,7 @@
 }
 
 // An operator's change, as the administration makes it, without its delays.
-void planner_system::change(core::config::change what)
+void planner_simulation::change(core::config::change what)
 {
     core::config::change_request request;
     request.requested_change = std::move(what);
@@ -463,9 +465,9 @@
     }
 }
 
-void planner_system::put_contract(std::string const& customer,
-                                  ports::resources capacity,
-                                  std::uint32_t batch_permille)
+void planner_simulation::put_contract(std::string const& customer,
+                                      ports::resources capacity,
+                                      std::uint32_t batch_permille)
 {
     core::contracts::contract value;
     value.customer = customer;
@@ -480,30 +482,31 @@
     change(core::config::put_contract{value});
 }
 
-void planner_system::withdraw(std::string const& customer)
+void planner_simulation::withdraw(std::string const& customer)
 {
     contracts_[customer] = {};
     changed_[customer] = time.now();
     change(core::config::withdraw_contract{customer});
 }
 
-void planner_system::set_out(std::string const& data_centre, bool out)
+void planner_simulation::set_out_of_service(std::string const& data_centre,
+                                            bool out)
 {
     if (out)
     {
-        workers.out_since.emplace(data_centre, time.now());
+        workers.out_of_service_since.emplace(data_centre, time.now());
     }
     else
     {
-        workers.out_since.erase(data_centre);
+        workers.out_of_service_since.erase(data_centre);
     }
     change(core::config::set_data_centre{data_centre, out});
 }
 
-std::uint64_t planner_system::request(std::size_t planner,
-                                      std::string method,
-                                      std::string target,
-                                      std::string body)
+std::uint64_t planner_simulation::request(std::size_t planner,
+                                          std::string method,
+                                          std::string target,
+                                          std::string body)
 {
     auto const caller = ++last_request_;
     core::common::failure reason;
@@ -522,10 +525,10 @@
     return caller;
 }
 
-ports::caller_answer planner_system::ask(std::size_t planner,
-                                         std::string method,
-                                         std::string target,
-                                         std::string body)
+ports::caller_answer planner_simulation::request_and_wait(std::size_t planner,
+                                                          std::string method,
+                                                          std::string target,
+                                                          std::string body)
 {
     auto const caller =
         request(planner, std::move(method), std::move(target), std::move(body));
@@ -538,7 +541,7 @@
     return answers[caller];
 }
 
-std::string planner_system::state_of(std::string const& job)
+std::string planner_simulation::state_of(std::string const& job)
 {
     for (std::size_t slot = 0; slot < slots_.size(); ++slot)
     {
@@ -546,7 +549,7 @@
         {
             continue;
         }
-        auto const answer = ask(slot, "GET", "/v1/jobs/" + job);
+        auto const answer = request_and_wait(slot, "GET", "/v1/jobs/" + job);
         core::common::failure reason;
         auto const object =
             core::common::parse_json_object(answer.body, "job", reason);
--- a/tests/unit/tasks/planner_system.hpp
+++ b/tests/unit/tasks/planner_simulation.hpp
@@ -16,7 +16,7 @@
 namespace fuchsia::tests::unit::tasks
 {
 
-struct system_options
+struct planner_simulation_options
 {
     std::size_t planners = 3;
     std::size_t racks = 3; ///< Rack n is in data centre n modulo 3.
@@ -26,10 +26,10 @@
     core::tasks::planner_settings settings;
 };
 
-class planner_system
+class planner_simulation
 {
 public:
-    explicit planner_system(system_options const& options);
+    explicit planner_simulation(planner_simulation_options const& options);
 
     timeline time;
     walks::fake_store store;
@@ -39,7 +39,7 @@
     void start(std::size_t planner);
     void kill(std::size_t planner);
     void freeze(std::size_t planner);
-    void wake(std::size_t planner);
+    void unfreeze(std::size_t planner);
     void begin_stop(std::size_t planner);
     /// Cuts a planner from the store, or mends that.
     void cut_store(std::size_t planner, bool is_cut);
@@ -52,31 +52,32 @@
     void run(duration length);
     bool run_until(std::function<bool()> const& wanted, duration limit);
     /// All planners are joined, all cells owned and taken over.
-    bool settled();
+    bool is_stable();
 
     // What operators do. The configuration is written into the store.
     void put_contract(std::string const& customer,
                       ports::resources capacity,
                       std::uint32_t batch_permille = 1000);
     void withdraw(std::string const& customer);
-    void set_out(std::string const& data_centre, bool out);
+    void set_out_of_service(std::string const& data_centre, bool out);
     /// Sends a request to a planner; the answer's status comes to `answers`.
     std::uint64_t request(std::size_t planner,
                           std::string method,
                           std::string target,
                           std::string body = {});
     /// Sends and waits; status 0 where no answer came.
-    ports::caller_answer ask(std::size_t planner,
-                             std::string method,
-                             std::string target,
-                             std::string body = {});
+    ports::caller_answer request_and_wait(std::size_t planner,
+                                          std::string method,
+                                          std::string target,
+                                          std::string body = {});
     /// State of a job by the list of the first planner that lives.
     std::string state_of(std::string const& job);
 
     std::map<std::uint64_t, ports::caller_answer> answers;
     std::vector<ports::log_event> logs;
     /// Worker calls are looked at before they are sent; false drops them.
-    std::function<bool(std::size_t planner, ports::worker_call const&)> filter;
+    std::function<bool(std::size_t planner, ports::worker_call const&)>
+        worker_call_filter;
     std::string violation;
     std::map<std::string, std::string> customer_of; ///< By job.
 
@@ -104,7 +105,7 @@
     void check_contracts();
     ports::instance_list instances() const;
 
-    system_options options_;
+    planner_simulation_options options_;
     std::mt19937_64 random_;
     std::vector<process_pointer> slots_;
     std::uint64_t last_request_ = 0;
--- a/tests/unit/tasks/planner_test.cpp
+++ b/tests/unit/tasks/planner_test.cpp
@@ -22,7 +22,7 @@
         EXPECT_TRUE(system.run_until(
             [this]
             {
-                return system.settled();
+                return system.is_stable();
             },
             30s));
         system.run(3s);
@@ -35,7 +35,8 @@
 
     void submit(std::string const& body, std::size_t planner = 0)
     {
-        auto const answer = system.ask(planner, "POST", "/v1/jobs", body);
+        auto const answer =
+            system.request_and_wait(planner, "POST", "/v1/jobs", body);
         EXPECT_EQ(answer.status, 200) << answer.body;
     }
 
@@ -53,7 +54,7 @@
         return system.state_of(job) == state;
     }
 
-    planner_system system;
+    planner_simulation system;
 };
 
 } // namespace
@@ -92,14 +93,15 @@
     system.run(10s);
     EXPECT_EQ(system.workers.starts, 1U);
     auto const other = job_json("twice", "estate", "batch", 2000, 1, 2000);
-    EXPECT_EQ(system.ask(2, "POST", "/v1/jobs", other).status, 409);
+    EXPECT_EQ(system.request_and_wait(2, "POST", "/v1/jobs", other).status,
+              409);
 }
 
 TEST_F(planners, refuse_what_can_never_run)
 {
     auto const status = [this](std::string const& body)
     {
-        return system.ask(0, "POST", "/v1/jobs", body).code;
+        return system.request_and_wait(0, "POST", "/v1/jobs", body).code;
     };
     using core::common::result_code;
     EXPECT_EQ(status(job_json("a", "estate", "batch", 9000)),
@@ -116,7 +118,8 @@
     submit(job_json("broken", "estate", "batch", 1000, 2));
     EXPECT_TRUE(reaches("broken", "failed", 60s));
     EXPECT_LE(system.workers.starts, 8U);
-    auto const shown = system.ask(1, "GET", "/v1/jobs/broken").body;
+    auto const shown =
+        system.request_and_wait(1, "GET", "/v1/jobs/broken").body;
     EXPECT_NE(shown.find("job_failed_everywhere"), std::string::npos) << shown;
 }
 
@@ -124,8 +127,8 @@
 // must end elsewhere, and none may be blamed for its worker.
 TEST_F(planners, keep_away_from_workers_that_fail_everything)
 {
-    system.workers.all.at("w-0-0").faults.fail_starts = true;
-    system.workers.all.at("w-1-0").faults.fail_starts = true;
+    system.workers.workers.at("w-0-0").faults.fail_starts = true;
+    system.workers.workers.at("w-1-0").faults.fail_starts = true;
     for (int number = 0; number < 12; ++number)
     {
         submit(job_json(
@@ -227,7 +230,7 @@
 TEST_P(deaths, leave_the_task_in_one_place_and_resume_it_once)
 {
     bool killed = false;
-    system.filter =
+    system.worker_call_filter =
         [this, &killed](std::size_t planner, ports::worker_call const& call)
     {
         if (killed || call.operation.index() != GetParam().call)
@@ -246,9 +249,10 @@
     system.run(8s);
     auto const where = system.workers.places_of("report/0");
     auto const rack =
-        where.empty() ? std::string("dc-0")
-                      : system.workers.all.at(where.front()).info.data_centre;
-    system.set_out(rack, true);
+        where.empty()
+            ? std::string("dc-0")
+            : system.workers.workers.at(where.front()).info.data_centre;
+    system.set_out_of_service(rack, true);
     system.run(60s);
     EXPECT_TRUE(killed);
     EXPECT_TRUE(reaches("report", "finished", 120s));
@@ -293,14 +297,14 @@
     }
     system.run(60ms);
     system.cut_store(*owner, true);
-    system.set_out("dc-0", true);
+    system.set_out_of_service("dc-0", true);
     system.run(30s);
     system.cut_store(*owner, false);
     system.run(10s);
     auto const before = system.workers.starts;
     system.run(20s);
     EXPECT_EQ(system.workers.starts, before);
-    system.set_out("dc-0", false);
+    system.set_out_of_service("dc-0", false);
     for (int number = 0; number < 10; ++number)
     {
         auto const job = "j" + std::to_string(number);
@@ -321,7 +325,8 @@
     system.workers.faults.delay = 1800ms;
     system.workers.faults.timeout = 10s;
     system.workers.report_lag = 4s;
-    system.set_out(system.workers.all.at(where.front()).info.data_centre, true);
+    system.set_out_of_service(
+        system.workers.workers.at(where.front()).info.data_centre, true);
     EXPECT_TRUE(reaches("report", "finished", 60s));
     EXPECT_EQ(system.workers.starts, 1U);
     EXPECT_EQ(system.workers.finished["report/0"], 1);
@@ -347,10 +352,10 @@
     }
     system.run(21ms);
     system.store.faults.delay = 2500ms;
-    system.set_out("dc-0", true);
+    system.set_out_of_service("dc-0", true);
     system.run(30s);
     system.store.faults.delay = 2ms;
-    system.set_out("dc-0", false);
+    system.set_out_of_service("dc-0", false);
     EXPECT_TRUE(reaches("j0", "finished", 90s));
 }
 
@@ -363,9 +368,9 @@
     system.run(6s);
     for (auto const* name : {"dc-0", "dc-1", "dc-2"})
     {
-        system.set_out(name, true);
+        system.set_out_of_service(name, true);
         system.run(20s);
-        for (auto const& [id, worker] : system.workers.all)
+        for (auto const& [id, worker] : system.workers.workers)
         {
             for (auto const& [what, attempt] : worker.attempts)
             {
@@ -374,7 +379,7 @@
                     << what.task << " still in " << name;
             }
         }
-        system.set_out(name, false);
+        system.set_out_of_service(name, false);
         system.run(10s);
     }
     EXPECT_TRUE(reaches("report", "finished", 120s));
@@ -443,7 +448,8 @@
     submit(job_json("report", "estate", "batch", 1000, 4, 6000));
     submit(job_json("bids", "estate", "service", 1000, 2, 0), 1);
     EXPECT_TRUE(reaches("report", "finished", 60s));
-    EXPECT_EQ(system.ask(2, "DELETE", "/v1/jobs/bids").status, 200);
+    EXPECT_EQ(system.request_and_wait(2, "DELETE", "/v1/jobs/bids").status,
+              200);
     EXPECT_TRUE(reaches("bids", "cancelled", 30s));
     EXPECT_EQ(system.workers.starts, 6U);
 }
--- a/tests/unit/tasks/planner_walk_test.cpp
+++ b/tests/unit/tasks/planner_walk_test.cpp
@@ -51,9 +51,9 @@
     }
 
 private:
-    static system_options options(std::uint64_t seed)
+    static planner_simulation_options options(std::uint64_t seed)
     {
-        system_options out;
+        planner_simulation_options out;
         out.seed = seed;
         out.racks = 3;
         out.workers_per_rack = 2;
@@ -73,10 +73,10 @@
 
     fake_workers::worker& any_worker()
     {
-        auto found = system_.workers.all.begin();
+        auto found = system_.workers.workers.begin();
         std::advance(found,
-                     static_cast<std::ptrdiff_t>(random_() %
-                                                 system_.workers.all.size()));
+                     static_cast<std::ptrdiff_t>(
+                         random_() % system_.workers.workers.size()));
         return found->second;
     }
 
@@ -109,8 +109,8 @@
             system_.store.faults.down = random_() % 4 == 0;
             break;
         case 10:
-            system_.set_out("dc-" + std::to_string(random_() % 3),
-                            random_() % 2 == 0);
+            system_.set_out_of_service("dc-" + std::to_string(random_() % 3),
+                                       random_() % 2 == 0);
             break;
         case 11:
             system_.workers.cut(any_worker().info.id, random_() % 2 == 0);
@@ -182,7 +182,7 @@
         auto const slot = any_planner();
         if (std::exchange(frozen_[slot], false))
         {
-            system_.wake(slot);
+            system_.unfreeze(slot);
         }
         else if (system_.alive(slot))
         {
@@ -201,13 +201,13 @@
         system_.store.faults.late_permille = 0;
         system_.workers.faults = {};
         system_.link.faults.lose_permille = 0;
-        for (auto& [id, worker] : system_.workers.all)
+        for (auto& [id, worker] : system_.workers.workers)
         {
             system_.workers.cut(id, false);
         }
         for (int number = 0; number < 3; ++number)
         {
-            system_.set_out("dc-" + std::to_string(number), false);
+            system_.set_out_of_service("dc-" + std::to_string(number), false);
         }
         system_.put_contract("one", {40000, 100000, 0});
         system_.put_contract("two", {40000, 100000, 0});
@@ -215,7 +215,7 @@
         {
             if (std::exchange(frozen_[slot], false))
             {
-                system_.wake(slot);
+                system_.unfreeze(slot);
             }
             if (!system_.alive(slot))
             {
@@ -227,7 +227,7 @@
     /// No batch job is left that has not ended.
     bool all_over()
     {
-        auto const answer = system_.ask(0, "GET", "/v1/jobs");
+        auto const answer = system_.request_and_wait(0, "GET", "/v1/jobs");
         core::common::failure reason;
         auto const object =
             core::common::parse_json_object(answer.body, "jobs", reason);
@@ -281,7 +281,7 @@
     }
 
     std::mt19937_64 random_;
-    planner_system system_;
+    planner_simulation system_;
     std::uint64_t jobs_ = 0;
     std::map<std::size_t, bool> frozen_;
     std::map<std::string, std::string> listed_;
