--- a/tests/unit/pool/backlog_test.cpp
+++ b/tests/unit/pool/backlog_test.cpp
@@ -11,11 +11,11 @@
 constexpr std::size_t instances = 3;
 
 // Each instance says that it does not know, or no less than half of them.
-void expect_at_least_half(pool_world& world, std::size_t waiting)
+void expect_at_least_half(pool_simulation& world, std::size_t waiting)
 {
     for (std::size_t number = 0; number < instances; ++number)
     {
-        auto const told = world.waiting_told(number);
+        auto const told = world.reported_waiting_jobs(number);
         EXPECT_TRUE(!told || *told * 2 >= waiting)
             << "instance " << number << " tells " << told.value_or(0) << " of "
             << waiting;
@@ -23,7 +23,7 @@
 }
 
 // All workers are busy for a minute.
-void fill(pool_world& world, std::size_t at)
+void fill(pool_simulation& world, std::size_t at)
 {
     submit_many(world, at, "fills", world.worker_count(), simple_job(8, 60s));
     world.run(1s);
@@ -37,20 +37,20 @@
 // revision up to which its owner had heard of jobs.
 TEST(pool_backlog, is_not_told_from_the_record_of_an_owner_that_is_gone)
 {
-    pool_world world(instances, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     fill(world, other);
     submit_many(world, other, "first", 1, simple_job(1, 1s));
     world.run(2s);
-    ASSERT_EQ(world.waiting_told(other), 1U);
+    ASSERT_EQ(world.reported_waiting_jobs(other), 1U);
     // Whoever claims now never gets the state.
     world.store_fault = [](std::size_t, ports::kv_operation const& call)
     {
         auto const* const pages = std::get_if<ports::kv_range>(&call);
         bool const state = pages != nullptr && pages->prefix == "pool/";
-        return state ? fate::lost : fate::carried_out;
+        return state ? fault_effect::request_lost : fault_effect::carried_out;
     };
     world.kill(owner);
     submit_many(world, other, "later", 20, simple_job(1, 1s));
@@ -67,8 +67,8 @@
 TEST(pool_backlog, is_not_late_behind_the_ends_of_a_slow_owner)
 {
     constexpr std::size_t workers = 16;
-    pool_world world(instances, workers);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, workers);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     world.set_commit_delay(owner, 400ms);
@@ -85,17 +85,17 @@
     world.run(1s);
     submit_many(world, other, "later", 40, simple_job(1, 1s));
     world.run(5s);
-    auto const truth = world.scheduler(owner).pending()["q"];
+    auto const truth = world.owner_at(owner).pending()["q"];
     expect_at_least_half(world, truth);
     EXPECT_GE(truth, 40U);
-    EXPECT_LE(world.scheduler(owner).commits().lag(world.now()), 2s);
+    EXPECT_LE(world.owner_at(owner).commits().lag(world.now()), 2s);
 }
 
 // Callers of a healthy pool are told the count, whichever instance they ask.
 TEST(pool_backlog, is_told_while_all_is_well)
 {
-    pool_world world(instances, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, 4);
+    ASSERT_TRUE(run_until_owned(world));
     world.run(2s);
     for (std::size_t step = 0; step < 150; ++step)
     {
@@ -107,7 +107,7 @@
                          simple_job(2, 500ms));
         }
         world.run(100ms);
-        EXPECT_TRUE(world.waiting_told(step % instances).has_value())
+        EXPECT_TRUE(world.reported_waiting_jobs(step % instances).has_value())
             << "step " << step;
     }
 }
@@ -115,30 +115,31 @@
 // An owner that wakes from a pause tells what it knew before.
 TEST(pool_backlog, is_not_told_from_memory_of_before_a_pause)
 {
-    pool_world world(instances, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     fill(world, other);
     world.freeze(owner, 6s);
     submit_many(world, other, "later", 20, simple_job(1, 1s));
     world.run(5900ms);
-    EXPECT_FALSE(world.waiting_told(owner).value_or(20) < 10);
+    EXPECT_FALSE(world.reported_waiting_jobs(owner).value_or(20) < 10);
 }
 
 // An owner that is cut from the store tells too few of the jobs that others
 // accept.
 TEST(pool_backlog, is_not_told_by_an_owner_that_hears_of_no_jobs)
 {
-    pool_world world(instances, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     fill(world, other);
     world.store_fault = [owner](std::size_t at, ports::kv_operation const& call)
     {
         bool const watches = std::holds_alternative<ports::kv_watch>(call);
-        return at == owner && watches ? fate::lost : fate::carried_out;
+        return at == owner && watches ? fault_effect::request_lost
+                                      : fault_effect::carried_out;
     };
     submit_many(world, other, "later", 20, simple_job(1, 1s));
     world.run(6s);
@@ -148,15 +149,15 @@
 // An owner tells 0 of 20 after a watch that answered with nothing for a while.
 TEST(pool_backlog, a_deaf_watch_of_jobs_does_not_count_as_heard)
 {
-    pool_world world(3, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     fill(world, other);
     world.store_fault = [owner](std::size_t at, ports::kv_operation const& call)
     {
-        return at == owner && watches_jobs(call) ? fate::deaf
-                                                 : fate::carried_out;
+        return at == owner && watches_jobs(call) ? fault_effect::watch_stalled
+                                                 : fault_effect::carried_out;
     };
     world.run(1500ms);
     submit_many(world, other, "later", 20, simple_job(1, 1s));
@@ -165,7 +166,7 @@
     world.run(4500ms);
     for (std::size_t number = 0; number < 3; ++number)
     {
-        auto const told = world.waiting_told(number);
+        auto const told = world.reported_waiting_jobs(number);
         EXPECT_TRUE(!told || *told >= 10)
             << "instance " << number << " tells " << told.value_or(0);
     }
@@ -174,8 +175,8 @@
 // Instances tell 0 of 20 while an owner reads all jobs again, page by page.
 TEST(pool_backlog, jobs_on_pages_to_come_do_not_count_as_heard)
 {
-    pool_world world(3, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     auto small = simple_job(1, 60s);
@@ -183,7 +184,7 @@
     submit_many(world, other, "a", 600, small);
     submit_many(world, other, "fills", 1, simple_job(7, 60s));
     world.run(4s);
-    ASSERT_EQ(world.scheduler(owner).pending()["q"], 0U);
+    ASSERT_EQ(world.owner_at(owner).pending()["q"], 0U);
     bool cut = true;
     world.store_fault =
         [owner, &cut](std::size_t at, ports::kv_operation const& call)
@@ -193,7 +194,7 @@
                                 !pages->after.empty();
         bool const hit =
             at == owner && ((cut && watches_jobs(call)) || later_page);
-        return hit ? fate::lost : fate::carried_out;
+        return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
     world.run(200ms);
     submit_many(world, other, "later", 20, simple_job(1, 1s));
@@ -204,7 +205,7 @@
     for (int step = 0; step < 8; ++step)
     {
         world.run(100ms);
-        auto const told = world.waiting_told(other);
+        auto const told = world.reported_waiting_jobs(other);
         EXPECT_TRUE(!told || *told >= 10)
             << "step " << step << " tells " << told.value_or(0);
     }
@@ -214,8 +215,8 @@
 // Callers are refused a count although the store is merely slow.
 TEST(pool_backlog, a_count_is_told_while_the_store_answers_in_400_ms)
 {
-    pool_world world(3, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, 4);
+    ASSERT_TRUE(run_until_owned(world));
     auto const others_write = [&world](duration how_long)
     {
         for (duration done{}; done < how_long; done += 20ms)
@@ -225,7 +226,7 @@
         }
     };
     others_write(2s);
-    world.set_store_way(200ms);
+    world.set_store_latency(200ms);
     others_write(3s);
     std::size_t refused = 0;
     std::vector<std::uint64_t> asked;
--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -17,7 +17,7 @@
 }
 
 /// Runs of the task on any worker.
-std::size_t runs_of(pool_world& world, std::string const& job)
+std::size_t runs_of(pool_simulation& world, std::string const& job)
 {
     std::size_t made = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -30,7 +30,7 @@
     return made;
 }
 
-std::size_t worker_of(pool_world& world, std::string const& job)
+std::size_t worker_of(pool_simulation& world, std::string const& job)
 {
     for (std::size_t number = 0; number < world.worker_count(); ++number)
     {
@@ -45,7 +45,7 @@
     return world.worker_count();
 }
 
-std::size_t begun(pool_world& world)
+std::size_t begun(pool_simulation& world)
 {
     std::size_t made = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -56,7 +56,7 @@
 }
 
 // Starts a job of one task, "a"; returns the worker that runs it.
-std::size_t start_one(pool_world& world, duration work)
+std::size_t start_one(pool_simulation& world, duration work)
 {
     world.run(1s);
     world.submit(other_than(*world.owner()), "a", simple_job(1, work));
@@ -74,8 +74,8 @@
 // lease was over, though the worker had told that they were done.
 TEST(pool_busy_owner, asks_a_worker_again_before_its_tasks_start_elsewhere)
 {
-    pool_world world(instances);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const unheard = start_one(world, 1s);
     ASSERT_EQ(runs_of(world, "a"), 1U);
@@ -83,11 +83,11 @@
         [&world, owner, unheard](
             std::size_t, std::size_t worker, ports::pool_operation const& call)
     {
-        auto const seen = world.scheduler(owner).workers(world.now());
+        auto const seen = world.owner_at(owner).workers(world.now());
         bool const hit = worker == unheard &&
                          seen[unheard].lease_left > duration{} &&
                          std::holds_alternative<ports::poll_order>(call);
-        return hit ? fate::answer_lost : fate::carried_out;
+        return hit ? fault_effect::answer_lost : fault_effect::carried_out;
     };
     EXPECT_TRUE(world.run_until(
         [&world, owner]
@@ -100,14 +100,15 @@
 // Tasks of a worker that is gone for good must start elsewhere all the same.
 TEST(pool_busy_owner, a_worker_that_stays_silent_loses_its_tasks)
 {
-    pool_world world(instances);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances);
+    ASSERT_TRUE(run_until_owned(world));
     auto const lost = start_one(world, 10s);
     ASSERT_EQ(runs_of(world, "a"), 1U);
     world.worker_fault =
         [lost](std::size_t, std::size_t worker, ports::pool_operation const&)
     {
-        return worker == lost ? fate::lost : fate::carried_out;
+        return worker == lost ? fault_effect::request_lost
+                              : fault_effect::carried_out;
     };
     EXPECT_TRUE(world.run_until(
         [&world]
@@ -122,8 +123,8 @@
 // and the task went on harming its neighbours.
 TEST(pool_busy_owner, slows_a_task_down_again_where_the_order_got_lost)
 {
-    pool_world world(instances, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const other = other_than(*world.owner());
     world.run(1s);
     auto serving = simple_job(2, 1s);
@@ -140,7 +141,7 @@
         bool const paces =
             std::holds_alternative<ports::speed_limit_order>(call);
         orders += paces ? 1U : 0U;
-        return paces ? fate::refused : fate::carried_out;
+        return paces ? fault_effect::refused : fault_effect::carried_out;
     };
     auto filling = simple_job(1, 60s);
     filling.steps.front().declared.millicores = 4000;
@@ -155,8 +156,8 @@
 // Jobs start that were cancelled seconds ago, and nobody told the owner.
 TEST(pool_busy_owner, starts_nothing_by_old_news_of_jobs)
 {
-    pool_world world(instances);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.run(1s);
     world.submit(other_than(owner), "fills", simple_job(32, 4s));
@@ -168,8 +169,9 @@
     world.store_fault =
         [owner](std::size_t instance, ports::kv_operation const& call)
     {
-        return instance == owner && watches_jobs(call) ? fate::lost
-                                                       : fate::carried_out;
+        return instance == owner && watches_jobs(call)
+                   ? fault_effect::request_lost
+                   : fault_effect::carried_out;
     };
     // The answer to a watch that waits already may still come.
     world.run(1100ms);
@@ -181,8 +183,8 @@
 // Tasks start in a data centre that was taken out seconds ago.
 TEST(pool_busy_owner, starts_nothing_by_an_old_configuration)
 {
-    pool_world world(instances);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.run(2s);
     world.store_fault =
@@ -192,7 +194,7 @@
         bool const read = pages != nullptr && pages->prefix == "operators/";
         bool const hit =
             instance == owner && (read || watches(call, "operators/"));
-        return hit ? fate::lost : fate::carried_out;
+        return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
     world.run(1100ms);
     world.store().put("operators/out/even", "");
@@ -216,8 +218,8 @@
 // there is none.
 TEST(pool_busy_front, calls_no_queue_absent_by_an_old_configuration)
 {
-    pool_world world(instances);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(instances);
+    ASSERT_TRUE(run_until_owned(world));
     auto const late = other_than(*world.owner());
     world.run(2s);
     auto const told = [&world, late]
@@ -236,7 +238,7 @@
         bool const read = pages != nullptr && pages->prefix == "operators/";
         bool const hit =
             instance == late && (read || watches(call, "operators/"));
-        return hit ? fate::lost : fate::carried_out;
+        return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
     world.run(3s);
     auto const after = told();
--- a/tests/unit/pool/cancel_test.cpp
+++ b/tests/unit/pool/cancel_test.cpp
@@ -24,7 +24,7 @@
     return made;
 }
 
-std::size_t running_in_all(pool_world& world)
+std::size_t running_in_all(pool_simulation& world)
 {
     std::size_t running = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -34,7 +34,7 @@
     return running;
 }
 
-std::size_t begun_in_all(pool_world& world)
+std::size_t begun_in_all(pool_simulation& world)
 {
     std::size_t begun = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -44,7 +44,7 @@
     return begun;
 }
 
-bool nothing_runs(pool_world& world, duration patience)
+bool nothing_runs(pool_simulation& world, duration patience)
 {
     return world.run_until(
         [&world]
@@ -55,7 +55,7 @@
 }
 
 // Whether its caller was told that the job is cancelled, or that there is none.
-bool acknowledged(pool_world& world, std::uint64_t request)
+bool acknowledged(pool_simulation& world, std::uint64_t request)
 {
     world.run_until(
         [&world, request]
@@ -68,16 +68,16 @@
 }
 
 // From now on the owner's watches for jobs are answered with nothing.
-void deafen(pool_world& world, std::size_t owner)
+void deafen(pool_simulation& world, std::size_t owner)
 {
     world.store_fault = [owner](std::size_t at, ports::kv_operation const& call)
     {
-        return at == owner && watches_jobs(call) ? fate::deaf
-                                                 : fate::carried_out;
+        return at == owner && watches_jobs(call) ? fault_effect::watch_stalled
+                                                 : fault_effect::carried_out;
     };
 }
 
-std::size_t logged(pool_world const& world, std::string const& event)
+std::size_t logged(pool_simulation const& world, std::string const& event)
 {
     std::size_t lines = 0;
     for (auto const& line : world.log())
@@ -106,7 +106,7 @@
            commit->puts.front().key == "pool/job/" + id;
 }
 
-void cancel_backwards(pool_world& world,
+void cancel_backwards(pool_simulation& world,
                       std::size_t at,
                       std::string const& name,
                       std::size_t count)
@@ -119,7 +119,7 @@
 
 // From now on the first such order to each worker meets this, the others pass.
 template<class Order>
-void first_order_meets(pool_world& world, fate how)
+void first_order_meets(pool_simulation& world, fault_effect how)
 {
     auto hit = std::make_shared<std::set<std::size_t>>();
     world.worker_fault = [hit, how](std::size_t,
@@ -127,7 +127,8 @@
                                     ports::pool_operation const& call)
     {
         bool const meant = std::holds_alternative<Order>(call);
-        return meant && hit->insert(worker).second ? how : fate::carried_out;
+        return meant && hit->insert(worker).second ? how
+                                                   : fault_effect::carried_out;
     };
 }
 
@@ -136,13 +137,13 @@
 // Failure: a job runs that came after its own cancelling was acknowledged.
 TEST(pool_cancel, a_job_that_its_cancelling_overtook_never_runs)
 {
-    for (auto const how : {fate::late, fate::slow})
+    for (auto const how : {fault_effect::executed_late, fault_effect::delayed})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         world.store_fault = [how](std::size_t, ports::kv_operation const& call)
         {
-            return writes_job(call, "a") ? how : fate::carried_out;
+            return writes_job(call, "a") ? how : fault_effect::carried_out;
         };
         world.submit(1, "a", lasting_job(6));
         world.run(100ms);
@@ -155,8 +156,8 @@
 // Failure: a job that is unknown when it is cancelled is told to be there.
 TEST(pool_cancel, the_cancelling_of_an_unknown_job_makes_none)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const request = world.cancel(2, "a");
     EXPECT_TRUE(acknowledged(world, request));
     EXPECT_TRUE(
@@ -165,14 +166,14 @@
     {
         EXPECT_EQ(world.state(number, "a"), std::nullopt);
     }
-    EXPECT_EQ(world.waiting_told(1), 0U);
+    EXPECT_EQ(world.reported_waiting_jobs(1), 0U);
 }
 
 // Failure: cancellings of unknown jobs pile up in the store.
 TEST(pool_cancel, the_cancelling_of_an_unknown_job_goes_in_time)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     constexpr std::size_t jobs = 40;
     cancel_backwards(world, 1, "never", jobs);
     world.run(1s);
@@ -188,14 +189,14 @@
 // Failure: a job that is sent again after its cancelling runs.
 TEST(pool_cancel, a_job_that_was_cancelled_ahead_is_told_absent)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     EXPECT_TRUE(acknowledged(world, world.cancel(2, "a")));
     world.submit(1, "a", lasting_job(6));
     world.run(5s);
     EXPECT_EQ(begun_in_all(world), 0U);
     EXPECT_EQ(world.state(0, "a"), std::nullopt);
-    EXPECT_EQ(world.waiting_told(1), 0U);
+    EXPECT_EQ(world.reported_waiting_jobs(1), 0U);
 }
 
 // Failure: tasks run on as the owner's watches answer and tell it nothing.
@@ -203,8 +204,8 @@
 {
     for (auto when = 0ms; when <= 2000ms; when += 100ms)
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         world.submit(other_than(owner), "a", lasting_job(6));
         world.run(1s);
@@ -220,17 +221,17 @@
 // Failure: an owner reads all jobs again and again, as a good watch seems deaf.
 TEST(pool_cancel, a_watch_that_hears_is_not_taken_for_deaf)
 {
-    for (auto const how : {fate::carried_out,
-                           fate::answer_lost,
-                           fate::late,
-                           fate::slow,
-                           fate::refused})
+    for (auto const how : {fault_effect::carried_out,
+                           fault_effect::answer_lost,
+                           fault_effect::executed_late,
+                           fault_effect::delayed,
+                           fault_effect::refused})
     {
         for (auto const way : {2ms, 200ms})
         {
-            pool_world world;
-            ASSERT_TRUE(settled(world));
-            world.set_store_way(way);
+            pool_simulation world;
+            ASSERT_TRUE(run_until_owned(world));
+            world.set_store_latency(way);
             std::size_t calls = 0;
             world.store_fault =
                 [how, &calls](std::size_t, ports::kv_operation const& call)
@@ -238,7 +239,8 @@
                 bool const meant =
                     watches_jobs(call) ||
                     std::holds_alternative<ports::kv_commit>(call);
-                return meant && ++calls % 3 == 0 ? how : fate::carried_out;
+                return meant && ++calls % 3 == 0 ? how
+                                                 : fault_effect::carried_out;
             };
             for (int number = 0; number < 20; ++number)
             {
@@ -258,8 +260,8 @@
 // Failure: a job starts after its cancelling, by news that are not heard.
 TEST(pool_cancel, a_deaf_watch_starts_nothing_of_a_cancelled_job)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.submit(other_than(owner), "fills", simple_job(32, 8s));
     world.submit(other_than(owner), "a", lasting_job(6));
@@ -274,8 +276,8 @@
 // Failure: an owner takes a job from a page that is newer than its claim.
 TEST(pool_cancel, a_later_page_does_not_hide_the_loss_of_the_claim)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     auto small = lasting_job(1);
@@ -295,11 +297,11 @@
         bool const tells =
             std::holds_alternative<ports::kv_lease_renew>(call) ||
             std::holds_alternative<ports::kv_commit>(call);
-        return at != owner          ? fate::carried_out
-               : watches_jobs(call) ? fate::deaf
-               : later              ? fate::slow
-               : lost && tells      ? fate::lost
-                                    : fate::carried_out;
+        return at != owner          ? fault_effect::carried_out
+               : watches_jobs(call) ? fault_effect::watch_stalled
+               : later              ? fault_effect::delayed
+               : lost && tells      ? fault_effect::request_lost
+                                    : fault_effect::carried_out;
     };
     ASSERT_TRUE(world.run_until(
         [&paged]
@@ -314,7 +316,7 @@
                                  ports::pool_operation const&)
     {
         bool const passes = (worker == 0) == (instance == owner);
-        return passes ? fate::carried_out : fate::lost;
+        return passes ? fault_effect::carried_out : fault_effect::request_lost;
     };
     world.store().expire_key("pool/claim");
     world.run(300ms);
@@ -325,7 +327,7 @@
     std::size_t places = 0;
     for (std::uint32_t index = 0; index < 8; ++index)
     {
-        places += world.places({"z", 0, 0, index});
+        places += world.running_count({"z", 0, 0, index});
     }
     EXPECT_EQ(places, 8U);
 }
@@ -333,8 +335,8 @@
 // Failure: one lost page hides all cancellings for the length of its time-out.
 TEST(pool_cancel, a_lost_page_does_not_hide_a_cancelling)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.submit(other_than(owner), "a", lasting_job(6));
     world.run(1s);
@@ -355,7 +357,7 @@
         }
         bool const hit = jobs && !lost;
         lost = lost || hit;
-        return hit ? fate::lost : fate::carried_out;
+        return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
     ASSERT_TRUE(world.run_until(
         [&lost]
@@ -371,8 +373,8 @@
 {
     for (std::size_t victim = 0; victim < 5; ++victim)
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto const other = other_than(owner);
         world.submit(other, "a", lasting_job(6));
@@ -383,7 +385,7 @@
             [&reads, victim](std::size_t, ports::kv_operation const& call)
         {
             bool const hit = reads_state(call) && reads++ == victim;
-            return hit ? fate::lost : fate::carried_out;
+            return hit ? fault_effect::request_lost : fault_effect::carried_out;
         };
         world.kill(owner);
         world.run(8s);
@@ -401,8 +403,8 @@
     {
         for (auto when = 20ms; when <= 400ms; when += 20ms)
         {
-            pool_world world(3, 8);
-            ASSERT_TRUE(settled(world));
+            pool_simulation world(3, 8);
+            ASSERT_TRUE(run_until_owned(world));
             auto const owner = *world.owner();
             auto const other = other_than(owner);
             submit_many(world, other, "job", jobs, lasting_job(1));
@@ -413,7 +415,7 @@
             ASSERT_TRUE(world.run_until(
                 [&world, owner]
                 {
-                    return world.scheduler(owner).commits().waiting() >= jobs;
+                    return world.owner_at(owner).commits().waiting() >= jobs;
                 }));
             if (forgets)
             {
@@ -439,16 +441,16 @@
 // Failure: a cancelling dies with the owner that heard of it, or did not.
 TEST(pool_cancel, a_cancelling_outlives_the_owner)
 {
-    for (auto const commits : {fate::carried_out,
-                               fate::lost,
-                               fate::answer_lost,
-                               fate::late,
-                               fate::refused})
+    for (auto const commits : {fault_effect::carried_out,
+                               fault_effect::request_lost,
+                               fault_effect::answer_lost,
+                               fault_effect::executed_late,
+                               fault_effect::refused})
     {
         for (auto const when : {0ms, 3ms, 10ms, 100ms, 300ms})
         {
-            pool_world world;
-            ASSERT_TRUE(settled(world));
+            pool_simulation world;
+            ASSERT_TRUE(run_until_owned(world));
             auto const owner = *world.owner();
             auto const other = other_than(owner);
             world.submit(other, "a", lasting_job(6));
@@ -460,7 +462,7 @@
             {
                 bool const hit = at == owner &&
                                  std::holds_alternative<ports::kv_commit>(call);
-                return hit ? commits : fate::carried_out;
+                return hit ? commits : fault_effect::carried_out;
             };
             EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
             world.run(when);
@@ -478,11 +480,13 @@
 // Failure: a stop that gets lost, is refused or comes late is not repeated.
 TEST(pool_cancel, stops_in_trouble_are_repeated)
 {
-    for (auto const how :
-         {fate::lost, fate::answer_lost, fate::late, fate::refused})
+    for (auto const how : {fault_effect::request_lost,
+                           fault_effect::answer_lost,
+                           fault_effect::executed_late,
+                           fault_effect::refused})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         world.submit(1, "a", lasting_job(6));
         world.run(1s);
         first_order_meets<ports::stop_order>(world, how);
@@ -498,11 +502,12 @@
 {
     for (bool const takeover : {false, true})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto const other = other_than(owner);
-        first_order_meets<ports::start_order>(world, fate::late);
+        first_order_meets<ports::start_order>(world,
+                                              fault_effect::executed_late);
         world.submit(other, "a", lasting_job(6));
         world.run(100ms);
         EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
@@ -519,8 +524,8 @@
 // Failure: tasks of a worker that the successor reaches late are not stopped.
 TEST(pool_cancel, a_worker_that_the_successor_reaches_late)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     world.submit(other, "a", lasting_job(6));
@@ -531,8 +536,8 @@
                                          std::size_t worker,
                                          ports::pool_operation const&)
     {
-        return worker == 0 && world.now() < until ? fate::lost
-                                                  : fate::carried_out;
+        return worker == 0 && world.now() < until ? fault_effect::request_lost
+                                                  : fault_effect::carried_out;
     };
     EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
     world.kill(owner);
--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -73,13 +73,13 @@
         }
     }
 
-    fate any_fate()
+    fault_effect any_fate()
     {
-        constexpr fate all[] = {fate::answer_lost,
-                                fate::refused,
-                                fate::lost,
-                                fate::late,
-                                fate::slow};
+        constexpr fault_effect all[] = {fault_effect::answer_lost,
+                                        fault_effect::refused,
+                                        fault_effect::request_lost,
+                                        fault_effect::executed_late,
+                                        fault_effect::delayed};
         return all[draw(std::size(all))];
     }
 
@@ -96,11 +96,11 @@
         {
             if (deaf && watches_jobs(call))
             {
-                return fate::deaf;
+                return fault_effect::watch_stalled;
             }
             bool const hit = (victim >= instances || victim == at) &&
                              draw(100) < store_share;
-            return hit ? usual : fate::carried_out;
+            return hit ? usual : fault_effect::carried_out;
         };
         auto const order_share = draw(2) == 0 ? 0 : draw(100);
         world_.worker_fault = [this, order_share](std::size_t,
@@ -108,8 +108,9 @@
                                                   ports::pool_operation const&)
         {
             auto const how = any_fate();
-            bool const hit = how != fate::slow && draw(100) < order_share;
-            return hit ? how : fate::carried_out;
+            bool const hit =
+                how != fault_effect::delayed && draw(100) < order_share;
+            return hit ? how : fault_effect::carried_out;
         };
     }
 
@@ -203,7 +204,8 @@
         world_.store_fault =
             [deaf](std::size_t, ports::kv_operation const& call)
         {
-            return deaf && watches_jobs(call) ? fate::deaf : fate::carried_out;
+            return deaf && watches_jobs(call) ? fault_effect::watch_stalled
+                                              : fault_effect::carried_out;
         };
         revive();
         world_.run(3s);
@@ -231,8 +233,8 @@
         std::size_t sum = 0;
         for (std::uint32_t index = 0; index < job.tasks; ++index)
         {
-            sum += world_.places({id, 0, 0, index});
-            sum += world_.places({id, 0, 1, index});
+            sum += world_.running_count({id, 0, 0, index});
+            sum += world_.running_count({id, 0, 1, index});
         }
         return sum;
     }
@@ -309,7 +311,7 @@
     }
 
     std::mt19937_64 random_;
-    pool_world world_{instances, workers};
+    pool_simulation world_{instances, workers};
     std::map<std::string, job_fate> jobs_;
     std::set<std::size_t> killed_;
     std::string broken_;
--- a/tests/unit/pool/faults_test.cpp
+++ b/tests/unit/pool/faults_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void settle(pool_world& world)
+void settle(pool_simulation& world)
 {
     world.run_until(
         [&world]
@@ -18,7 +18,7 @@
         });
 }
 
-bool ends_as(pool_world& world,
+bool ends_as(pool_simulation& world,
              std::size_t asked,
              std::string const& id,
              job_state wanted)
@@ -31,19 +31,19 @@
 }
 
 // From now on this becomes of all commits of `victim`.
-void fail_commits(pool_world& world, std::size_t victim, fate how)
+void fail_commits(pool_simulation& world, std::size_t victim, fault_effect how)
 {
     world.store_fault = [victim, how](std::size_t instance,
                                       ports::kv_operation const& operation)
     {
         bool const hit = instance == victim &&
                          std::holds_alternative<ports::kv_commit>(operation);
-        return hit ? how : fate::carried_out;
+        return hit ? how : fault_effect::carried_out;
     };
 }
 
 template<class Answer>
-bool got(pool_world& world, std::uint64_t request)
+bool got(pool_simulation& world, std::uint64_t request)
 {
     world.run_until(
         [&world, request]
@@ -59,9 +59,9 @@
 // Failure: a job that the store took is told to its submitter as refused.
 TEST(pool_faults, a_lost_answer_of_the_store_is_no_refusal)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
-    fail_commits(world, 1, fate::answer_lost);
+    fail_commits(world, 1, fault_effect::answer_lost);
     auto const first = world.submit(1, "a", simple_job(2, 100ms));
     EXPECT_TRUE(got<ports::job_outcome_unknown>(world, first));
     auto const again = world.submit(2, "a", simple_job(2, 100ms));
@@ -73,7 +73,7 @@
 // Failure: a submission that arrives again after its end runs twice.
 TEST(pool_faults, the_same_id_after_its_end_is_the_same_job)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(1, "a", simple_job(2, 100ms));
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
@@ -87,9 +87,9 @@
 // Failure: a job that the store turned away is told as unknown, or runs.
 TEST(pool_faults, a_refusal_means_that_nothing_ran)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
-    fail_commits(world, 1, fate::refused);
+    fail_commits(world, 1, fault_effect::refused);
     auto const request = world.submit(1, "a", simple_job(2, 100ms));
     EXPECT_TRUE(got<ports::job_refused>(world, request));
     world.run(2s);
@@ -101,7 +101,7 @@
 {
     for (std::size_t victim = 0; victim < 4; ++victim)
     {
-        pool_world world;
+        pool_simulation world;
         settle(world);
         int hits = 0;
         world.worker_fault =
@@ -113,7 +113,8 @@
                 worker == victim && hits < 3 &&
                 std::holds_alternative<ports::start_order>(operation);
             hits += hit ? 1 : 0;
-            return hit ? fate::late : fate::carried_out;
+            return hit ? fault_effect::executed_late
+                       : fault_effect::carried_out;
         };
         world.submit(1, "a", simple_job(8, 3s));
         EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
@@ -125,7 +126,7 @@
 // Failure: a late start runs, as a hold without its task is taken for proof.
 TEST(pool_faults, a_late_start_whose_stop_is_lost)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     int late = 0;
     auto const until = world.now() + 3s;
@@ -140,7 +141,9 @@
         bool const stop = worker == 0 && world.now() < until &&
                           std::holds_alternative<ports::stop_order>(operation);
         late += start ? 1 : 0;
-        return start ? fate::late : stop ? fate::lost : fate::carried_out;
+        return start  ? fault_effect::executed_late
+               : stop ? fault_effect::request_lost
+                      : fault_effect::carried_out;
     };
     world.submit(1, "a", simple_job(1, 4s));
     world.run(100ms);
@@ -154,7 +157,7 @@
 // Failure: tasks run elsewhere while a cut-off worker still runs them.
 TEST(pool_faults, tasks_of_a_silent_worker_wait_for_the_end_of_its_lease)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(1, "a", simple_job(8, 6s));
     world.run(300ms);
@@ -166,9 +169,10 @@
     {
         if (worker != 0)
         {
-            return fate::carried_out;
+            return fault_effect::carried_out;
         }
-        return ++passed == 1 ? fate::answer_lost : fate::lost;
+        return ++passed == 1 ? fault_effect::answer_lost
+                             : fault_effect::request_lost;
     };
     EXPECT_TRUE(ends_as(world, 0, "a", job_state::completed));
     EXPECT_EQ(world.violation(), "");
@@ -177,14 +181,15 @@
 // Failure: a worker that hears and can't answer is renewed for ever.
 TEST(pool_faults, a_worker_whose_answers_are_lost_gets_no_longer_lease)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(1, "a", simple_job(8, 20s));
     world.run(300ms);
     world.worker_fault =
         [](std::size_t, std::size_t worker, ports::pool_operation const&)
     {
-        return worker == 0 ? fate::answer_lost : fate::carried_out;
+        return worker == 0 ? fault_effect::answer_lost
+                           : fault_effect::carried_out;
     };
     EXPECT_TRUE(world.run_until(
         [&world]
@@ -198,7 +203,7 @@
 // Failure: tasks of a worker that came back empty wait for its old lease.
 TEST(pool_faults, a_restarted_worker_has_forgotten_its_tasks)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(1, "a", simple_job(8, 1s));
     world.run(300ms);
@@ -210,13 +215,13 @@
 // Failure: accepted work stops, or new work is taken, without the store.
 TEST(pool_faults, work_goes_on_while_the_store_is_away)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(1, "a", chained_job(1s));
     world.run(300ms);
     world.store_fault = [](std::size_t, ports::kv_operation const&)
     {
-        return fate::lost;
+        return fault_effect::request_lost;
     };
     world.run(3s);
     ports::task_name const second{"a", 0, 1, 0};
@@ -244,7 +249,7 @@
 {
     for (auto const when : {10ms, 150ms, 250ms, 350ms, 450ms})
     {
-        pool_world world;
+        pool_simulation world;
         settle(world);
         auto what = simple_job(1, 100ms);
         what.spec += " fail";
@@ -272,7 +277,7 @@
 // Failure: a cancelled job starts something more.
 TEST(pool_faults, a_cancelled_job_is_gone)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     auto what = simple_job(6, 1s);
     what.steps.front().long_running = true;
@@ -292,13 +297,13 @@
 // Failure: a job is told to be unknown while the store is silent.
 TEST(pool_faults, an_unknown_job_is_told_only_when_it_is_certain)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     auto const first = world.query(1, "a");
     EXPECT_TRUE(got<ports::job_not_found>(world, first));
     world.store_fault = [](std::size_t, ports::kv_operation const&)
     {
-        return fate::lost;
+        return fault_effect::request_lost;
     };
     auto const second = world.query(1, "a");
     EXPECT_TRUE(got<ports::job_refused>(world, second));
@@ -309,7 +314,7 @@
 {
     for (auto const ahead : {50ms, 600'000ms})
     {
-        pool_world world;
+        pool_simulation world;
         settle(world);
         auto const front = (*world.owner() + 1) % 3;
         world.set_clock_ahead(front, ahead);
@@ -323,7 +328,7 @@
 // Failure: a job seems late on arrival and goes behind all others.
 TEST(pool_faults, a_job_from_an_instance_whose_clock_is_behind)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     auto const scheduler = *world.owner();
     auto const front = (scheduler + 1) % 3;
@@ -333,7 +338,7 @@
     wide.steps.front().declared.millicores = 1'000'000'000;
     world.submit(front, "a", wide);
     world.run(700ms);
-    auto const jobs = world.scheduler(scheduler).jobs(world.now());
+    auto const jobs = world.owner_at(scheduler).jobs(world.now());
     ASSERT_EQ(jobs.size(), 1U);
     EXPECT_EQ(jobs.front().rank, 0U);
     EXPECT_GT(jobs.front().due_in, 0ms);
@@ -342,7 +347,7 @@
 // Failure: a store's old copy hides a job, or says that one still runs.
 TEST(pool_faults, copies_of_the_store_that_are_behind)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.submit(0, "early", simple_job(1, 200ms));
     ASSERT_TRUE(world.run_until(
@@ -362,7 +367,7 @@
             read != nullptr && !read->allow_stale && read->key == "final/early"
                 ? 1U
                 : 0U;
-        return fate::carried_out;
+        return fault_effect::carried_out;
     };
     EXPECT_EQ(world.state(1, "early"), ports::job_state::completed);
     EXPECT_EQ(linearizable, 0U);
@@ -372,7 +377,7 @@
 // Failure: a task starts in a data centre that was taken out.
 TEST(pool_faults, no_task_starts_in_a_data_centre_that_is_out)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.store().put("operators/out/even", "");
     world.run(100ms);
@@ -390,7 +395,7 @@
 // Failure: an operators' change is missed that the store forgot unheard.
 TEST(pool_faults, a_change_that_no_watch_heard_is_found)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.store().put("operators/out/even", "");
     world.store().compact();
@@ -404,13 +409,13 @@
 // Failure: an operators' change is missed, as a deaf watch is believed.
 TEST(pool_faults, a_deaf_watch_does_not_move_on)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.store_fault = [](std::size_t, ports::kv_operation const& operation)
     {
         return std::holds_alternative<ports::kv_watch>(operation)
-                   ? fate::deaf
-                   : fate::carried_out;
+                   ? fault_effect::watch_stalled
+                   : fault_effect::carried_out;
     };
     world.run(1500ms);
     world.store().put("operators/out/even", "");
@@ -427,7 +432,7 @@
 // Failure: old progress overwrites newer; the next owner repeats tasks.
 TEST(pool_faults, a_late_commit_does_not_bring_back_old_progress)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     auto const owner = *world.owner();
     int hits = 0;
@@ -440,7 +445,7 @@
                          !commit->puts.empty() &&
                          commit->puts.front().key.starts_with("progress/");
         hits += hit ? 1 : 0;
-        return hit ? fate::late : fate::carried_out;
+        return hit ? fault_effect::executed_late : fault_effect::carried_out;
     };
     auto what = chained_job(400ms);
     what.steps.push_back(what.steps.back());
@@ -457,7 +462,7 @@
 // Failure: tasks under a policy are sent without a ticket and never run.
 TEST(pool_faults, steps_under_a_policy_start_with_its_tickets)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.require_tickets();
     world.run(100ms);
@@ -476,11 +481,12 @@
 // Failure: every caller waits for the time-out of a store that is away.
 TEST(pool_faults, callers_are_turned_away_once_the_store_is_known_to_be_away)
 {
-    pool_world world;
+    pool_simulation world;
     settle(world);
     world.store_fault = [](std::size_t instance, ports::kv_operation const&)
     {
-        return instance == 1 ? fate::refused : fate::carried_out;
+        return instance == 1 ? fault_effect::refused
+                             : fault_effect::carried_out;
     };
     world.run(700ms);
     auto const first = world.submit(1, "a", simple_job(1, 100ms));
--- a/tests/unit/pool/guaranteed_room_test.cpp
+++ b/tests/unit/pool/guaranteed_room_test.cpp
@@ -29,7 +29,7 @@
 }
 
 // Short tasks that need 24 of the 32 cores, for some seconds.
-void keep_busy(pool_world& world, std::size_t at)
+void keep_busy(pool_simulation& world, std::size_t at)
 {
     for (int second = 0; second < 5; ++second)
     {
@@ -38,7 +38,7 @@
     }
 }
 
-std::size_t at_work(pool_world& world)
+std::size_t at_work(pool_simulation& world)
 {
     std::size_t made = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -51,9 +51,9 @@
 // Short tasks need most of the pool, then lasting ones come, of which five have
 // a place: wherever two of them had room they may not wait. Returns an instance
 // that is not the owner.
-std::size_t leave_room(pool_world& world)
+std::size_t leave_room(pool_simulation& world)
 {
-    settled(world);
+    run_until_owned(world);
     auto const other = other_than(*world.owner());
     world.run(1s);
     keep_busy(world, other);
@@ -108,7 +108,7 @@
 TEST(pool_guaranteed_room,
      a_burst_of_short_tasks_finds_room_beside_lasting_ones)
 {
-    pool_world world(3, 4);
+    pool_simulation world(3, 4);
     auto const other = leave_room(world);
     ASSERT_EQ(at_work(world), 5U);
     world.submit(other, "burst", sized_job(4, 4));
@@ -120,7 +120,7 @@
 // many tasks could do with one less.
 TEST(pool_guaranteed_room, each_lasting_job_has_a_task_at_work)
 {
-    pool_world world(3, 4);
+    pool_simulation world(3, 4);
     auto const other = leave_room(world);
     ASSERT_EQ(at_work(world), 5U);
     world.submit(other, "other", lasting_job(20, 3));
@@ -132,7 +132,7 @@
 // was room for it.
 TEST(pool_guaranteed_room, what_was_at_work_returns_first)
 {
-    pool_world world(3, 4);
+    pool_simulation world(3, 4);
     leave_room(world);
     ASSERT_EQ(at_work(world), 5U);
     // A worker with two of them dies; two find a place at once.
@@ -149,8 +149,8 @@
 // Without short work lasting tasks may have everything.
 TEST(pool_guaranteed_room, nothing_is_kept_where_nobody_needs_it)
 {
-    pool_world world(3, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, 4);
+    ASSERT_TRUE(run_until_owned(world));
     world.run(1s);
     world.submit(other_than(*world.owner()), "lasting", lasting_job(20, 3));
     world.run(2s);
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 using namespace fuchsia::core::pool;
-using fuchsia::tests::unit::pool::pool_world;
+using fuchsia::tests::unit::pool::pool_simulation;
 using namespace std::chrono_literals;
 namespace common = fuchsia::core::common;
 
@@ -105,9 +105,9 @@
 TEST(pool_learned, nothing_is_learned_of_workers_of_unknown_size)
 {
     namespace ports = fuchsia::ports;
-    using fuchsia::tests::unit::pool::fate;
+    using fuchsia::tests::unit::pool::fault_effect;
     pool_world world(3, 4);
-    ASSERT_TRUE(fuchsia::tests::unit::pool::settled(world));
+    ASSERT_TRUE(fuchsia::tests::unit::pool::run_until_owned(world));
     auto const first = *world.owner();
     auto serving = fuchsia::tests::unit::pool::simple_job(24, 1s);
     serving.steps.front().long_running = true;
@@ -139,7 +139,7 @@
     {
         auto const* const pages = std::get_if<ports::kv_range>(&call);
         bool const list = pages != nullptr && pages->prefix == "workers/";
-        return instance != first && list ? fate::slow : fate::carried_out;
+        return instance != first && list ? fate::delayed : fate::carried_out;
     };
     world.kill(first);
     ASSERT_TRUE(world.run_until(
--- a/tests/unit/pool/log_volume_test.cpp
+++ b/tests/unit/pool/log_volume_test.cpp
@@ -20,7 +20,7 @@
 
 // Of lines that instance `of` logged since `since`; of one event where one is
 // named.
-volume written(pool_world const& world,
+volume written(pool_simulation const& world,
                std::size_t of,
                time_point since,
                std::string const& event = "")
@@ -37,7 +37,7 @@
 }
 
 // The lines of an event that say `what`.
-std::vector<std::string> lines_with(pool_world const& world,
+std::vector<std::string> lines_with(pool_simulation const& world,
                                     std::string const& event,
                                     std::string const& what)
 {
@@ -75,8 +75,8 @@
 {
     constexpr std::size_t jobs_a_second = 15;
     constexpr std::size_t seconds = 20;
-    pool_world world(2, 40);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 40);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const since = world.now();
     for (std::size_t number = 0; number < jobs_a_second * seconds; ++number)
@@ -84,7 +84,7 @@
         world.submit(1 - owner, job_id(number), failing_job("fail_first"));
         world.run(1000ms / jobs_a_second);
     }
-    auto const runs = world.scheduler(owner).counters().tasks_failed;
+    auto const runs = world.owner_at(owner).counters().tasks_failed;
     ASSERT_GT(runs, jobs_a_second * seconds);
     auto const single = written(world, owner, since, "task_failed");
     auto const gathered = written(world, owner, since, "tasks_failed");
@@ -97,8 +97,8 @@
 // A job had failed and no line said on which workers its attempts had been.
 TEST(pool_log, names_the_workers_of_all_attempts_of_a_failed_job)
 {
-    pool_world world(2, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 4);
+    ASSERT_TRUE(run_until_owned(world));
     auto what = failing_job("fail");
     what.steps.front().count = 1;
     world.submit(0, "failing", what);
@@ -124,8 +124,8 @@
 // place of what had led to it.
 TEST(pool_log, a_takeover_takes_few_lines_however_many_workers_answer)
 {
-    pool_world world(2, 300);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 300);
+    ASSERT_TRUE(run_until_owned(world));
     auto const old = *world.owner();
     auto const since = world.now();
     world.kill(old);
@@ -144,14 +144,15 @@
 // those that had been reached said which it was.
 TEST(pool_log, names_the_workers_that_a_takeover_did_not_reach)
 {
-    pool_world world(2, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 4);
+    ASSERT_TRUE(run_until_owned(world));
     auto const old = *world.owner();
     world.run(1s);
     world.worker_fault =
         [](std::size_t, std::size_t worker, ports::pool_operation const&)
     {
-        return worker == 2 ? fate::lost : fate::carried_out;
+        return worker == 2 ? fault_effect::request_lost
+                           : fault_effect::carried_out;
     };
     world.kill(old);
     ASSERT_TRUE(world.run_until(
@@ -168,8 +169,8 @@
 // That a worker had lost its tasks by a restart drowned among takeovers' lines.
 TEST(pool_log, tells_a_restarted_worker_by_name)
 {
-    pool_world world(2, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 4);
+    ASSERT_TRUE(run_until_owned(world));
     world.run(1s);
     world.restart_worker(1);
     EXPECT_TRUE(world.run_until(
@@ -184,8 +185,8 @@
 // same words for minutes.
 TEST(pool_log, says_at_once_why_a_kind_of_step_waits_and_then_seldom)
 {
-    pool_world world(2, 1);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(2, 1);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.run(1s);
     world.submit(1 - owner, "fills", simple_job(8, 60s));
@@ -214,8 +215,8 @@
     std::size_t inherited = 0;
     for (auto after = 0ms; after < 2s; after += 25ms)
     {
-        pool_world world(2, 4);
-        ASSERT_TRUE(settled(world));
+        pool_simulation world(2, 4);
+        ASSERT_TRUE(run_until_owned(world));
         auto what = failing_job("fail");
         what.steps.front().count = 1;
         world.submit(0, "failing", what);
--- a/tests/unit/pool/odd_inputs_test.cpp
+++ b/tests/unit/pool/odd_inputs_test.cpp
@@ -1,4 +1,4 @@
-#include "unit/pool/pool_world.hpp"
+#include "unit/pool/pool_simulation.hpp"
 
 #include <gtest/gtest.h>
 #include <random>
@@ -12,7 +12,7 @@
 {
 
 template<class Answer>
-bool got(pool_world& world, std::uint64_t request)
+bool got(pool_simulation& world, std::uint64_t request)
 {
     world.run_until(
         [&world, request]
@@ -29,8 +29,8 @@
 // tasks names that nobody could read: accepted, such a job never ran.
 TEST(pool_odd_inputs, ids_that_are_no_names_are_refused)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const job = simple_job(1, 100ms);
     for (auto const& odd : {std::string(),
                             std::string("a/cancel"),
@@ -54,8 +54,8 @@
 // Told as "completed", its submitter believed what never ran.
 TEST(pool_odd_inputs, an_end_that_cannot_be_read_is_not_told)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     std::size_t number = 0;
     for (auto const* odd : {"", "complete", "{}", "\xff", "queued", "active"})
     {
@@ -71,7 +71,7 @@
 // read them, one after the other.
 TEST(pool_odd_inputs, odd_records_end_no_owner)
 {
-    pool_world world;
+    pool_simulation world;
     for (auto const* odd :
          {"", "null", "[]", "{}", "{\"id\":7}", "\xff\xfe", "1e999"})
     {
@@ -93,7 +93,7 @@
         {
             world.store().put(key, odd);
         }
-        ASSERT_TRUE(settled(world)) << odd;
+        ASSERT_TRUE(run_until_owned(world)) << odd;
         auto const id = "job" + std::to_string(world.now().time_since_epoch() /
                                                core::common::duration(1));
         auto const at = other_than(*world.owner());
@@ -118,8 +118,8 @@
 // table.
 TEST(pool_odd_inputs, a_record_under_the_key_of_another_job_is_not_run)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto other = simple_job(2, 100ms);
     other.id = "two";
     other.queue = "q";
@@ -134,7 +134,7 @@
     world.run(5s);
     EXPECT_TRUE(world.owner());
     EXPECT_EQ(world.violation(), "");
-    EXPECT_EQ(world.places({"two", 0, 0, 0}), 0U);
+    EXPECT_EQ(world.running_count({"two", 0, 0, 0}), 0U);
 }
 
 // Answers that come twice, late, to nobody or garbled, for some seconds: what
@@ -143,8 +143,8 @@
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         std::mt19937_64 random(seed);
         auto const one_in = [&random](std::uint64_t count)
         {
--- a/tests/unit/pool/operators_unheard_test.cpp
+++ b/tests/unit/pool/operators_unheard_test.cpp
@@ -24,18 +24,20 @@
 }
 
 // From now on the instance gets no answer about operators' keys.
-void deafen(pool_world& world, std::size_t victim)
+void deafen(pool_simulation& world, std::size_t victim)
 {
     world.store_fault =
         [victim](std::size_t instance, ports::kv_operation const& call)
     {
-        return instance == victim && hears_operators(call) ? fate::lost
-                                                           : fate::carried_out;
+        return instance == victim && hears_operators(call)
+                   ? fault_effect::request_lost
+                   : fault_effect::carried_out;
     };
 }
 
-std::vector<logged_line>
-lines_of(pool_world const& world, std::size_t instance, std::string_view event)
+std::vector<logged_line> lines_of(pool_simulation const& world,
+                                  std::size_t instance,
+                                  std::string_view event)
 {
     std::vector<logged_line> found;
     std::copy_if(world.log().begin(),
@@ -50,7 +52,7 @@
 }
 
 template<class Answer>
-bool told(pool_world const& world, std::uint64_t request)
+bool told(pool_simulation const& world, std::uint64_t request)
 {
     auto const answer = world.answer(request);
     return answer && std::holds_alternative<Answer>(*answer);
@@ -61,8 +63,8 @@
 // A read that fails again and again for a minute left no line in the log.
 TEST(pool_unheard, reads_that_fail_leave_few_lines)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const deaf = other_than(*world.owner());
     world.run(1s);
     deafen(world, deaf);
@@ -81,8 +83,8 @@
 // told no caller the state of a job.
 TEST(pool_unheard, states_of_jobs_are_told_without_a_fresh_configuration)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const deaf = other_than(owner);
     world.submit(owner, "a", simple_job(1, 60s));
@@ -98,8 +100,8 @@
 // balancer has to send callers elsewhere.
 TEST(pool_unheard, no_job_is_taken_and_no_caller_invited_meanwhile)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const deaf = other_than(*world.owner());
     world.run(1s);
     deafen(world, deaf);
@@ -116,8 +118,8 @@
 // Such an instance must tell no count either: the queue may have been dropped.
 TEST(pool_unheard, no_count_is_told_by_an_old_configuration)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const deaf = other_than(owner);
     world.run(1s);
@@ -127,7 +129,7 @@
     {
         // The store goes on, so that the age of a count can be told.
         world.submit(owner, std::to_string(round), simple_job(1, 100ms));
-        EXPECT_EQ(world.waiting_told(deaf), std::nullopt);
+        EXPECT_EQ(world.reported_waiting_jobs(deaf), std::nullopt);
         world.run(700ms);
     }
 }
@@ -137,8 +139,8 @@
 TEST(pool_unheard, a_question_ends_while_its_caller_still_waits)
 {
     std::vector<std::set<std::size_t>> const lost_calls{{1, 2}, {1, 3}};
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const asked = other_than(*world.owner());
     world.run(1s);
     for (auto const& lost : lost_calls)
@@ -151,8 +153,8 @@
             auto const* const read = std::get_if<ports::kv_read>(&call);
             bool const counts = instance == asked && read != nullptr &&
                                 read->key.find(id) != std::string::npos;
-            return counts && lost.contains(++reads) ? fate::lost
-                                                    : fate::carried_out;
+            return counts && lost.contains(++reads) ? fault_effect::request_lost
+                                                    : fault_effect::carried_out;
         };
         auto const request = world.query(asked, id);
         world.run(answers_by);
@@ -164,8 +166,8 @@
 // The same for a job's cancelling, whose read took almost its whole limit.
 TEST(pool_unheard, a_cancelling_ends_while_its_caller_still_waits)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const asked = other_than(*world.owner());
     world.submit(asked, "a", simple_job(1, 60s));
     world.run(1s);
@@ -176,9 +178,9 @@
         bool const hit =
             instance == asked && std::holds_alternative<ports::kv_commit>(call);
         commits = commits || hit;
-        return hit ? fate::lost : fate::carried_out;
+        return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
-    world.set_store_way(490ms);
+    world.set_store_latency(490ms);
     auto const request = world.cancel(asked, "a");
     world.run(answers_by);
     EXPECT_TRUE(commits);
--- a/tests/unit/pool/owner_choice_test.cpp
+++ b/tests/unit/pool/owner_choice_test.cpp
@@ -13,7 +13,7 @@
 constexpr double small = 0.05;
 
 // Starts all instances anew with these sizes, in this order.
-void start_with(pool_world& world, std::vector<double> const& sizes)
+void start_with(pool_simulation& world, std::vector<double> const& sizes)
 {
     for (std::size_t number = 0; number < sizes.size(); ++number)
     {
@@ -22,13 +22,13 @@
     world.run(3s);
     for (std::size_t number = 0; number < sizes.size(); ++number)
     {
-        world.set_size(number, sizes[number]);
+        world.set_speed_factor(number, sizes[number]);
         world.start(number);
         world.run(100ms);
     }
 }
 
-bool owned_by(pool_world& world, std::size_t number, duration patience)
+bool owned_by(pool_simulation& world, std::size_t number, duration patience)
 {
     return world.run_until(
         [&world, number]
@@ -38,7 +38,7 @@
         patience);
 }
 
-bool somebody_owns(pool_world& world, duration patience)
+bool somebody_owns(pool_simulation& world, duration patience)
 {
     return world.run_until(
         [&world]
@@ -68,7 +68,7 @@
 // it is slow from then on, which users see as tasks that start seconds late.
 TEST(pool_owner_choice, a_small_owner_gives_way_to_a_large_instance)
 {
-    pool_world world;
+    pool_simulation world;
     start_with(world, {small, 1, small});
     EXPECT_TRUE(owned_by(world, 1, 2s));
     EXPECT_EQ(world.violation(), "");
@@ -78,7 +78,7 @@
 // other large one does.
 TEST(pool_owner_choice, a_large_instance_follows_a_large_one)
 {
-    pool_world world(6);
+    pool_simulation world(6);
     start_with(world, {1, small, small, small, small, 1});
     ASSERT_TRUE(owned_by(world, 0, 4s));
     bool small_ever = false;
@@ -98,7 +98,7 @@
 // would run without them.
 TEST(pool_owner_choice, a_small_instance_takes_over_when_no_large_one_lives)
 {
-    pool_world world;
+    pool_simulation world;
     start_with(world, {1, small, small});
     ASSERT_TRUE(owned_by(world, 0, 4s));
     world.kill(0);
@@ -109,7 +109,7 @@
 // stop new work for a moment.
 TEST(pool_owner_choice, alike_instances_leave_the_claim_where_it_is)
 {
-    pool_world world;
+    pool_simulation world;
     start_with(world, {0.6, 1, 0.6});
     ASSERT_TRUE(owned_by(world, 0, 4s));
     world.run(20s);
@@ -121,10 +121,11 @@
 // end of the day.
 TEST(pool_owner_choice, an_owner_waits_for_slow_pages)
 {
-    pool_world world;
+    pool_simulation world;
     world.store_fault = [](std::size_t, ports::kv_operation const& call)
     {
-        return is_page(call) ? fate::slow : fate::carried_out;
+        return is_page(call) ? fault_effect::delayed
+                             : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
     EXPECT_TRUE(somebody_owns(world, 10s));
@@ -134,11 +135,12 @@
 // Without an end to that, nothing runs until somebody kills it.
 TEST(pool_owner_choice, an_owner_that_cannot_load_gives_the_claim_up)
 {
-    pool_world world;
+    pool_simulation world;
     world.store_fault =
         [](std::size_t instance, ports::kv_operation const& call)
     {
-        return instance == 0 && is_page(call) ? fate::lost : fate::carried_out;
+        return instance == 0 && is_page(call) ? fault_effect::request_lost
+                                              : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
     EXPECT_TRUE(somebody_owns(world, 12s));
@@ -148,12 +150,13 @@
 // The same for one that gets no configuration: it may not schedule without it.
 TEST(pool_owner_choice, an_owner_without_configuration_gives_the_claim_up)
 {
-    pool_world world;
+    pool_simulation world;
     world.store_fault =
         [](std::size_t instance, ports::kv_operation const& call)
     {
-        return instance == 0 && is_configuration(call) ? fate::lost
-                                                       : fate::carried_out;
+        return instance == 0 && is_configuration(call)
+                   ? fault_effect::request_lost
+                   : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
     EXPECT_TRUE(somebody_owns(world, 12s));
--- a/tests/unit/pool/placement_load_test.cpp
+++ b/tests/unit/pool/placement_load_test.cpp
@@ -29,7 +29,7 @@
 
     fuchsia::core::pool::owner_counters const& counters()
     {
-        return world.scheduler(*world.owner()).counters();
+        return world.owner_at(*world.owner()).counters();
     }
 
     /// Tasks that outlast any test take all cores.
@@ -43,7 +43,7 @@
             });
     }
 
-    pool_world world;
+    pool_simulation world;
 };
 
 } // namespace
--- a/tests/unit/pool/pool_world.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -91,7 +91,7 @@
 
 } // namespace
 
-bool settled(pool_world& world)
+bool run_until_owned(pool_simulation& world)
 {
     return world.run_until(
         [&world]
@@ -105,7 +105,7 @@
     return number == 0 ? 1 : 0;
 }
 
-void submit_many(pool_world& world,
+void submit_many(pool_simulation& world,
                  std::size_t at,
                  std::string const& name,
                  std::size_t count,
@@ -144,7 +144,7 @@
     return made;
 }
 
-pool_world::pool_world(std::size_t instances, std::size_t workers)
+pool_simulation::pool_simulation(std::size_t instances, std::size_t workers)
 {
     store_.put("operators/config", "1");
     for (std::size_t number = 0; number < workers; ++number)
@@ -160,7 +160,7 @@
     tick_all();
 }
 
-void pool_world::run(duration how_long)
+void pool_simulation::run(duration how_long)
 {
     auto const until = timeline_.now() + how_long;
     while (timeline_.step(until))
@@ -168,8 +168,8 @@
     }
 }
 
-bool pool_world::run_until(std::function<bool()> const& holds,
-                           duration patience)
+bool pool_simulation::run_until(std::function<bool()> const& holds,
+                                duration patience)
 {
     auto const until = timeline_.now() + patience;
     while (!holds())
@@ -182,8 +182,8 @@
     return true;
 }
 
-std::uint64_t pool_world::ask(std::size_t instance,
-                              core::pool::pool_request request)
+std::uint64_t pool_simulation::ask(std::size_t instance,
+                                   core::pool::pool_request request)
 {
     auto const id = ++next_request_;
     request.caller = id;
@@ -196,9 +196,9 @@
     return id;
 }
 
-std::uint64_t pool_world::submit(std::size_t instance,
-                                 std::string const& id,
-                                 core::pool::job what)
+std::uint64_t pool_simulation::submit(std::size_t instance,
+                                      std::string const& id,
+                                      core::pool::job what)
 {
     core::pool::pool_request request;
     request.path = prefix + id;
@@ -206,7 +206,8 @@
     return ask(instance, std::move(request));
 }
 
-std::uint64_t pool_world::cancel(std::size_t instance, std::string const& id)
+std::uint64_t pool_simulation::cancel(std::size_t instance,
+                                      std::string const& id)
 {
     core::pool::pool_request request;
     request.path = prefix + id;
@@ -214,14 +215,15 @@
     return ask(instance, std::move(request));
 }
 
-std::uint64_t pool_world::query(std::size_t instance, std::string const& id)
+std::uint64_t pool_simulation::query(std::size_t instance,
+                                     std::string const& id)
 {
     return query_at(instance, prefix, id);
 }
 
-std::uint64_t pool_world::query_at(std::size_t instance,
-                                   std::string const& path,
-                                   std::string const& id)
+std::uint64_t pool_simulation::query_at(std::size_t instance,
+                                        std::string const& path,
+                                        std::string const& id)
 {
     core::pool::pool_request request;
     request.path = path + id;
@@ -229,15 +231,16 @@
     return ask(instance, std::move(request));
 }
 
-std::optional<ports::job_answer> pool_world::answer(std::uint64_t request) const
+std::optional<ports::job_answer>
+pool_simulation::answer(std::uint64_t request) const
 {
     auto const found = answers_.find(request);
     return found == answers_.end() ? std::nullopt
                                    : std::optional(found->second);
 }
 
-std::optional<ports::job_state> pool_world::state(std::size_t instance,
-                                                  std::string const& id)
+std::optional<ports::job_state> pool_simulation::state(std::size_t instance,
+                                                       std::string const& id)
 {
     auto const request = query(instance, id);
     run_until(
@@ -251,7 +254,8 @@
     return status == nullptr ? std::nullopt : std::optional(status->state);
 }
 
-std::optional<std::uint64_t> pool_world::waiting_told(std::size_t instance)
+std::optional<std::uint64_t>
+pool_simulation::reported_waiting_jobs(std::size_t instance)
 {
     auto const request = query(instance, "");
     run_until(
@@ -265,45 +269,46 @@
     return status == nullptr ? std::nullopt : std::optional(status->pending);
 }
 
-void pool_world::set_commit_delay(std::size_t instance, duration delay)
+void pool_simulation::set_commit_delay(std::size_t instance, duration delay)
 {
     instances_[instance].commit_delay = delay;
 }
 
-void pool_world::set_store_way(duration way)
+void pool_simulation::set_store_latency(duration way)
 {
-    store_way_ = way;
+    store_latency_ = way;
 }
 
-void pool_world::set_final_kept(duration how_long)
+void pool_simulation::set_final_state_retention(duration how_long)
 {
-    final_kept_ = how_long;
+    final_state_retention_ = how_long;
 }
 
-void pool_world::set_size(std::size_t instance, double size)
+void pool_simulation::set_speed_factor(std::size_t instance, double size)
 {
     instances_[instance].size = size;
 }
 
-void pool_world::kill(std::size_t instance)
+void pool_simulation::kill(std::size_t instance)
 {
     instances_[instance].engine.reset();
-    instances_[instance].life = 0;
+    instances_[instance].incarnation = 0;
 }
 
-void pool_world::start(std::size_t instance)
+void pool_simulation::start(std::size_t instance)
 {
     auto& each = instances_[instance];
-    each.life = ++each.lives;
+    each.incarnation = ++each.last_incarnation;
     each.stopped = false;
     core::pool::pool_settings settings;
     settings.claim.size = each.size;
     settings.owner.final_state_retention =
-        final_kept_.value_or(settings.owner.final_state_retention);
+        final_state_retention_.value_or(settings.owner.final_state_retention);
     each.engine = std::make_unique<core::pool::engine>(
         settings,
         make_words(),
-        "i" + std::to_string(instance) + "#" + std::to_string(each.life));
+        "i" + std::to_string(instance) + "#" +
+            std::to_string(each.incarnation));
     deliver(instance,
             [this](core::pool::engine& engine)
             {
@@ -311,12 +316,12 @@
             });
 }
 
-void pool_world::freeze(std::size_t instance, duration how_long)
+void pool_simulation::freeze(std::size_t instance, duration how_long)
 {
     instances_[instance].frozen_until = now() + how_long;
 }
 
-void pool_world::stop(std::size_t instance)
+void pool_simulation::stop(std::size_t instance)
 {
     deliver(instance,
             [this](core::pool::engine& engine)
@@ -325,7 +330,7 @@
             });
 }
 
-std::optional<std::size_t> pool_world::owner() const
+std::optional<std::size_t> pool_simulation::owner() const
 {
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
@@ -342,29 +347,29 @@
     return std::nullopt;
 }
 
-void pool_world::set_clock_ahead(std::size_t instance, duration ahead)
+void pool_simulation::set_clock_ahead(std::size_t instance, duration ahead)
 {
     instances_.at(instance).clock_ahead = ahead;
 }
 
-core::pool::owner& pool_world::scheduler(std::size_t instance)
+core::pool::owner& pool_simulation::owner_at(std::size_t instance)
 {
     return *instances_.at(instance).engine->active_owner();
 }
 
-standins::pool::kv_state& pool_world::store() noexcept
+standins::pool::kv_state& pool_simulation::store() noexcept
 {
     return store_;
 }
 
-standins::pool::worker_state& pool_world::worker(std::size_t number)
+standins::pool::worker_state& pool_simulation::worker(std::size_t number)
 {
     return *workers_[number];
 }
 
-void pool_world::restart_worker(std::size_t number)
+void pool_simulation::restart_worker(std::size_t number)
 {
-    auto const info = make_info(number, ++next_born_);
+    auto const info = make_info(number, ++next_incarnation_);
     // Clocks start at different times and one of them is slow.
     double const speed = number == 0 ? 0.98 : 1.0;
     workers_[number] = std::make_unique<standins::pool::worker_state>(
@@ -373,12 +378,12 @@
                std::to_string(number) + " " + std::to_string(info.incarnation));
 }
 
-std::size_t pool_world::worker_count() const noexcept
+std::size_t pool_simulation::worker_count() const noexcept
 {
     return workers_.size();
 }
 
-std::size_t pool_world::places(ports::task_name const& task) const
+std::size_t pool_simulation::running_count(ports::task_name const& task) const
 {
     std::size_t count = 0;
     for (auto const& each : workers_)
@@ -388,22 +393,22 @@
     return count;
 }
 
-std::string const& pool_world::violation() const noexcept
+std::string const& pool_simulation::violation() const noexcept
 {
     return violation_;
 }
 
-time_point pool_world::now() const noexcept
+time_point pool_simulation::now() const noexcept
 {
     return timeline_.now();
 }
 
-bool pool_world::stopped(std::size_t instance) const
+bool pool_simulation::stopped(std::size_t instance) const
 {
     return instances_[instance].stopped;
 }
 
-std::vector<logged_line> const& pool_world::log() const noexcept
+std::vector<logged_line> const& pool_simulation::log() const noexcept
 {
     return log_;
 }
@@ -418,8 +423,8 @@
     return made;
 }
 
-void pool_world::deliver(std::size_t number,
-                         std::function<void(core::pool::engine&)> const& what)
+void pool_simulation::deliver(
+    std::size_t number, std::function<void(core::pool::engine&)> const& what)
 {
     auto const& each = instances_[number];
     if (!each.engine)
@@ -429,7 +434,7 @@
     if (each.frozen_until > now())
     {
         timeline_.after(each.frozen_until - now(),
-                        [this, number, life = each.life, what]
+                        [this, number, incarnation = each.incarnation, what]
                         {
                             if (instances_[number].life == life)
                             {
@@ -442,7 +447,7 @@
     perform(number);
 }
 
-void pool_world::perform(std::size_t number)
+void pool_simulation::perform(std::size_t number)
 {
     auto const actions = instances_[number].engine->take_actions();
     for (auto const& action : actions)
@@ -478,15 +483,15 @@
     }
 }
 
-void pool_world::call_store(std::size_t number, ports::kv_call const& call)
+void pool_simulation::call_store(std::size_t number, ports::kv_call const& call)
 {
-    auto const what =
-        store_fault ? store_fault(number, call.operation) : fate::carried_out;
-    auto const life = instances_[number].life;
+    auto const what = store_fault ? store_fault(number, call.operation)
+                                  : fault_effect::carried_out;
+    auto const life = instances_[number].incarnation;
     auto const tell =
         [this, number, life, id = call.id](ports::kv_status status)
     {
-        if (instances_[number].life == life)
+        if (instances_[number].incarnation == life)
         {
             ports::kv_reply reply;
             reply.id = id;
@@ -498,22 +503,22 @@
                     });
         }
     };
-    if (what == fate::refused)
+    if (what == fault_effect::refused)
     {
-        timeline_.after(2 * store_way_,
+        timeline_.after(2 * store_latency_,
                         [tell]
                         {
                             tell(ports::kv_status::refused);
                         });
         return;
     }
-    if (what == fate::deaf)
+    if (what == fault_effect::watch_stalled)
     {
         auto const wait = std::get<ports::kv_watch>(call.operation).wait;
         timeline_.after(wait,
                         [this, number, life, id = call.id]
                         {
-                            if (instances_[number].life != life)
+                            if (instances_[number].incarnation != life)
                             {
                                 return;
                             }
@@ -531,12 +536,13 @@
     }
     bool const commits =
         std::holds_alternative<ports::kv_commit>(call.operation);
-    auto const way =
-        store_way_ + (commits ? instances_[number].commit_delay : duration{});
+    auto const way = store_latency_ +
+                     (commits ? instances_[number].commit_delay : duration{});
     // No caller hears an answer that comes after its time limit.
-    bool const answered =
-        (what == fate::carried_out && call.timeout > way + store_way_) ||
-        (what == fate::slow && call.timeout > late_by + store_way_);
+    bool const answered = (what == fault_effect::carried_out &&
+                           call.timeout > way + store_latency_) ||
+                          (what == fault_effect::delayed &&
+                           call.timeout > late_by + store_latency_);
     if (!answered)
     {
         timeline_.after(call.timeout,
@@ -545,11 +551,12 @@
                             tell(ports::kv_status::unclear);
                         });
     }
-    if (what == fate::lost)
+    if (what == fault_effect::request_lost)
     {
         return;
     }
-    bool const delayed = what == fate::late || what == fate::slow;
+    bool const delayed =
+        what == fault_effect::executed_late || what == fault_effect::delayed;
     timeline_.after(delayed ? late_by : way,
                     [this, number, life, call, answered]
                     {
@@ -557,10 +564,10 @@
                     });
 }
 
-void pool_world::apply_store(std::size_t number,
-                             std::uint64_t life,
-                             ports::kv_call const& call,
-                             bool answered)
+void pool_simulation::apply_store(std::size_t number,
+                                  std::uint64_t life,
+                                  ports::kv_call const& call,
+                                  bool answered)
 {
     auto reply = store_.answer(now(), call.operation);
     wake_watches();
@@ -580,17 +587,17 @@
         return;
     }
     reply->id = call.id;
-    timeline_.after(store_way_,
+    timeline_.after(store_latency_,
                     [this, number, life, reply = *reply]
                     {
-                        if (instances_[number].life == life)
+                        if (instances_[number].incarnation == life)
                         {
                             hand_back(number, reply);
                         }
                     });
 }
 
-void pool_world::hand_back(std::size_t number, ports::kv_reply reply)
+void pool_simulation::hand_back(std::size_t number, ports::kv_reply reply)
 {
     bool const twice = store_answer && store_answer(reply);
     deliver(number,
@@ -605,7 +612,7 @@
             });
 }
 
-void pool_world::hand_back(std::size_t number, ports::order_reply reply)
+void pool_simulation::hand_back(std::size_t number, ports::order_reply reply)
 {
     bool const twice = worker_answer && worker_answer(reply);
     deliver(number,
@@ -620,19 +627,19 @@
             });
 }
 
-void pool_world::require_tickets()
+void pool_simulation::require_tickets()
 {
     tickets_required_ = true;
     store_.put("operators/config", "2 advised");
 }
 
-std::size_t pool_world::starts_without_ticket() const noexcept
+std::size_t pool_simulation::starts_without_ticket() const noexcept
 {
     return without_ticket_;
 }
 
-void pool_world::call_policy(std::size_t number,
-                             ports::policy_request const& call)
+void pool_simulation::call_policy(std::size_t number,
+                                  ports::policy_request const& call)
 {
     if (policy_busy_ && violation_.empty())
     {
@@ -651,10 +658,10 @@
         }
     }
     timeline_.after(300ms,
-                    [this, number, life = instances_[number].life, reply]
+                    [this, number, life = instances_[number].incarnation, reply]
                     {
                         policy_busy_ = false;
-                        if (instances_[number].life != life)
+                        if (instances_[number].incarnation != life)
                         {
                             return;
                         }
@@ -666,7 +673,7 @@
                     });
 }
 
-void pool_world::wake_watches()
+void pool_simulation::wake_watches()
 {
     auto const waiting = std::exchange(watches_, {});
     for (auto const& each : waiting)
@@ -684,10 +691,11 @@
             told.revision = store_.revision();
         }
         told.id = each.call.id;
-        timeline_.after(store_way_,
+        timeline_.after(store_latency_,
                         [this, each, told]
                         {
-                            if (instances_[each.instance].life == each.life)
+                            if (instances_[each.instance].incarnation ==
+                                each.incarnation)
                             {
                                 hand_back(each.instance, told);
                             }
@@ -695,16 +703,17 @@
     }
 }
 
-void pool_world::call_worker(std::size_t number, ports::pool_order const& order)
+void pool_simulation::call_worker(std::size_t number,
+                                  ports::pool_order const& order)
 {
     auto const where = std::stoul(order.worker.substr(1));
     auto const what = worker_fault
                           ? worker_fault(number, where, order.operation)
-                          : fate::carried_out;
-    auto const life = instances_[number].life;
-    if (what != fate::carried_out)
+                          : fault_effect::carried_out;
+    auto const life = instances_[number].incarnation;
+    if (what != fault_effect::carried_out)
     {
-        bool const refused = what == fate::refused;
+        bool const refused = what == fault_effect::refused;
         ports::order_reply reply;
         reply.id = order.id;
         reply.status = refused ? ports::order_status::not_sent
@@ -712,7 +721,7 @@
         timeline_.after(refused ? 2 * worker_delay : order.timeout,
                         [this, number, life, reply]
                         {
-                            if (instances_[number].life != life)
+                            if (instances_[number].incarnation != life)
                             {
                                 return;
                             }
@@ -723,22 +732,23 @@
                                     });
                         });
     }
-    if (what == fate::lost || what == fate::refused)
+    if (what == fault_effect::request_lost || what == fault_effect::refused)
     {
         return;
     }
-    timeline_.after(what == fate::late ? late_by : worker_delay,
-                    [this, number, life, order, what]
-                    {
-                        apply_worker(
-                            number, life, order, what == fate::carried_out);
-                    });
+    timeline_.after(
+        what == fault_effect::executed_late ? late_by : worker_delay,
+        [this, number, life, order, what]
+        {
+            apply_worker(
+                number, life, order, what == fault_effect::carried_out);
+        });
 }
 
-void pool_world::apply_worker(std::size_t number,
-                              std::uint64_t life,
-                              ports::pool_order const& order,
-                              bool answered)
+void pool_simulation::apply_worker(std::size_t number,
+                                   std::uint64_t life,
+                                   ports::pool_order const& order,
+                                   bool answered)
 {
     auto const where = std::stoul(order.worker.substr(1));
     auto& target = *workers_[where];
@@ -772,14 +782,14 @@
     timeline_.after(wait + worker_delay,
                     [this, number, life, reply]
                     {
-                        if (instances_[number].life == life)
+                        if (instances_[number].incarnation == life)
                         {
                             hand_back(number, reply);
                         }
                     });
 }
 
-void pool_world::tick_all()
+void pool_simulation::tick_all()
 {
     store_.expire(now());
     wake_watches();
@@ -806,7 +816,8 @@
                     });
 }
 
-void pool_world::check_start(std::size_t where, ports::pool_attempt const& what)
+void pool_simulation::check_start(std::size_t where,
+                                  ports::pool_attempt const& what)
 {
     if (!violation_.empty())
     {
@@ -816,7 +827,7 @@
                       "." + std::to_string(what.task.index) + " attempt " +
                       std::to_string(what.attempt) + " on w" +
                       std::to_string(where);
-    if (places(what.task) > 1)
+    if (running_count(what.task) > 1)
     {
         violation_ = "two places: " + name;
     }
@@ -830,7 +841,7 @@
     }
 }
 
-void pool_world::check_ends()
+void pool_simulation::check_ends()
 {
     done_.clear();
     failed_.clear();
--- a/tests/unit/pool/pool_world.hpp
+++ b/tests/unit/pool/pool_simulation.hpp
@@ -25,15 +25,16 @@
 using namespace std::chrono_literals;
 
 /// What a fault does to one call on its way.
-enum class fate : std::uint8_t
+enum class fault_effect : std::uint8_t
 {
     carried_out,
-    answer_lost, ///< Carried out; the caller hears nothing.
-    refused,     ///< Nothing was done, and the caller is told.
-    lost,        ///< Nothing was done; the caller hears nothing.
-    deaf,        ///< A watch: answered at the end of its wait, with nothing.
-    late,        ///< Carried out 2 s later; the caller hears nothing.
-    slow, ///< Carried out and answered 2 s later, if the caller waits so long.
+    answer_lost,   ///< Carried out; the caller hears nothing.
+    refused,       ///< Nothing was done, and the caller is told.
+    request_lost,  ///< Nothing was done; the caller hears nothing.
+    watch_stalled, ///< A watch: answered at the end of its wait, with nothing.
+    executed_late, ///< Carried out 2 s later; the caller hears nothing.
+    delayed, ///< Carried out and answered 2 s later, if the caller waits so
+             ///< long.
 };
 
 /// A line that an instance logged.
@@ -47,10 +48,11 @@
 /// As it is written, behind time, level and program.
 std::string text_of(logged_line const& line);
 
-class pool_world
+class pool_simulation
 {
 public:
-    explicit pool_world(std::size_t instances = 3, std::size_t workers = 4);
+    explicit pool_simulation(std::size_t instances = 3,
+                             std::size_t workers = 4);
 
     void run(duration how_long);
     /// Until `holds`, at most `patience`; whether it came to hold.
@@ -66,7 +68,7 @@
                            std::string const& path,
                            std::string const& id);
     /// Jobs that wait as the instance tells it; empty where it refuses.
-    std::optional<std::uint64_t> waiting_told(std::size_t instance);
+    std::optional<std::uint64_t> reported_waiting_jobs(std::size_t instance);
     std::optional<ports::job_answer> answer(std::uint64_t request) const;
     /// Asks until there is a state; empty where the job is not known.
     std::optional<ports::job_state> state(std::size_t instance,
@@ -75,13 +77,13 @@
     /// From now on its time of day runs that much ahead of the others'.
     void set_clock_ahead(std::size_t instance, duration ahead);
     /// What it has of processor and link, from its next start on; 1 at first.
-    void set_size(std::size_t instance, double size);
+    void set_speed_factor(std::size_t instance, double size);
     /// How long owners keep final states, from their next start on.
-    void set_final_kept(duration how_long);
+    void set_final_state_retention(duration how_long);
     /// From now on each of its commits takes that much longer.
     void set_commit_delay(std::size_t instance, duration delay);
     /// From now on each way to the store and back takes that long.
-    void set_store_way(duration way);
+    void set_store_latency(duration way);
     void kill(std::size_t instance);
     void start(std::size_t instance);
     /// Stands still, and gets what came meanwhile when it wakes.
@@ -89,7 +91,7 @@
     void stop(std::size_t instance);
     std::optional<std::size_t> owner() const;
     /// The owner's part of an instance that is one.
-    core::pool::owner& scheduler(std::size_t instance);
+    core::pool::owner& owner_at(std::size_t instance);
 
     standins::pool::kv_state& store() noexcept;
     standins::pool::worker_state& worker(std::size_t number);
@@ -97,12 +99,13 @@
     void restart_worker(std::size_t number);
     std::size_t worker_count() const noexcept;
     /// Workers that run `task` now.
-    std::size_t places(ports::task_name const& task) const;
+    std::size_t running_count(ports::task_name const& task) const;
 
     /// Decide what happens to calls; may be empty.
-    std::function<fate(std::size_t instance, ports::kv_operation const&)>
+    std::function<fault_effect(std::size_t instance,
+                               ports::kv_operation const&)>
         store_fault;
-    std::function<fate(
+    std::function<fault_effect(
         std::size_t instance, std::size_t worker, ports::pool_operation const&)>
         worker_fault;
 
@@ -127,8 +130,9 @@
     struct instance
     {
         std::unique_ptr<core::pool::engine> engine;
-        std::uint64_t life = 0; ///< Answers of an earlier life are dropped.
-        std::uint64_t lives = 0;
+        std::uint64_t incarnation =
+            0; ///< Answers of an earlier life are dropped.
+        std::uint64_t last_incarnation = 0;
         time_point frozen_until{};
         bool stopped = false;
         duration clock_ahead{};
@@ -160,19 +164,19 @@
     void check_ends();
     std::uint64_t ask(std::size_t instance, core::pool::pool_request request);
 
-    duration store_way_ = 2ms;
+    duration store_latency_ = 2ms;
     walks::virtual_clock timeline_;
     standins::pool::kv_state store_;
     std::vector<std::unique_ptr<standins::pool::worker_state>> workers_;
     std::vector<instance> instances_;
-    std::optional<duration> final_kept_;
+    std::optional<duration> final_state_retention_;
     std::map<std::uint64_t, ports::job_answer> answers_;
     std::uint64_t next_request_ = 0;
-    std::uint64_t next_born_ = 1'000'000;
+    std::uint64_t next_incarnation_ = 1'000'000;
     struct waiting_watch
     {
         std::size_t instance = 0;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         ports::kv_call call;
         time_point until{};
     };
@@ -188,11 +192,11 @@
 };
 
 /// Runs until an instance owns; false where none does in time.
-bool settled(pool_world& world);
+bool run_until_owned(pool_simulation& world);
 /// An instance that is not this one.
 std::size_t other_than(std::size_t number);
 /// Hands in `name`0 to `name`(`count` - 1), all alike.
-void submit_many(pool_world& world,
+void submit_many(pool_simulation& world,
                  std::size_t at,
                  std::string const& name,
                  std::size_t count,
--- a/tests/unit/pool/regroup_test.cpp
+++ b/tests/unit/pool/regroup_test.cpp
@@ -359,12 +359,12 @@
         std::size_t count = 0;
         for (std::uint32_t index = 0; index < 4; ++index)
         {
-            count += world.places({"serving", 0, 0, index});
+            count += world.running_count({"serving", 0, 0, index});
         }
         return count;
     }
 
-    pool_world world;
+    pool_simulation world;
     int next = 0;
 };
 
@@ -422,7 +422,7 @@
 // Failure: two serving images share a worker beside empty ones.
 TEST(pool_serving, images_share_a_worker_only_once_none_is_empty)
 {
-    pool_world world;
+    pool_simulation world;
     world.run_until(
         [&world]
         {
@@ -441,7 +441,7 @@
         bool const first = world.worker(number).runs({"first", 0, 0, 0});
         mixed += first && second ? 1U : 0U;
     }
-    EXPECT_EQ(world.places({"second", 0, 0, 0}), 1U);
+    EXPECT_EQ(world.running_count({"second", 0, 0, 0}), 1U);
     EXPECT_EQ(mixed, 0U);
 }
 
@@ -464,7 +464,7 @@
         }
     }
     auto const owner = *pool.world.owner();
-    EXPECT_EQ(moved, pool.world.scheduler(owner).counters().rebalanced);
+    EXPECT_EQ(moved, pool.world.owner_at(owner).counters().rebalanced);
     ASSERT_FALSE(lines.empty());
     for (auto const& [when, count] : lines)
     {
--- a/tests/unit/pool/takeover_test.cpp
+++ b/tests/unit/pool/takeover_test.cpp
@@ -10,17 +10,18 @@
 {
 
 // From now on `owner` gets nothing through to the store.
-void cut_from_store(pool_world& world, std::size_t owner)
+void cut_from_store(pool_simulation& world, std::size_t owner)
 {
     world.store_fault =
         [owner](std::size_t instance, ports::kv_operation const&)
     {
-        return instance == owner ? fate::lost : fate::carried_out;
+        return instance == owner ? fault_effect::request_lost
+                                 : fault_effect::carried_out;
     };
 }
 
 // For this long only `owner` reaches the worker.
-void hide_worker(pool_world& world,
+void hide_worker(pool_simulation& world,
                  std::size_t hidden,
                  std::size_t owner,
                  duration how_long)
@@ -33,11 +34,11 @@
     {
         bool const cut =
             worker == hidden && instance != owner && world.now() < until;
-        return cut ? fate::lost : fate::carried_out;
+        return cut ? fault_effect::request_lost : fault_effect::carried_out;
     };
 }
 
-std::size_t begun_in_all(pool_world& world)
+std::size_t begun_in_all(pool_simulation& world)
 {
     std::size_t begun = 0;
     for (std::size_t number = 0; number < world.worker_count(); ++number)
@@ -47,7 +48,7 @@
     return begun;
 }
 
-bool completes(pool_world& world,
+bool completes(pool_simulation& world,
                std::size_t asked,
                std::string const& id,
                duration patience = 30s)
@@ -65,8 +66,8 @@
 // Failure: a job does not run to its end on a calm day.
 TEST(pool_takeover, a_calm_job_is_completed)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const request = world.submit(1, "a", chained_job(300ms));
     world.run(50ms);
     ASSERT_TRUE(world.answer(request).has_value());
@@ -81,8 +82,8 @@
 {
     for (auto const when : {100ms, 290ms, 305ms, 320ms, 400ms, 610ms, 640ms})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         world.submit(1, "a", chained_job(300ms));
         world.run(when);
         auto const owner = *world.owner();
@@ -97,8 +98,8 @@
 {
     for (auto const when : {100ms, 305ms, 610ms})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         world.submit(1, "a", chained_job(300ms));
         world.run(when);
         for (std::size_t number = 0; number < 3; ++number)
@@ -118,8 +119,8 @@
 // Failure: tasks of a worker that a successor can't reach run twice.
 TEST(pool_takeover, a_worker_that_the_successor_cannot_reach_keeps_its_tasks)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     world.submit(1, "a", simple_job(8, 20s));
     world.run(500ms);
     ASSERT_GT(world.worker(0).running(), 0U);
@@ -129,7 +130,7 @@
                                  ports::pool_operation const&)
     {
         bool const cut = worker == 0 && instance != owner;
-        return cut ? fate::lost : fate::carried_out;
+        return cut ? fault_effect::request_lost : fault_effect::carried_out;
     };
     cut_from_store(world, owner);
     EXPECT_TRUE(completes(world, other_than(owner), "a", 60s));
@@ -139,8 +140,8 @@
 // Failure: an owner that nobody tells of its successor goes on beside it.
 TEST(pool_takeover, an_owner_alone_with_one_worker_gives_up)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     world.submit(1, "a", simple_job(8, 20s));
     world.run(500ms);
     ASSERT_GT(world.worker(0).running(), 0U);
@@ -150,7 +151,7 @@
                                  ports::pool_operation const&)
     {
         bool const passes = (worker == 0) == (instance == owner);
-        return passes ? fate::carried_out : fate::lost;
+        return passes ? fault_effect::carried_out : fault_effect::request_lost;
     };
     cut_from_store(world, owner);
     EXPECT_TRUE(completes(world, other_than(owner), "a", 60s));
@@ -160,8 +161,8 @@
 // Failure: lasting tasks stop while the store is away.
 TEST(pool_takeover, tasks_outlive_a_long_outage_of_the_store)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto what = simple_job(6, 1s);
     what.steps.front().long_running = true;
     what.spec = "lasts";
@@ -169,7 +170,7 @@
     world.run(500ms);
     world.store_fault = [](std::size_t, ports::kv_operation const&)
     {
-        return fate::lost;
+        return fault_effect::request_lost;
     };
     world.run(30s);
     std::size_t running = 0;
@@ -186,8 +187,8 @@
 // Failure: orders of an owner that wakes with old beliefs take effect.
 TEST(pool_takeover, a_frozen_owner_does_no_harm)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     world.submit(1, "a", chained_job(1s));
     world.run(300ms);
     auto const owner = *world.owner();
@@ -200,8 +201,8 @@
 // Failure: two owners schedule the same jobs, since a lost claim goes unseen.
 TEST(pool_takeover, a_claim_that_is_taken_away)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     world.submit(1, "a", chained_job(1s));
     world.run(300ms);
     world.store().expire_key("pool/claim");
@@ -212,8 +213,8 @@
 // Failure: a planned stop costs users the length of a lease.
 TEST(pool_takeover, a_planned_stop_hands_over_within_a_moment)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.submit(other_than(owner), "a", simple_job(4, 2s));
     world.run(300ms);
@@ -236,8 +237,8 @@
 // Failure: a silent death of the owner is noticed later than its lease ends.
 TEST(pool_takeover, a_silent_death_costs_a_second_and_a_half)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.kill(owner);
     EXPECT_TRUE(world.run_until(
@@ -254,8 +255,8 @@
     // While the second run is at work, and after it.
     for (auto const hidden : {1100ms, 3500ms})
     {
-        pool_world world;
-        ASSERT_TRUE(settled(world));
+        pool_simulation world;
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto what = simple_job(1, 900ms);
         what.spec += " fail";
@@ -278,8 +279,8 @@
 // Failure: a running step is stopped, as its predecessor's end comes later.
 TEST(pool_takeover, a_step_whose_predecessor_is_told_of_later)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto what = simple_job(1, 700ms);
     what.steps.push_back(what.steps.front());
@@ -302,8 +303,8 @@
 // Failure: a failure that is told again counts twice: an attempt is not used.
 TEST(pool_takeover, a_failure_that_is_told_again)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto what = simple_job(1, 300ms);
     what.spec += " fail";
@@ -313,7 +314,8 @@
                                          ports::pool_operation const&)
     {
         bool const written = world.store().find("progress/a").has_value();
-        return written && instance == owner ? fate::lost : fate::carried_out;
+        return written && instance == owner ? fault_effect::request_lost
+                                            : fault_effect::carried_out;
     };
     ASSERT_TRUE(world.run_until(
         [&world]
@@ -334,8 +336,8 @@
 // Failure: a worker that forgot the successor's fence obeys the owner before.
 TEST(pool_takeover, a_worker_that_restarts_between_two_owners)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const old = *world.owner();
     bool reaches_none = false;
     bool restarted = false;
@@ -348,20 +350,21 @@
         auto const* const start = std::get_if<ports::start_order>(&call);
         if (start != nullptr && start->attempt_id.task.job == "a" && !restarted)
         {
-            return fate::refused;
+            return fault_effect::refused;
         }
         bool const cut =
             instance == old
                 ? reaches_none && (worker != 0 || !restarted)
                 : (worker == 0 && restarted) || (worker == 3 && !reaches_last);
-        return cut ? fate::lost : fate::carried_out;
+        return cut ? fault_effect::request_lost : fault_effect::carried_out;
     };
     world.submit(other_than(old), "busy", simple_job(16, 60s));
     world.submit(other_than(old), "a", simple_job(4, 20s));
     // A watch that waits already may still be answered.
     world.store_fault = [old](std::size_t at, ports::kv_operation const& call)
     {
-        return at == old && watches_jobs(call) ? fate::lost : fate::carried_out;
+        return at == old && watches_jobs(call) ? fault_effect::request_lost
+                                               : fault_effect::carried_out;
     };
     world.run(1500ms);
     cut_from_store(world, old);
@@ -385,14 +388,14 @@
 // Failure: a slow answer is thrown away for one that is as slow and later.
 TEST(pool_takeover, slow_reads_of_the_state_count)
 {
-    pool_world world;
-    ASSERT_TRUE(settled(world));
+    pool_simulation world;
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     world.store_fault = [](std::size_t, ports::kv_operation const& call)
     {
         auto const* const page = std::get_if<ports::kv_range>(&call);
         bool const jobs = page != nullptr && page->prefix == "pool/";
-        return jobs ? fate::slow : fate::carried_out;
+        return jobs ? fault_effect::delayed : fault_effect::carried_out;
     };
     world.kill(owner);
     EXPECT_TRUE(world.run_until(
--- a/tests/unit/pool/view_test.cpp
+++ b/tests/unit/pool/view_test.cpp
@@ -24,10 +24,10 @@
 
     owner& scheduler()
     {
-        return world.scheduler(*world.owner());
+        return world.owner_at(*world.owner());
     }
 
-    pool_world world;
+    pool_simulation world;
 };
 
 } // namespace
@@ -55,7 +55,8 @@
     world.worker_fault =
         [](std::size_t, std::size_t worker, ports::pool_operation const&)
     {
-        return worker == 0 ? fate::lost : fate::carried_out;
+        return worker == 0 ? fault_effect::request_lost
+                           : fault_effect::carried_out;
     };
     world.run(4s);
     auto const rows = scheduler().workers(world.now());
--- a/tests/unit/pool/writes_test.cpp
+++ b/tests/unit/pool/writes_test.cpp
@@ -17,8 +17,8 @@
 {
     for (int attempt = 0; attempt < 12; ++attempt)
     {
-        pool_world world(3, 16);
-        ASSERT_TRUE(settled(world));
+        pool_simulation world(3, 16);
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto const other = other_than(owner);
         world.set_commit_delay(owner, 400ms);
@@ -42,8 +42,8 @@
 TEST(pool_writes, what_waits_is_bounded_while_no_commit_is_taken)
 {
     constexpr std::size_t workers = 16;
-    pool_world world(3, workers);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, workers);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     world.run(1s);
@@ -55,21 +55,21 @@
         bool const hit = at == owner && commit != nullptr &&
                          commit->preconditions.size() == 2 &&
                          commit->preconditions.back().key == "ledger";
-        return hit ? fate::refused : fate::carried_out;
+        return hit ? fault_effect::refused : fault_effect::carried_out;
     };
     world.run(3s);
-    auto const early = world.scheduler(owner).commits().waiting();
+    auto const early = world.owner_at(owner).commits().waiting();
     world.run(20s);
     ASSERT_EQ(world.owner(), owner);
-    auto const late = world.scheduler(owner).commits().waiting();
+    auto const late = world.owner_at(owner).commits().waiting();
     EXPECT_LE(late, early + workers) << early << " after 3 s";
 }
 
 // Jobs never end if commits take effect only after their time limit.
 TEST(pool_writes, commits_that_take_effect_late_are_found)
 {
-    pool_world world(3, 4);
-    ASSERT_TRUE(settled(world));
+    pool_simulation world(3, 4);
+    ASSERT_TRUE(run_until_owned(world));
     auto const owner = *world.owner();
     auto const other = other_than(owner);
     world.run(1s);
@@ -79,14 +79,14 @@
         bool const hit = at == owner && commit != nullptr &&
                          commit->preconditions.size() == 2 &&
                          commit->preconditions.back().key == "ledger";
-        return hit ? fate::late : fate::carried_out;
+        return hit ? fault_effect::executed_late : fault_effect::carried_out;
     };
     submit_many(world, other, "a", 8, simple_job(4, 100ms));
     world.run(5s);
     submit_many(world, other, "b", 40, simple_job(2, 100ms));
     world.run(15s);
     ASSERT_EQ(world.owner(), owner);
-    EXPECT_LE(world.scheduler(owner).commits().lag(world.now()), 10s);
+    EXPECT_LE(world.owner_at(owner).commits().lag(world.now()), 10s);
     int open = 0;
     for (int number = 0; number < 40; ++number)
     {
@@ -103,8 +103,8 @@
     for (unsigned seed = 1; seed <= 20; ++seed)
     {
         std::mt19937 random(seed);
-        pool_world world(3, 8);
-        ASSERT_TRUE(settled(world));
+        pool_simulation world(3, 8);
+        ASSERT_TRUE(run_until_owned(world));
         std::string broken;
         world.store_fault =
             [&random, &broken](std::size_t, ports::kv_operation const& call)
@@ -113,7 +113,7 @@
             if (commit == nullptr || commit->preconditions.size() != 2 ||
                 commit->preconditions.back().key != "ledger")
             {
-                return fate::carried_out;
+                return fault_effect::carried_out;
             }
             std::set<std::string> keys;
             for (auto const& put : commit->puts)
@@ -128,13 +128,15 @@
                                  commit->puts.size() + commit->erases.size();
             broken +=
                 entries <= 32 ? "" : std::to_string(entries) + " entries ";
-            constexpr std::array<fate, 5> fates{fate::answer_lost,
-                                                fate::refused,
-                                                fate::lost,
-                                                fate::late,
-                                                fate::slow};
+            constexpr std::array<fault_effect, 5> fates{
+                fault_effect::answer_lost,
+                fault_effect::refused,
+                fault_effect::request_lost,
+                fault_effect::executed_late,
+                fault_effect::delayed};
             auto const drawn = random() % 20;
-            return drawn < fates.size() ? fates.at(drawn) : fate::carried_out;
+            return drawn < fates.size() ? fates.at(drawn)
+                                        : fault_effect::carried_out;
         };
         for (int step = 0; step < 100; ++step)
         {
@@ -158,8 +160,8 @@
     for (unsigned seed = 1; seed <= 60; ++seed)
     {
         std::mt19937 random(seed);
-        pool_world world(3, 16);
-        ASSERT_TRUE(settled(world));
+        pool_simulation world(3, 16);
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto const other = other_than(owner);
         world.set_commit_delay(owner, 200ms);
@@ -171,15 +173,17 @@
                 commit->preconditions.size() != 2 ||
                 commit->preconditions.back().key != "ledger")
             {
-                return fate::carried_out;
+                return fault_effect::carried_out;
             }
-            constexpr std::array<fate, 5> fates{fate::answer_lost,
-                                                fate::refused,
-                                                fate::lost,
-                                                fate::late,
-                                                fate::slow};
+            constexpr std::array<fault_effect, 5> fates{
+                fault_effect::answer_lost,
+                fault_effect::refused,
+                fault_effect::request_lost,
+                fault_effect::executed_late,
+                fault_effect::delayed};
             auto const drawn = random() % 15;
-            return drawn < fates.size() ? fates.at(drawn) : fate::carried_out;
+            return drawn < fates.size() ? fates.at(drawn)
+                                        : fault_effect::carried_out;
         };
         for (std::size_t round = 0; round < 6; ++round)
         {
@@ -204,8 +208,8 @@
 {
     for (std::size_t step = 0; step < 40; ++step)
     {
-        pool_world world(3, 16);
-        ASSERT_TRUE(settled(world));
+        pool_simulation world(3, 16);
+        ASSERT_TRUE(run_until_owned(world));
         auto const owner = *world.owner();
         auto const other = other_than(owner);
         world.set_commit_delay(owner, 400ms);
