--- a/tests/contract/inputs/http_inputs_test.cpp
+++ b/tests/contract/inputs/http_inputs_test.cpp
@@ -144,7 +144,7 @@
     {
         input_mutator mutator(seed);
         auto const made = std::make_shared<sender>(
-            io, *where, mutator.damaged(samples[seed % samples.size()]));
+            io, *where, mutator.mutated(samples[seed % samples.size()]));
         // From one byte to all at once.
         made->piece = seed % 5 == 0 ? 1 : 1 + seed * seed % 4000;
         made->piece =
@@ -194,7 +194,7 @@
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
-        auto const answer = mutator.damaged(samples[seed % samples.size()]);
+        auto const answer = mutator.mutated(samples[seed % samples.size()]);
         std::string taken;
         tcp::socket socket(io);
         accepting.async_accept(
@@ -241,7 +241,7 @@
         input_mutator mutator(seed);
         auto headers = good;
         auto& chosen = headers[seed % headers.size()];
-        chosen.value = mutator.damaged(chosen.value);
+        chosen.value = mutator.mutated(chosen.value);
         adapters::http::request message{"POST", "/x", headers, "", ""};
         core::common::failure reason;
         auto const made =
--- a/tests/contract/inputs/input_mutator.cpp
+++ b/tests/contract/inputs/input_mutator.cpp
@@ -129,7 +129,7 @@
     return bound == 0 ? 0 : static_cast<std::size_t>(random_() % bound);
 }
 
-std::string input_mutator::damaged(std::string_view sample)
+std::string input_mutator::mutated(std::string_view sample)
 {
     std::string text(sample);
     auto const damages = 1 + below(most_damages);
--- a/tests/contract/inputs/input_mutator.hpp
+++ b/tests/contract/inputs/input_mutator.hpp
@@ -17,7 +17,7 @@
     explicit input_mutator(std::uint64_t seed);
 
     /// A copy of `sample` with one to three damages.
-    std::string damaged(std::string_view sample);
+    std::string mutated(std::string_view sample);
 
 private:
     std::size_t below(std::size_t bound);
--- a/tests/contract/inputs/sound_inputs.cpp
+++ b/tests/contract/inputs/parser_robustness.cpp
@@ -1,4 +1,4 @@
-#include "contract/inputs/sound_inputs.hpp"
+#include "contract/inputs/parser_robustness.hpp"
 
 #include "contract/inputs/input_mutator.hpp"
 
@@ -47,8 +47,8 @@
 
 } // namespace
 
-void expect_sound(std::vector<std::string> const& samples,
-                  input_check const& check)
+void expect_robust_parser(std::vector<std::string> const& samples,
+                          input_check const& check)
 {
     for (auto const& sample : samples)
     {
@@ -58,7 +58,7 @@
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
-        auto const input = mutator.damaged(samples[seed % samples.size()]);
+        auto const input = mutator.mutated(samples[seed % samples.size()]);
         ASSERT_EQ(fault_of(check, input), "")
             << "seed " << seed << ": " << shown(input);
     }
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -1,4 +1,4 @@
-#include "contract/inputs/sound_inputs.hpp"
+#include "contract/inputs/parser_robustness.hpp"
 
 #include "core/pool/backlog.hpp"
 #include "core/pool/claim_holder.hpp"
@@ -464,12 +464,12 @@
 
 TEST(pool_inputs, entries_of_workers)
 {
-    expect_sound(worker_samples(), check_worker);
+    expect_robust_parser(worker_samples(), check_worker);
 }
 
 TEST(pool_inputs, configurations)
 {
-    expect_sound(
+    expect_robust_parser(
         {R"({"version":7,"routes":[{"name":"r","host":"h.example","prefix":)"
          R"("/p/","targetDurationMs":250,"priority":2,"service":"s",)"
          R"("attempts":3,"stretch":1.5,"advice":{"decisionMs":300,)"
@@ -480,118 +480,124 @@
 
 TEST(pool_inputs, submissions)
 {
-    expect_sound(job_samples(), check_submission);
-    expect_sound(job_samples(), check_request);
+    expect_robust_parser(job_samples(), check_submission);
+    expect_robust_parser(job_samples(), check_request);
 }
 
 TEST(pool_inputs, stored_jobs)
 {
-    expect_sound(stored_jobs(), check_stored_job);
+    expect_robust_parser(stored_jobs(), check_stored_job);
 }
 
 TEST(pool_inputs, answers_to_holds)
 {
-    expect_sound(hold_samples(), check_order_reply);
+    expect_robust_parser(hold_samples(), check_order_reply);
 }
 
 TEST(pool_inputs, pages_of_the_store)
 {
-    expect_sound(range_samples(),
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_range{"pool/", ""}, "pool/", 200, input);
-                 });
+    expect_robust_parser(
+        range_samples(),
+        [](std::string const& input)
+        {
+            return check_store_reply(
+                ports::kv_range{"pool/", ""}, "pool/", 200, input);
+        });
 }
 
 TEST(pool_inputs, watches_of_the_store)
 {
-    expect_sound(watch_samples(),
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_watch{"pool/", 1, {}}, "pool/", 200, input);
-                 });
+    expect_robust_parser(
+        watch_samples(),
+        [](std::string const& input)
+        {
+            return check_store_reply(
+                ports::kv_watch{"pool/", 1, {}}, "pool/", 200, input);
+        });
 }
 
 TEST(pool_inputs, reads_of_the_store)
 {
-    expect_sound({R"({"key":"roster","value":"e30=","revision":7,"created":5,)"
-                  R"("leaseId":0,"atRevision":12})"},
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_read{"roster"}, "roster", 200, input);
-                 });
+    expect_robust_parser(
+        {R"({"key":"roster","value":"e30=","revision":7,"created":5,)"
+         R"("leaseId":0,"atRevision":12})"},
+        [](std::string const& input)
+        {
+            return check_store_reply(
+                ports::kv_read{"roster"}, "roster", 200, input);
+        });
 }
 
 TEST(pool_inputs, commits_of_the_store)
 {
-    expect_sound({R"({"revision":12})"},
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_commit{}, "", 200, input);
-                 });
-    expect_sound(range_samples(),
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_commit{}, "", 412, input);
-                 });
+    expect_robust_parser({R"({"revision":12})"},
+                         [](std::string const& input)
+                         {
+                             return check_store_reply(
+                                 ports::kv_commit{}, "", 200, input);
+                         });
+    expect_robust_parser(range_samples(),
+                         [](std::string const& input)
+                         {
+                             return check_store_reply(
+                                 ports::kv_commit{}, "", 412, input);
+                         });
 }
 
 TEST(pool_inputs, leases_of_the_store)
 {
-    expect_sound({R"({"leaseId":12,"ttlMs":1000})"},
-                 [](std::string const& input)
-                 {
-                     return check_store_reply(
-                         ports::kv_lease_grant{}, "", 200, input);
-                 });
+    expect_robust_parser({R"({"leaseId":12,"ttlMs":1000})"},
+                         [](std::string const& input)
+                         {
+                             return check_store_reply(
+                                 ports::kv_lease_grant{}, "", 200, input);
+                         });
 }
 
 TEST(pool_inputs, advice)
 {
-    expect_sound({R"({"allowed":[["i-1","t1"],["i-2","t2"]],"validMs":3000})"},
-                 check_advice);
+    expect_robust_parser(
+        {R"({"allowed":[["i-1","t1"],["i-2","t2"]],"validMs":3000})"},
+        check_advice);
 }
 
 TEST(pool_inputs, progress)
 {
-    expect_sound(
+    expect_robust_parser(
         {R"({"job":"a","tasks":[[0,1,2,1,[],""],[0,1,3,0,[1,2],"c"]]})"},
         check_progress);
 }
 
 TEST(pool_inputs, rosters)
 {
-    expect_sound(
+    expect_robust_parser(
         {R"({"workers":[["w1","s","10.0.0.9",80],["w2","s","10.0.0.8",81]]})"},
         check_roster);
 }
 
 TEST(pool_inputs, backlogs)
 {
-    expect_sound({R"({"heard":12,"waiting":{"q":3,"r":0}})"}, check_backlog);
+    expect_robust_parser({R"({"heard":12,"waiting":{"q":3,"r":0}})"},
+                         check_backlog);
 }
 
 TEST(pool_inputs, what_was_learned)
 {
-    expect_sound({R"({"images":["a","b"],"headrooms":[[0,93,10000]],"pairs":)"
-                  R"([[0,1,50,20],[1,1,7,3]]})"},
-                 check_learned);
+    expect_robust_parser(
+        {R"({"images":["a","b"],"headrooms":[[0,93,10000]],"pairs":)"
+         R"([[0,1,50,20],[1,1,7,3]]})"},
+        check_learned);
 }
 
 TEST(pool_inputs, holders)
 {
-    expect_sound({R"({"instance":"n 5","size":1.5})"}, check_holder);
+    expect_robust_parser({R"({"instance":"n 5","size":1.5})"}, check_holder);
 }
 
 TEST(pool_inputs, names_of_tasks)
 {
-    expect_sound({"5c0e7a21d94b36f8.0.1.17", "a.4294967295.10.0"},
-                 check_task_name);
+    expect_robust_parser({"5c0e7a21d94b36f8.0.1.17", "a.4294967295.10.0"},
+                         check_task_name);
 }
 
 } // namespace fuchsia::tests::contract::inputs
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -1,4 +1,4 @@
-#include "contract/inputs/sound_inputs.hpp"
+#include "contract/inputs/parser_robustness.hpp"
 
 #include "adapters/http/message.hpp"
 #include "adapters/peer/codec.hpp"
@@ -275,35 +275,39 @@
 
 TEST(record_parsers, contracts)
 {
-    expect_sound({contract_sample()},
-                 round_trip(core::contracts::parse_contract));
+    expect_robust_parser({contract_sample()},
+                         round_trip(core::contracts::parse_contract));
 }
 
 TEST(record_parsers, configurations_and_their_index)
 {
-    expect_sound({configuration_sample()},
-                 round_trip(core::config::parse_configuration));
-    expect_sound({index_sample()}, round_trip(core::config::parse_index));
+    expect_robust_parser({configuration_sample()},
+                         round_trip(core::config::parse_configuration));
+    expect_robust_parser({index_sample()},
+                         round_trip(core::config::parse_index));
 }
 
 TEST(record_parsers, jobs_of_planners)
 {
-    expect_sound({task_job_sample()}, round_trip(core::tasks::parse_job));
-    expect_sound({to_json(core::tasks::job_registration{"w", "a", task_job()})},
-                 round_trip(core::tasks::parse_registration));
+    expect_robust_parser({task_job_sample()},
+                         round_trip(core::tasks::parse_job));
+    expect_robust_parser(
+        {to_json(core::tasks::job_registration{"w", "a", task_job()})},
+        round_trip(core::tasks::parse_registration));
 }
 
 TEST(record_parsers, cells_and_their_logs)
 {
-    expect_sound({to_json(log_record_sample())},
-                 round_trip(core::tasks::parse_log_record));
-    expect_sound({to_json(cell_sample())},
-                 round_trip(core::tasks::parse_cell_state));
+    expect_robust_parser({to_json(log_record_sample())},
+                         round_trip(core::tasks::parse_log_record));
+    expect_robust_parser({to_json(cell_sample())},
+                         round_trip(core::tasks::parse_cell_state));
 }
 
 TEST(record_parsers, quotas)
 {
-    expect_sound({quota_sample()}, round_trip(core::tasks::parse_quota));
+    expect_robust_parser({quota_sample()},
+                         round_trip(core::tasks::parse_quota));
 }
 
 TEST(record_parsers, claims_and_members)
@@ -312,25 +316,25 @@
     claim.owner = {"m", 7};
     claim.handed_to = {"n", 8};
     claim.epoch = 3;
-    expect_sound({to_json(claim)},
-                 round_trip(core::claims::parse_claim_record));
-    expect_sound({member_sample()},
-                 round_trip(
-                     [](std::string const& text, failure& reason)
-                     {
-                         return core::membership::parse_record(
-                             "r", "m", text, reason);
-                     }));
+    expect_robust_parser({to_json(claim)},
+                         round_trip(core::claims::parse_claim_record));
+    expect_robust_parser({member_sample()},
+                         round_trip(
+                             [](std::string const& text, failure& reason)
+                             {
+                                 return core::membership::parse_record(
+                                     "r", "m", text, reason);
+                             }));
 }
 
 TEST(record_parsers, settings_of_the_pool)
 {
-    expect_sound({settings_sample()}, check_settings);
+    expect_robust_parser({settings_sample()}, check_settings);
 }
 
 TEST(record_parsers, base64)
 {
-    expect_sound({"e30=", "", "QUJD", "QQ=="}, check_base64);
+    expect_robust_parser({"e30=", "", "QUJD", "QQ=="}, check_base64);
 }
 
 // A text whose last group is not whole was written beyond the buffer's end,
@@ -350,7 +354,7 @@
 
 TEST(record_parsers, lists_of_the_catalog)
 {
-    expect_sound(
+    expect_robust_parser(
         {R"([{"ServiceID":"u","Datacenter":"a","ServiceAddress":"10.0.0.1",)"
          R"("ServicePort":80,"ServiceMeta":{"state":"live","slots":"8",)"
          R"("connections":"3","report_age_ms":"10"}}])"},
@@ -359,7 +363,7 @@
 
 TEST(record_parsers, lists_and_reports_of_workers)
 {
-    expect_sound(
+    expect_robust_parser(
         {R"([{"id":"w","rack":"r","data_centre":"a","millicores":8000,)"
          R"("memory_mb":1000,"accelerators":0,"state":"live"}])",
          R"([{"worker":"w","sequence":3,"clock_ms":9,"attempts":[{"task":"t",)"
@@ -369,12 +373,12 @@
 
 TEST(record_parsers, frames_of_peers)
 {
-    expect_sound(frame_samples(), check_frame);
+    expect_robust_parser(frame_samples(), check_frame);
 }
 
 TEST(record_parsers, addresses)
 {
-    expect_sound({"127.0.0.1:8080", "[::1]:80"}, check_endpoint);
+    expect_robust_parser({"127.0.0.1:8080", "[::1]:80"}, check_endpoint);
 }
 
 } // namespace fuchsia::tests::contract::inputs
