--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -73,7 +73,7 @@
     std::uint64_t highest_end = 0; ///< The highest end that was taken in.
     std::uint64_t ends_being_written = 0; ///< Ends whose record is on its way.
     bool poll_pending = false;            ///< A hold is on its way.
-    common::time_point next_hold{};
+    common::time_point next_poll{};
     common::time_point last_contact{}; ///< Last answer to a hold.
     bool silent = false; ///< The last hold got no answer: nothing starts here.
     /// Nor did one that was sent when the lease had run out.
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -69,7 +69,7 @@
     give_up_stalled_watch(now);
     check_silent(now);
     complete_takeover(now);
-    hold_workers(now);
+    poll_workers(now);
     for (auto const& id : scheduled_jobs_)
     {
         if (auto* const run = find_job(id))
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -207,12 +207,12 @@
                   std::vector<ports::header> more = {});
 
     // owner_workers.cpp: asking workers, and what becomes of silent ones.
-    void hold_workers(common::time_point now);
-    void hold(common::time_point now, worker& of);
-    void on_hold(common::time_point now,
-                 common::time_point sent,
-                 std::string const& id,
-                 ports::order_reply const& reply);
+    void poll_workers(common::time_point now);
+    void poll_worker(common::time_point now, worker& of);
+    void on_poll_reply(common::time_point now,
+                       common::time_point sent,
+                       std::string const& id,
+                       ports::order_reply const& reply);
     void acknowledge_ends(common::time_point now, worker& of);
     void note_worker_failure(common::time_point now,
                              worker& of,
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -254,7 +254,7 @@
     }
     on.lease_until_ms = std::max(on.lease_until_ms, order.lease_until_ms);
     // A worker that was idle is asked seldom; from now on it is watched.
-    on.next_hold = std::min(on.next_hold, now + settings_.full_pause);
+    on.next_poll = std::min(on.next_poll, now + settings_.full_pause);
     out_.order(life_,
                {0,
                 on.info.id,
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -51,7 +51,7 @@
     /// An order that got no answer after this long is followed up.
     common::duration order_timeout = std::chrono::milliseconds(350);
     /// A wait without an answer ends this long after the worker's own limit.
-    common::duration hold_grace = std::chrono::milliseconds(500);
+    common::duration poll_grace = std::chrono::milliseconds(500);
     /// Between two rounds of placing while nothing but readings has changed.
     common::duration dispatch_interval = std::chrono::milliseconds(100);
     /// At least so long between two rounds.
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -25,7 +25,7 @@
     out_.log(level, event, std::move(fields));
 }
 
-void owner::hold_workers(common::time_point now)
+void owner::poll_workers(common::time_point now)
 {
     if (!may_act(now))
     {
@@ -33,14 +33,14 @@
     }
     for (auto& [id, each] : fleet_.all())
     {
-        if (!each.poll_pending && now >= each.next_hold)
+        if (!each.poll_pending && now >= each.next_poll)
         {
-            hold(now, each);
+            poll_worker(now, each);
         }
     }
 }
 
-void owner::hold(common::time_point now, worker& of)
+void owner::poll_worker(common::time_point now, worker& of)
 {
     ports::poll_order order;
     order.fencing_token = claim_.epoch();
@@ -68,18 +68,18 @@
                 of.info.remote_endpoint,
                 0,
                 order,
-                wait + settings_.hold_grace},
+                wait + settings_.poll_grace},
                [this, now, id = of.info.id](common::time_point at,
                                             order_reply const& reply)
                {
-                   on_hold(at, now, id, reply);
+                   on_poll_reply(at, now, id, reply);
                });
 }
 
-void owner::on_hold(common::time_point now,
-                    common::time_point sent,
-                    std::string const& id,
-                    order_reply const& reply)
+void owner::on_poll_reply(common::time_point now,
+                          common::time_point sent,
+                          std::string const& id,
+                          order_reply const& reply)
 {
     auto* const of = fleet_.find(id);
     if (of == nullptr)
@@ -94,7 +94,7 @@
     }
     if (reply.status == order_status::not_attempted)
     {
-        of->next_hold = now + settings_.retry_pause;
+        of->next_poll = now + settings_.retry_pause;
         return;
     }
     // An answer that does not say whose it is may be of an earlier or a later
@@ -105,7 +105,7 @@
     {
         of->silent = true;
         of->silent_since_lapse = fleet_.lapsed(*of, sent);
-        of->next_hold = now + settings_.full_pause;
+        of->next_poll = now + settings_.full_pause;
         return;
     }
     of->silent = false;
@@ -120,20 +120,20 @@
     }
     of->view_known = false;
     apply_rows(now, sent, *of, reply, first);
-    of->next_hold = of->runs.empty() ? now + settings_.idle_interval : now;
+    of->next_poll = of->runs.empty() ? now + settings_.idle_interval : now;
     if (of->highest_end > of->durable_end)
     {
         acknowledge_ends(now, *of);
     }
     if (first)
     {
-        of->next_hold = now;
+        of->next_poll = now;
         complete_takeover(now);
     }
     protect_serving(now, *of);
-    if (now >= of->next_hold && may_act(now))
+    if (now >= of->next_poll && may_act(now))
     {
-        hold(now, *of);
+        poll_worker(now, *of);
     }
     save_all_progress();
     ledger_.tick(now);
@@ -146,7 +146,7 @@
 // ends at once. What it lists again while their record waits is asked for once.
 void owner::acknowledge_ends(common::time_point now, worker& of)
 {
-    of.next_hold = now + settings_.guarded_poll_wait;
+    of.next_poll = now + settings_.guarded_poll_wait;
     if (of.ends_being_written == of.highest_end)
     {
         return;
@@ -166,7 +166,7 @@
             if (told != nullptr && told->incarnation == born)
             {
                 told->durable_end = std::max(told->durable_end, number);
-                told->next_hold = at;
+                told->next_poll = at;
             }
         });
 }
@@ -233,7 +233,7 @@
         }
         else if (silent && fleet_.lapsed(each, now))
         {
-            each.next_hold = now;
+            each.next_poll = now;
         }
         bool const absent = !each.listed && list_.known() &&
                             each.runs.empty() && !each.poll_pending &&
