--- a/src/core/pool/configuration.hpp
+++ b/src/core/pool/configuration.hpp
@@ -15,7 +15,7 @@
 {
 
 /// A policy that allows the queue's steps on some workers only.
-struct advice_rules
+struct policy_rules
 {
     common::duration decision{};   ///< Time of one call,
     common::duration per_worker{}; ///< and for each worker that it names.
@@ -32,7 +32,7 @@
     std::uint32_t attempts = 1;  ///< Failed runs that end a job.
     double deadline_stretch = 1; ///< Of the longest chain, for its deadline.
     common::duration deadline_slack{}; ///< Added to the stretched chain.
-    std::optional<advice_rules> advice;
+    std::optional<policy_rules> policy;
 };
 
 struct service
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -62,10 +62,10 @@
     follow(now);
 }
 
-void engine::on_advice_reply(common::time_point now,
+void engine::on_policy_reply(common::time_point now,
                              ports::policy_reply const& reply)
 {
-    out_.on_advice_reply(now, reply);
+    out_.on_policy_reply(now, reply);
     follow(now);
 }
 
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -42,7 +42,7 @@
     void on_kv_reply(common::time_point now, ports::kv_reply const& reply);
     void on_order_reply(common::time_point now,
                         ports::order_reply const& reply);
-    void on_advice_reply(common::time_point now,
+    void on_policy_reply(common::time_point now,
                          ports::policy_reply const& reply);
     /// A planned stop: the claim is given back, what is open is answered.
     /// Ends in `stop_complete`.
--- a/src/core/pool/outbox.cpp
+++ b/src/core/pool/outbox.cpp
@@ -24,13 +24,13 @@
     actions_.emplace_back(std::move(order));
 }
 
-void outbox::advise(lifetime_token const& asker,
-                    ports::policy_request call,
-                    advice_handler handle)
+void outbox::request_policy(lifetime_token const& asker,
+                            ports::policy_request call,
+                            policy_handler handle)
 {
     call.id = ++next_id_;
-    advice_calls_.emplace(call.id,
-                          waiting<advice_handler>{asker, std::move(handle)});
+    policy_calls_.emplace(call.id,
+                          waiting<policy_handler>{asker, std::move(handle)});
     actions_.emplace_back(std::move(call));
 }
 
@@ -92,10 +92,10 @@
     hand_over(orders_, now, reply);
 }
 
-void outbox::on_advice_reply(common::time_point now,
+void outbox::on_policy_reply(common::time_point now,
                              ports::policy_reply const& reply)
 {
-    hand_over(advice_calls_, now, reply);
+    hand_over(policy_calls_, now, reply);
 }
 
 ports::pool_actions outbox::take_actions()
--- a/src/core/pool/outbox.hpp
+++ b/src/core/pool/outbox.hpp
@@ -26,7 +26,7 @@
     using order_handler =
         std::function<void(common::time_point, ports::order_reply const&)>;
 
-    using advice_handler =
+    using policy_handler =
         std::function<void(common::time_point, ports::policy_reply const&)>;
 
     void store(lifetime_token const& asker,
@@ -36,9 +36,9 @@
     void order(lifetime_token const& asker,
                ports::pool_order order,
                order_handler handle);
-    void advise(lifetime_token const& asker,
-                ports::policy_request call,
-                advice_handler handle);
+    void request_policy(lifetime_token const& asker,
+                        ports::policy_request call,
+                        policy_handler handle);
     void reply(std::uint64_t caller, ports::job_answer answer);
     void log(ports::severity level,
              std::string event,
@@ -50,7 +50,7 @@
     common::time_point store_answered() const noexcept;
     void on_order_reply(common::time_point now,
                         ports::order_reply const& reply);
-    void on_advice_reply(common::time_point now,
+    void on_policy_reply(common::time_point now,
                          ports::policy_reply const& reply);
 
     /// Takes everything that was asked for since the last call.
@@ -71,7 +71,7 @@
     ports::pool_actions actions_;
     std::unordered_map<std::uint64_t, waiting<kv_handler>> kv_calls_;
     std::unordered_map<std::uint64_t, waiting<order_handler>> orders_;
-    std::unordered_map<std::uint64_t, waiting<advice_handler>> advice_calls_;
+    std::unordered_map<std::uint64_t, waiting<policy_handler>> policy_calls_;
     common::time_point store_answered_{};
     std::uint64_t next_id_ = 0;
     std::int64_t unix_offset_ms_ = 0;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -327,13 +327,14 @@
     bool has_ticket(common::time_point now,
                     step_run const& steps,
                     worker const& on) const;
-    void ask_advice(common::time_point now, ready_key const& key);
-    std::vector<std::string>
-    workers_to_ask(common::time_point now, job_run& run, ready_key const& key);
-    void on_advice(common::time_point now,
-                   common::time_point asked,
-                   ready_key const& key,
-                   ports::policy_reply const& reply);
+    void request_policy(common::time_point now, ready_key const& key);
+    std::vector<std::string> workers_for_policy_request(common::time_point now,
+                                                        job_run& run,
+                                                        ready_key const& key);
+    void on_policy_reply(common::time_point now,
+                         common::time_point asked,
+                         ready_key const& key,
+                         ports::policy_reply const& reply);
 
     // owner_dispatch.cpp: which task starts next.
     struct ready_key
@@ -483,8 +484,8 @@
     std::uint32_t loading_parts_ =
         0; ///< Parts of the state that are still loading.
     bool loaded_ = false;
-    bool advice_busy_ = false;        ///< A call of the policy is on its way.
-    bool dispatch_requested_ = false; ///< Something may have found a place.
+    bool policy_call_pending_ = false; ///< A call of the policy is on its way.
+    bool dispatch_requested_ = false;  ///< Something may have found a place.
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
     /// When more than half of the workers had answered; 0: not yet.
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -144,7 +144,7 @@
         // A gang that finds no place says nothing of its tasks one by one, and
         // a lasting task may be kept from room that others may take.
         bool const tells =
-            !what->gang && !run->rules.advice && !what->long_running;
+            !what->gang && !run->rules.policy && !what->long_running;
         if (!dispatch_step(now, key) && tells)
         {
             failed.push_back(wanted);
@@ -157,9 +157,9 @@
 {
     auto& run = *find_job(key.job);
     auto& steps = run.occurrences[key.occurrence].steps[key.step];
-    if (run.rules.advice)
+    if (run.rules.policy)
     {
-        ask_advice(now, key);
+        request_policy(now, key);
     }
     if (run.spec.steps[key.step].gang)
     {
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -130,7 +130,7 @@
         return obstacle::capacity;
     }
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    if (run.rules.advice && !has_ticket(now, steps, on))
+    if (run.rules.policy && !has_ticket(now, steps, on))
     {
         return obstacle::ticket;
     }
--- a/src/core/pool/owner_advice.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -31,23 +31,23 @@
 
 // Asks for the step that comes first in the order of work; the service takes
 // one call at a time.
-void owner::ask_advice(common::time_point now, ready_key const& key)
+void owner::request_policy(common::time_point now, ready_key const& key)
 {
     auto& run = *find_job(key.job);
-    if (advice_busy_ || !run.rules.advice)
+    if (policy_call_pending_ || !run.rules.policy)
     {
         return;
     }
     auto& steps = run.occurrences[key.occurrence].steps[key.step];
-    auto workers = workers_to_ask(now, run, key);
+    auto workers = workers_for_policy_request(now, run, key);
     if (workers.empty())
     {
         // Everybody was refused or is busy: the policy's answer for a worker
         // does not change, room does.
         return;
     }
-    advice_busy_ = true;
-    auto const& rules = *run.rules.advice;
+    policy_call_pending_ = true;
+    auto const& rules = *run.rules.policy;
     auto const takes =
         rules.decision + rules.per_worker * static_cast<int>(workers.size());
     ports::policy_request call;
@@ -58,20 +58,19 @@
     {
         steps.policy_requested_for.insert(id);
     }
-    out_.advise(life_,
-                std::move(call),
-                [this, key, now](common::time_point at,
-                                 ports::policy_reply const& reply)
-                {
-                    on_advice(at, now, key, reply);
-                });
+    out_.request_policy(life_,
+                        std::move(call),
+                        [this, key, now](common::time_point at,
+                                         ports::policy_reply const& reply)
+                        {
+                            on_policy_reply(at, now, key, reply);
+                        });
 }
 
 // Workers that could take a task of the step now: those that the policy has
 // allowed before, else those it was not asked about.
-std::vector<std::string> owner::workers_to_ask(common::time_point now,
-                                               job_run& run,
-                                               ready_key const& key)
+std::vector<std::string> owner::workers_for_policy_request(
+    common::time_point now, job_run& run, ready_key const& key)
 {
     auto const& what = run.spec.steps[key.step];
     auto const& steps = run.occurrences[key.occurrence].steps[key.step];
@@ -101,12 +100,12 @@
     return std::move(chosen);
 }
 
-void owner::on_advice(common::time_point now,
-                      common::time_point asked,
-                      ready_key const& key,
-                      ports::policy_reply const& reply)
+void owner::on_policy_reply(common::time_point now,
+                            common::time_point asked,
+                            ready_key const& key,
+                            ports::policy_reply const& reply)
 {
-    advice_busy_ = false;
+    policy_call_pending_ = false;
     dispatch_requested_ = true;
     auto* const run = find_job(key.job);
     if (run == nullptr)
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -149,7 +149,7 @@
         what.max_unavailable > 0 ? what.max_unavailable : std::max(half, 1U);
     return run.phase == job_phase::active && !what.gang &&
            what.max_per_worker == 0 && what.required_label.empty() &&
-           what.near_rack.empty() && !run.rules.advice &&
+           what.near_rack.empty() && !run.rules.policy &&
            each.phase == task_phase::running && each.percent >= 100 &&
            now - each.started >= settings_.rebalance.min_stay && away < allowed;
 }
--- a/src/programs/pool/pool_outside.cpp
+++ b/src/programs/pool/pool_outside.cpp
@@ -54,7 +54,7 @@
     else if (auto const* const advice =
                  std::get_if<ports::policy_reply>(&reply))
     {
-        engine_.on_advice_reply(now, *advice);
+        engine_.on_policy_reply(now, *advice);
     }
     perform();
 }
--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -116,8 +116,8 @@
         fault +=
             if_not(within(std::lround(each.deadline_stretch), 0, 1'000'000),
                    "stretch out of bounds");
-        fault += if_not(!each.advice || (sound(each.advice->decision) &&
-                                         sound(each.advice->per_worker)),
+        fault += if_not(!each.policy || (sound(each.policy->decision) &&
+                                         sound(each.policy->per_worker)),
                         "times of advice out of bounds");
     }
     return fault;
--- a/tests/unit/pool/pool_simulation.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -73,7 +73,7 @@
         queue.attempts = attempts;
         if (advised)
         {
-            queue.advice = core::pool::advice_rules{300ms, 2ms};
+            queue.policy = core::pool::policy_rules{300ms, 2ms};
         }
         config.queues.push_back(queue);
         return config;
@@ -668,7 +668,7 @@
                         deliver(number,
                                 [this, reply](core::pool::engine& engine)
                                 {
-                                    engine.on_advice_reply(now(), reply);
+                                    engine.on_policy_reply(now(), reply);
                                 });
                     });
 }
