--- a/tests/unit/pool/busy_owner_test.cpp
+++ b/tests/unit/pool/busy_owner_test.cpp
@@ -1,4 +1,4 @@
-#include "pool_world.hpp"
+#include "pool_simulation.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -1,6 +1,6 @@
 #include "core/pool/colocation.hpp"
 #include "core/pool/interference_estimates.hpp"
-#include "pool_world.hpp"
+#include "pool_simulation.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/pool/rebalance_test.cpp
+++ b/tests/unit/pool/rebalance_test.cpp
@@ -1,5 +1,5 @@
 #include "core/pool/rebalance.hpp"
-#include "pool_world.hpp"
+#include "pool_simulation.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
--- a/tests/unit/pool/short_job_reserve_test.cpp
+++ b/tests/unit/pool/short_job_reserve_test.cpp
@@ -1,5 +1,5 @@
 #include "core/pool/short_job_reserve.hpp"
-#include "pool_world.hpp"
+#include "pool_simulation.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/requests/entry_simulation.cpp
+++ b/tests/unit/requests/entry_simulation.cpp
@@ -1,4 +1,4 @@
-#include "entry_world.hpp"
+#include "entry_simulation.hpp"
 
 #include "core/config/index.hpp"
 
--- a/tests/unit/soak/checker_test.cpp
+++ b/tests/unit/soak/checker_test.cpp
@@ -1,4 +1,4 @@
-#include "story.hpp"
+#include "scenario.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/soak/checker_walk_test.cpp
+++ b/tests/unit/soak/checker_walk_test.cpp
@@ -1,4 +1,4 @@
-#include "model.hpp"
+#include "scheduler_model.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
--- a/tests/unit/tasks/planner_walk_test.cpp
+++ b/tests/unit/tasks/planner_walk_test.cpp
@@ -1,4 +1,4 @@
-#include "planner_system.hpp"
+#include "planner_simulation.hpp"
 
 #include <cstdlib>
 #include <gtest/gtest.h>
--- a/tests/unit/walks/fake_link.hpp
+++ b/tests/unit/walks/fake_link.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "ports/peer.hpp"
-#include "timeline.hpp"
+#include "virtual_clock.hpp"
 
 #include <cstdint>
 #include <functional>
--- a/tests/unit/walks/fake_store.hpp
+++ b/tests/unit/walks/fake_store.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "ports/store.hpp"
-#include "timeline.hpp"
+#include "virtual_clock.hpp"
 
 #include <algorithm>
 #include <cstdint>
--- a/tests/unit/walks/membership_simulation.hpp
+++ b/tests/unit/walks/membership_simulation.hpp
@@ -4,7 +4,7 @@
 #include "core/membership/member.hpp"
 #include "fake_link.hpp"
 #include "fake_store.hpp"
-#include "timeline.hpp"
+#include "virtual_clock.hpp"
 
 #include <cstdint>
 #include <deque>
--- a/tests/unit/walks/membership_simulation_test.cpp
+++ b/tests/unit/walks/membership_simulation_test.cpp
@@ -1,4 +1,4 @@
-#include "small_system.hpp"
+#include "membership_simulation.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/walks/walk.hpp
+++ b/tests/unit/walks/walk.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/membership/safety_rules.hpp"
-#include "small_system.hpp"
+#include "membership_simulation.hpp"
 
 #include <cstdint>
 #include <string>
