--- a/src/core/tasks/attempt_lifecycle.cpp
+++ b/src/core/tasks/attempt_lifecycle.cpp
@@ -51,22 +51,22 @@
     // clang-format off
     struct transition_table : boost::mpl::vector<
         step<in<committing_start>, on<start_committed>, in<starting>>,
-        step<in<committing_start>, on<ended>, in<ended>>,
+        step<in<committing_start>, on<ended>, in<complete>>,
         step<in<starting>, on<running_observed>, in<running>>,
         step<in<starting>, on<stop>, in<stopping>>,
-        step<in<starting>, on<ended>, in<ended>>,
+        step<in<starting>, on<ended>, in<complete>>,
         step<in<running>, on<evict>, in<checkpointing>>,
         step<in<running>, on<stop>, in<stopping>>,
-        step<in<running>, on<ended>, in<ended>>,
+        step<in<running>, on<ended>, in<complete>>,
         step<in<checkpointing>, on<checkpoint_made>, in<committing_checkpoint>>,
         step<in<checkpointing>, on<checkpoint_impossible>, in<stopping>>,
         step<in<checkpointing>, on<stop>, in<stopping>>,
-        step<in<checkpointing>, on<ended>, in<ended>>,
+        step<in<checkpointing>, on<ended>, in<complete>>,
         step<in<committing_checkpoint>, on<checkpoint_committed>, in<stopping>>,
-        step<in<committing_checkpoint>, on<ended>, in<ended>>,
+        step<in<committing_checkpoint>, on<ended>, in<complete>>,
         step<in<stopping>, on<stop_confirmed>, in<awaiting_final_report>>,
-        step<in<stopping>, on<ended>, in<ended>>,
-        step<in<awaiting_final_report>, on<ended>, in<ended>>
+        step<in<stopping>, on<ended>, in<complete>>,
+        step<in<awaiting_final_report>, on<ended>, in<complete>>
     > {};
     // clang-format on
 
@@ -102,7 +102,7 @@
 template<attempt_phase... Phase>
 attempt_phase phase_of(machine& target)
 {
-    auto result = attempt_phase::ended;
+    auto result = attempt_phase::complete;
     int const current = target.current_state()[0];
     using states = machine::stt;
     ((msm::back::get_state_id<states, in<Phase>>::type::value == current
@@ -122,7 +122,7 @@
                     committing_checkpoint,
                     stopping,
                     awaiting_final_report,
-                    ended>(target);
+                    complete>(target);
 }
 
 using phase_table =
--- a/src/core/tasks/attempt_lifecycle.hpp
+++ b/src/core/tasks/attempt_lifecycle.hpp
@@ -20,7 +20,7 @@
     stopping,              ///< The worker was told to stop.
     awaiting_final_report, ///< Stopped; a report is to say whether it finished
                            ///< before.
-    ended,
+    complete,
 };
 
 enum class attempt_event : std::uint8_t
--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -165,7 +165,7 @@
         break;
     case attempt_phase::committing_start:
     case attempt_phase::committing_checkpoint:
-    case attempt_phase::ended:
+    case attempt_phase::complete:
         break;
     }
 }
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -160,10 +160,10 @@
     EXPECT_EQ(next_phase(committing_checkpoint, checkpoint_committed),
               stopping);
     EXPECT_EQ(next_phase(stopping, stop_confirmed), awaiting_final_report);
-    EXPECT_EQ(next_phase(awaiting_final_report, ended), ended);
+    EXPECT_EQ(next_phase(awaiting_final_report, ended), complete);
     EXPECT_FALSE(next_phase(committing_start, running_observed));
     EXPECT_FALSE(next_phase(checkpointing, checkpoint_committed));
-    EXPECT_FALSE(next_phase(ended, running_observed));
+    EXPECT_FALSE(next_phase(complete, running_observed));
 }
 
 TEST(cell_log, replays_to_the_state_that_was_committed)
