--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -223,12 +223,13 @@
 
 std::size_t claim_table::handovers_requested() const
 {
-    return static_cast<std::size_t>(std::count_if(progress_.begin(),
-                                                  progress_.end(),
-                                                  [](auto const& entry)
-                                                  {
-                                                      return entry.second.asked;
-                                                  }));
+    return static_cast<std::size_t>(
+        std::count_if(progress_.begin(),
+                      progress_.end(),
+                      [](auto const& entry)
+                      {
+                          return entry.second.handover_requested;
+                      }));
 }
 
 // Buried records are kept while a claim names them, so that everybody sees why
--- a/src/core/membership/fencing.cpp
+++ b/src/core/membership/fencing.cpp
@@ -101,7 +101,7 @@
                   {
                       auto const* seen = members.find(entry.first);
                       return !entry.second.writing &&
-                             (seen == nullptr || seen->value.buried ||
+                             (seen == nullptr || seen->value.fenced ||
                               seen->version != entry.second.version);
                   });
 }
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -116,7 +116,7 @@
         active_attempts_.end(),
         [](auto const& item)
         {
-            return !item.second.evicted_for.empty() &&
+            return !item.second.eviction_reason.empty() &&
                    item.second.phase != attempt_phase::awaiting_final_report;
         }));
     for (auto const& [key, run] : active_attempts_)
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -283,7 +283,7 @@
         {
             return item.second.phase == attempt_phase::committing_start ||
                    (item.second.phase == attempt_phase::starting &&
-                    item.second.call != 0);
+                    item.second.call_in_flight != 0);
         });
     return log_.idle() && !starting && sending_.empty() && erasing_.empty();
 }
--- a/src/core/tasks/worker_registry.cpp
+++ b/src/core/tasks/worker_registry.cpp
@@ -133,7 +133,7 @@
                        [&](auto const& item)
                        {
                            auto const& info = item.second.info;
-                           return info.capacity.holds(declared) &&
+                           return info.capacity.covers(declared) &&
                                   (data_centre.empty() ||
                                    data_centre == info.data_centre);
                        });
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -24,7 +24,7 @@
     return std::visit(
         [](auto const& each)
         {
-            return each.fence;
+            return each.fencing_token;
         },
         order);
 }
--- a/tests/contract/config/follower_test.cpp
+++ b/tests/contract/config/follower_test.cpp
@@ -38,7 +38,7 @@
 struct follower_bench
 {
     tests::memory_store store;
-    follower subject{core::config::follower_settings{}};
+    configuration_follower subject{core::config::follower_settings{}};
     ports::actions out;
     std::vector<ports::store_call> watches;
     std::vector<ports::peer_send> sent;
--- a/tests/contract/config/writer_test.cpp
+++ b/tests/contract/config/writer_test.cpp
@@ -39,7 +39,7 @@
 {
     struct one
     {
-        writer subject;
+        change_writer subject;
         std::deque<ports::store_call> calls;
     };
 
@@ -57,7 +57,7 @@
         request.if_revision = if_revision;
         request.write_id = "w" + std::to_string(writers.size());
         request.known_revision = known;
-        writers.push_back({writer({}, std::move(request)), {}});
+        writers.push_back({change_writer({}, std::move(request)), {}});
         auto& made = writers.back();
         ports::actions out;
         made.subject.start(now, next_call, out);
--- a/tests/unit/claims/wish_test.cpp
+++ b/tests/unit/claims/assignment_test.cpp
@@ -20,8 +20,8 @@
     return names;
 }
 
-std::size_t moved(fair_shares const& before,
-                  fair_shares const& after,
+std::size_t moved(partition_assignment const& before,
+                  partition_assignment const& after,
                   std::vector<std::string> const& partitions)
 {
     return static_cast<std::size_t>(
@@ -42,7 +42,7 @@
     for (int count = 1; count <= 33; ++count)
     {
         auto const names = numbered("entry-", count);
-        fair_shares shares;
+        partition_assignment shares;
         shares.update(partitions, names);
         std::map<std::string, std::size_t> owned;
         for (auto const& partition : partitions)
@@ -59,7 +59,7 @@
 
 TEST(fair_shares, without_members_there_is_no_owner)
 {
-    fair_shares shares;
+    partition_assignment shares;
     shares.update(numbered("", 4), {});
     EXPECT_EQ(shares.assigned_owner("1"), nullptr);
 }
@@ -70,13 +70,13 @@
 {
     auto const partitions = numbered("", 64);
     auto const names = numbered("entry-", 9);
-    fair_shares before;
+    partition_assignment before;
     before.update(partitions, names);
     for (std::size_t gone = 0; gone < names.size(); ++gone)
     {
         auto fewer = names;
         fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
-        fair_shares after;
+        partition_assignment after;
         after.update(partitions, fewer);
         EXPECT_LE(moved(before, after, partitions), 64U / 3) << names[gone];
     }
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -106,7 +106,7 @@
 {
     namespace ports = fuchsia::ports;
     using fuchsia::tests::unit::pool::fault_effect;
-    pool_world world(3, 4);
+    pool_simulation world(3, 4);
     ASSERT_TRUE(fuchsia::tests::unit::pool::run_until_owned(world));
     auto const first = *world.owner();
     auto serving = fuchsia::tests::unit::pool::simple_job(24, 1s);
@@ -139,7 +139,8 @@
     {
         auto const* const pages = std::get_if<ports::kv_range>(&call);
         bool const list = pages != nullptr && pages->prefix == "workers/";
-        return instance != first && list ? fate::delayed : fate::carried_out;
+        return instance != first && list ? fault_effect::delayed
+                                         : fault_effect::carried_out;
     };
     world.kill(first);
     ASSERT_TRUE(world.run_until(
@@ -155,7 +156,7 @@
 // An owner whose predecessor's record is damaged must work all the same.
 TEST(pool_learned, an_owner_works_without_the_record)
 {
-    pool_world world;
+    pool_simulation world;
     ASSERT_TRUE(world.run_until(
         [&world]
         {
--- a/tests/unit/pool/pool_simulation.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -436,7 +436,7 @@
         timeline_.after(each.frozen_until - now(),
                         [this, number, incarnation = each.incarnation, what]
                         {
-                            if (instances_[number].life == life)
+                            if (instances_[number].incarnation == incarnation)
                             {
                                 deliver(number, what);
                             }
--- a/tests/unit/pool/short_job_reserve_test.cpp
+++ b/tests/unit/pool/short_job_reserve_test.cpp
@@ -68,7 +68,7 @@
 // highest burst lies idle.
 TEST(pool_guaranteed_room, expects_what_is_enough_most_of_the_time)
 {
-    guaranteed_room room({});
+    short_job_reserve room({});
     for (int step = 0; step < 40; ++step)
     {
         room.observe(start + step * 500ms, {(step % 10 + 1) * 1'000, 1});
@@ -84,7 +84,7 @@
 // Slivers add up to cores that no task can use.
 TEST(pool_guaranteed_room, counts_whole_pieces_alone)
 {
-    guaranteed_room room({});
+    short_job_reserve room({});
     EXPECT_EQ(room.usable_millicores(7'000), 7'000);
     room.observe(start, {24'000, 2});
     EXPECT_EQ(room.usable_millicores(11'999), 0);
@@ -94,7 +94,7 @@
 
 TEST(pool_guaranteed_room, spares_what_is_beyond_the_expected)
 {
-    guaranteed_room room({});
+    short_job_reserve room({});
     room.observe(start, {24'000, 2});
     room.set_available(40'000);
     EXPECT_TRUE(room.leaves_enough(16'000));
--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -25,7 +25,7 @@
     ASSERT_FALSE(one.faults.empty());
     for (auto const& each : one.faults)
     {
-        EXPECT_EQ(each.what, fault_kind::kill);
+        EXPECT_EQ(each.kind, fault_kind::kill);
     }
     all.faults.clear();
     one.faults.clear();
@@ -40,8 +40,8 @@
     std::set<fault_kind> seen;
     for (auto const& each : make_plan(settings).faults)
     {
-        seen.insert(each.what);
-        EXPECT_EQ(fault_kind_from(name_of(each.what)), each.what);
+        seen.insert(each.kind);
+        EXPECT_EQ(fault_kind_from(name_of(each.kind)), each.kind);
     }
     EXPECT_EQ(seen, all_fault_kinds());
 }
--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-fake_workers::fake_workers(timeline& time, std::uint64_t seed)
+fake_workers::fake_workers(virtual_clock& time, std::uint64_t seed)
     : time_(time), random_(seed)
 {
 }
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -42,7 +42,7 @@
 public:
     using answer = std::function<void(ports::worker_reply const&)>;
 
-    fake_workers(timeline& time, std::uint64_t seed);
+    fake_workers(virtual_clock& time, std::uint64_t seed);
 
     void add(ports::worker_instance info);
     /// What ends on a worker that can't be heard is known to nobody: running
@@ -122,7 +122,7 @@
     void note(std::string const& what);
     void note_finished(worker const& at, std::string const& task);
 
-    timeline& time_;
+    virtual_clock& time_;
     std::mt19937_64 random_;
     std::map<std::string, kept_checkpoint> checkpoints_;
 };
--- a/tests/unit/tasks/planner_simulation.hpp
+++ b/tests/unit/tasks/planner_simulation.hpp
@@ -31,7 +31,7 @@
 public:
     explicit planner_simulation(planner_simulation_options const& options);
 
-    timeline time;
+    virtual_clock time;
     walks::fake_store store;
     fake_workers workers;
     walks::fake_link link;
--- a/tools/soak/fault_injector.cpp
+++ b/tools/soak/fault_injector.cpp
@@ -77,25 +77,25 @@
 void fault_injector::apply(fault const& planned)
 {
     auto what = planned;
-    if (what.at_owner && what.what < fault_kind::worker_cut)
+    if (what.at_owner && what.kind < fault_kind::worker_cut)
     {
         what.target = owner().value_or(what.target);
     }
-    if (ends_worker(what.what) && !busy_workers_.insert(what.target).second)
+    if (ends_worker(what.kind) && !busy_workers_.insert(what.target).second)
     {
         return;
     }
     // Half of the instances stay up, so that there is something to see.
-    bool const instance = ends_instance(what.what);
+    bool const instance = ends_instance(what.kind);
     if (instance && ending_.size() * 2 >= instances_.size())
     {
         return;
     }
     ++applied_;
     auto const name = std::to_string(applied_) + " " +
-                      std::string(name_of(what.what)) + " " +
+                      std::string(name_of(what.kind)) + " " +
                       std::to_string(what.target);
-    if (suspends_time_limits(what.what))
+    if (suspends_time_limits(what.kind))
     {
         out_.append(fault_state_set{name, true});
     }
@@ -110,7 +110,7 @@
 
 void fault_injector::begin_one(fault const& what)
 {
-    switch (what.what)
+    switch (what.kind)
     {
     case fault_kind::kill:
         ending_.insert(what.target);
@@ -150,7 +150,7 @@
 void fault_injector::begin_worker(fault const& what)
 {
     auto const worker = what.target;
-    switch (what.what)
+    switch (what.kind)
     {
     case fault_kind::worker_reset:
         workers_[worker]->reset();
@@ -191,7 +191,7 @@
         }
         each = active_.erase(each);
         settle(ending.what);
-        if (suspends_time_limits(ending.what.what))
+        if (suspends_time_limits(ending.what.kind))
         {
             out_.append(fault_state_set{ending.name, false});
         }
@@ -200,7 +200,7 @@
 
 bool fault_injector::end_one(fault const& what)
 {
-    switch (what.what)
+    switch (what.kind)
     {
     case fault_kind::kill:
     case fault_kind::stop:
@@ -227,7 +227,7 @@
                       active_.end(),
                       [instance](active const& each)
                       {
-                          return ends_instance(each.what.what) &&
+                          return ends_instance(each.what.kind) &&
                                  each.what.target == instance;
                       });
     if (others > 1)
@@ -255,7 +255,7 @@
                                     active_.rend(),
                                     [kind, target](active const& each)
                                     {
-                                        return each.what.what == kind &&
+                                        return each.what.kind == kind &&
                                                each.what.target == target;
                                     });
     return found == active_.rend() ? nullptr : &found->what;
@@ -263,7 +263,7 @@
 
 void fault_injector::settle(fault const& what)
 {
-    if (what.what == fault_kind::pause)
+    if (what.kind == fault_kind::pause)
     {
         instances_.pause(what.target,
                          last(fault_kind::pause, what.target) != nullptr);
@@ -275,9 +275,9 @@
                     active_.end(),
                     [](active const& each)
                     {
-                        return each.what.what == fault_kind::evacuation;
+                        return each.what.kind == fault_kind::evacuation;
                     });
-    if (what.what == fault_kind::evacuation && !evacuated)
+    if (what.kind == fault_kind::evacuation && !evacuated)
     {
         set_data_centre(false);
     }
@@ -287,16 +287,16 @@
 {
     auto const delay = [this, &what]
     {
-        auto const* const found = last(what.what, what.target);
+        auto const* const found = last(what.kind, what.target);
         return found != nullptr ? delay_of(*found) : core::common::duration{};
     };
     auto const cut = [this, &what]
     {
-        auto const* const found = last(what.what, what.target);
+        auto const* const found = last(what.kind, what.target);
         return found != nullptr ? cuts[found->variant % cuts.size()]
                                 : cut_state::none;
     };
-    switch (what.what)
+    switch (what.kind)
     {
     case fault_kind::store_delay:
         instances_.store_link(what.target).set_delay(delay());
@@ -324,17 +324,17 @@
     struct mode_row
     {
         fault_kind kind;
-        gate_mode mode;
+        fault_gate_mode mode;
         bool worker;
     };
     constexpr std::array<mode_row, 7> modes{{
-        {fault_kind::store_silent, gate_mode::suspended, false},
-        {fault_kind::store_refusing, gate_mode::unavailable, false},
-        {fault_kind::store_late, gate_mode::delayed, false},
-        {fault_kind::store_lossy, gate_mode::response_lost, false},
-        {fault_kind::worker_late, gate_mode::delayed, true},
-        {fault_kind::worker_silent, gate_mode::suspended, true},
-        {fault_kind::worker_lossy, gate_mode::response_lost, true},
+        {fault_kind::store_silent, fault_gate_mode::suspended, false},
+        {fault_kind::store_refusing, fault_gate_mode::unavailable, false},
+        {fault_kind::store_late, fault_gate_mode::delayed, false},
+        {fault_kind::store_lossy, fault_gate_mode::response_lost, false},
+        {fault_kind::worker_late, fault_gate_mode::delayed, true},
+        {fault_kind::worker_silent, fault_gate_mode::suspended, true},
+        {fault_kind::worker_lossy, fault_gate_mode::response_lost, true},
     }};
     auto const row_of = [&modes](fault_kind kind)
     {
@@ -345,17 +345,17 @@
                                 return row.kind == kind;
                             });
     };
-    auto const meant = row_of(what.what);
+    auto const meant = row_of(what.kind);
     if (meant == modes.end())
     {
         return;
     }
     auto& gate = meant->worker ? platform_.worker_fault_gate(what.target)
                                : platform_.store_fault_gate();
-    gate.set(gate_mode::open);
+    gate.set(fault_gate_mode::open);
     for (auto const& each : active_)
     {
-        auto const row = row_of(each.what.what);
+        auto const row = row_of(each.what.kind);
         if (row != modes.end() && row->worker == meant->worker &&
             (!row->worker || each.what.target == what.target))
         {
--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -79,7 +79,7 @@
     auto const& row = from[random.below(from.size())];
     fault made;
     made.at = at;
-    made.what = row.kind;
+    made.kind = row.kind;
     made.length = random.between(row.shortest, row.longest);
     made.target = random.below(1000);
     made.variant = random.below(1000);
@@ -280,7 +280,7 @@
     std::ostringstream out;
     for (auto const& each : drawn.faults)
     {
-        out << to_milliseconds(each.at) << " fault " << name_of(each.what)
+        out << to_milliseconds(each.at) << " fault " << name_of(each.kind)
             << ' ' << each.target << " for " << to_milliseconds(each.length)
             << " value " << each.variant
             << (each.at_owner ? " at the owner" : "") << '\n';
--- a/tools/soak/plan.hpp
+++ b/tools/soak/plan.hpp
@@ -54,7 +54,7 @@
 {
     core::common::duration at{}; ///< From the start of the traffic.
     core::common::duration length{};
-    fault_kind what = fault_kind::kill;
+    fault_kind kind = fault_kind::kill;
     std::uint32_t target = 0;  ///< Instance or worker.
     std::uint32_t variant = 0; ///< Its kind's choice among variants.
     /// Of one that meets an instance: it meets whoever owns the pool then.
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -149,15 +149,15 @@
     {
         switch (event.kind)
         {
-        case worker_moment::started:
+        case worker_event_kind::started:
             ++runs_;
             out_.append(run_started{
                 worker.id, worker.data_centre, event.run, event.fence});
             break;
-        case worker_moment::ended:
+        case worker_event_kind::ended:
             out_.append(run_ended{worker.id, event.run, event.end_result});
             break;
-        case worker_moment::acknowledged:
+        case worker_event_kind::acknowledged:
             out_.append(
                 end_acknowledged{worker.id, event.run, event.end_result});
             break;
@@ -355,12 +355,12 @@
 
 bool set_planted_defect(std::string_view name, soak_settings& out) noexcept
 {
-    constexpr std::array<std::pair<std::string_view, planted>, 5> names{{
-        {"two_places", planted::duplicate_placement},
-        {"lost_job", planted::lost_job},
-        {"forgotten_cancel", planted::lost_cancel},
-        {"ended_twice", planted::rerun_after_end},
-        {"early_step", planted::early_dependent_step},
+    constexpr std::array<std::pair<std::string_view, planted_defect>, 5> names{{
+        {"two_places", planted_defect::duplicate_placement},
+        {"lost_job", planted_defect::lost_job},
+        {"forgotten_cancel", planted_defect::lost_cancel},
+        {"ended_twice", planted_defect::rerun_after_end},
+        {"early_step", planted_defect::early_dependent_step},
     }};
     out.stale_configuration = name == "stale_config";
     for (auto const& [each, what] : names)
