--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -18,28 +18,28 @@
 constexpr common::duration watch_wait = std::chrono::milliseconds(1000);
 constexpr common::duration rank_interval = std::chrono::milliseconds(500);
 // Jobs, progress, roster, final states and what was learned.
-constexpr std::uint32_t parts_to_load = 5;
+constexpr std::uint32_t part_count = 5;
 
 } // namespace
 
 owner::owner(owner_settings const& settings,
-             platform_records const& words,
+             platform_records const& records,
              operator_state const& operators,
-             claim& held,
+             claim& own_claim,
              outbox& out,
              common::time_point now)
-    : settings_(settings), platform_records_(words), operators_(operators),
-      claim_(held), out_(out), digest_(out),
-      ledger_(settings.commits, held, out, now), fleet_(settings.workers),
+    : settings_(settings), platform_records_(records), operators_(operators),
+      claim_(own_claim), out_(out), digest_(out),
+      ledger_(settings.commits, own_claim, out, now), fleet_(settings.workers),
       list_(settings.list,
-            words,
+            records,
             out,
-            [this](common::time_point at, worker_changes const& seen)
+            [this](common::time_point at, worker_changes const& changes)
             {
-                apply_worker_list(at, seen);
+                apply_worker_list(at, changes);
             }),
       colocation_(settings.colocation), created_at_(now),
-      loading_parts_(parts_to_load)
+      loading_parts_(part_count)
 {
     load_roster(now);
     load_jobs(now);
@@ -63,11 +63,11 @@
     list_.tick(now);
     if (!loaded_)
     {
-        give_up_loading(now);
+        check_load_timeout(now);
         return;
     }
     give_up_stalled_watch(now);
-    check_silent(now);
+    check_silent_workers(now);
     complete_takeover(now);
     poll_workers(now);
     for (auto const& id : scheduled_jobs_)
@@ -115,7 +115,7 @@
 
 // Nothing runs while an owner loads. One whose link can't carry the state would
 // keep the claim, and everybody waiting, for good.
-void owner::give_up_loading(common::time_point now)
+void owner::check_load_timeout(common::time_point now)
 {
     if (now - std::max(created_at_, load_advanced_at_) > settings_.load_timeout)
     {
@@ -143,18 +143,18 @@
 // Who refuses answers within milliseconds. Asked at once, and again, it would
 // take the processor and the calls that everything else needs.
 void owner::retry_later(common::time_point now,
-                        std::function<void(common::time_point)> what)
+                        std::function<void(common::time_point)> action)
 {
-    retries_.emplace_back(now + settings_.retry_pause, std::move(what));
+    retries_.emplace_back(now + settings_.retry_pause, std::move(action));
 }
 
 void owner::run_retries(common::time_point now)
 {
     while (!retries_.empty() && retries_.front().first <= now)
     {
-        auto const what = std::move(retries_.front().second);
+        auto const action = std::move(retries_.front().second);
         retries_.pop_front();
-        what(now);
+        action(now);
     }
 }
 
@@ -194,30 +194,30 @@
 {
     auto const& limits = settings_.workers;
     auto const unconfirmed = now - claim_.confirmed_at();
-    bool const backed = unconfirmed < limits.unconfirmed_limit ||
-                        (unconfirmed < limits.quorum_limit &&
-                         fleet_.quorum(now - limits.quorum_window));
-    return !stopped_ && claim_.held() && backed;
+    bool const confirmed = unconfirmed < limits.unconfirmed_limit ||
+                           (unconfirmed < limits.quorum_limit &&
+                            fleet_.quorum(now - limits.quorum_window));
+    return !stopped_ && claim_.held() && confirmed;
 }
 
 void owner::watch(common::time_point now)
 {
-    out_.store(life_,
-               ports::kv_watch{std::string(keys::owned_prefix),
-                               watched_revision_,
-                               watch_wait},
-               watch_wait + settings_.call_timeout,
-               [this, asked = now](common::time_point at, kv_reply const& reply)
-               {
-                   on_watch(at, asked, reply);
-               });
+    out_.store(
+        life_,
+        ports::kv_watch{
+            std::string(keys::owned_prefix), watched_revision_, watch_wait},
+        watch_wait + settings_.call_timeout,
+        [this, requested_at = now](common::time_point at, kv_reply const& reply)
+        {
+            on_watch(at, requested_at, reply);
+        });
 }
 
 // An answer without events does not move the place from which the next watch
 // goes on: what a deaf watch missed comes with the next one that is not. Until
 // then all pages are read again whenever a watch is known to be deaf.
 void owner::on_watch(common::time_point now,
-                     common::time_point asked,
+                     common::time_point requested_at,
                      kv_reply const& reply)
 {
     if (reply.status == kv_status::compacted)
@@ -237,7 +237,7 @@
                     });
         return;
     }
-    if (is_stalled(asked, reply))
+    if (is_stalled(requested_at, reply))
     {
         out_.log(severity::warning,
                  "watch_deaf",
@@ -253,7 +253,7 @@
     }
     synced_revision_ =
         std::max({synced_revision_, watched_revision_, reply.revision});
-    synced_until_ = asked;
+    synced_until_ = requested_at;
     watch_answered_at_ = now;
     if (!claim_.held())
     {
@@ -267,12 +267,13 @@
 }
 
 // What we wrote ourselves below the watched prefix was there to be told.
-bool owner::is_stalled(common::time_point asked, kv_reply const& reply) const
+bool owner::is_stalled(common::time_point requested_at,
+                       kv_reply const& reply) const
 {
-    bool const there =
-        reply.revision >= backlog_revision_ || asked >= backlog_current_at_;
+    bool const revision_visible = reply.revision >= backlog_revision_ ||
+                                  requested_at >= backlog_current_at_;
     return reply.items.empty() && backlog_revision_ > watched_revision_ &&
-           there;
+           revision_visible;
 }
 
 void owner::apply_item(common::time_point now, ports::kv_item const& item)
@@ -330,12 +331,15 @@
     spec->accepted_unix_ms = accepted_by_own_clock(now, *spec, just_accepted);
     queue fallback;
     fallback.name = spec->queue;
-    auto const& used = rules != nullptr ? *rules : fallback;
+    auto const& queue_rules = rules != nullptr ? *rules : fallback;
     auto& run =
-        jobs_.emplace(id, make_job_run(std::move(*spec), item.revision, used))
+        jobs_
+            .emplace(id,
+                     make_job_run(std::move(*spec), item.revision, queue_rules))
             .first->second;
-    bool const timed = run.spec.occurrences > 1 || run.spec.first_unix_ms > 0;
-    if (timed)
+    bool const scheduled =
+        run.spec.occurrences > 1 || run.spec.first_unix_ms > 0;
+    if (scheduled)
     {
         scheduled_jobs_.push_back(id);
     }
@@ -389,8 +393,8 @@
 owner::known_task owner::find_task(ports::task_name const& name)
 {
     auto* const run = find_job(name.job);
-    auto* const each = run != nullptr ? run->find(name) : nullptr;
-    return each != nullptr ? known_task{run, each} : known_task{};
+    auto* const t = run != nullptr ? run->find(name) : nullptr;
+    return t != nullptr ? known_task{run, t} : known_task{};
 }
 
 job_run* owner::find_job(std::string const& id)
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -39,9 +39,9 @@
 {
 public:
     owner(owner_settings const& settings,
-          platform_records const& words,
+          platform_records const& records,
           operator_state const& operators,
-          claim& held,
+          claim& own_claim,
           outbox& out,
           common::time_point now);
 
@@ -80,17 +80,17 @@
                             ports::task_name const& first);
 
     // owner.cpp: its clock, and jobs as they come.
-    void give_up_loading(common::time_point now);
+    void check_load_timeout(common::time_point now);
     void give_up_stalled_watch(common::time_point now);
     /// Runs `what` at the first tick after a pause.
     void retry_later(common::time_point now,
-                     std::function<void(common::time_point)> what);
+                     std::function<void(common::time_point)> action);
     void run_retries(common::time_point now);
     void watch(common::time_point now);
     void on_watch(common::time_point now,
-                  common::time_point asked,
+                  common::time_point requested_at,
                   ports::kv_reply const& reply);
-    bool is_stalled(common::time_point asked,
+    bool is_stalled(common::time_point requested_at,
                     ports::kv_reply const& reply) const;
     void apply_item(common::time_point now, ports::kv_item const& item);
     void add_job(common::time_point now, ports::kv_item const& item);
@@ -100,47 +100,48 @@
     bool may_act(common::time_point now) const;
 
     // owner_load.cpp: the state that the last owner left in the store.
-    using reply_taker =
+    using reply_handler =
         std::function<void(common::time_point, ports::kv_reply const&)>;
     /// A read that goes on until it is answered.
     struct state_read
     {
-        ports::kv_operation what;
-        reply_taker take;
-        std::uint32_t open = 0; ///< Calls on their way.
-        bool over = false;      ///< It was answered.
+        ports::kv_operation operation;
+        reply_handler on_reply;
+        std::uint32_t pending_calls = 0; ///< Calls on their way.
+        bool answered = false;           ///< It was answered.
     };
     void read_state(common::time_point now,
-                    ports::kv_operation what,
-                    reply_taker take);
-    void send_read(std::shared_ptr<state_read> const& each);
+                    ports::kv_operation operation,
+                    reply_handler on_reply);
+    void send_read(std::shared_ptr<state_read> const& read);
     void on_read(common::time_point now,
-                 std::shared_ptr<state_read> const& each,
+                 std::shared_ptr<state_read> const& read,
                  ports::kv_reply const& reply);
     void resend_reads(common::time_point now);
-    using page_taker =
+    using page_handler =
         std::function<void(common::time_point, ports::kv_reply const&)>;
-    using load_end = std::function<void(common::time_point)>;
+    using load_completion = std::function<void(common::time_point)>;
     void load_pages(common::time_point now,
                     std::string_view prefix,
                     std::string const& after,
-                    page_taker const& take,
-                    load_end const& done);
-    using value_taker = std::function<void(std::string const&)>;
+                    page_handler const& on_page,
+                    load_completion const& on_loaded);
+    using value_handler = std::function<void(std::string const&)>;
     void load_key(common::time_point now,
                   std::string_view key,
-                  value_taker const& take);
+                  value_handler const& on_value);
     void load_jobs(common::time_point now);
-    void jobs_loaded(common::time_point now);
-    bool take_pages(common::time_point now);
+    void on_jobs_loaded(common::time_point now);
+    bool apply_job_pages(common::time_point now);
     void load_progress(common::time_point now);
     void load_roster(common::time_point now);
     void load_finals(common::time_point now);
     void load_estimates(common::time_point now);
-    void parts_loaded(common::time_point now);
+    void on_part_loaded(common::time_point now);
 
     // owner_list.cpp: which workers there are.
-    void apply_worker_list(common::time_point now, worker_changes const& seen);
+    void apply_worker_list(common::time_point now,
+                           worker_changes const& changes);
     bool state_is_current(common::time_point now) const;
     void complete_roster();
     void write_roster();
@@ -148,7 +149,7 @@
     // owner_reports.cpp: what it tells of itself.
     void write_backlog(common::time_point now);
     void write_estimates(common::time_point now);
-    void log_backlog(common::duration took);
+    void log_backlog(common::duration elapsed);
     void log_load(common::time_point now);
     void drop_old_finals(common::time_point now);
     void drop_unmatched_cancels(common::time_point now);
@@ -184,7 +185,7 @@
                    job_run& run,
                    ports::task_name const& name);
     void unplace(job_run& run, ports::task_name const& name);
-    void place(job_run& run, ports::task_name const& name, worker& on);
+    void place(job_run& run, ports::task_name const& name, worker& target);
     void cancel_job(common::time_point now, job_run& run);
     void end_job(common::time_point now, job_run& run, job_phase phase);
     void finish_if_over(job_run& run);
@@ -197,101 +198,103 @@
     struct known_task
     {
         job_run* run = nullptr;
-        task* each = nullptr;
+        task* state = nullptr;
     };
     known_task find_task(ports::task_name const& name);
     void log_task(ports::severity level,
                   char const* event,
-                  ports::pool_attempt const& what,
-                  std::string const& on,
-                  std::vector<ports::header> more = {});
+                  ports::pool_attempt const& attempt_id,
+                  std::string const& worker_id,
+                  std::vector<ports::header> extra_fields = {});
 
     // owner_workers.cpp: asking workers, and what becomes of silent ones.
     void poll_workers(common::time_point now);
-    void poll_worker(common::time_point now, worker& of);
+    void poll_worker(common::time_point now, worker& target);
     void on_poll_reply(common::time_point now,
                        common::time_point sent,
                        std::string const& id,
                        ports::order_reply const& reply);
-    void acknowledge_ends(common::time_point now, worker& of);
+    void acknowledge_ends(common::time_point now, worker& target);
     void note_worker_failure(common::time_point now,
-                             worker& of,
+                             worker& target,
                              std::string const& job);
-    void forget_runs(common::time_point now, worker& of, char const* why);
-    void check_silent(common::time_point now);
+    void
+    mark_runs_lost(common::time_point now, worker& target, char const* reason);
+    void check_silent_workers(common::time_point now);
     void order_stop(common::time_point now,
                     std::string const& id,
-                    ports::pool_attempt const& what);
-    task* find_stopping(std::string const& id, ports::pool_attempt const& what);
-    void on_fenced(std::string const& by);
+                    ports::pool_attempt const& attempt_id);
+    task* find_stopping_task(std::string const& id,
+                             ports::pool_attempt const& attempt_id);
+    void on_fenced(std::string const& worker_id);
 
     // owner_rows.cpp: what a worker tells of its runs and of their ends.
     void apply_rows(common::time_point now,
                     common::time_point sent,
-                    worker& of,
+                    worker& target,
                     ports::order_reply const& reply,
                     bool first);
     /// Tasks that a worker named, sorted.
     using reported_names = std::vector<ports::task_name const*>;
-    bool is_inconsistent(worker const& of, reported_names const& told);
+    bool is_inconsistent(worker const& target, reported_names const& reported);
     void check_missing(common::time_point now,
                        common::time_point sent,
-                       worker& of,
-                       reported_names const& told);
-    void take_running(common::time_point now,
-                      worker& of,
-                      ports::running_attempt const& row);
+                       worker& target,
+                       reported_names const& reported);
+    void apply_running(common::time_point now,
+                       worker& target,
+                       ports::running_attempt const& row);
     void adopt_run(common::time_point now,
-                   worker& of,
+                   worker& target,
                    job_run& run,
-                   ports::pool_attempt const& what);
-    void note_progress(common::time_point now,
-                       worker& of,
-                       job_run& run,
-                       ports::running_attempt const& row);
+                   ports::pool_attempt const& attempt_id);
+    void update_progress(common::time_point now,
+                         worker& target,
+                         job_run& run,
+                         ports::running_attempt const& row);
     void stop_if_stuck(common::time_point now,
-                       worker& of,
+                       worker& target,
                        job_run& run,
-                       ports::pool_attempt const& what);
-    void take_end(common::time_point now,
-                  worker& of,
-                  ports::ended_attempt const& row);
+                       ports::pool_attempt const& attempt_id);
+    void apply_end(common::time_point now,
+                   worker& target,
+                   ports::ended_attempt const& row);
     void log_failure(common::time_point now,
-                     worker const& of,
+                     worker const& target,
                      job_run const& run,
-                     ports::pool_attempt const& what);
-    void take_failure(common::time_point now,
-                      worker& of,
-                      job_run& run,
-                      ports::pool_attempt const& what,
-                      bool current);
+                     ports::pool_attempt const& attempt_id);
+    void apply_failure(common::time_point now,
+                       worker& target,
+                       job_run& run,
+                       ports::pool_attempt const& attempt_id,
+                       bool current);
 
     // owner_takeover.cpp: what earlier owners may have started.
-    void
-    new_incarnation(common::time_point now, worker& of, std::uint64_t born);
-    void take_inherited_failure(common::time_point now,
-                                ports::ended_attempt const& row);
+    void adopt_incarnation(common::time_point now,
+                           worker& target,
+                           std::uint64_t incarnation);
+    void count_inherited_failure(common::time_point now,
+                                 ports::ended_attempt const& row);
     void fail_exhausted_job(common::time_point now, job_run& run);
     void complete_takeover(common::time_point now);
     void resolve_unresolved(common::time_point now, job_run& run);
-    bool waited_for_silence(common::time_point now);
-    bool may_belong_to_earlier_owner(job_run const& run,
-                                     task const& each) const;
+    bool earlier_leases_ended(common::time_point now);
+    bool may_belong_to_earlier_owner(job_run const& run, task const& t) const;
 
     // owner_sharing.cpp: tasks that fill beside tasks that serve.
-    worker_view const& view_of(worker& of);
-    void protect_serving(common::time_point now, worker& of);
-    bool tails_are_outliers(worker& of);
-    void read_serving(common::time_point now, worker& of);
+    worker_view const& view_of(worker& target);
+    void protect_serving(common::time_point now, worker& target);
+    bool tails_are_outliers(worker& target);
+    void read_serving(common::time_point now, worker& target);
     void evict_idle(common::time_point now,
-                    worker& of,
+                    worker& target,
                     std::vector<best_effort_view> const& fills);
     void set_speed_limit(common::time_point now,
-                         worker& on,
+                         worker& target,
                          ports::task_name const& name,
                          std::uint32_t percent);
     void speed_limit_failed(std::string const& id,
-                            ports::pool_attempt const& what);
+                            ports::pool_attempt const& attempt_id);
 
     // owner_regroup.cpp: serving tasks move to where they bind least.
     void rebalance(common::time_point now);
@@ -308,7 +311,7 @@
     worker* release_reservation(job_run const& run,
                                 ports::task_name const& name);
     bool cleared_against(common::time_point now,
-                         worker const& on,
+                         worker const& target,
                          std::uint16_t image) const;
 
     // owner_room.cpp: room that lasting tasks leave to short work.
@@ -326,13 +329,13 @@
     struct ready_key;
     bool has_ticket(common::time_point now,
                     step_run const& steps,
-                    worker const& on) const;
+                    worker const& target) const;
     void request_policy(common::time_point now, ready_key const& key);
     std::vector<std::string> workers_for_policy_request(common::time_point now,
                                                         job_run& run,
                                                         ready_key const& key);
     void on_policy_reply(common::time_point now,
-                         common::time_point asked,
+                         common::time_point requested_at,
                          ready_key const& key,
                          ports::policy_reply const& reply);
 
@@ -365,9 +368,9 @@
     void start(common::time_point now,
                job_run& run,
                ports::task_name const& name,
-               worker& on);
+               worker& target);
     void on_start(common::time_point now,
-                  ports::pool_attempt const& what,
+                  ports::pool_attempt const& attempt_id,
                   std::string const& id,
                   ports::order_reply const& reply);
 
@@ -391,7 +394,7 @@
     };
     capacity_index usable_workers(common::time_point now);
     /// Whatever places or takes away within a round says so.
-    void capacity_changed(worker const& at);
+    void capacity_changed(worker const& target);
     /// Within a round of placing, in the fleet's order; of one rack where one
     /// is named.
     std::vector<ranked_worker> rank(common::time_point now,
@@ -403,29 +406,31 @@
     void score_again(common::time_point now,
                      job_run& run,
                      ports::task_name const& name,
-                     worker& on,
+                     worker& target,
                      bool leaves_room,
                      std::vector<ranked_worker>& ranked);
-    bool may_trust(worker const& on) const;
+    bool may_trust(worker const& target) const;
     std::optional<obstacle> obstacle_at(common::time_point now,
-                                        worker const& on) const;
+                                        worker const& target) const;
     std::optional<obstacle> obstacle_of(common::time_point now,
-                                        worker const& on,
+                                        worker const& target,
                                         job_run const& run,
-                                        step const& what) const;
+                                        step const& spec) const;
     std::optional<obstacle> obstacle_to(common::time_point now,
-                                        worker& on,
+                                        worker& target,
                                         job_run& run,
                                         ports::task_name const& name);
-    bool fits(worker const& on, step const& what) const;
-    bool serves_only(worker const& on, std::uint16_t image);
+    bool fits(worker const& target, step const& spec) const;
+    bool serves_only(worker const& target, std::uint16_t image);
     std::optional<double> score(common::time_point now,
-                                worker& on,
+                                worker& target,
                                 job_run& run,
                                 ports::task_name const& name);
-    std::optional<obstacle>
-    obstacle_to_best_effort(worker& on, step const& what, std::uint16_t image);
-    double score_best_effort(worker& on, step const& what, std::uint16_t image);
+    std::optional<obstacle> obstacle_to_best_effort(worker& target,
+                                                    step const& spec,
+                                                    std::uint16_t image);
+    double
+    score_best_effort(worker& target, step const& spec, std::uint16_t image);
 
     owner_settings settings_;
     platform_records const& platform_records_;
@@ -461,7 +466,7 @@
     common::time_point created_at_{};
     common::time_point load_advanced_at_{}; ///< When the last page came.
     std::uint64_t watched_revision_ = 0; ///< Of the last event that was taken.
-    std::uint64_t page_revision_ = 0;    ///< Of the first page of jobs.
+    std::uint64_t first_page_revision_ = 0; ///< Of the first page of jobs.
     common::time_point pages_requested_at_{};
     std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
     common::time_point
@@ -478,7 +483,7 @@
         retries_;
     /// What is asked once more, and when, the earliest first.
     std::deque<std::pair<common::time_point, std::shared_ptr<state_read>>>
-        second_reads_;
+        pending_resends_;
     std::vector<ports::kv_item> progress_items_;
     std::vector<ports::kv_item> job_items_;
     std::uint32_t loading_parts_ =
@@ -489,22 +494,22 @@
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
     /// When more than half of the workers had answered; 0: not yet.
-    common::time_point majority_since_{};
+    common::time_point quorum_since_{};
     bool takeover_complete_ =
         false; ///< No earlier owner's start is unknown any more.
     bool stopped_ = false;
     std::set<std::string> roster_; ///< As it lies in the store.
-    bool roster_writing_ = false;
+    bool roster_write_pending_ = false;
     common::time_point next_rank_{};
     common::time_point next_rebalance_{};
-    common::time_point next_load_line_{};
+    common::time_point next_load_log_{};
     /// When it was last said why steps of a queue and image wait.
     std::map<std::pair<std::string, std::string>, common::time_point>
         waiting_reported_at_;
-    common::time_point next_backlog_{};
-    common::time_point next_learned_{};
-    bool learned_writing_ = false;
-    bool backlog_writing_ = false;
+    common::time_point next_backlog_write_{};
+    common::time_point next_estimates_write_{};
+    bool estimates_write_pending_ = false;
+    bool backlog_write_pending_ = false;
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -39,14 +39,14 @@
                           std::uint32_t number,
                           std::int64_t now_ms) const
 {
-    auto const& made = run.occurrences[occurrence];
-    if (made.steps[number].open || made.due_unix_ms > now_ms)
+    auto const& current = run.occurrences[occurrence];
+    if (current.steps[number].open || current.due_unix_ms > now_ms)
     {
         return false;
     }
     for (auto const earlier : run.spec.steps[number].after)
     {
-        if (made.steps[earlier].tasks_left > 0)
+        if (current.steps[earlier].tasks_left > 0)
         {
             return false;
         }
@@ -78,14 +78,14 @@
             for (std::uint32_t index = 0; index < steps[number].tasks.size();
                  ++index)
             {
-                auto& each = steps[number].tasks[index];
-                if (each.phase != task_phase::blocked)
+                auto& t = steps[number].tasks[index];
+                if (t.phase != task_phase::blocked)
                 {
                     continue;
                 }
                 if (maybe_started)
                 {
-                    each.phase = task_phase::unresolved;
+                    t.phase = task_phase::unresolved;
                 }
                 else
                 {
@@ -105,53 +105,55 @@
     ready_.insert(key_of(run, name.occurrence, name.step));
 }
 
-void owner::place(job_run& run, ports::task_name const& name, worker& on)
+void owner::place(job_run& run, ports::task_name const& name, worker& target)
 {
-    auto const& what = run.step_of(name);
-    auto& each = run.at(name);
-    each.worker = on.info.id;
-    each.worker_incarnation = on.incarnation;
-    on.runs.insert(name);
-    on.view_known = false;
+    auto const& spec = run.step_of(name);
+    auto& t = run.at(name);
+    t.worker = target.info.id;
+    t.worker_incarnation = target.incarnation;
+    target.runs.insert(name);
+    target.view_known = false;
     ++run.placed;
-    on.reserved.memory_mb += what.declared.memory_mb;
-    on.reserved.accelerators += what.declared.accelerators;
-    if (what.best_effort)
+    target.reserved.memory_mb += spec.declared.memory_mb;
+    target.reserved.accelerators += spec.declared.accelerators;
+    if (spec.best_effort)
     {
-        on.best_effort_cores += what.declared.millicores;
+        target.best_effort_cores += spec.declared.millicores;
         return;
     }
-    on.reserved.millicores += what.declared.millicores;
-    on.long_running_cores += what.long_running ? what.declared.millicores : 0;
-    if (what.tail_target.count() > 0)
+    target.reserved.millicores += spec.declared.millicores;
+    target.long_running_cores +=
+        spec.long_running ? spec.declared.millicores : 0;
+    if (spec.tail_target.count() > 0)
     {
-        on.serving_cores += what.declared.millicores;
+        target.serving_cores += spec.declared.millicores;
     }
 }
 
 void owner::unplace(job_run& run, ports::task_name const& name)
 {
-    auto const& what = run.step_of(name);
-    auto* const on = fleet_.find(run.at(name).worker);
-    if (on == nullptr || on->runs.erase(name) == 0)
+    auto const& spec = run.step_of(name);
+    auto* const target = fleet_.find(run.at(name).worker);
+    if (target == nullptr || target->runs.erase(name) == 0)
     {
         return;
     }
-    on->view_known = false;
+    target->view_known = false;
     dispatch_requested_ = true;
     --run.placed;
-    on->reserved.memory_mb -= what.declared.memory_mb;
-    on->reserved.accelerators -= what.declared.accelerators;
-    if (what.best_effort)
+    target->reserved.memory_mb -= spec.declared.memory_mb;
+    target->reserved.accelerators -= spec.declared.accelerators;
+    if (spec.best_effort)
     {
-        on->best_effort_cores -= what.declared.millicores;
+        target->best_effort_cores -= spec.declared.millicores;
         return;
     }
-    on->reserved.millicores -= what.declared.millicores;
-    on->long_running_cores -= what.long_running ? what.declared.millicores : 0;
-    if (what.tail_target.count() > 0)
+    target->reserved.millicores -= spec.declared.millicores;
+    target->long_running_cores -=
+        spec.long_running ? spec.declared.millicores : 0;
+    if (spec.tail_target.count() > 0)
     {
-        on->serving_cores -= what.declared.millicores;
+        target->serving_cores -= spec.declared.millicores;
     }
 }
 
@@ -159,18 +161,18 @@
                       job_run& run,
                       ports::task_name const& name)
 {
-    auto& each = run.at(name);
+    auto& t = run.at(name);
     unplace(run, name);
     if (run.step_of(name).long_running)
     {
         task_over(now, run, name);
         return;
     }
-    if (each.phase == task_phase::done)
+    if (t.phase == task_phase::done)
     {
         return;
     }
-    if (each.phase == task_phase::ready)
+    if (t.phase == task_phase::ready)
     {
         std::erase(run.occurrences[name.occurrence].steps[name.step].ready,
                    name.index);
@@ -186,11 +188,11 @@
 
 void owner::mark_done(job_run& run, ports::task_name const& name)
 {
-    auto& each = run.at(name);
+    auto& t = run.at(name);
     unplace(run, name);
     ++counters_.tasks_done;
-    each.phase = task_phase::done;
-    each.checkpoint.clear();
+    t.phase = task_phase::done;
+    t.checkpoint.clear();
     --run.occurrences[name.occurrence].steps[name.step].tasks_left;
     --run.tasks_left;
     mark_dirty(run);
@@ -212,20 +214,20 @@
                         ports::task_name const& name)
 {
     ++counters_.tasks_failed;
-    auto& each = run.at(name);
+    auto& t = run.at(name);
     unplace(run, name);
-    each.failed_on.push_back(each.worker);
-    count_failure(run, name, each.attempt);
+    t.failed_on.push_back(t.worker);
+    count_failure(run, name, t.attempt);
     if (run.phase == job_phase::active &&
         out_of_attempts(run, name.occurrence, name.step))
     {
-        each.phase = task_phase::blocked;
+        t.phase = task_phase::blocked;
         out_.log(severity::info,
                  "job_failing",
                  {{"job", run.spec.id},
                   {"step", std::to_string(name.step)},
                   {"task", std::to_string(name.index)},
-                  {"failures", std::to_string(each.failures.size())}});
+                  {"failures", std::to_string(t.failures.size())}});
         end_job(now, run, job_phase::failing);
         return;
     }
@@ -240,8 +242,8 @@
     {
         return;
     }
-    auto& each = run.at(name);
-    each.failures.push_back(attempt);
+    auto& t = run.at(name);
+    t.failures.push_back(attempt);
     mark_dirty(run);
 }
 
@@ -251,9 +253,9 @@
                       ports::task_name const& name)
 {
     unplace(run, name);
-    auto& each = run.at(name);
-    each.percent = 0;
-    each.speed_limit = 100;
+    auto& t = run.at(name);
+    t.percent = 0;
+    t.speed_limit = 100;
     if (run.phase == job_phase::active)
     {
         // Before all workers were asked, one of them may know of failures that
@@ -263,11 +265,11 @@
                                   run.revision < claim_.epoch();
         if (may_be_spent)
         {
-            each.phase = task_phase::unresolved;
+            t.phase = task_phase::unresolved;
         }
-        else if (each.phase != task_phase::ready)
+        else if (t.phase != task_phase::ready)
         {
-            each.ran_before = true;
+            t.ran_before = true;
             make_ready(run, name);
         }
         if (run.step_of(name).gang)
@@ -276,7 +278,7 @@
         }
         return;
     }
-    each.phase = task_phase::blocked;
+    t.phase = task_phase::blocked;
     finish_if_over(run);
 }
 
@@ -305,11 +307,11 @@
             for (std::uint32_t index = 0; index < steps[number].tasks.size();
                  ++index)
             {
-                auto& each = steps[number].tasks[index];
+                auto& t = steps[number].tasks[index];
                 ports::task_name const name{run.spec.id, k, number, index};
-                if (each.phase == task_phase::ready)
+                if (t.phase == task_phase::ready)
                 {
-                    each.phase = task_phase::blocked;
+                    t.phase = task_phase::blocked;
                 }
                 release_reservation(run, name);
                 stop_run(now, run, name);
@@ -325,14 +327,14 @@
                      job_run& run,
                      ports::task_name const& name)
 {
-    auto& each = run.at(name);
-    if (each.phase != task_phase::starting && each.phase != task_phase::running)
+    auto& t = run.at(name);
+    if (t.phase != task_phase::starting && t.phase != task_phase::running)
     {
         return;
     }
-    each.start_unanswered = each.phase == task_phase::starting;
-    each.phase = task_phase::stopping;
-    order_stop(now, each.worker, {name, each.attempt});
+    t.start_unanswered = t.phase == task_phase::starting;
+    t.phase = task_phase::stopping;
+    order_stop(now, t.worker, {name, t.attempt});
 }
 
 // The final state is written once nothing of the job runs anywhere.
@@ -341,14 +343,15 @@
     bool const ending = run.phase == job_phase::cancelling ||
                         run.phase == job_phase::failing ||
                         run.phase == job_phase::finished;
-    bool unsure = false;
+    bool has_unresolved = false;
     for (auto const& occurrence : run.occurrences)
     {
         for (auto const& steps : occurrence.steps)
         {
-            for (auto const& each : steps.tasks)
+            for (auto const& t : steps.tasks)
             {
-                unsure = unsure || each.phase == task_phase::unresolved;
+                has_unresolved =
+                    has_unresolved || t.phase == task_phase::unresolved;
             }
         }
     }
@@ -356,7 +359,7 @@
     bool const maybe_elsewhere = !takeover_complete_ &&
                                  run.revision < claim_.epoch() &&
                                  run.phase != job_phase::finished;
-    if (!ending || run.placed > 0 || unsure || maybe_elsewhere)
+    if (!ending || run.placed > 0 || has_unresolved || maybe_elsewhere)
     {
         return;
     }
@@ -375,20 +378,20 @@
     {
         entry.erases.push_back(keys::progress(id));
     }
-    auto const accepted = run.spec.accepted_unix_ms;
-    auto const limit = run.due_unix_ms;
-    auto const first = run.first_start_unix_ms;
+    auto const accepted_unix_ms = run.spec.accepted_unix_ms;
+    auto const due_unix_ms = run.due_unix_ms;
+    auto const first_start_unix_ms = run.first_start_unix_ms;
     entry.on_durable = [this,
                         id,
                         queue = run.spec.queue,
                         outcome = run.outcome,
-                        accepted,
-                        limit,
-                        first](common::time_point at)
+                        accepted_unix_ms,
+                        due_unix_ms,
+                        first_start_unix_ms](common::time_point at)
     {
         out_.push(ports::duration_sample{
             ports::duration_metric::job,
-            std::chrono::milliseconds(out_.unix_ms(at) - accepted)});
+            std::chrono::milliseconds(out_.unix_ms(at) - accepted_unix_ms)});
         final_states_[id] = outcome;
         final_times_.emplace_back(at, id);
         jobs_.erase(id);
@@ -399,9 +402,12 @@
             {{"job", id},
              {"queue", queue},
              {"state", std::string(state_name(outcome))},
-             {"waited_ms", std::to_string(first > 0 ? first - accepted : -1)},
-             {"took_ms", std::to_string(out_.unix_ms(at) - accepted)},
-             {"limit_ms", std::to_string(limit - accepted)}});
+             {"waited_ms",
+              std::to_string(first_start_unix_ms > 0
+                                 ? first_start_unix_ms - accepted_unix_ms
+                                 : -1)},
+             {"took_ms", std::to_string(out_.unix_ms(at) - accepted_unix_ms)},
+             {"limit_ms", std::to_string(due_unix_ms - accepted_unix_ms)}});
     };
     unsaved_jobs_.erase(id);
     ledger_.write(write_rank::result, std::move(entry), keys::progress(id));
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -10,9 +10,9 @@
 {
 
 void owner::apply_worker_list(common::time_point now,
-                              worker_changes const& seen)
+                              worker_changes const& changes)
 {
-    fleet_.take_list(seen);
+    fleet_.take_list(changes);
     complete_roster();
     if (loaded_)
     {
@@ -38,7 +38,7 @@
 void owner::complete_roster()
 {
     bool missing = false;
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
         missing = missing || !roster_.contains(id);
     }
@@ -51,28 +51,28 @@
 // A task may start only on a worker that a successor would ask.
 void owner::write_roster()
 {
-    if (roster_writing_ || !loaded_)
+    if (roster_write_pending_ || !loaded_)
     {
         return;
     }
-    roster_writing_ = true;
-    std::set<std::string> names;
-    for (auto const& [id, each] : fleet_.all())
+    roster_write_pending_ = true;
+    std::set<std::string> ids;
+    for (auto const& [id, w] : fleet_.all())
     {
-        names.insert(id);
+        ids.insert(id);
     }
     ledger_.write(write_rank::result,
                   {{{std::string(keys::roster), to_json(fleet_), 0}},
                    {},
-                   [this, names](common::time_point)
+                   [this, ids](common::time_point)
                    {
-                       roster_writing_ = false;
-                       roster_ = names;
-                       for (auto const& id : names)
+                       roster_write_pending_ = false;
+                       roster_ = ids;
+                       for (auto const& id : ids)
                        {
-                           if (auto* const each = fleet_.find(id))
+                           if (auto* const w = fleet_.find(id))
                            {
-                               each->rostered = true;
+                               w->rostered = true;
                            }
                        }
                    }});
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -18,62 +18,62 @@
 // was lost, but its page may be large and the link slow. The first answer of
 // both counts.
 void owner::read_state(common::time_point now,
-                       ports::kv_operation what,
-                       reply_taker take)
+                       ports::kv_operation operation,
+                       reply_handler on_reply)
 {
-    auto each = std::make_shared<state_read>();
-    each->what = std::move(what);
-    each->take = std::move(take);
-    send_read(each);
-    second_reads_.emplace_back(now + settings_.second_read_after, each);
+    auto read = std::make_shared<state_read>();
+    read->operation = std::move(operation);
+    read->on_reply = std::move(on_reply);
+    send_read(read);
+    pending_resends_.emplace_back(now + settings_.read_resend_after, read);
 }
 
-void owner::send_read(std::shared_ptr<state_read> const& each)
+void owner::send_read(std::shared_ptr<state_read> const& read)
 {
-    ++each->open;
+    ++read->pending_calls;
     out_.store(life_,
-               each->what,
+               read->operation,
                settings_.page_timeout,
-               [this, each](common::time_point now, kv_reply const& reply)
+               [this, read](common::time_point now, kv_reply const& reply)
                {
-                   --each->open;
-                   on_read(now, each, reply);
+                   --read->pending_calls;
+                   on_read(now, read, reply);
                });
 }
 
 void owner::on_read(common::time_point now,
-                    std::shared_ptr<state_read> const& each,
+                    std::shared_ptr<state_read> const& read,
                     kv_reply const& reply)
 {
-    if (each->over)
+    if (read->answered)
     {
         return;
     }
     if (reply.status == kv_status::done || reply.status == kv_status::missing)
     {
-        each->over = true;
-        each->take(now, reply);
+        read->answered = true;
+        read->on_reply(now, reply);
         return;
     }
-    if (each->open == 0)
+    if (read->pending_calls == 0)
     {
         retry_later(now,
-                    [this, each](common::time_point)
+                    [this, read](common::time_point)
                     {
-                        send_read(each);
+                        send_read(read);
                     });
     }
 }
 
 void owner::resend_reads(common::time_point now)
 {
-    while (!second_reads_.empty() && second_reads_.front().first <= now)
+    while (!pending_resends_.empty() && pending_resends_.front().first <= now)
     {
-        auto const each = std::move(second_reads_.front().second);
-        second_reads_.pop_front();
-        if (!each->over && each->open > 0)
+        auto const read = std::move(pending_resends_.front().second);
+        pending_resends_.pop_front();
+        if (!read->answered && read->pending_calls > 0)
         {
-            send_read(each);
+            send_read(read);
         }
     }
 }
@@ -82,22 +82,24 @@
 void owner::load_pages(common::time_point now,
                        std::string_view prefix,
                        std::string const& after,
-                       page_taker const& take,
-                       load_end const& done)
+                       page_handler const& on_page,
+                       load_completion const& on_loaded)
 {
     read_state(
         now,
         ports::kv_range{std::string(prefix), after},
-        [this, prefix, take, done](common::time_point at, kv_reply const& reply)
+        [this, prefix, on_page, on_loaded](common::time_point at,
+                                           kv_reply const& reply)
         {
             load_advanced_at_ = at;
-            take(at, reply);
+            on_page(at, reply);
             if (reply.more && !reply.items.empty())
             {
-                load_pages(at, prefix, reply.items.back().key, take, done);
+                load_pages(
+                    at, prefix, reply.items.back().key, on_page, on_loaded);
                 return;
             }
-            done(at);
+            on_loaded(at);
         });
 }
 
@@ -112,43 +114,43 @@
         {
             // Pages are no snapshot: events since the first one are taken
             // again.
-            page_revision_ =
-                job_items_.empty() ? reply.revision : page_revision_;
+            first_page_revision_ =
+                job_items_.empty() ? reply.revision : first_page_revision_;
             job_items_.insert(
                 job_items_.end(), reply.items.begin(), reply.items.end());
         },
         [this](common::time_point at)
         {
-            jobs_loaded(at);
+            on_jobs_loaded(at);
         });
 }
 
-void owner::jobs_loaded(common::time_point now)
+void owner::on_jobs_loaded(common::time_point now)
 {
     // After a compaction jobs are already known here; what is gone meanwhile
     // was ended by ourselves.
     if (loaded_)
     {
-        if (take_pages(now))
+        if (apply_job_pages(now))
         {
             watch(now);
         }
         return;
     }
-    parts_loaded(now);
+    on_part_loaded(now);
 }
 
 // What is newer than the first page comes with the watch, in its sequence: on a
 // later page stands a job that was accepted after the claim was lost, and no
 // page tells of that. False where the claim is gone.
-bool owner::take_pages(common::time_point now)
+bool owner::apply_job_pages(common::time_point now)
 {
     auto const items = std::exchange(job_items_, {});
     bool const claimed = std::any_of(items.begin(),
                                      items.end(),
-                                     [](ports::kv_item const& each)
+                                     [](ports::kv_item const& item)
                                      {
-                                         return each.key == keys::claim;
+                                         return item.key == keys::claim;
                                      });
     if (!claimed)
     {
@@ -156,14 +158,14 @@
     }
     for (auto const& item : items)
     {
-        if (claim_.held() && item.revision <= page_revision_)
+        if (claim_.held() && item.revision <= first_page_revision_)
         {
             apply_item(now, item);
         }
     }
     // Jobs of the last page count as heard no sooner than they were taken.
-    watched_revision_ = page_revision_;
-    synced_revision_ = page_revision_;
+    watched_revision_ = first_page_revision_;
+    synced_revision_ = first_page_revision_;
     synced_until_ = pages_requested_at_;
     return claim_.held();
 }
@@ -181,7 +183,7 @@
         },
         [this](common::time_point at)
         {
-            parts_loaded(at);
+            on_part_loaded(at);
         });
 }
 
@@ -201,23 +203,23 @@
         },
         [this](common::time_point at)
         {
-            parts_loaded(at);
+            on_part_loaded(at);
         });
 }
 
 void owner::load_key(common::time_point now,
                      std::string_view key,
-                     value_taker const& take)
+                     value_handler const& on_value)
 {
     read_state(now,
                ports::kv_read{std::string(key)},
-               [this, take](common::time_point at, kv_reply const& reply)
+               [this, on_value](common::time_point at, kv_reply const& reply)
                {
                    for (auto const& item : reply.items)
                    {
-                       take(item.value);
+                       on_value(item.value);
                    }
-                   parts_loaded(at);
+                   on_part_loaded(at);
                });
 }
 
@@ -228,10 +230,10 @@
              [this](std::string const& text)
              {
                  common::failure reason;
-                 for (auto const& each : parse_roster(text, reason))
+                 for (auto const& w : parse_roster(text, reason))
                  {
-                     roster_.insert(each.id);
-                     fleet_.add_rostered(each);
+                     roster_.insert(w.id);
+                     fleet_.add_rostered(w);
                  }
                  if (reason.code != common::result_code::ok)
                  {
@@ -245,28 +247,29 @@
 // Without it the owner learns anew.
 void owner::load_estimates(common::time_point now)
 {
-    load_key(now,
-             keys::interference_estimates,
-             [this](std::string const& text)
-             {
-                 common::failure reason;
-                 auto const known = parse_interference_estimates(text, reason);
-                 if (!known)
-                 {
-                     out_.log(severity::warning,
-                              "learned_unreadable",
-                              {{"why", common::to_string(reason)}});
-                     return;
-                 }
-                 colocation_.restore(*known);
-                 out_.log(severity::info,
-                          "learned_recalled",
-                          {{"images", std::to_string(known->headrooms.size())},
-                           {"pairs", std::to_string(known->pairs.size())}});
-             });
+    load_key(
+        now,
+        keys::interference_estimates,
+        [this](std::string const& text)
+        {
+            common::failure reason;
+            auto const estimates = parse_interference_estimates(text, reason);
+            if (!estimates)
+            {
+                out_.log(severity::warning,
+                         "learned_unreadable",
+                         {{"why", common::to_string(reason)}});
+                return;
+            }
+            colocation_.restore(*estimates);
+            out_.log(severity::info,
+                     "learned_recalled",
+                     {{"images", std::to_string(estimates->headrooms.size())},
+                      {"pairs", std::to_string(estimates->pairs.size())}});
+        });
 }
 
-void owner::parts_loaded(common::time_point now)
+void owner::on_part_loaded(common::time_point now)
 {
     if (--loading_parts_ > 0)
     {
@@ -274,16 +277,16 @@
     }
     loaded_ = true;
     watch_answered_at_ = now;
-    if (!take_pages(now))
+    if (!apply_job_pages(now))
     {
         return;
     }
     for (auto const& item : std::exchange(progress_items_, {}))
     {
         common::failure reason;
-        auto const known = parse_progress(item.value, reason);
-        auto* const run = known ? find_job(known->job) : nullptr;
-        if (!known)
+        auto const record = parse_progress(item.value, reason);
+        auto* const run = record ? find_job(record->job) : nullptr;
+        if (!record)
         {
             out_.log(severity::error,
                      "progress_unreadable",
@@ -291,7 +294,7 @@
         }
         if (run != nullptr)
         {
-            apply(*known, *run);
+            apply(*record, *run);
         }
     }
     for (auto& [id, run] : jobs_)
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -17,9 +17,9 @@
 
 constexpr common::duration load_interval = std::chrono::seconds(1);
 constexpr common::duration backlog_interval = std::chrono::milliseconds(700);
-constexpr common::duration learned_interval = std::chrono::seconds(3);
-constexpr std::size_t finals_at_once = 8;
-constexpr std::size_t cancels_at_once = 8;
+constexpr common::duration estimates_interval = std::chrono::seconds(3);
+constexpr std::size_t max_finals_per_commit = 8;
+constexpr std::size_t max_cancels_per_commit = 8;
 
 } // namespace
 
@@ -48,12 +48,12 @@
 
 void owner::write_backlog(common::time_point now)
 {
-    if (now < next_backlog_ || backlog_writing_)
+    if (now < next_backlog_write_ || backlog_write_pending_)
     {
         return;
     }
-    next_backlog_ = now + backlog_interval;
-    backlog_writing_ = true;
+    next_backlog_write_ = now + backlog_interval;
+    backlog_write_pending_ = true;
     ledger_.write_latest(
         write_rank::result,
         std::string(keys::backlog),
@@ -63,7 +63,7 @@
         },
         [this, now](common::time_point at)
         {
-            backlog_writing_ = false;
+            backlog_write_pending_ = false;
             backlog_revision_ = ledger_.revision();
             backlog_current_at_ = at;
             log_backlog(at - now);
@@ -73,12 +73,12 @@
 // Some seconds old it still tells a successor nearly all.
 void owner::write_estimates(common::time_point now)
 {
-    if (now < next_learned_ || learned_writing_)
+    if (now < next_estimates_write_ || estimates_write_pending_)
     {
         return;
     }
-    next_learned_ = now + learned_interval;
-    learned_writing_ = true;
+    next_estimates_write_ = now + estimates_interval;
+    estimates_write_pending_ = true;
     ledger_.write_latest(
         write_rank::record,
         std::string(keys::interference_estimates),
@@ -88,11 +88,11 @@
         },
         [this](common::time_point)
         {
-            learned_writing_ = false;
+            estimates_write_pending_ = false;
         });
 }
 
-void owner::log_backlog(common::duration took)
+void owner::log_backlog(common::duration elapsed)
 {
     std::uint64_t jobs = 0;
     for (auto const& [queue, count] : pending())
@@ -102,7 +102,7 @@
     out_.log(severity::info,
              "backlog_recorded",
              {{"jobs", std::to_string(jobs)},
-              {"took_ms", std::to_string(common::to_milliseconds(took))}});
+              {"took_ms", std::to_string(common::to_milliseconds(elapsed))}});
 }
 
 // As many as are due: what is dropped more slowly than jobs end piles up.
@@ -111,17 +111,18 @@
     while (!final_times_.empty() &&
            now - final_times_.front().first >= settings_.final_state_retention)
     {
-        ledger::entry out;
-        while (!final_times_.empty() && out.erases.size() < finals_at_once &&
+        ledger::entry entry;
+        while (!final_times_.empty() &&
+               entry.erases.size() < max_finals_per_commit &&
                now - final_times_.front().first >=
                    settings_.final_state_retention)
         {
             auto const& id = final_times_.front().second;
-            out.erases.push_back(keys::final_state(id));
+            entry.erases.push_back(keys::final_state(id));
             final_states_.erase(id);
             final_times_.pop_front();
         }
-        ledger_.write(write_rank::record, std::move(out));
+        ledger_.write(write_rank::record, std::move(entry));
     }
 }
 
@@ -130,36 +131,35 @@
 // same queue: a successor that found the job without it would run it again.
 void owner::drop_unmatched_cancels(common::time_point now)
 {
-    ledger::entry out;
-    for (auto each = unmatched_cancels_.begin();
-         each != unmatched_cancels_.end();)
+    ledger::entry entry;
+    for (auto it = unmatched_cancels_.begin(); it != unmatched_cancels_.end();)
     {
-        if (now - each->second < settings_.cancel_retention)
+        if (now - it->second < settings_.cancel_retention)
         {
-            ++each;
+            ++it;
             continue;
         }
-        out.erases.push_back(each->first);
-        each = unmatched_cancels_.erase(each);
-        if (out.erases.size() == cancels_at_once)
+        entry.erases.push_back(it->first);
+        it = unmatched_cancels_.erase(it);
+        if (entry.erases.size() == max_cancels_per_commit)
         {
-            ledger_.write(write_rank::result, std::exchange(out, {}));
+            ledger_.write(write_rank::result, std::exchange(entry, {}));
         }
     }
-    if (!out.erases.empty())
+    if (!entry.erases.empty())
     {
-        ledger_.write(write_rank::result, std::move(out));
+        ledger_.write(write_rank::result, std::move(entry));
     }
 }
 
 // One line that says what binds: who waits, what is in use, what stands still.
 void owner::log_load(common::time_point now)
 {
-    if (now < next_load_line_)
+    if (now < next_load_log_)
     {
         return;
     }
-    next_load_line_ = now + load_interval;
+    next_load_log_ = now + load_interval;
     std::size_t waiting = 0;
     for (auto const& key : ready_)
     {
@@ -173,25 +173,25 @@
     std::int64_t capacity = 0;
     std::int64_t reserved = 0;
     std::int64_t serving = 0;
-    std::int64_t fills = 0;
+    std::int64_t best_effort = 0;
     std::int64_t idle = 0;
     double slowed = 0;
-    for (auto& [id, each] : fleet_.all())
+    for (auto& [id, w] : fleet_.all())
     {
-        capacity += each.info.capacity.millicores;
-        reserved += each.reserved.millicores;
-        serving += each.serving_cores;
-        fills += each.best_effort_cores;
-        for (auto const& fill : view_of(each).best_effort)
+        capacity += w.info.capacity.millicores;
+        reserved += w.reserved.millicores;
+        serving += w.serving_cores;
+        best_effort += w.best_effort_cores;
+        for (auto const& fill : view_of(w).best_effort)
         {
             slowed += 1 - fill.speed_limit / 100.0;
         }
-        idle += std::max<std::int64_t>(each.idle_cores(), 0);
+        idle += std::max<std::int64_t>(w.idle_cores(), 0);
     }
-    std::int64_t kept = 0;
-    for (auto const& [service, room] : short_job_reserves_)
+    std::int64_t reserve = 0;
+    for (auto const& [service, service_reserve] : short_job_reserves_)
     {
-        kept += room.expected();
+        reserve += service_reserve.expected();
     }
     auto const cores = [](std::int64_t millicores)
     {
@@ -206,9 +206,9 @@
          {"cores", cores(capacity)},
          {"reserved", cores(reserved)},
          {"serving", cores(serving)},
-         {"fills", cores(fills)},
+         {"fills", cores(best_effort)},
          {"idle", cores(idle)},
-         {"kept", cores(kept)},
+         {"kept", cores(reserve)},
          {"fills_slowed", std::to_string(std::lround(slowed))},
          {"commits_waiting", std::to_string(ledger_.waiting())},
          {"commit_lag_ms",
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -18,31 +18,32 @@
 // What still runs after this was never told to stop.
 constexpr common::duration stop_again_after = std::chrono::seconds(1);
 
-bool before(ports::task_name const* one, ports::task_name const* other)
+bool less_by_name(ports::task_name const* lhs, ports::task_name const* rhs)
 {
-    return *one < *other;
+    return *lhs < *rhs;
 }
 
 // Workers name tasks in an order of their own, mostly the same as ours.
 void sort_names(std::vector<ports::task_name const*>& names)
 {
-    if (!std::is_sorted(names.begin(), names.end(), before))
+    if (!std::is_sorted(names.begin(), names.end(), less_by_name))
     {
-        std::sort(names.begin(), names.end(), before);
+        std::sort(names.begin(), names.end(), less_by_name);
     }
 }
 
 bool contains(std::vector<ports::task_name const*> const& sorted,
               ports::task_name const& name)
 {
-    return std::binary_search(sorted.begin(), sorted.end(), &name, before);
+    return std::binary_search(
+        sorted.begin(), sorted.end(), &name, less_by_name);
 }
 
-std::string_view name_of(end_kind how)
+std::string_view name_of(end_kind kind)
 {
     constexpr std::array<std::string_view, 6> names{
         "done", "failed", "stopped", "lapsed", "broken", "alone"};
-    return names[static_cast<std::size_t>(how)];
+    return names[static_cast<std::size_t>(kind)];
 }
 
 /// What went wrong with earlier attempts of a task; of a gang, of any member.
@@ -56,78 +57,79 @@
 {
     auto const& tasks = run.occurrences[name.occurrence].steps[name.step].tasks;
     bool const gang = run.step_of(name).gang;
-    earlier_failures made;
+    earlier_failures result;
     for (std::uint32_t index = 0; index < tasks.size(); ++index)
     {
         if (!gang && index != name.index)
         {
             continue;
         }
-        auto const& each = tasks[index];
-        made.failed =
-            made.failed || !each.failures.empty() || !each.failed_on.empty();
-        for (auto const& worker : each.failed_on)
+        auto const& t = tasks[index];
+        result.failed =
+            result.failed || !t.failures.empty() || !t.failed_on.empty();
+        for (auto const& worker : t.failed_on)
         {
-            made.workers += made.workers.empty() ? "" : ",";
-            made.workers += worker;
+            result.workers += result.workers.empty() ? "" : ",";
+            result.workers += worker;
         }
     }
-    return made;
+    return result;
 }
 
 } // namespace
 
 void owner::apply_rows(common::time_point now,
                        common::time_point sent,
-                       worker& of,
+                       worker& target,
                        order_reply const& reply,
                        bool first)
 {
-    reported_names here;
-    here.reserve(reply.running.size() + reply.ended.size());
+    reported_names reported;
+    reported.reserve(reply.running.size() + reply.ended.size());
     for (auto const& row : reply.running)
     {
-        here.push_back(&row.attempt_id.task);
-        take_running(now, of, row);
+        reported.push_back(&row.attempt_id.task);
+        apply_running(now, target, row);
     }
     // Whatever their order: an end that was passed over is acknowledged with a
     // later one, and is lost.
-    auto const known = of.highest_end;
+    auto const previous_highest = target.highest_end;
     for (auto const& row : reply.ended)
     {
-        here.push_back(&row.attempt_id.task);
-        if (row.sequence > known)
+        reported.push_back(&row.attempt_id.task);
+        if (row.sequence > previous_highest)
         {
-            of.highest_end = std::max(of.highest_end, row.sequence);
-            take_end(now, of, row);
+            target.highest_end = std::max(target.highest_end, row.sequence);
+            apply_end(now, target, row);
             if (first)
             {
-                take_inherited_failure(now, row);
+                count_inherited_failure(now, row);
             }
         }
     }
-    sort_names(here);
-    if (is_inconsistent(of, here))
+    sort_names(reported);
+    if (is_inconsistent(target, reported))
     {
-        check_missing(now, sent, of, here);
+        check_missing(now, sent, target, reported);
     }
 }
 
 // Whether the worker does not name a task that is placed there, or one of which
 // it is unclear whether it began. Hardly ever.
-bool owner::is_inconsistent(worker const& of, reported_names const& told)
+bool owner::is_inconsistent(worker const& target,
+                            reported_names const& reported)
 {
-    auto here = told.begin();
-    for (auto const& name : of.runs)
+    auto it = reported.begin();
+    for (auto const& name : target.runs)
     {
-        while (here != told.end() && **here < name)
+        while (it != reported.end() && **it < name)
         {
-            ++here;
+            ++it;
         }
-        auto const* const each = find_task(name).each;
-        bool const plain = here != told.end() && **here == name &&
-                           each != nullptr && !each->start_unanswered;
-        if (!plain)
+        auto const* const t = find_task(name).state;
+        bool const consistent = it != reported.end() && **it == name &&
+                                t != nullptr && !t->start_unanswered;
+        if (!consistent)
         {
             return true;
         }
@@ -139,189 +141,188 @@
 // without a trace.
 void owner::check_missing(common::time_point now,
                           common::time_point sent,
-                          worker& of,
-                          reported_names const& told)
+                          worker& target,
+                          reported_names const& reported)
 {
-    auto const believed = of.runs;
-    for (auto const& name : believed)
+    auto const runs = target.runs;
+    for (auto const& name : runs)
     {
-        auto const [run, each] = find_task(name);
-        bool const untold = each != nullptr && each->start_unanswered &&
-                            each->phase == task_phase::stopping &&
-                            now - each->progressed_at > stop_again_after;
-        if (untold)
+        auto const [run, t] = find_task(name);
+        bool const stop_unconfirmed = t != nullptr && t->start_unanswered &&
+                                      t->phase == task_phase::stopping &&
+                                      now - t->progressed_at > stop_again_after;
+        if (stop_unconfirmed)
         {
-            each->progressed_at = now;
-            order_stop(now, of.info.id, {name, each->attempt});
+            t->progressed_at = now;
+            order_stop(now, target.info.id, {name, t->attempt});
         }
-        if (contains(told, name) || each == nullptr ||
-            each->phase == task_phase::starting || each->start_unanswered ||
-            each->started >= sent)
+        if (contains(reported, name) || t == nullptr ||
+            t->phase == task_phase::starting || t->start_unanswered ||
+            t->started >= sent)
         {
             continue;
         }
         ++counters_.tasks_lost;
         log_task(severity::warning,
                  "task_missing",
-                 {name, each->attempt},
-                 of.info.id);
-        each->phase = task_phase::blocked;
+                 {name, t->attempt},
+                 target.info.id);
+        t->phase = task_phase::blocked;
         task_over(now, *run, name);
     }
 }
 
-void owner::take_running(common::time_point now,
-                         worker& of,
-                         ports::running_attempt const& row)
+void owner::apply_running(common::time_point now,
+                          worker& target,
+                          ports::running_attempt const& row)
 {
-    auto const [run, each] = find_task(row.attempt_id.task);
-    if (each == nullptr)
+    auto const [run, t] = find_task(row.attempt_id.task);
+    if (t == nullptr)
     {
-        order_stop(now, of.info.id, row.attempt_id);
+        order_stop(now, target.info.id, row.attempt_id);
         return;
     }
-    if (may_belong_to_earlier_owner(*run, *each))
+    if (may_belong_to_earlier_owner(*run, *t))
     {
-        adopt_run(now, of, *run, row.attempt_id);
+        adopt_run(now, target, *run, row.attempt_id);
     }
-    bool const ours = each->placed() && each->worker == of.info.id &&
-                      each->attempt == row.attempt_id.attempt;
-    if (!ours)
+    bool const is_current = t->placed() && t->worker == target.info.id &&
+                            t->attempt == row.attempt_id.attempt;
+    if (!is_current)
     {
         // A start that was given up, carried out late.
-        order_stop(now, of.info.id, row.attempt_id);
+        order_stop(now, target.info.id, row.attempt_id);
         return;
     }
-    note_progress(now, of, *run, row);
-    bool const overdue = each->phase == task_phase::stopping &&
-                         now - each->started > stop_again_after;
+    update_progress(now, target, *run, row);
+    bool const overdue =
+        t->phase == task_phase::stopping && now - t->started > stop_again_after;
     if (overdue)
     {
-        order_stop(now, of.info.id, row.attempt_id);
+        order_stop(now, target.info.id, row.attempt_id);
     }
-    stop_if_stuck(now, of, *run, row.attempt_id);
+    stop_if_stuck(now, target, *run, row.attempt_id);
 }
 
 // A run that an earlier owner began.
 void owner::adopt_run(common::time_point now,
-                      worker& of,
+                      worker& target,
                       job_run& run,
-                      ports::pool_attempt const& what)
+                      ports::pool_attempt const& attempt_id)
 {
-    auto& each = run.at(what.task);
-    each.phase = task_phase::running;
-    each.attempt = what.attempt;
-    each.started = now;
-    each.progressed_at = now;
+    auto& t = run.at(attempt_id.task);
+    t.phase = task_phase::running;
+    t.attempt = attempt_id.attempt;
+    t.started = now;
+    t.progressed_at = now;
     run.started = true;
-    place(run, what.task, of);
+    place(run, attempt_id.task, target);
     if (run.phase != job_phase::active)
     {
-        each.phase = task_phase::stopping;
-        order_stop(now, of.info.id, what);
+        t.phase = task_phase::stopping;
+        order_stop(now, target.info.id, attempt_id);
     }
 }
 
-void owner::note_progress(common::time_point now,
-                          worker& of,
-                          job_run& run,
-                          ports::running_attempt const& row)
+void owner::update_progress(common::time_point now,
+                            worker& target,
+                            job_run& run,
+                            ports::running_attempt const& row)
 {
-    auto& each = run.at(row.attempt_id.task);
-    if (each.phase == task_phase::starting)
+    auto& t = run.at(row.attempt_id.task);
+    if (t.phase == task_phase::starting)
     {
         run.started = true;
-        each.phase = task_phase::running;
-        each.started = now;
-        each.progressed_at = now;
+        t.phase = task_phase::running;
+        t.started = now;
+        t.progressed_at = now;
     }
-    if (row.progress_percent != each.percent || each.speed_limit < 100)
+    if (row.progress_percent != t.percent || t.speed_limit < 100)
     {
-        each.progressed_at = now;
+        t.progressed_at = now;
     }
     // A task at full speed shows how fast its worker is.
-    auto const& what = run.step_of(row.attempt_id.task);
-    bool const steady = each.speed_limit == 100 &&
-                        each.reported_at > each.started &&
-                        row.progress_percent > each.percent;
-    if (steady && !what.long_running)
+    auto const& spec = run.step_of(row.attempt_id.task);
+    bool const full_speed = t.speed_limit == 100 && t.reported_at > t.started &&
+                            row.progress_percent > t.percent;
+    if (full_speed && !spec.long_running)
     {
-        of.speed.observe(now,
-                         row.progress_percent - each.percent,
-                         what.estimate,
-                         now - each.reported_at);
+        target.speed.observe(now,
+                             row.progress_percent - t.percent,
+                             spec.estimate,
+                             now - t.reported_at);
     }
-    each.reported_at = now;
-    each.start_unanswered = false;
-    each.percent = row.progress_percent;
-    each.level = row.measurement;
+    t.reported_at = now;
+    t.start_unanswered = false;
+    t.percent = row.progress_percent;
+    t.level = row.measurement;
     if (!row.checkpoint.empty())
     {
-        each.checkpoint = row.checkpoint;
+        t.checkpoint = row.checkpoint;
     }
 }
 
 // Some workers look healthy and let all their tasks stand still.
 void owner::stop_if_stuck(common::time_point now,
-                          worker& of,
+                          worker& target,
                           job_run& run,
-                          ports::pool_attempt const& what)
+                          ports::pool_attempt const& attempt_id)
 {
-    auto& each = run.at(what.task);
-    bool const stuck = each.phase == task_phase::running &&
-                       !run.step_of(what.task).long_running &&
-                       now - each.progressed_at > settings_.stuck_after;
+    auto& t = run.at(attempt_id.task);
+    bool const stuck = t.phase == task_phase::running &&
+                       !run.step_of(attempt_id.task).long_running &&
+                       now - t.progressed_at > settings_.stuck_after;
     if (!stuck)
     {
         return;
     }
     log_task(severity::warning,
              "task_stuck",
-             what,
-             of.info.id,
-             {{"percent", std::to_string(each.percent)}});
-    each.phase = task_phase::stopping;
-    each.failed_on.push_back(of.info.id);
-    note_worker_failure(now, of, what.task.job);
-    order_stop(now, of.info.id, what);
+             attempt_id,
+             target.info.id,
+             {{"percent", std::to_string(t.percent)}});
+    t.phase = task_phase::stopping;
+    t.failed_on.push_back(target.info.id);
+    note_worker_failure(now, target, attempt_id.task.job);
+    order_stop(now, target.info.id, attempt_id);
 }
 
-void owner::take_end(common::time_point now,
-                     worker& of,
-                     ports::ended_attempt const& row)
+void owner::apply_end(common::time_point now,
+                      worker& target,
+                      ports::ended_attempt const& row)
 {
     auto const& name = row.attempt_id.task;
-    auto const [run, each] = find_task(name);
-    if (each == nullptr || each->phase == task_phase::done)
+    auto const [run, t] = find_task(name);
+    if (t == nullptr || t->phase == task_phase::done)
     {
         return;
     }
-    bool const current = each->placed() && each->worker == of.info.id &&
-                         each->attempt == row.attempt_id.attempt;
-    bool const unsure = may_belong_to_earlier_owner(*run, *each);
+    bool const current = t->placed() && t->worker == target.info.id &&
+                         t->attempt == row.attempt_id.attempt;
+    bool const inherited = may_belong_to_earlier_owner(*run, *t);
     // The end of a run that was taken for lost: no other was started since.
-    bool const late = each->phase == task_phase::ready &&
-                      each->worker == of.info.id &&
-                      each->attempt == row.attempt_id.attempt;
-    if (!row.checkpoint.empty() && (current || unsure || late))
+    bool const late = t->phase == task_phase::ready &&
+                      t->worker == target.info.id &&
+                      t->attempt == row.attempt_id.attempt;
+    if (!row.checkpoint.empty() && (current || inherited || late))
     {
-        each->checkpoint = row.checkpoint;
+        t->checkpoint = row.checkpoint;
     }
-    if (unsure)
+    if (inherited)
     {
         // Another worker may still run a later attempt of it.
-        each->attempt = std::max(each->attempt, row.attempt_id.attempt);
+        t->attempt = std::max(t->attempt, row.attempt_id.attempt);
         run->started = true;
     }
-    if (row.kind == end_kind::done && (current || unsure || late))
+    if (row.kind == end_kind::done && (current || inherited || late))
     {
-        of.failed_jobs.clear();
+        target.failed_jobs.clear();
         task_done(now, *run, name);
         return;
     }
-    if (row.kind == end_kind::failed && (current || unsure))
+    if (row.kind == end_kind::failed && (current || inherited))
     {
-        take_failure(now, of, *run, row.attempt_id, current);
+        apply_failure(now, target, *run, row.attempt_id, current);
         return;
     }
     if (!current)
@@ -334,7 +335,7 @@
         log_task(severity::warning,
                  "task_ended",
                  {name, row.attempt_id.attempt},
-                 of.info.id,
+                 target.info.id,
                  {{"how", std::string(name_of(row.kind))}});
     }
     task_over(now, *run, name);
@@ -343,52 +344,52 @@
 // One failed run changes little and many jobs have one. From the second on they
 // lead to the end of the job.
 void owner::log_failure(common::time_point now,
-                        worker const& of,
+                        worker const& target,
                         job_run const& run,
-                        ports::pool_attempt const& what)
+                        ports::pool_attempt const& attempt_id)
 {
-    digest_.task_failed(now, of.info.id);
-    auto const before = failed_before(run, what.task);
-    if (before.failed || run.rules.attempts <= 1)
+    digest_.task_failed(now, target.info.id);
+    auto const earlier = failed_before(run, attempt_id.task);
+    if (earlier.failed || run.rules.attempts <= 1)
     {
         log_task(severity::info,
                  "task_failed",
-                 what,
-                 of.info.id,
-                 {{"failed_before_on", before.workers}});
+                 attempt_id,
+                 target.info.id,
+                 {{"failed_before_on", earlier.workers}});
     }
 }
 
 // A failure that was counted already is told again by a worker that did not
 // hear of it.
-void owner::take_failure(common::time_point now,
-                         worker& of,
-                         job_run& run,
-                         ports::pool_attempt const& what,
-                         bool current)
+void owner::apply_failure(common::time_point now,
+                          worker& target,
+                          job_run& run,
+                          ports::pool_attempt const& attempt_id,
+                          bool current)
 {
-    auto& each = run.at(what.task);
-    auto const& failures = each.failures;
-    bool const counted =
-        std::find(failures.begin(), failures.end(), what.attempt) !=
+    auto& t = run.at(attempt_id.task);
+    auto const& failures = t.failures;
+    bool const already_counted =
+        std::find(failures.begin(), failures.end(), attempt_id.attempt) !=
         failures.end();
-    if (counted && current)
+    if (already_counted && current)
     {
-        task_over(now, run, what.task);
+        task_over(now, run, attempt_id.task);
     }
-    if (counted)
+    if (already_counted)
     {
         return;
     }
-    log_failure(now, of, run, what);
-    each.worker = of.info.id;
-    note_worker_failure(now, of, what.task.job);
+    log_failure(now, target, run, attempt_id);
+    t.worker = target.info.id;
+    note_worker_failure(now, target, attempt_id.task.job);
     if (current)
     {
-        task_failed(now, run, what.task);
+        task_failed(now, run, attempt_id.task);
         return;
     }
-    count_failure(run, what.task, what.attempt);
+    count_failure(run, attempt_id.task, attempt_id.attempt);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -27,7 +27,7 @@
     common::duration page_timeout = std::chrono::seconds(5);
     /// Before a read of the state without an answer is sent once more. Nothing
     /// is heard, or renewed, while one that got lost is waited for.
-    common::duration second_read_after = std::chrono::seconds(1);
+    common::duration read_resend_after = std::chrono::seconds(1);
     /// An owner that gets no part of the state for this long gives up.
     common::duration load_timeout = std::chrono::seconds(6);
     /// An owner whose watches for jobs bring nothing for this long while the
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -13,59 +13,59 @@
 {
 
 /// Unreached workers that the line of a takeover names.
-constexpr std::size_t most_missing_named = 8;
+constexpr std::size_t max_missing_named = 8;
 
 } // namespace
 
 // Nothing of an earlier incarnation runs any more.
-void owner::new_incarnation(common::time_point now,
-                            worker& of,
-                            std::uint64_t born)
+void owner::adopt_incarnation(common::time_point now,
+                              worker& target,
+                              std::uint64_t incarnation)
 {
-    bool const known = of.adopted;
-    of.adopted = true;
-    of.incarnation = born;
-    of.durable_end = 0;
-    of.highest_end = 0;
-    of.ends_being_written = 0;
-    of.lease_until_ms = 0;
-    of.failed_jobs.clear();
-    if (known)
+    bool const previously_adopted = target.adopted;
+    target.adopted = true;
+    target.incarnation = incarnation;
+    target.durable_end = 0;
+    target.highest_end = 0;
+    target.ends_being_written = 0;
+    target.lease_until_ms = 0;
+    target.failed_jobs.clear();
+    if (previously_adopted)
     {
-        of.restarted_at = now;
+        target.restarted_at = now;
         out_.log(severity::info,
                  "worker_restarted",
-                 {{"worker", of.info.id}, {"born", std::to_string(born)}});
-        forget_runs(now, of, "worker restarted");
+                 {{"worker", target.info.id},
+                  {"born", std::to_string(incarnation)}});
+        mark_runs_lost(now, target, "worker restarted");
         return;
     }
-    digest_.worker_adopted(now, of.info.id);
+    digest_.worker_adopted(now, target.info.id);
 }
 
 // An earlier owner may have started it and seen it end: of a step, too, that is
 // not known to be open yet, since workers tell of its predecessors in any
 // order.
-bool owner::may_belong_to_earlier_owner(job_run const& run,
-                                        task const& each) const
+bool owner::may_belong_to_earlier_owner(job_run const& run, task const& t) const
 {
-    bool const blocked = each.phase == task_phase::blocked &&
+    bool const blocked = t.phase == task_phase::blocked &&
                          !takeover_complete_ && run.revision < claim_.epoch();
-    return each.phase == task_phase::unresolved || blocked;
+    return t.phase == task_phase::unresolved || blocked;
 }
 
 // An end that an earlier owner saw, or nobody: its worker tells it to whoever
 // adopts the worker. The task may run again elsewhere by now; its failure still
 // counts.
-void owner::take_inherited_failure(common::time_point now,
-                                   ports::ended_attempt const& row)
+void owner::count_inherited_failure(common::time_point now,
+                                    ports::ended_attempt const& row)
 {
     auto const& name = row.attempt_id.task;
-    auto const [run, each] = find_task(name);
-    if (each == nullptr || row.kind != end_kind::failed ||
-        each->phase == task_phase::done ||
-        std::find(each->failures.begin(),
-                  each->failures.end(),
-                  row.attempt_id.attempt) != each->failures.end())
+    auto const [run, t] = find_task(name);
+    if (t == nullptr || row.kind != end_kind::failed ||
+        t->phase == task_phase::done ||
+        std::find(t->failures.begin(),
+                  t->failures.end(),
+                  row.attempt_id.attempt) != t->failures.end())
     {
         return;
     }
@@ -85,9 +85,9 @@
     {
         for (auto const& steps : occurrence.steps)
         {
-            for (auto const& each : steps.tasks)
+            for (auto const& t : steps.tasks)
             {
-                failures = std::max(failures, each.failures.size());
+                failures = std::max(failures, t.failures.size());
             }
         }
     }
@@ -108,14 +108,14 @@
         return;
     }
     std::vector<std::string> missing;
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
-        if (each.rostered && !each.adopted)
+        if (w.rostered && !w.adopted)
         {
             missing.push_back(id);
         }
     }
-    if (!missing.empty() && !waited_for_silence(now))
+    if (!missing.empty() && !earlier_leases_ended(now))
     {
         return;
     }
@@ -127,7 +127,7 @@
         "takeover_settled",
         {{"epoch", std::to_string(claim_.epoch())},
          {"unreached", std::to_string(missing.size())},
-         {"missing", joined(missing, most_missing_named)},
+         {"missing", joined(missing, max_missing_named)},
          {"after_ms",
           std::to_string(common::to_milliseconds(now - claim_.held_since()))}});
     std::vector<std::string> ids;
@@ -169,20 +169,21 @@
 // Whether the last owner's leases are over on every worker, heard or not. From
 // the moment that half of the workers know the new fence it can have renewed
 // leases for one window, and those last for one lease.
-bool owner::waited_for_silence(common::time_point now)
+bool owner::earlier_leases_ended(common::time_point now)
 {
     auto const& limits = fleet_.settings();
-    if (majority_since_ == common::time_point{} && fleet_.quorum({}))
+    if (quorum_since_ == common::time_point{} && fleet_.quorum({}))
     {
-        majority_since_ = now;
+        quorum_since_ = now;
     }
     auto const lease = std::chrono::duration_cast<common::duration>(
         limits.lease * (1 + limits.clock_drift));
-    bool const silenced = majority_since_ != common::time_point{} &&
-                          now - majority_since_ >
-                              limits.quorum_window + lease + limits.lapse_slack;
-    return silenced || now - claim_.held_since() >
-                           limits.quorum_limit + lease + limits.lapse_slack;
+    bool const quorum_wait_over =
+        quorum_since_ != common::time_point{} &&
+        now - quorum_since_ > limits.quorum_window + lease + limits.lapse_slack;
+    return quorum_wait_over ||
+           now - claim_.held_since() >
+               limits.quorum_limit + lease + limits.lapse_slack;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -13,15 +13,16 @@
 
 void owner::log_task(severity level,
                      char const* event,
-                     ports::pool_attempt const& what,
-                     std::string const& on,
-                     std::vector<ports::header> more)
+                     ports::pool_attempt const& attempt_id,
+                     std::string const& worker_id,
+                     std::vector<ports::header> extra_fields)
 {
-    std::vector<ports::header> fields{{"job", what.task.job},
-                                      {"task", text_of(what.task)},
-                                      {"attempt", std::to_string(what.attempt)},
-                                      {"worker", on}};
-    fields.insert(fields.end(), more.begin(), more.end());
+    std::vector<ports::header> fields{
+        {"job", attempt_id.task.job},
+        {"task", text_of(attempt_id.task)},
+        {"attempt", std::to_string(attempt_id.attempt)},
+        {"worker", worker_id}};
+    fields.insert(fields.end(), extra_fields.begin(), extra_fields.end());
     out_.log(level, event, std::move(fields));
 }
 
@@ -31,46 +32,48 @@
     {
         return;
     }
-    for (auto& [id, each] : fleet_.all())
+    for (auto& [id, w] : fleet_.all())
     {
-        if (!each.poll_pending && now >= each.next_poll)
+        if (!w.poll_pending && now >= w.next_poll)
         {
-            poll_worker(now, each);
+            poll_worker(now, w);
         }
     }
 }
 
-void owner::poll_worker(common::time_point now, worker& of)
+void owner::poll_worker(common::time_point now, worker& target)
 {
     ports::poll_order order;
     order.fencing_token = claim_.epoch();
-    order.acknowledged_end = of.durable_end;
-    bool const busy = !of.runs.empty();
-    if (of.adopted)
+    order.acknowledged_end = target.durable_end;
+    bool const busy = !target.runs.empty();
+    if (target.adopted)
     {
-        bool const answers =
-            now - of.last_contact < settings_.workers.renew_within;
-        order.lease_until_ms = busy && answers ? fleet_.lease_end(of, now) : 0;
-        of.lease_until_ms = std::max(of.lease_until_ms, order.lease_until_ms);
+        bool const responsive =
+            now - target.last_contact < settings_.workers.renew_within;
+        order.lease_until_ms =
+            busy && responsive ? fleet_.lease_end(target, now) : 0;
+        target.lease_until_ms =
+            std::max(target.lease_until_ms, order.lease_until_ms);
     }
-    bool const unwritten = of.highest_end > of.durable_end;
+    bool const unwritten = target.highest_end > target.durable_end;
     if (order.lease_until_ms > 0 && !unwritten)
     {
-        bool const guarded = of.serves() && of.best_effort_cores > 0;
+        bool const guarded = target.serves() && target.best_effort_cores > 0;
         order.wait = guarded ? settings_.guarded_poll_wait
                              : settings_.unguarded_poll_wait;
     }
-    of.poll_pending = true;
+    target.poll_pending = true;
     auto const wait = order.wait;
     out_.order(life_,
                {0,
-                of.info.id,
-                of.info.remote_endpoint,
+                target.info.id,
+                target.info.remote_endpoint,
                 0,
                 order,
                 wait + settings_.poll_grace},
-               [this, now, id = of.info.id](common::time_point at,
-                                            order_reply const& reply)
+               [this, now, id = target.info.id](common::time_point at,
+                                                order_reply const& reply)
                {
                    on_poll_reply(at, now, id, reply);
                });
@@ -81,12 +84,12 @@
                           std::string const& id,
                           order_reply const& reply)
 {
-    auto* const of = fleet_.find(id);
-    if (of == nullptr)
+    auto* const target = fleet_.find(id);
+    if (target == nullptr)
     {
         return;
     }
-    of->poll_pending = false;
+    target->poll_pending = false;
     if (reply.status == order_status::stale_fencing_token)
     {
         on_fenced(id);
@@ -94,46 +97,48 @@
     }
     if (reply.status == order_status::not_attempted)
     {
-        of->next_poll = now + settings_.retry_pause;
+        target->next_poll = now + settings_.retry_pause;
         return;
     }
     // An answer that does not say whose it is may be of an earlier or a later
     // incarnation.
-    bool const nameless =
-        of->adopted && of->incarnation != 0 && reply.incarnation == 0;
-    if (reply.status != order_status::done || nameless)
+    bool const anonymous =
+        target->adopted && target->incarnation != 0 && reply.incarnation == 0;
+    if (reply.status != order_status::done || anonymous)
     {
-        of->silent = true;
-        of->silent_since_lapse = fleet_.lapsed(*of, sent);
-        of->next_poll = now + settings_.full_pause;
+        target->silent = true;
+        target->silent_since_lapse = fleet_.lapsed(*target, sent);
+        target->next_poll = now + settings_.full_pause;
         return;
     }
-    of->silent = false;
-    of->silent_since_lapse = false;
-    of->last_contact = now;
-    of->clock_ms = reply.clock_ms;
-    of->clock_received_at = now;
-    bool const first = !of->adopted || of->incarnation != reply.incarnation;
+    target->silent = false;
+    target->silent_since_lapse = false;
+    target->last_contact = now;
+    target->clock_ms = reply.clock_ms;
+    target->clock_received_at = now;
+    bool const first =
+        !target->adopted || target->incarnation != reply.incarnation;
     if (first)
     {
-        new_incarnation(now, *of, reply.incarnation);
+        adopt_incarnation(now, *target, reply.incarnation);
     }
-    of->view_known = false;
-    apply_rows(now, sent, *of, reply, first);
-    of->next_poll = of->runs.empty() ? now + settings_.idle_interval : now;
-    if (of->highest_end > of->durable_end)
+    target->view_known = false;
+    apply_rows(now, sent, *target, reply, first);
+    target->next_poll =
+        target->runs.empty() ? now + settings_.idle_interval : now;
+    if (target->highest_end > target->durable_end)
     {
-        acknowledge_ends(now, *of);
+        acknowledge_ends(now, *target);
     }
     if (first)
     {
-        of->next_poll = now;
+        target->next_poll = now;
         complete_takeover(now);
     }
-    protect_serving(now, *of);
-    if (now >= of->next_poll && may_act(now))
+    protect_serving(now, *target);
+    if (now >= target->next_poll && may_act(now))
     {
-        poll_worker(now, *of);
+        poll_worker(now, *target);
     }
     save_all_progress();
     ledger_.tick(now);
@@ -144,29 +149,29 @@
 // a worker has forgotten and the store does not hold is lost, and the next
 // owner runs that task again. Asked before that, the worker would list the same
 // ends at once. What it lists again while their record waits is asked for once.
-void owner::acknowledge_ends(common::time_point now, worker& of)
+void owner::acknowledge_ends(common::time_point now, worker& target)
 {
-    of.next_poll = now + settings_.guarded_poll_wait;
-    if (of.ends_being_written == of.highest_end)
+    target.next_poll = now + settings_.guarded_poll_wait;
+    if (target.ends_being_written == target.highest_end)
     {
         return;
     }
-    of.ends_being_written = of.highest_end;
+    target.ends_being_written = target.highest_end;
     save_all_progress();
     ledger_.after_all(
         [this,
-         id = of.info.id,
+         id = target.info.id,
          now,
-         born = of.incarnation,
-         number = of.highest_end](common::time_point at)
+         incarnation = target.incarnation,
+         sequence = target.highest_end](common::time_point at)
         {
             out_.push(ports::duration_sample{
                 ports::duration_metric::end_to_durable, at - now});
-            auto* const told = fleet_.find(id);
-            if (told != nullptr && told->incarnation == born)
+            auto* const target = fleet_.find(id);
+            if (target != nullptr && target->incarnation == incarnation)
             {
-                told->durable_end = std::max(told->durable_end, number);
-                told->next_poll = at;
+                target->durable_end = std::max(target->durable_end, sequence);
+                target->next_poll = at;
             }
         });
 }
@@ -174,10 +179,10 @@
 // A worker that fails tasks of several jobs in a row, with no success between,
 // is to blame itself; a job that fails on several workers is not its doing.
 void owner::note_worker_failure(common::time_point now,
-                                worker& of,
+                                worker& target,
                                 std::string const& job)
 {
-    auto& jobs = of.failed_jobs;
+    auto& jobs = target.failed_jobs;
     if (std::find(jobs.begin(), jobs.end(), job) == jobs.end())
     {
         jobs.push_back(job);
@@ -186,32 +191,34 @@
     {
         return;
     }
-    out_.log(
-        severity::warning,
-        "worker_suspected",
-        {{"worker", of.info.id}, {"failed_jobs", joined(jobs, jobs.size())}});
-    of.avoid_until = now + settings_.suspect_pause;
+    out_.log(severity::warning,
+             "worker_suspected",
+             {{"worker", target.info.id},
+              {"failed_jobs", joined(jobs, jobs.size())}});
+    target.avoid_until = now + settings_.suspect_pause;
     jobs.clear();
 }
 
-void owner::forget_runs(common::time_point now, worker& of, char const* why)
+void owner::mark_runs_lost(common::time_point now,
+                           worker& target,
+                           char const* reason)
 {
-    auto const runs = of.runs;
+    auto const runs = target.runs;
     for (auto const& name : runs)
     {
-        auto const [run, each] = find_task(name);
-        if (each == nullptr)
+        auto const [run, t] = find_task(name);
+        if (t == nullptr)
         {
-            of.runs.erase(name);
+            target.runs.erase(name);
             continue;
         }
         ++counters_.tasks_lost;
         log_task(severity::warning,
                  "task_lost",
-                 {name, each->attempt},
-                 of.info.id,
-                 {{"why", why}});
-        each->phase = task_phase::blocked;
+                 {name, t->attempt},
+                 target.info.id,
+                 {{"why", reason}});
+        t->phase = task_phase::blocked;
         task_over(now, *run, name);
     }
 }
@@ -220,37 +227,36 @@
 // Started elsewhere before that, a task would run in two places. It is asked
 // once more then: where this owner was too busy to hear its answers, it may
 // have told long ago that its tasks are done.
-void owner::check_silent(common::time_point now)
+void owner::check_silent_workers(common::time_point now)
 {
-    std::vector<std::string> gone;
-    for (auto& [id, each] : fleet_.all())
+    std::vector<std::string> removed;
+    for (auto& [id, w] : fleet_.all())
     {
-        bool const silent = each.adopted && !each.runs.empty() &&
-                            now - each.last_contact > settings_.workers.lease;
-        if (silent && each.silent_since_lapse)
+        bool const silent = w.adopted && !w.runs.empty() &&
+                            now - w.last_contact > settings_.workers.lease;
+        if (silent && w.silent_since_lapse)
         {
-            forget_runs(now, each, "lease lapsed in silence");
+            mark_runs_lost(now, w, "lease lapsed in silence");
         }
-        else if (silent && fleet_.lapsed(each, now))
+        else if (silent && fleet_.lapsed(w, now))
         {
-            each.next_poll = now;
+            w.next_poll = now;
         }
-        bool const absent = !each.listed && list_.known() &&
-                            each.runs.empty() && !each.poll_pending &&
-                            fleet_.lapsed(each, now);
+        bool const absent = !w.listed && list_.known() && w.runs.empty() &&
+                            !w.poll_pending && fleet_.lapsed(w, now);
         // One that was never reached may run what its last owner gave it.
-        if (absent && (each.adopted || takeover_complete_))
+        if (absent && (w.adopted || takeover_complete_))
         {
-            gone.push_back(id);
+            removed.push_back(id);
         }
     }
-    for (auto const& id : gone)
+    for (auto const& id : removed)
     {
         out_.log(severity::info, "worker_gone", {{"worker", id}});
         fleet_.erase(id);
         roster_.erase(id);
     }
-    if (!gone.empty())
+    if (!removed.empty())
     {
         write_roster();
     }
@@ -261,64 +267,64 @@
 // does not show it.
 void owner::order_stop(common::time_point now,
                        std::string const& id,
-                       ports::pool_attempt const& what)
+                       ports::pool_attempt const& attempt_id)
 {
-    auto* const on = fleet_.find(id);
-    if (on == nullptr || !may_act(now))
+    auto* const target = fleet_.find(id);
+    if (target == nullptr || !may_act(now))
     {
         return;
     }
-    out_.order(life_,
-               {0,
-                id,
-                on->info.remote_endpoint,
-                0,
-                ports::stop_order{claim_.epoch(), what},
-                settings_.order_timeout},
-               [this, id, what](common::time_point at, order_reply const& reply)
-               {
-                   if (reply.status == order_status::stale_fencing_token)
-                   {
-                       on_fenced(id);
-                       return;
-                   }
-                   auto* const each = find_stopping(id, what);
-                   if (each == nullptr)
-                   {
-                       return;
-                   }
-                   if (reply.status == order_status::done)
-                   {
-                       // A hold sent from now on tells the truth about it.
-                       each->start_unanswered = false;
-                       each->started = at;
-                       return;
-                   }
-                   retry_later(at,
-                               [this, id, what](common::time_point then)
-                               {
-                                   if (find_stopping(id, what) != nullptr)
-                                   {
-                                       order_stop(then, id, what);
-                                   }
-                               });
-               });
+    out_.order(
+        life_,
+        {0,
+         id,
+         target->info.remote_endpoint,
+         0,
+         ports::stop_order{claim_.epoch(), attempt_id},
+         settings_.order_timeout},
+        [this, id, attempt_id](common::time_point at, order_reply const& reply)
+        {
+            if (reply.status == order_status::stale_fencing_token)
+            {
+                on_fenced(id);
+                return;
+            }
+            auto* const t = find_stopping_task(id, attempt_id);
+            if (t == nullptr)
+            {
+                return;
+            }
+            if (reply.status == order_status::done)
+            {
+                // A hold sent from now on tells the truth about it.
+                t->start_unanswered = false;
+                t->started = at;
+                return;
+            }
+            retry_later(at,
+                        [this, id, attempt_id](common::time_point then)
+                        {
+                            if (find_stopping_task(id, attempt_id) != nullptr)
+                            {
+                                order_stop(then, id, attempt_id);
+                            }
+                        });
+        });
 }
 
 // Null where its worker has told its end, or was given up.
-task* owner::find_stopping(std::string const& id,
-                           ports::pool_attempt const& what)
+task* owner::find_stopping_task(std::string const& id,
+                                ports::pool_attempt const& attempt_id)
 {
-    auto const [run, each] = find_task(what.task);
-    bool const stopping = each != nullptr &&
-                          each->phase == task_phase::stopping &&
-                          each->worker == id && each->attempt == what.attempt;
-    return stopping ? each : nullptr;
+    auto const [run, t] = find_task(attempt_id.task);
+    bool const stopping = t != nullptr && t->phase == task_phase::stopping &&
+                          t->worker == id && t->attempt == attempt_id.attempt;
+    return stopping ? t : nullptr;
 }
 
-void owner::on_fenced(std::string const& by)
+void owner::on_fenced(std::string const& worker_id)
 {
-    claim_.mark_lost("worker " + by + " has seen a later owner");
+    claim_.mark_lost("worker " + worker_id + " has seen a later owner");
 }
 
 } // namespace fuchsia::core::pool
