--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -17,7 +17,7 @@
 
 constexpr common::duration watch_wait = std::chrono::milliseconds(1000);
 constexpr common::duration rank_interval = std::chrono::milliseconds(500);
-// Jobs, progress, roster, final states and what was learned.
+// Jobs, progress, roster, final states and interference estimates.
 constexpr std::uint32_t part_count = 5;
 
 } // namespace
@@ -95,11 +95,11 @@
     ledger_.tick(now);
 }
 
-// Ends come a thousand times a second on a large pool, and each may make room.
-// A round for each of them looks at all workers again for each kind of task
-// that waits: that was most of the processor time of the owner, whose orders
-// then went out seconds late. Rounds a few milliseconds apart serve all of
-// them.
+// On a large pool a thousand tasks end per second, and each end may free
+// capacity. A dispatch round examines all workers for each kind of waiting
+// task; one round per end took most of the owner's processor time and delayed
+// its orders by seconds. Rounds a few milliseconds apart handle many ends at
+// once.
 void owner::dispatch_if_requested(common::time_point now)
 {
     if (!dispatch_requested_ || now < last_dispatch_ + settings_.dispatch_pause)
@@ -113,19 +113,21 @@
     dispatch(now);
 }
 
-// Nothing runs while an owner loads. One whose link can't carry the state would
-// keep the claim, and everybody waiting, for good.
+// No task starts while an owner loads. Without this timeout an owner whose link
+// is too slow for the state would keep the claim, and all jobs waiting,
+// forever.
 void owner::check_load_timeout(common::time_point now)
 {
     if (now - std::max(created_at_, load_advanced_at_) > settings_.load_timeout)
     {
-        claim_.hand_over(now, "the state does not load");
+        claim_.hand_over(now, "loading the state timed out");
     }
 }
 
-// An owner that hears of no job starts none and tells old counts as the present
-// ones, and with a claim that is renewed nobody takes its place. While the
-// store is silent altogether, a successor would hear no more.
+// An owner whose watch is stalled starts no new jobs and reports outdated
+// counts, and no other instance replaces it as long as its claim is renewed.
+// While the store does not answer at all, a successor could do no better, so
+// that time does not count.
 void owner::give_up_stalled_watch(common::time_point now)
 {
     if (now - claim_.confirmed_at() >= settings_.workers.unconfirmed_limit)
@@ -136,12 +138,12 @@
                   {watch_answered_at_, load_advanced_at_, store_silent_at_}) >
         settings_.stalled_watch_timeout)
     {
-        claim_.hand_over(now, "no watch for jobs is answered");
+        claim_.hand_over(now, "the watch for jobs is not answered");
     }
 }
 
-// Who refuses answers within milliseconds. Asked at once, and again, it would
-// take the processor and the calls that everything else needs.
+// A refusal arrives within milliseconds. Immediate retries in a loop would use
+// up the processor time and the calls that all other work needs.
 void owner::retry_later(common::time_point now,
                         std::function<void(common::time_point)> action)
 {
@@ -187,9 +189,10 @@
     return ledger_;
 }
 
-// A store that is silent towards us may have given the claim to somebody who
-// can't reach every worker that we reach. That successor counts on our silence
-// once it has raised the fence on half of the workers.
+// A store that does not answer this owner may have granted the claim to a
+// successor that can't reach all workers that this owner reaches. Once the
+// successor has raised the fencing token on half of the workers it relies on
+// this owner sending no more orders.
 bool owner::may_act(common::time_point now) const
 {
     auto const& limits = settings_.workers;
@@ -213,9 +216,10 @@
         });
 }
 
-// An answer without events does not move the place from which the next watch
-// goes on: what a deaf watch missed comes with the next one that is not. Until
-// then all pages are read again whenever a watch is known to be deaf.
+// An answer without events does not advance the revision at which the next
+// watch starts, so that events missed by a stalled watch arrive with the next
+// working one. Until then all pages are read again whenever a watch is known to
+// be stalled.
 void owner::on_watch(common::time_point now,
                      common::time_point requested_at,
                      kv_reply const& reply)
@@ -266,7 +270,8 @@
     }
 }
 
-// What we wrote ourselves below the watched prefix was there to be told.
+// This owner writes the backlog below the watched prefix, so a watch that
+// returns no event for that write has missed it.
 bool owner::is_stalled(common::time_point requested_at,
                        kv_reply const& reply) const
 {
@@ -357,11 +362,12 @@
     }
 }
 
-// The stamp of a job is of the clock of the instance that accepted it, and
-// machines disagree about the time of day by up to seconds. By a stamp ahead of
-// this clock a job would be late much later than its submitter counts; by one
-// behind it, it would be late when it arrives and go behind all others. What
-// was just accepted is taken to have come now, within 10 ms of the truth.
+// A job's acceptance time is by the clock of the instance that accepted it, and
+// the clocks of machines differ by up to seconds. With a time ahead of this
+// clock the job's deadline would be much later than its submitter expects; with
+// one behind it the job would be late on arrival and be scheduled after all
+// others. A job that was just accepted is taken to be accepted now, which is
+// right to within 10 ms.
 std::int64_t owner::accepted_by_own_clock(common::time_point now,
                                           job const& spec,
                                           bool just_accepted) const
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -32,9 +32,9 @@
 namespace fuchsia::core::pool
 {
 
-/// Schedules all jobs while this instance holds the claim. It is made when the
-/// claim was taken and thrown away when it is lost: what must last lies in the
-/// store, and what runs is asked of the workers.
+/// Schedules all jobs while this instance holds the claim. An owner is created
+/// when the claim is acquired and destroyed when it is lost: durable state is
+/// in the store, and the running tasks are read from the workers.
 class owner
 {
 public:
@@ -46,30 +46,32 @@
           common::time_point now);
 
     void tick(common::time_point now);
-    /// Operators changed something.
+    /// Handles a change of the operators' configuration.
     void on_operators(common::time_point now);
-    /// Nothing starts and no lease is renewed from here on.
+    /// From now on no task is started and no lease is renewed.
     void stop() noexcept;
 
-    /// Whether the jobs are known, so that questions can be answered here.
+    /// Whether the state is loaded, so that this owner can answer requests
+    /// about jobs.
     bool loaded() const noexcept;
-    /// Empty where this owner does not know the job.
+    /// Returns nothing if this owner does not know the job.
     std::optional<ports::job_state> state_of(std::string const& id) const;
-    /// Jobs of which no task has started, by queue.
+    /// Number of jobs without a started task, by queue.
     std::map<std::string, std::uint64_t> pending() const;
-    /// The same, with the revision up to which this owner has heard of jobs.
+    /// `pending()` with the store revision up to which this owner knows all
+    /// jobs.
     backlog waiting_jobs() const;
-    /// Every job that was accepted before then is known here.
+    /// Time up to which this owner knows every accepted job.
     common::time_point synced_until() const noexcept;
     owner_counters const& counters() const noexcept;
-    /// What it writes.
+    /// Returns the ledger that writes this owner's progress to the store.
     ledger const& commits() const noexcept;
 
-    // owner_view.cpp: for those who ask.
+    // owner_view.cpp: status of workers and jobs for status requests.
     std::vector<worker_status> workers(common::time_point now) const;
-    /// In the order in which they are given workers.
+    /// Returns the jobs in scheduling order.
     std::vector<job_status_row> jobs(common::time_point now) const;
-    /// Empty where the job is over, or was never known.
+    /// Returns nothing if the job has ended or was never known.
     std::optional<job_status_detail> describe(common::time_point now,
                                               std::string const& id);
 
@@ -79,10 +81,10 @@
                             job_run& run,
                             ports::task_name const& first);
 
-    // owner.cpp: its clock, and jobs as they come.
+    // owner.cpp: periodic work, and the watch for new jobs.
     void check_load_timeout(common::time_point now);
     void give_up_stalled_watch(common::time_point now);
-    /// Runs `what` at the first tick after a pause.
+    /// Runs `action` at the first tick after `owner_settings::retry_pause`.
     void retry_later(common::time_point now,
                      std::function<void(common::time_point)> action);
     void run_retries(common::time_point now);
@@ -99,16 +101,18 @@
                                        bool just_accepted) const;
     bool may_act(common::time_point now) const;
 
-    // owner_load.cpp: the state that the last owner left in the store.
+    // owner_load.cpp: loads the state that the previous owner left in the
+    // store.
     using reply_handler =
         std::function<void(common::time_point, ports::kv_reply const&)>;
-    /// A read that goes on until it is answered.
+    /// A read of the store that is repeated until it is answered.
     struct state_read
     {
         ports::kv_operation operation;
         reply_handler on_reply;
-        std::uint32_t pending_calls = 0; ///< Calls on their way.
-        bool answered = false;           ///< It was answered.
+        std::uint32_t pending_calls =
+            0; ///< Number of calls without an answer yet.
+        bool answered = false;
     };
     void read_state(common::time_point now,
                     ports::kv_operation operation,
@@ -139,14 +143,14 @@
     void load_estimates(common::time_point now);
     void on_part_loaded(common::time_point now);
 
-    // owner_list.cpp: which workers there are.
+    // owner_list.cpp: the list of workers and the roster.
     void apply_worker_list(common::time_point now,
                            worker_changes const& changes);
     bool state_is_current(common::time_point now) const;
     void complete_roster();
     void write_roster();
 
-    // owner_reports.cpp: what it tells of itself.
+    // owner_reports.cpp: periodic reports to the store and the log.
     void write_backlog(common::time_point now);
     void write_estimates(common::time_point now);
     void log_backlog(common::duration elapsed);
@@ -154,7 +158,7 @@
     void drop_old_finals(common::time_point now);
     void drop_unmatched_cancels(common::time_point now);
 
-    // owner_jobs.cpp: the life of jobs and tasks.
+    // owner_jobs.cpp: state changes of jobs and tasks.
     void open_steps(common::time_point now, job_run& run);
     bool step_may_open(job_run const& run,
                        std::uint32_t occurrence,
@@ -194,7 +198,7 @@
     void save_progress(job_run& run);
     std::optional<std::string> progress_record(std::string const& id);
     job_run* find_job(std::string const& id);
-    /// Both null where the job, or the task in it, is not known.
+    /// A task and its job; both are null if either is not known.
     struct known_task
     {
         job_run* run = nullptr;
@@ -207,7 +211,7 @@
                   std::string const& worker_id,
                   std::vector<ports::header> extra_fields = {});
 
-    // owner_workers.cpp: asking workers, and what becomes of silent ones.
+    // owner_workers.cpp: polls of workers, and the handling of silent ones.
     void poll_workers(common::time_point now);
     void poll_worker(common::time_point now, worker& target);
     void on_poll_reply(common::time_point now,
@@ -228,13 +232,13 @@
                              ports::pool_attempt const& attempt_id);
     void on_fenced(std::string const& worker_id);
 
-    // owner_rows.cpp: what a worker tells of its runs and of their ends.
+    // owner_rows.cpp: running and ended attempts that a worker reports.
     void apply_rows(common::time_point now,
                     common::time_point sent,
                     worker& target,
                     ports::order_reply const& reply,
                     bool first);
-    /// Tasks that a worker named, sorted.
+    /// Names of the tasks in a worker's report, sorted.
     using reported_names = std::vector<ports::task_name const*>;
     bool is_inconsistent(worker const& target, reported_names const& reported);
     void check_missing(common::time_point now,
@@ -269,7 +273,7 @@
                        ports::pool_attempt const& attempt_id,
                        bool current);
 
-    // owner_takeover.cpp: what earlier owners may have started.
+    // owner_takeover.cpp: tasks that earlier owners may have started.
     void adopt_incarnation(common::time_point now,
                            worker& target,
                            std::uint64_t incarnation);
@@ -281,7 +285,7 @@
     bool earlier_leases_ended(common::time_point now);
     bool may_belong_to_earlier_owner(job_run const& run, task const& t) const;
 
-    // owner_sharing.cpp: tasks that fill beside tasks that serve.
+    // owner_sharing.cpp: best-effort tasks next to serving tasks.
     worker_view const& view_of(worker& target);
     void protect_serving(common::time_point now, worker& target);
     bool tails_are_outliers(worker& target);
@@ -296,7 +300,8 @@
     void speed_limit_failed(std::string const& id,
                             ports::pool_attempt const& attempt_id);
 
-    // owner_regroup.cpp: serving tasks move to where they bind least.
+    // owner_rebalance.cpp: moves serving tasks so that best-effort tasks find
+    // capacity.
     void rebalance(common::time_point now);
     std::vector<waiting_image> waiting_best_effort(common::time_point now);
     std::vector<rebalance_worker> rebalance_workers(common::time_point now);
@@ -307,25 +312,25 @@
     worker* take_reservation(common::time_point now,
                              job_run& run,
                              ports::task_name const& name);
-    /// The worker that room was kept at, if any; that room is free again.
+    /// Cancels the task's reservation; returns the worker it was on, or null.
     worker* release_reservation(job_run const& run,
                                 ports::task_name const& name);
     bool cleared_against(common::time_point now,
                          worker const& target,
                          std::uint16_t image) const;
 
-    // owner_room.cpp: room that lasting tasks leave to short work.
+    // owner_reserve.cpp: capacity that long-running tasks leave to short jobs.
     short_job_reserve& short_job_reserve_of(std::string const& service);
     void observe_short_job_demand(common::time_point now);
     short_job_demand short_job_demand_of(common::time_point now,
                                          job_run const& run) const;
     void note_capacity_of_unusable(common::time_point now);
-    /// Whether the task may only go where there is room for two of it.
+    /// Whether the task may start only on a worker with capacity for two of it.
     bool must_leave_reserve(job_run const& run, ports::task_name const& name);
-    /// The task found a place.
+    /// Records that the task was placed on a worker.
     void note_placement(job_run const& run, ports::task_name const& name);
 
-    // owner_advice.cpp: steps under a policy.
+    // owner_policy.cpp: steps that need a ticket of the policy service.
     struct ready_key;
     bool has_ticket(common::time_point now,
                     step_run const& steps,
@@ -339,11 +344,11 @@
                          ready_key const& key,
                          ports::policy_reply const& reply);
 
-    // owner_dispatch.cpp: which task starts next.
+    // owner_dispatch.cpp: scheduling order of ready tasks, and their start.
     struct ready_key
     {
         std::uint32_t rank = 0;
-        std::int64_t order = 0; ///< When it is due; see `key_of`.
+        std::int64_t order = 0; ///< By due time; see `key_of`.
         std::string job;
         std::uint32_t occurrence = 0;
         std::uint32_t step = 0;
@@ -374,7 +379,7 @@
                   std::string const& id,
                   ports::order_reply const& reply);
 
-    // owner_waiting.cpp: why steps wait, for the log.
+    // owner_waiting.cpp: logs why steps wait.
     /// Steps of one queue and image that wait for workers.
     struct waiting_kind
     {
@@ -385,23 +390,23 @@
     std::vector<waiting_kind> waiting_kinds();
     void log_waiting(common::time_point now);
 
-    // owner_placement.cpp: which worker a task starts on.
-    /// A worker that takes a task, and its score: the lowest is best.
+    // owner_placement.cpp: choice of the worker that a task starts on.
+    /// A worker that can run the task, with its score; the lowest is best.
     struct ranked_worker
     {
         double score = 0;
         worker* which = nullptr;
     };
     capacity_index usable_workers(common::time_point now);
-    /// Whatever places or takes away within a round says so.
+    /// Must be called for each task placed or removed within a dispatch round.
     void capacity_changed(worker const& target);
-    /// Within a round of placing, in the fleet's order; of one rack where one
-    /// is named.
+    /// Returns the workers that can run the task, in the order of the fleet,
+    /// during a dispatch round; only those of `rack` unless it is empty.
     std::vector<ranked_worker> rank(common::time_point now,
                                     job_run& run,
                                     ports::task_name const& name,
                                     std::string const& rack);
-    /// The first of the best; null where there is none.
+    /// Returns the first worker with the lowest score, or null.
     static worker* best_of(std::vector<ranked_worker> const& ranked);
     void score_again(common::time_point now,
                      job_run& run,
@@ -443,67 +448,69 @@
     fleet fleet_;
     worker_list list_;
     colocation colocation_;
-    std::map<std::string, short_job_reserve>
-        short_job_reserves_; ///< By service.
+    /// By service.
+    std::map<std::string, short_job_reserve> short_job_reserves_;
     owner_counters counters_;
 
     std::unordered_map<std::string, job_run> jobs_;
     std::unordered_map<std::string, ports::job_state> final_states_;
     std::deque<std::pair<common::time_point, std::string>> final_times_;
-    /// Keys of cancellings whose jobs are over or never came, since when.
+    /// Cancel keys whose jobs have ended or never arrived, with the time since
+    /// when each is known.
     std::map<std::string, common::time_point> unmatched_cancels_;
     std::set<ready_key> ready_;
-    std::optional<capacity_index>
-        capacity_index_; ///< Of a round of placing, while it lasts.
+    /// Usable workers by free capacity; set during a dispatch round only.
+    std::optional<capacity_index> capacity_index_;
     std::set<std::string> unsaved_jobs_;
-    std::map<ports::task_name, std::string>
-        reservations_; ///< Where tasks move.
-    /// Filling images whose tasks wait, and since when.
+    /// Target worker of each task being moved.
+    std::map<ports::task_name, std::string> reservations_;
+    /// Best-effort images with waiting tasks, and since when they wait.
     std::map<std::uint16_t, common::time_point> waiting_since_;
-    std::vector<std::string>
-        scheduled_jobs_; ///< Jobs with occurrences to come.
+    std::vector<std::string> scheduled_jobs_; ///< Ids of jobs with start times.
 
     common::time_point created_at_{};
-    common::time_point load_advanced_at_{}; ///< When the last page came.
-    std::uint64_t watched_revision_ = 0; ///< Of the last event that was taken.
+    common::time_point load_advanced_at_{}; ///< Time the last page arrived.
+    std::uint64_t watched_revision_ = 0;    ///< Revision of the last event.
     std::uint64_t first_page_revision_ = 0; ///< Of the first page of jobs.
     common::time_point pages_requested_at_{};
     std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
-    common::time_point
-        synced_until_{}; ///< When the last answered watch was asked,
-    common::time_point watch_answered_at_{}; ///< and answered.
-    std::uint64_t backlog_revision_ =
-        0; ///< Revision of our last written backlog,
-    common::time_point backlog_current_at_{}; ///< and when that was known.
-    common::time_point
-        store_silent_at_{}; ///< The store did not renew the claim then.
-    /// What is asked again, and when, the earliest first.
+    /// Time the last answered watch was sent.
+    common::time_point synced_until_{};
+    /// Time of the last answer to a watch.
+    common::time_point watch_answered_at_{};
+    /// Revision of this owner's last backlog record.
+    std::uint64_t backlog_revision_ = 0;
+    /// Time that record became durable.
+    common::time_point backlog_current_at_{};
+    /// Last time at which the claim's renewal was overdue.
+    common::time_point store_silent_at_{};
+    /// Actions to retry and when, the earliest first.
     std::deque<
         std::pair<common::time_point, std::function<void(common::time_point)>>>
         retries_;
-    /// What is asked once more, and when, the earliest first.
+    /// Reads to resend if still unanswered and when, the earliest first.
     std::deque<std::pair<common::time_point, std::shared_ptr<state_read>>>
         pending_resends_;
     std::vector<ports::kv_item> progress_items_;
     std::vector<ports::kv_item> job_items_;
-    std::uint32_t loading_parts_ =
-        0; ///< Parts of the state that are still loading.
+    /// Number of state parts that are still loading.
+    std::uint32_t loading_parts_ = 0;
     bool loaded_ = false;
-    bool policy_call_pending_ = false; ///< A call of the policy is on its way.
-    bool dispatch_requested_ = false;  ///< Something may have found a place.
+    bool policy_call_pending_ = false; ///< Only one call at a time.
+    bool dispatch_requested_ = false;  ///< A waiting task may fit now.
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
-    /// When more than half of the workers had answered; 0: not yet.
+    /// Time at which more than half of the workers had answered; 0: not yet.
     common::time_point quorum_since_{};
-    bool takeover_complete_ =
-        false; ///< No earlier owner's start is unknown any more.
+    /// All starts by earlier owners are known.
+    bool takeover_complete_ = false;
     bool stopped_ = false;
-    std::set<std::string> roster_; ///< As it lies in the store.
+    std::set<std::string> roster_; ///< Worker ids of the stored roster.
     bool roster_write_pending_ = false;
     common::time_point next_rank_{};
     common::time_point next_rebalance_{};
     common::time_point next_load_log_{};
-    /// When it was last said why steps of a queue and image wait.
+    /// Time of the last log line about waiting steps, by queue and image.
     std::map<std::pair<std::string, std::string>, common::time_point>
         waiting_reported_at_;
     common::time_point next_backlog_write_{};
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -10,7 +10,7 @@
 #include <cstddef>
 #include <cstdint>
 
-// What an owner goes by, and what it counts.
+// Settings and counters of the owner.
 namespace fuchsia::core::pool
 {
 
@@ -22,58 +22,65 @@
     rebalance_settings rebalance;
     short_job_reserve_settings short_job_reserve;
     common::duration call_timeout = std::chrono::milliseconds(900);
-    /// A page of the store is up to 1 MB: 0.8 s on a link of 10 Mbit/s that has
-    /// nothing else to carry.
+    /// Timeout of a page read. A page is up to 1 MB, which takes 0.8 s on an
+    /// otherwise idle link of 10 Mbit/s.
     common::duration page_timeout = std::chrono::seconds(5);
-    /// Before a read of the state without an answer is sent once more. Nothing
-    /// is heard, or renewed, while one that got lost is waited for.
+    /// Time after which an unanswered read of the state is sent a second time.
+    /// While the owner waits for a lost call it gets no updates and renews
+    /// nothing.
     common::duration read_resend_after = std::chrono::seconds(1);
-    /// An owner that gets no part of the state for this long gives up.
+    /// Time without any part of the state after which a loading owner hands
+    /// the claim over.
     common::duration load_timeout = std::chrono::seconds(6);
-    /// An owner whose watches for jobs bring nothing for this long while the
-    /// store renews its claim gives up. One watch may get lost.
+    /// Time without an answered job watch after which an owner whose claim is
+    /// still renewed hands it over. Long enough for one watch to get lost.
     common::duration stalled_watch_timeout = std::chrono::seconds(4);
     worker_list_settings list;
-    /// On a list that is older nothing starts while the store answers: a worker
-    /// in it may be leaving.
+    /// Maximum age of the worker list for starting tasks while the store
+    /// answers: a worker in an older list may be leaving.
     common::duration list_age_limit = std::chrono::milliseconds(1250);
-    /// The same of what operators set,
+    /// Maximum age of the operators' configuration for starting tasks.
     common::duration configuration_age_limit = std::chrono::milliseconds(1950);
-    /// and of news of jobs: one of which something starts may be cancelled.
+    /// Maximum age of the job watch for starting tasks: a job may have been
+    /// cancelled since.
     common::duration jobs_age_limit = std::chrono::milliseconds(2600);
-    /// How long a worker may hold back its answer while nothing ends there:
-    /// where serving tasks have neighbours that may disturb them, and
-    /// elsewhere.
+    /// Long-poll wait on workers where best-effort tasks may disturb serving
+    /// tasks.
     common::duration guarded_poll_wait = std::chrono::milliseconds(350);
+    /// Long-poll wait on all other workers.
     common::duration unguarded_poll_wait = std::chrono::milliseconds(700);
-    /// An idle worker is asked this often, for its clock.
+    /// Time between polls of an idle worker, which read its clock.
     common::duration idle_interval = std::chrono::seconds(2);
-    /// An order that got no answer after this long is followed up.
+    /// Timeout of an order to a worker.
     common::duration order_timeout = std::chrono::milliseconds(350);
-    /// A wait without an answer ends this long after the worker's own limit.
+    /// Time that the timeout of a poll exceeds the worker's long-poll wait.
     common::duration poll_grace = std::chrono::milliseconds(500);
-    /// Between two rounds of placing while nothing but readings has changed.
+    /// Time between dispatch rounds while only measurements change.
     common::duration dispatch_interval = std::chrono::milliseconds(100);
-    /// At least so long between two rounds.
+    /// Minimum time between dispatch rounds.
     common::duration dispatch_pause = std::chrono::milliseconds(10);
-    /// Before what was refused, or got no answer, is asked again.
+    /// Time before a call that was refused or not answered is retried.
     common::duration retry_pause = std::chrono::milliseconds(100);
-    /// After a refusal for want of room.
+    /// Time before a worker that reported no capacity, or did not answer, is
+    /// used or polled again.
     common::duration full_pause = std::chrono::milliseconds(100);
-    /// A worker on which tasks of this many jobs failed in a row is avoided.
+    /// Number of jobs whose tasks must fail in a row on a worker before the
+    /// worker is avoided.
     std::size_t suspect_after = 3;
+    /// Time for which such a worker is avoided.
     common::duration suspect_pause = std::chrono::seconds(6);
-    /// A task whose progress stands still for this long is started elsewhere.
+    /// Time without progress after which a task is stopped and started on
+    /// another worker.
     common::duration stuck_after = std::chrono::milliseconds(2500);
-    /// Final states are kept this long: those who ask get an answer for two
-    /// minutes at least.
+    /// Time for which final states are kept. Callers are promised an answer for
+    /// at least two minutes.
     common::duration final_state_retention = std::chrono::minutes(4);
-    /// So long a cancelling stays that overtook its job. A commit without an
-    /// answer may take effect within seconds.
+    /// Time for which a cancel key without a job is kept, because a cancel may
+    /// overtake its job: an unanswered commit may take effect seconds later.
     common::duration cancel_retention = std::chrono::seconds(60);
 };
 
-/// What an owner counts, for metrics.
+/// Counters of the owner for metrics.
 struct owner_counters
 {
     std::uint64_t starts = 0;
@@ -85,8 +92,8 @@
     std::uint64_t speed_limit_changes = 0;
     std::uint64_t evicted = 0;
     std::uint64_t rebalanced = 0; ///< Serving tasks moved.
-    std::uint64_t rounds = 0;     ///< Of placing.
-    std::uint64_t scored = 0;     ///< Workers looked at for a task.
+    std::uint64_t rounds = 0;     ///< Dispatch rounds.
+    std::uint64_t scored = 0;     ///< Workers scored for a task.
     std::uint64_t jobs_finished = 0;
 };
 
