--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -448,7 +448,7 @@
     fleet fleet_;
     worker_list list_;
     colocation colocation_;
-    /// By service.
+    /// Short-job reserves by service.
     std::map<std::string, short_job_reserve> short_job_reserves_;
     owner_counters counters_;
 
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -60,8 +60,8 @@
     {
         return;
     }
-    // A job that is older than our claim may have been started by somebody
-    // else on a worker that has not told us yet.
+    // A job that is older than this owner's claim may have been started by an
+    // earlier owner on a worker that has not reported to this one yet.
     bool const maybe_started =
         !takeover_complete_ && run.revision < claim_.epoch();
     auto const now_ms = out_.unix_ms(now);
@@ -247,7 +247,8 @@
     mark_dirty(run);
 }
 
-// Its run is over and it is not done: the next attempt may start anywhere.
+// Handles a run that ended before the task was done: the next attempt may start
+// on any worker.
 void owner::task_over(common::time_point now,
                       job_run& run,
                       ports::task_name const& name)
@@ -258,8 +259,8 @@
     t.speed_limit = 100;
     if (run.phase == job_phase::active)
     {
-        // Before all workers were asked, one of them may know of failures that
-        // leave the task no further attempt.
+        // Until the takeover is complete, a worker may still report failures
+        // that leave the task no further attempt.
         bool const may_be_spent = !takeover_complete_ &&
                                   !run.step_of(name).long_running &&
                                   run.revision < claim_.epoch();
@@ -321,8 +322,8 @@
     finish_if_over(run);
 }
 
-// Stops the task if it is at work, or may be: a start that is still on its way
-// has told nothing yet.
+// Stops the task if it runs or may run: a start that is not answered yet may
+// still take effect.
 void owner::stop_run(common::time_point now,
                      job_run& run,
                      ports::task_name const& name)
@@ -337,7 +338,7 @@
     order_stop(now, t.worker, {name, t.attempt});
 }
 
-// The final state is written once nothing of the job runs anywhere.
+// Writes the final state once no task of the job runs on any worker.
 void owner::finish_if_over(job_run& run)
 {
     bool const ending = run.phase == job_phase::cancelling ||
@@ -355,7 +356,7 @@
             }
         }
     }
-    // Before all workers were asked, one of them may still run a part of it.
+    // Until the takeover is complete, a worker may still run a task of the job.
     bool const maybe_elsewhere = !takeover_complete_ &&
                                  run.revision < claim_.epoch() &&
                                  run.phase != job_phase::finished;
@@ -446,7 +447,8 @@
                          });
 }
 
-// Empty once the job's end is on its way: that erases the record.
+// Returns nothing once the job's end is being written, since that write erases
+// the record.
 std::optional<std::string> owner::progress_record(std::string const& id)
 {
     auto* const run = find_job(id);
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -4,8 +4,8 @@
 
 #include <utility>
 
-// The platform's list of workers, and the roster of those that a successor must
-// ask.
+// Follows the platform's list of workers and maintains the roster: the stored
+// list of the workers that a successor must poll.
 namespace fuchsia::core::pool
 {
 
@@ -20,10 +20,11 @@
     }
 }
 
-// An owner that gets little processor time hears late, and would start tasks on
-// workers that said long ago that they leave, in data centres that are out, of
-// jobs that were cancelled. While the store is silent what was heard last has
-// to do.
+// Whether the state is recent enough to start tasks by. An owner that is short
+// of processor time receives updates late. It would start tasks on workers that
+// announced their leaving long ago, in data centres that are out of service, or
+// of jobs that were cancelled. While the store does not answer, the last known
+// state is used.
 bool owner::state_is_current(common::time_point now) const
 {
     bool const silent =
@@ -48,7 +49,8 @@
     }
 }
 
-// A task may start only on a worker that a successor would ask.
+// Tasks may start on a worker only once the stored roster names it, so that a
+// successor will poll it.
 void owner::write_roster()
 {
     if (roster_write_pending_ || !loaded_)
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-// Reads the state that the last owner left in the store.
+// Loads the state that the previous owner left in the store.
 namespace fuchsia::core::pool
 {
 
@@ -14,9 +14,9 @@
 using ports::kv_status;
 using ports::severity;
 
-// Sent once more where no answer has come for a while: mostly the first call
-// was lost, but its page may be large and the link slow. The first answer of
-// both counts.
+// Reads until there is an answer. A read that is unanswered for a while is sent
+// a second time, without giving up the first: usually the first call was lost,
+// but its page may be large and the link slow. The first answer is used.
 void owner::read_state(common::time_point now,
                        ports::kv_operation operation,
                        reply_handler on_reply)
@@ -78,7 +78,8 @@
     }
 }
 
-// All pages below `prefix`, one after the other, each to `take`; then `done`.
+// Reads all pages below `prefix` one after the other, calls `on_page` for each
+// and then `on_loaded`.
 void owner::load_pages(common::time_point now,
                        std::string_view prefix,
                        std::string const& after,
@@ -112,8 +113,8 @@
         "",
         [this](common::time_point, kv_reply const& reply)
         {
-            // Pages are no snapshot: events since the first one are taken
-            // again.
+            // The pages are not one snapshot, so the watch starts at the
+            // revision of the first one.
             first_page_revision_ =
                 job_items_.empty() ? reply.revision : first_page_revision_;
             job_items_.insert(
@@ -127,8 +128,8 @@
 
 void owner::on_jobs_loaded(common::time_point now)
 {
-    // After a compaction jobs are already known here; what is gone meanwhile
-    // was ended by ourselves.
+    // After a compaction the jobs are already known. Those that have
+    // disappeared since were ended by this owner.
     if (loaded_)
     {
         if (apply_job_pages(now))
@@ -140,9 +141,10 @@
     on_part_loaded(now);
 }
 
-// What is newer than the first page comes with the watch, in its sequence: on a
-// later page stands a job that was accepted after the claim was lost, and no
-// page tells of that. False where the claim is gone.
+// Applies the items up to the revision of the first page; the watch delivers
+// the newer ones in order. A later page may hold a job that was accepted after
+// the claim was lost, and no page shows that loss. Returns false if the claim
+// is lost.
 bool owner::apply_job_pages(common::time_point now)
 {
     auto const items = std::exchange(job_items_, {});
@@ -154,7 +156,7 @@
                                      });
     if (!claimed)
     {
-        claim_.mark_lost("key gone from the first page");
+        claim_.mark_lost("its key is missing from the loaded pages");
     }
     for (auto const& item : items)
     {
@@ -163,7 +165,7 @@
             apply_item(now, item);
         }
     }
-    // Jobs of the last page count as heard no sooner than they were taken.
+    // Jobs on the last page do not count as known before they are applied.
     watched_revision_ = first_page_revision_;
     synced_revision_ = first_page_revision_;
     synced_until_ = pages_requested_at_;
@@ -244,7 +246,7 @@
              });
 }
 
-// Without it the owner learns anew.
+// Without stored estimates the owner starts to learn them anew.
 void owner::load_estimates(common::time_point now)
 {
     load_key(
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -5,8 +5,8 @@
 #include <cmath>
 #include <utility>
 
-// What the owner tells of itself at intervals: waiting jobs in the store, what
-// binds in the log. Also ends what is kept for submitters who ask.
+// Periodic reports of the owner: the number of waiting jobs in the store and
+// the load in the log. Also erases expired final states and cancel keys.
 namespace fuchsia::core::pool
 {
 
@@ -70,7 +70,8 @@
         });
 }
 
-// Some seconds old it still tells a successor nearly all.
+// A record that is a few seconds old still gives a successor nearly all
+// estimates.
 void owner::write_estimates(common::time_point now)
 {
     if (now < next_estimates_write_ || estimates_write_pending_)
@@ -105,7 +106,8 @@
               {"took_ms", std::to_string(common::to_milliseconds(elapsed))}});
 }
 
-// As many as are due: what is dropped more slowly than jobs end piles up.
+// Drops all expired final states at once: a limit per call below the rate at
+// which jobs end would let them pile up.
 void owner::drop_old_finals(common::time_point now)
 {
     while (!final_times_.empty() &&
@@ -126,9 +128,10 @@
     }
 }
 
-// A cancelling may have overtaken its job, which finds it here and does not
-// come to be. Where the job has ended, the key goes behind that end, in the
-// same queue: a successor that found the job without it would run it again.
+// A cancel key may arrive before its job; while the key exists, the job is not
+// accepted. Where the job has ended, the key is erased after the job's end, in
+// the same write queue: a successor that found the job without its cancel key
+// would run it again.
 void owner::drop_unmatched_cancels(common::time_point now)
 {
     ledger::entry entry;
@@ -152,7 +155,8 @@
     }
 }
 
-// One line that says what binds: who waits, what is in use, what stands still.
+// Logs in one line what limits the pool: what waits, what is in use and what is
+// idle.
 void owner::log_load(common::time_point now)
 {
     if (now < next_load_log_)
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <utility>
 
-// What a worker tells of its runs and of their ends.
+// Handles the running and ended attempts that workers report.
 namespace fuchsia::core::pool
 {
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-// What still runs after this was never told to stop.
+// An attempt that still runs this long after its stop never received it.
 constexpr common::duration stop_again_after = std::chrono::seconds(1);
 
 bool less_by_name(ports::task_name const* lhs, ports::task_name const* rhs)
@@ -23,7 +23,7 @@
     return *lhs < *rhs;
 }
 
-// Workers name tasks in an order of their own, mostly the same as ours.
+// Workers list tasks in an order of their own, which is usually the sorted one.
 void sort_names(std::vector<ports::task_name const*>& names)
 {
     if (!std::is_sorted(names.begin(), names.end(), less_by_name))
@@ -46,11 +46,11 @@
     return names[static_cast<std::size_t>(kind)];
 }
 
-/// What went wrong with earlier attempts of a task; of a gang, of any member.
+/// Failures of earlier attempts of a task, or of any member of its gang.
 struct earlier_failures
 {
     bool failed = false;
-    std::string workers; ///< As far as this owner saw them: "w1,w2".
+    std::string workers; ///< Those known to this owner: "w1,w2".
 };
 
 earlier_failures failed_before(job_run const& run, ports::task_name const& name)
@@ -91,8 +91,8 @@
         reported.push_back(&row.attempt_id.task);
         apply_running(now, target, row);
     }
-    // Whatever their order: an end that was passed over is acknowledged with a
-    // later one, and is lost.
+    // Ends may come in any order. All above the previous highest are taken: an
+    // end that was skipped would be acknowledged with a later one and be lost.
     auto const previous_highest = target.highest_end;
     for (auto const& row : reply.ended)
     {
@@ -114,8 +114,8 @@
     }
 }
 
-// Whether the worker does not name a task that is placed there, or one of which
-// it is unclear whether it began. Hardly ever.
+// Whether the worker does not list a task that is placed on it, or has a task
+// whose start or stop is unanswered. This is rare.
 bool owner::is_inconsistent(worker const& target,
                             reported_names const& reported)
 {
@@ -137,8 +137,8 @@
     return false;
 }
 
-// What the worker had confirmed before it was asked, and does not name, is gone
-// without a trace.
+// A task that the worker had confirmed before the poll was sent, and that it no
+// longer lists, is lost. Stops that were not confirmed are sent again.
 void owner::check_missing(common::time_point now,
                           common::time_point sent,
                           worker& target,
@@ -190,7 +190,7 @@
                             t->attempt == row.attempt_id.attempt;
     if (!is_current)
     {
-        // A start that was given up, carried out late.
+        // A start that this owner gave up took effect late.
         order_stop(now, target.info.id, row.attempt_id);
         return;
     }
@@ -204,7 +204,7 @@
     stop_if_stuck(now, target, *run, row.attempt_id);
 }
 
-// A run that an earlier owner began.
+// Adopts a run that an earlier owner started.
 void owner::adopt_run(common::time_point now,
                       worker& target,
                       job_run& run,
@@ -241,7 +241,8 @@
     {
         t.progressed_at = now;
     }
-    // A task at full speed shows how fast its worker is.
+    // The progress of a task without a speed limit shows how fast the worker
+    // is.
     auto const& spec = run.step_of(row.attempt_id.task);
     bool const full_speed = t.speed_limit == 100 && t.reported_at > t.started &&
                             row.progress_percent > t.percent;
@@ -262,7 +263,8 @@
     }
 }
 
-// Some workers look healthy and let all their tasks stand still.
+// Stops a task without progress. Some faulty workers answer normally while none
+// of their tasks progresses.
 void owner::stop_if_stuck(common::time_point now,
                           worker& target,
                           job_run& run,
@@ -300,7 +302,7 @@
     bool const current = t->placed() && t->worker == target.info.id &&
                          t->attempt == row.attempt_id.attempt;
     bool const inherited = may_belong_to_earlier_owner(*run, *t);
-    // The end of a run that was taken for lost: no other was started since.
+    // The end of a run that was counted as lost and was not restarted since.
     bool const late = t->phase == task_phase::ready &&
                       t->worker == target.info.id &&
                       t->attempt == row.attempt_id.attempt;
@@ -310,7 +312,7 @@
     }
     if (inherited)
     {
-        // Another worker may still run a later attempt of it.
+        // Another worker may still run a later attempt of the task.
         t->attempt = std::max(t->attempt, row.attempt_id.attempt);
         run->started = true;
     }
@@ -341,8 +343,9 @@
     task_over(now, *run, name);
 }
 
-// One failed run changes little and many jobs have one. From the second on they
-// lead to the end of the job.
+// A first failure is common and matters little, so it only goes into the
+// digest. Further ones lead to the failure of the job and are logged one by
+// one.
 void owner::log_failure(common::time_point now,
                         worker const& target,
                         job_run const& run,
@@ -360,8 +363,8 @@
     }
 }
 
-// A failure that was counted already is told again by a worker that did not
-// hear of it.
+// Workers report an end until it is acknowledged, so the failure may have been
+// counted already.
 void owner::apply_failure(common::time_point now,
                           worker& target,
                           job_run& run,
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// What a new owner learns of the work of earlier ones.
+// Takeover: finds out which tasks earlier owners have started.
 namespace fuchsia::core::pool
 {
 
@@ -12,12 +12,13 @@
 namespace
 {
 
-/// Unreached workers that the line of a takeover names.
+/// Maximum number of unreached workers named in the takeover's log line.
 constexpr std::size_t max_missing_named = 8;
 
 } // namespace
 
-// Nothing of an earlier incarnation runs any more.
+// Adopts a worker in a new incarnation. Tasks of an earlier incarnation no
+// longer run.
 void owner::adopt_incarnation(common::time_point now,
                               worker& target,
                               std::uint64_t incarnation)
@@ -43,9 +44,9 @@
     digest_.worker_adopted(now, target.info.id);
 }
 
-// An earlier owner may have started it and seen it end: of a step, too, that is
-// not known to be open yet, since workers tell of its predecessors in any
-// order.
+// Whether an earlier owner may have started the task. This includes blocked
+// tasks of steps that are not open yet, since workers report the ends of their
+// predecessors in any order.
 bool owner::may_belong_to_earlier_owner(job_run const& run, task const& t) const
 {
     bool const blocked = t.phase == task_phase::blocked &&
@@ -53,9 +54,10 @@
     return t.phase == task_phase::unresolved || blocked;
 }
 
-// An end that an earlier owner saw, or nobody: its worker tells it to whoever
-// adopts the worker. The task may run again elsewhere by now; its failure still
-// counts.
+// Counts a failure that happened before this owner adopted the worker. A worker
+// repeats such ends to each owner that adopts it, whether or not an earlier
+// owner has handled them. The task may already run again on another worker; the
+// failure counts all the same.
 void owner::count_inherited_failure(common::time_point now,
                                     ports::ended_attempt const& row)
 {
@@ -77,7 +79,7 @@
     }
 }
 
-// Attempts that earlier owners saw fail used up what the job has.
+// Fails a job whose attempts were used up by failures under earlier owners.
 void owner::fail_exhausted_job(common::time_point now, job_run& run)
 {
     std::size_t failures = 0;
@@ -99,8 +101,8 @@
     end_job(now, run, job_phase::failing);
 }
 
-// Whether every worker that an earlier owner may have used has told what it
-// runs, or can't run any of it any more.
+// Completes the takeover once every worker that an earlier owner may have used
+// has either reported what it runs or can't run any of it any more.
 void owner::complete_takeover(common::time_point now)
 {
     if (takeover_complete_ || !loaded_ || !list_.known())
@@ -141,7 +143,7 @@
     }
 }
 
-// What no worker told of does not run anywhere.
+// Tasks that no worker has reported do not run anywhere.
 void owner::resolve_unresolved(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
@@ -166,9 +168,10 @@
     finish_if_over(run);
 }
 
-// Whether the last owner's leases are over on every worker, heard or not. From
-// the moment that half of the workers know the new fence it can have renewed
-// leases for one window, and those last for one lease.
+// Whether the leases given by earlier owners have ended on every worker, even
+// on those that this owner can't reach. Once half of the workers know the new
+// fencing token, an earlier owner can renew leases for at most one quorum
+// window, and the last of them ends one lease later.
 bool owner::earlier_leases_ended(common::time_point now)
 {
     auto const& limits = fleet_.settings();
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-// Asks workers, renews their leases and decides what becomes of silent ones.
+// Polls workers, renews their leases and handles those that do not answer.
 namespace fuchsia::core::pool
 {
 
@@ -100,8 +100,8 @@
         target->next_poll = now + settings_.retry_pause;
         return;
     }
-    // An answer that does not say whose it is may be of an earlier or a later
-    // incarnation.
+    // An answer without an incarnation may come from an earlier or a later
+    // incarnation of the worker.
     bool const anonymous =
         target->adopted && target->incarnation != 0 && reply.incarnation == 0;
     if (reply.status != order_status::done || anonymous)
@@ -145,10 +145,11 @@
     dispatch_if_requested(now);
 }
 
-// What was just learned is written before the end is acknowledged: an end that
-// a worker has forgotten and the store does not hold is lost, and the next
-// owner runs that task again. Asked before that, the worker would list the same
-// ends at once. What it lists again while their record waits is asked for once.
+// Acknowledges ends only after they are durable in the store. A worker forgets
+// an acknowledged end; if the store did not hold it either, the next owner
+// would run that task again. The next poll is delayed, because until then the
+// worker would answer at once with the same ends. Ends that it repeats while
+// they are being written are not written again.
 void owner::acknowledge_ends(common::time_point now, worker& target)
 {
     target.next_poll = now + settings_.guarded_poll_wait;
@@ -176,8 +177,9 @@
         });
 }
 
-// A worker that fails tasks of several jobs in a row, with no success between,
-// is to blame itself; a job that fails on several workers is not its doing.
+// A worker on which tasks of several jobs fail in a row, without a success in
+// between, is probably faulty. One job that fails on several workers says
+// nothing about the workers.
 void owner::note_worker_failure(common::time_point now,
                                 worker& target,
                                 std::string const& job)
@@ -223,10 +225,11 @@
     }
 }
 
-// A worker that can't be reached keeps its tasks until its lease has run out.
-// Started elsewhere before that, a task would run in two places. It is asked
-// once more then: where this owner was too busy to hear its answers, it may
-// have told long ago that its tasks are done.
+// A worker that can't be reached keeps its tasks until its lease has expired.
+// If a task were started elsewhere before that, it would run in two places.
+// After the expiry the worker is polled once more: if this owner was too busy
+// to process its answers, it may have reported long ago that its tasks are
+// done.
 void owner::check_silent_workers(common::time_point now)
 {
     std::vector<std::string> removed;
@@ -236,7 +239,7 @@
                             now - w.last_contact > settings_.workers.lease;
         if (silent && w.silent_since_lapse)
         {
-            mark_runs_lost(now, w, "lease lapsed in silence");
+            mark_runs_lost(now, w, "lease expired without an answer");
         }
         else if (silent && fleet_.lapsed(w, now))
         {
@@ -244,7 +247,8 @@
         }
         bool const absent = !w.listed && list_.known() && w.runs.empty() &&
                             !w.poll_pending && fleet_.lapsed(w, now);
-        // One that was never reached may run what its last owner gave it.
+        // A worker that this owner never reached may still run tasks of an
+        // earlier owner.
         if (absent && (w.adopted || takeover_complete_))
         {
             removed.push_back(id);
@@ -262,9 +266,9 @@
     }
 }
 
-// Repeated until the worker answers: what was stopped there, or never came, is
-// refused there for good, so the task may start elsewhere once a later hold
-// does not show it.
+// Sends the stop until the worker answers. From then on the worker refuses the
+// attempt for good, whether it stopped it or never received it. The task may
+// start elsewhere once a later poll does not list it.
 void owner::order_stop(common::time_point now,
                        std::string const& id,
                        ports::pool_attempt const& attempt_id)
@@ -296,7 +300,7 @@
             }
             if (reply.status == order_status::done)
             {
-                // A hold sent from now on tells the truth about it.
+                // A poll sent from now on shows whether it runs.
                 t->start_unanswered = false;
                 t->started = at;
                 return;
@@ -312,7 +316,7 @@
         });
 }
 
-// Null where its worker has told its end, or was given up.
+// Returns null if the worker has reported the attempt's end or was given up.
 task* owner::find_stopping_task(std::string const& id,
                                 ports::pool_attempt const& attempt_id)
 {
