--- a/tests/unit/pool/malformed_inputs_test.cpp
+++ b/tests/unit/pool/malformed_inputs_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <string>
 
-// What submitters, the store and workers may send that no sane one would.
+// Malformed input from submitters, the store and workers.
 namespace fuchsia::tests::unit::pool
 {
 
@@ -12,67 +12,74 @@
 {
 
 template<class Answer>
-bool got(pool_simulation& world, std::uint64_t request)
+bool is_answered_with(pool_simulation& simulation, std::uint64_t request)
 {
-    world.run_until(
-        [&world, request]
+    simulation.run_until(
+        [&simulation, request]
         {
-            return world.answer(request).has_value();
+            return simulation.answer(request).has_value();
         });
-    auto const answer = world.answer(request);
+    auto const answer = simulation.answer(request);
     return answer && std::holds_alternative<Answer>(*answer);
 }
 
 } // namespace
 
-// An id with a "/" wrote under another job's keys, and one with a "." gave its
-// tasks names that nobody could read: accepted, such a job never ran.
-TEST(pool_odd_inputs, ids_that_are_no_names_are_refused)
+// Guards against jobs that are accepted and never run: an id with a "/" would
+// write below another job's keys, and one with a "." would give its tasks names
+// that can't be parsed.
+TEST(pool_malformed_inputs, invalid_job_ids_are_refused)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
     auto const job = simple_job(1, 100ms);
-    for (auto const& odd : {std::string(),
-                            std::string("a/cancel"),
-                            std::string("a.b"),
-                            std::string("a&staleOk=1"),
-                            std::string("a b"),
-                            std::string("a%2e"),
-                            std::string("\xff"),
-                            std::string(65, 'a')})
+    for (auto const& id : {std::string(),
+                           std::string("a/cancel"),
+                           std::string("a.b"),
+                           std::string("a&staleOk=1"),
+                           std::string("a b"),
+                           std::string("a%2e"),
+                           std::string("\xff"),
+                           std::string(65, 'a')})
     {
-        EXPECT_TRUE(got<ports::job_invalid>(world, world.submit(0, odd, job)))
-            << odd;
-        EXPECT_TRUE(got<ports::job_not_found>(world, world.cancel(0, odd)))
-            << odd;
+        EXPECT_TRUE(is_answered_with<ports::job_invalid>(
+            simulation, simulation.submit(0, id, job)))
+            << id;
+        EXPECT_TRUE(is_answered_with<ports::job_not_found>(
+            simulation, simulation.cancel(0, id)))
+            << id;
     }
-    EXPECT_TRUE(got<ports::job_not_found>(world, world.query(0, "a/cancel")));
-    EXPECT_TRUE(got<ports::job_accepted>(
-        world, world.submit(0, std::string(64, 'a'), job)));
+    EXPECT_TRUE(is_answered_with<ports::job_not_found>(
+        simulation, simulation.query(0, "a/cancel")));
+    EXPECT_TRUE(is_answered_with<ports::job_accepted>(
+        simulation, simulation.submit(0, std::string(64, 'a'), job)));
 }
 
-// Told as "completed", its submitter believed what never ran.
-TEST(pool_odd_inputs, an_end_that_cannot_be_read_is_not_told)
+// Guards against a job that never ran and is reported as "completed" because
+// its final state can't be parsed.
+TEST(pool_malformed_inputs, an_unreadable_final_state_is_not_reported)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
     std::size_t number = 0;
-    for (auto const* odd : {"", "complete", "{}", "\xff", "queued", "active"})
+    for (auto const* value : {"", "complete", "{}", "\xff", "queued", "active"})
     {
         auto const id = "odd" + std::to_string(number++);
-        world.store().put("final/" + id, odd);
-        EXPECT_TRUE(got<ports::job_refused>(world, world.query(0, id))) << odd;
+        simulation.store().put("final/" + id, value);
+        EXPECT_TRUE(is_answered_with<ports::job_refused>(
+            simulation, simulation.query(0, id)))
+            << value;
     }
-    world.store().put("final/good", "failed");
-    EXPECT_EQ(world.state(0, "good"), ports::job_state::failed);
+    simulation.store().put("final/good", "failed");
+    EXPECT_EQ(simulation.state(0, "good"), ports::job_state::failed);
 }
 
-// Records that another program or an odd version left ended every instance that
-// read them, one after the other.
-TEST(pool_odd_inputs, odd_records_end_no_owner)
+// Guards against records of another program or version that end every instance
+// which reads them, one after the other.
+TEST(pool_malformed_inputs, malformed_records_end_no_owner)
 {
-    pool_simulation world;
-    for (auto const* odd :
+    pool_simulation simulation;
+    for (auto const* value :
          {"", "null", "[]", "{}", "{\"id\":7}", "\xff\xfe", "1e999"})
     {
         for (auto const* key : {"pool/job/odd",
@@ -91,70 +98,72 @@
                                 "workers/odd",
                                 "workers/"})
         {
-            world.store().put(key, odd);
+            simulation.store().put(key, value);
         }
-        ASSERT_TRUE(run_until_owned(world)) << odd;
-        auto const id = "job" + std::to_string(world.now().time_since_epoch() /
-                                               core::common::duration(1));
-        auto const at = other_than(*world.owner());
-        world.submit(at, id, simple_job(2, 100ms));
-        EXPECT_TRUE(world.run_until(
-            [&world, &id, at]
+        ASSERT_TRUE(run_until_owned(simulation)) << value;
+        auto const id =
+            "job" + std::to_string(simulation.now().time_since_epoch() /
+                                   core::common::duration(1));
+        auto const submitter = other_than(*simulation.owner());
+        simulation.submit(submitter, id, simple_job(2, 100ms));
+        EXPECT_TRUE(simulation.run_until(
+            [&simulation, &id, submitter]
             {
-                return world.state(at, id) == ports::job_state::completed;
+                return simulation.state(submitter, id) ==
+                       ports::job_state::completed;
             }))
-            << odd;
-        // The next one reads all of it.
-        auto const owner = *world.owner();
-        world.kill(owner);
-        world.run(3s);
-        world.start(owner);
-        world.run(1s);
+            << value;
+        // The next owner loads all these records.
+        auto const owner = *simulation.owner();
+        simulation.kill(owner);
+        simulation.run(3s);
+        simulation.start(owner);
+        simulation.run(1s);
     }
-    EXPECT_EQ(world.violation(), "");
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Run by the record's own id, a job would be in two places of the owner's
-// table.
-TEST(pool_odd_inputs, a_record_under_the_key_of_another_job_is_not_run)
+// Guards against a job that is in the owner's table twice: once by its key and
+// once by the id in its record.
+TEST(pool_malformed_inputs, a_record_under_the_key_of_another_job_is_not_run)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
     auto other = simple_job(2, 100ms);
     other.id = "two";
     other.queue = "q";
-    world.store().put("pool/job/one", to_json(other));
-    world.submit(0, "three", simple_job(2, 100ms));
-    EXPECT_TRUE(world.run_until(
-        [&world]
+    simulation.store().put("pool/job/one", to_json(other));
+    simulation.submit(0, "three", simple_job(2, 100ms));
+    EXPECT_TRUE(simulation.run_until(
+        [&simulation]
         {
-            return world.state(0, "three") == ports::job_state::completed;
+            return simulation.state(0, "three") == ports::job_state::completed;
         }));
-    world.kill(*world.owner());
-    world.run(5s);
-    EXPECT_TRUE(world.owner());
-    EXPECT_EQ(world.violation(), "");
-    EXPECT_EQ(world.running_count({"two", 0, 0, 0}), 0U);
+    simulation.kill(*simulation.owner());
+    simulation.run(5s);
+    EXPECT_TRUE(simulation.owner());
+    EXPECT_EQ(simulation.violation(), "");
+    EXPECT_EQ(simulation.running_count({"two", 0, 0, 0}), 0U);
 }
 
-// Answers that come twice, late, to nobody or garbled, for some seconds: what
-// was accepted runs once they are sane.
-TEST(pool_odd_inputs, jobs_finish_after_odd_answers)
+// Guards against accepted jobs that do not complete after some seconds of
+// answers that are duplicated, late, garbled or sent to the wrong call.
+TEST(pool_malformed_inputs, jobs_complete_after_malformed_answers)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
         std::mt19937_64 random(seed);
         auto const one_in = [&random](std::uint64_t count)
         {
             return random() % count == 0;
         };
-        world.store_answer = [&](ports::kv_reply& reply)
+        simulation.store_answer = [&](ports::kv_reply& reply)
         {
             if (one_in(8))
             {
-                // What a garbled answer is read as.
+                // The result of decoding a garbled answer.
                 reply = {reply.id, ports::kv_status::unclear, {}, false, 0, 0};
             }
             if (one_in(8) && !reply.items.empty())
@@ -164,7 +173,7 @@
             }
             return one_in(4);
         };
-        world.worker_answer = [&](ports::order_reply& reply)
+        simulation.worker_answer = [&](ports::order_reply& reply)
         {
             if (one_in(6))
             {
@@ -182,7 +191,8 @@
             }
             if (one_in(4))
             {
-                // Of a job that nobody knows, and of tasks that it has not.
+                // An attempt of an unknown job and one of a task that its job
+                // does not have.
                 reply.running.push_back({{{"none", 7, 8, 9}, 1}, "c", 3, 1});
                 reply.running.push_back(
                     {{{"job0", 4'000'000'000, 0, 1}, 1'000'000'000}, "", 0, 0});
@@ -199,30 +209,31 @@
         };
         for (std::size_t number = 0; number < 6; ++number)
         {
-            world.submit(
+            simulation.submit(
                 number % 3, "job" + std::to_string(number), chained_job(300ms));
-            world.run(700ms);
+            simulation.run(700ms);
         }
-        world.run(4s);
-        world.store_answer = {};
-        world.worker_answer = {};
+        simulation.run(4s);
+        simulation.store_answer = {};
+        simulation.worker_answer = {};
         for (std::size_t number = 0; number < 6; ++number)
         {
             auto const id = "job" + std::to_string(number);
-            if (!world.store().find("pool/job/" + id) &&
-                !world.store().find("final/" + id))
+            if (!simulation.store().find("pool/job/" + id) &&
+                !simulation.store().find("final/" + id))
             {
-                continue; // Its submitter was not told that it was accepted.
+                continue; // The submitter got no acceptance.
             }
-            EXPECT_TRUE(world.run_until(
-                [&world, &id]
+            EXPECT_TRUE(simulation.run_until(
+                [&simulation, &id]
                 {
-                    return world.state(0, id) == ports::job_state::completed;
+                    return simulation.state(0, id) ==
+                           ports::job_state::completed;
                 },
                 60s))
                 << "seed " << seed << " " << id;
         }
-        EXPECT_EQ(world.violation(), "") << "seed " << seed;
+        EXPECT_EQ(simulation.violation(), "") << "seed " << seed;
     }
 }
 
--- a/tests/unit/pool/takeover_test.cpp
+++ b/tests/unit/pool/takeover_test.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// From now on `owner` gets nothing through to the store.
-void cut_from_store(pool_simulation& world, std::size_t owner)
+// Drops all calls of instance `owner` to the store from now on.
+void disconnect_from_store(pool_simulation& simulation, std::size_t owner)
 {
-    world.store_fault =
+    simulation.store_fault =
         [owner](std::size_t instance, ports::kv_operation const&)
     {
         return instance == owner ? fault_effect::request_lost
@@ -20,388 +20,409 @@
     };
 }
 
-// For this long only `owner` reaches the worker.
-void hide_worker(pool_simulation& world,
-                 std::size_t hidden,
-                 std::size_t owner,
-                 duration how_long)
+// For `period` only instance `owner` reaches worker `isolated`.
+void isolate_worker(pool_simulation& simulation,
+                    std::size_t isolated,
+                    std::size_t owner,
+                    duration period)
 {
-    auto const until = world.now() + how_long;
-    world.worker_fault =
-        [&world, hidden, owner, until](std::size_t instance,
-                                       std::size_t worker,
-                                       ports::pool_operation const&)
+    auto const until = simulation.now() + period;
+    simulation.worker_fault =
+        [&simulation, isolated, owner, until](std::size_t instance,
+                                              std::size_t worker,
+                                              ports::pool_operation const&)
     {
-        bool const cut =
-            worker == hidden && instance != owner && world.now() < until;
-        return cut ? fault_effect::request_lost : fault_effect::carried_out;
+        bool const lost =
+            worker == isolated && instance != owner && simulation.now() < until;
+        return lost ? fault_effect::request_lost : fault_effect::carried_out;
     };
 }
 
-std::size_t begun_in_all(pool_simulation& world)
+std::size_t total_starts(pool_simulation& simulation)
 {
-    std::size_t begun = 0;
-    for (std::size_t number = 0; number < world.worker_count(); ++number)
+    std::size_t started = 0;
+    for (std::size_t number = 0; number < simulation.worker_count(); ++number)
     {
-        begun += world.worker(number).started_runs().size();
+        started += simulation.worker(number).started_runs().size();
     }
-    return begun;
+    return started;
 }
 
-bool completes(pool_simulation& world,
-               std::size_t asked,
+bool completes(pool_simulation& simulation,
+               std::size_t queried,
                std::string const& id,
-               duration patience = 30s)
+               duration timeout = 30s)
 {
-    return world.run_until(
-        [&world, asked, &id]
+    return simulation.run_until(
+        [&simulation, queried, &id]
         {
-            return world.state(asked, id) == job_state::completed;
+            return simulation.state(queried, id) == job_state::completed;
         },
-        patience);
+        timeout);
 }
 
 } // namespace
 
-// Failure: a job does not run to its end on a calm day.
-TEST(pool_takeover, a_calm_job_is_completed)
+// Guards against a job that does not complete although nothing fails.
+TEST(pool_takeover, a_job_completes_without_faults)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const request = world.submit(1, "a", chained_job(300ms));
-    world.run(50ms);
-    ASSERT_TRUE(world.answer(request).has_value());
-    EXPECT_TRUE(
-        std::holds_alternative<ports::job_accepted>(*world.answer(request)));
-    EXPECT_TRUE(completes(world, 2, "a"));
-    EXPECT_EQ(world.violation(), "");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const request = simulation.submit(1, "a", chained_job(300ms));
+    simulation.run(50ms);
+    ASSERT_TRUE(simulation.answer(request).has_value());
+    EXPECT_TRUE(std::holds_alternative<ports::job_accepted>(
+        *simulation.answer(request)));
+    EXPECT_TRUE(completes(simulation, 2, "a"));
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: tasks whose ends a killed owner did not write down run twice.
-TEST(pool_takeover, a_killed_owner_loses_and_doubles_nothing)
+// Guards against tasks that run twice because the killed owner had not stored
+// their ends.
+TEST(pool_takeover, a_killed_owner_causes_no_lost_or_repeated_task)
 {
-    for (auto const when : {100ms, 290ms, 305ms, 320ms, 400ms, 610ms, 640ms})
+    for (auto const kill_after :
+         {100ms, 290ms, 305ms, 320ms, 400ms, 610ms, 640ms})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        world.submit(1, "a", chained_job(300ms));
-        world.run(when);
-        auto const owner = *world.owner();
-        world.kill(owner);
-        EXPECT_TRUE(completes(world, other_than(owner), "a"));
-        EXPECT_EQ(world.violation(), "") << "killed after " << when.count();
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        simulation.submit(1, "a", chained_job(300ms));
+        simulation.run(kill_after);
+        auto const owner = *simulation.owner();
+        simulation.kill(owner);
+        EXPECT_TRUE(completes(simulation, other_than(owner), "a"));
+        EXPECT_EQ(simulation.violation(), "")
+            << "killed after " << kill_after.count();
     }
 }
 
-// Failure: what workers did while nobody owned is lost or run again.
-TEST(pool_takeover, all_instances_killed_at_once)
+// Guards against the loss or repetition of work that workers did while there
+// was no owner.
+TEST(pool_takeover, no_task_is_lost_or_repeated_after_a_kill_of_all_instances)
 {
-    for (auto const when : {100ms, 305ms, 610ms})
+    for (auto const kill_after : {100ms, 305ms, 610ms})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        world.submit(1, "a", chained_job(300ms));
-        world.run(when);
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        simulation.submit(1, "a", chained_job(300ms));
+        simulation.run(kill_after);
         for (std::size_t number = 0; number < 3; ++number)
         {
-            world.kill(number);
+            simulation.kill(number);
         }
-        world.run(1s);
+        simulation.run(1s);
         for (std::size_t number = 0; number < 3; ++number)
         {
-            world.start(number);
+            simulation.start(number);
         }
-        EXPECT_TRUE(completes(world, 0, "a"));
-        EXPECT_EQ(world.violation(), "") << "killed after " << when.count();
+        EXPECT_TRUE(completes(simulation, 0, "a"));
+        EXPECT_EQ(simulation.violation(), "")
+            << "killed after " << kill_after.count();
     }
 }
 
-// Failure: tasks of a worker that a successor can't reach run twice.
+// Guards against a second run of tasks on a worker that only the old owner
+// reaches.
 TEST(pool_takeover, a_worker_that_the_successor_cannot_reach_keeps_its_tasks)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    world.submit(1, "a", simple_job(8, 20s));
-    world.run(500ms);
-    ASSERT_GT(world.worker(0).running(), 0U);
-    auto const owner = *world.owner();
-    world.worker_fault = [owner](std::size_t instance,
-                                 std::size_t worker,
-                                 ports::pool_operation const&)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    simulation.submit(1, "a", simple_job(8, 20s));
+    simulation.run(500ms);
+    ASSERT_GT(simulation.worker(0).running(), 0U);
+    auto const owner = *simulation.owner();
+    simulation.worker_fault = [owner](std::size_t instance,
+                                      std::size_t worker,
+                                      ports::pool_operation const&)
     {
-        bool const cut = worker == 0 && instance != owner;
-        return cut ? fault_effect::request_lost : fault_effect::carried_out;
+        bool const lost = worker == 0 && instance != owner;
+        return lost ? fault_effect::request_lost : fault_effect::carried_out;
     };
-    cut_from_store(world, owner);
-    EXPECT_TRUE(completes(world, other_than(owner), "a", 60s));
-    EXPECT_EQ(world.violation(), "");
+    disconnect_from_store(simulation, owner);
+    EXPECT_TRUE(completes(simulation, other_than(owner), "a", 60s));
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: an owner that nobody tells of its successor goes on beside it.
-TEST(pool_takeover, an_owner_alone_with_one_worker_gives_up)
+// Guards against an old owner that keeps sending orders beside its successor
+// because no worker it reaches has seen the new fencing token.
+TEST(pool_takeover, an_owner_without_a_quorum_of_workers_stops)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    world.submit(1, "a", simple_job(8, 20s));
-    world.run(500ms);
-    ASSERT_GT(world.worker(0).running(), 0U);
-    auto const owner = *world.owner();
-    world.worker_fault = [owner](std::size_t instance,
-                                 std::size_t worker,
-                                 ports::pool_operation const&)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    simulation.submit(1, "a", simple_job(8, 20s));
+    simulation.run(500ms);
+    ASSERT_GT(simulation.worker(0).running(), 0U);
+    auto const owner = *simulation.owner();
+    simulation.worker_fault = [owner](std::size_t instance,
+                                      std::size_t worker,
+                                      ports::pool_operation const&)
     {
         bool const passes = (worker == 0) == (instance == owner);
         return passes ? fault_effect::carried_out : fault_effect::request_lost;
     };
-    cut_from_store(world, owner);
-    EXPECT_TRUE(completes(world, other_than(owner), "a", 60s));
-    EXPECT_EQ(world.violation(), "");
+    disconnect_from_store(simulation, owner);
+    EXPECT_TRUE(completes(simulation, other_than(owner), "a", 60s));
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: lasting tasks stop while the store is away.
-TEST(pool_takeover, tasks_outlive_a_long_outage_of_the_store)
+// Guards against long-running tasks that stop or restart while the store does
+// not answer.
+TEST(pool_takeover, long_running_tasks_survive_a_long_store_outage)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto what = simple_job(6, 1s);
-    what.steps.front().long_running = true;
-    what.spec = "lasts";
-    world.submit(1, "a", what);
-    world.run(500ms);
-    world.store_fault = [](std::size_t, ports::kv_operation const&)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto job = simple_job(6, 1s);
+    job.steps.front().long_running = true;
+    job.spec = "lasts";
+    simulation.submit(1, "a", job);
+    simulation.run(500ms);
+    simulation.store_fault = [](std::size_t, ports::kv_operation const&)
     {
         return fault_effect::request_lost;
     };
-    world.run(30s);
+    simulation.run(30s);
     std::size_t running = 0;
-    std::size_t begun = 0;
-    for (std::size_t number = 0; number < world.worker_count(); ++number)
+    std::size_t started = 0;
+    for (std::size_t number = 0; number < simulation.worker_count(); ++number)
     {
-        running += world.worker(number).running();
-        begun += world.worker(number).started_runs().size();
+        running += simulation.worker(number).running();
+        started += simulation.worker(number).started_runs().size();
     }
     EXPECT_EQ(running, 6U);
-    EXPECT_EQ(begun, 6U);
+    EXPECT_EQ(started, 6U);
 }
 
-// Failure: orders of an owner that wakes with old beliefs take effect.
-TEST(pool_takeover, a_frozen_owner_does_no_harm)
+// Guards against orders that an owner sends by outdated state after it was
+// frozen and replaced.
+TEST(pool_takeover, orders_of_an_owner_that_was_frozen_have_no_effect)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    world.submit(1, "a", chained_job(1s));
-    world.run(300ms);
-    auto const owner = *world.owner();
-    world.freeze(owner, 4s);
-    EXPECT_TRUE(completes(world, other_than(owner), "a"));
-    world.run(5s);
-    EXPECT_EQ(world.violation(), "");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    simulation.submit(1, "a", chained_job(1s));
+    simulation.run(300ms);
+    auto const owner = *simulation.owner();
+    simulation.freeze(owner, 4s);
+    EXPECT_TRUE(completes(simulation, other_than(owner), "a"));
+    simulation.run(5s);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: two owners schedule the same jobs, since a lost claim goes unseen.
-TEST(pool_takeover, a_claim_that_is_taken_away)
+// Guards against two owners that schedule the same jobs because the first does
+// not notice the loss of its claim.
+TEST(pool_takeover, a_job_runs_once_although_its_owner_lost_the_claim)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    world.submit(1, "a", chained_job(1s));
-    world.run(300ms);
-    world.store().expire_key("pool/claim");
-    EXPECT_TRUE(completes(world, 0, "a"));
-    EXPECT_EQ(world.violation(), "");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    simulation.submit(1, "a", chained_job(1s));
+    simulation.run(300ms);
+    simulation.store().expire_key("pool/claim");
+    EXPECT_TRUE(completes(simulation, 0, "a"));
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: a planned stop costs users the length of a lease.
-TEST(pool_takeover, a_planned_stop_hands_over_within_a_moment)
+// Guards against a planned stop after which no task starts until a lease has
+// expired.
+TEST(pool_takeover, a_planned_stop_hands_the_claim_over_within_200_ms)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    world.submit(other_than(owner), "a", simple_job(4, 2s));
-    world.run(300ms);
-    world.stop(owner);
-    auto const moved = [&world, owner]
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    simulation.submit(other_than(owner), "a", simple_job(4, 2s));
+    simulation.run(300ms);
+    simulation.stop(owner);
+    auto const claim_moved = [&simulation, owner]
     {
-        return world.owner() && *world.owner() != owner;
+        return simulation.owner() && *simulation.owner() != owner;
     };
-    EXPECT_TRUE(world.run_until(moved, 200ms));
-    EXPECT_TRUE(world.run_until(
-        [&world, owner]
+    EXPECT_TRUE(simulation.run_until(claim_moved, 200ms));
+    EXPECT_TRUE(simulation.run_until(
+        [&simulation, owner]
         {
-            return world.stopped(owner);
+            return simulation.stopped(owner);
         },
         6s));
-    EXPECT_TRUE(completes(world, other_than(owner), "a"));
-    EXPECT_EQ(world.violation(), "");
+    EXPECT_TRUE(completes(simulation, other_than(owner), "a"));
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: a silent death of the owner is noticed later than its lease ends.
-TEST(pool_takeover, a_silent_death_costs_a_second_and_a_half)
+// Guards against a killed owner that is replaced later than its claim's lease
+// ends.
+TEST(pool_takeover, a_killed_owner_is_replaced_within_1500_ms)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    world.kill(owner);
-    EXPECT_TRUE(world.run_until(
-        [&world, owner]
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    simulation.kill(owner);
+    EXPECT_TRUE(simulation.run_until(
+        [&simulation, owner]
         {
-            return world.owner() && *world.owner() != owner;
+            return simulation.owner() && *simulation.owner() != owner;
         },
         1500ms));
 }
 
-// Failure: a failure told after the next run began is not counted.
-TEST(pool_takeover, a_failure_that_is_told_after_the_next_run)
+// Guards against an attempt too many: a failure that is reported only after the
+// next run has started would not be counted.
+TEST(pool_takeover, a_failure_reported_after_the_next_start_is_counted)
 {
-    // While the second run is at work, and after it.
-    for (auto const hidden : {1100ms, 3500ms})
+    // The failure is reported during the second run and after it.
+    for (auto const isolated_for : {1100ms, 3500ms})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        auto const owner = *world.owner();
-        auto what = simple_job(1, 900ms);
-        what.spec += " fail";
-        world.submit(other_than(owner), "a", what);
-        world.run(500ms);
-        ASSERT_GT(world.worker(0).running(), 0U);
-        cut_from_store(world, owner);
-        hide_worker(world, 0, owner, hidden);
-        auto const asked = other_than(owner);
-        EXPECT_TRUE(world.run_until(
-            [&world, asked]
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        auto const owner = *simulation.owner();
+        auto job = simple_job(1, 900ms);
+        job.spec += " fail";
+        simulation.submit(other_than(owner), "a", job);
+        simulation.run(500ms);
+        ASSERT_GT(simulation.worker(0).running(), 0U);
+        disconnect_from_store(simulation, owner);
+        isolate_worker(simulation, 0, owner, isolated_for);
+        auto const queried = other_than(owner);
+        EXPECT_TRUE(simulation.run_until(
+            [&simulation, queried]
             {
-                return world.state(asked, "a") == job_state::failed;
+                return simulation.state(queried, "a") == job_state::failed;
             }));
-        EXPECT_EQ(begun_in_all(world), 3U) << hidden.count();
-        EXPECT_EQ(world.violation(), "");
+        EXPECT_EQ(total_starts(simulation), 3U) << isolated_for.count();
+        EXPECT_EQ(simulation.violation(), "");
     }
 }
 
-// Failure: a running step is stopped, as its predecessor's end comes later.
-TEST(pool_takeover, a_step_whose_predecessor_is_told_of_later)
+// Guards against a stop of a running step whose predecessor's end is reported
+// after it.
+TEST(pool_takeover, a_running_step_survives_the_later_end_of_its_predecessor)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    auto what = simple_job(1, 700ms);
-    what.steps.push_back(what.steps.front());
-    what.steps.back().after = {0};
-    what.spec = "work=3000";
-    world.submit(other_than(owner), "a", what);
-    world.run(300ms);
-    ASSERT_GT(world.worker(0).running(), 0U);
-    world.store().put("operators/out/even", "");
-    world.run(2600ms);
-    cut_from_store(world, owner);
-    hide_worker(world, 0, owner, 3s);
-    world.run(500ms);
-    ASSERT_EQ(world.worker(1).running(), 1U);
-    EXPECT_TRUE(completes(world, other_than(owner), "a"));
-    EXPECT_EQ(begun_in_all(world), 2U);
-    EXPECT_EQ(world.violation(), "");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    auto job = simple_job(1, 700ms);
+    job.steps.push_back(job.steps.front());
+    job.steps.back().after = {0};
+    job.spec = "work=3000";
+    simulation.submit(other_than(owner), "a", job);
+    simulation.run(300ms);
+    ASSERT_GT(simulation.worker(0).running(), 0U);
+    simulation.store().put("operators/out/even", "");
+    simulation.run(2600ms);
+    disconnect_from_store(simulation, owner);
+    isolate_worker(simulation, 0, owner, 3s);
+    simulation.run(500ms);
+    ASSERT_EQ(simulation.worker(1).running(), 1U);
+    EXPECT_TRUE(completes(simulation, other_than(owner), "a"));
+    EXPECT_EQ(total_starts(simulation), 2U);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: a failure that is told again counts twice: an attempt is not used.
-TEST(pool_takeover, a_failure_that_is_told_again)
+// Guards against an attempt too few: a failure that is reported to two owners
+// would be counted twice.
+TEST(pool_takeover, a_failure_reported_twice_is_counted_once)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    auto what = simple_job(1, 300ms);
-    what.spec += " fail";
-    world.submit(other_than(owner), "a", what);
-    world.worker_fault = [&world, owner](std::size_t instance,
-                                         std::size_t,
-                                         ports::pool_operation const&)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    auto job = simple_job(1, 300ms);
+    job.spec += " fail";
+    simulation.submit(other_than(owner), "a", job);
+    simulation.worker_fault = [&simulation, owner](std::size_t instance,
+                                                   std::size_t,
+                                                   ports::pool_operation const&)
     {
-        bool const written = world.store().find("progress/a").has_value();
+        bool const written = simulation.store().find("progress/a").has_value();
         return written && instance == owner ? fault_effect::request_lost
                                             : fault_effect::carried_out;
     };
-    ASSERT_TRUE(world.run_until(
-        [&world]
+    ASSERT_TRUE(simulation.run_until(
+        [&simulation]
         {
-            return world.store().find("progress/a").has_value();
+            return simulation.store().find("progress/a").has_value();
         }));
-    world.kill(owner);
-    auto const asked = other_than(owner);
-    EXPECT_TRUE(world.run_until(
-        [&world, asked]
+    simulation.kill(owner);
+    auto const queried = other_than(owner);
+    EXPECT_TRUE(simulation.run_until(
+        [&simulation, queried]
         {
-            return world.state(asked, "a") == job_state::failed;
+            return simulation.state(queried, "a") == job_state::failed;
         }));
-    EXPECT_EQ(begun_in_all(world), 3U);
-    EXPECT_EQ(world.violation(), "");
+    EXPECT_EQ(total_starts(simulation), 3U);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: a worker that forgot the successor's fence obeys the owner before.
-TEST(pool_takeover, a_worker_that_restarts_between_two_owners)
+// Guards against a worker that lost the successor's fencing token in a restart
+// and carries out orders of the previous owner.
+TEST(pool_takeover, a_restarted_worker_obeys_no_replaced_owner)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const old = *world.owner();
-    bool reaches_none = false;
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const old_owner = *simulation.owner();
+    bool old_owner_isolated = false;
     bool restarted = false;
-    bool reaches_last = false;
-    // The old owner reaches the worker that restarted, a successor the others.
-    world.worker_fault = [&](std::size_t instance,
-                             std::size_t worker,
-                             ports::pool_operation const& call)
+    bool last_worker_reachable = false;
+    // The old owner reaches only the restarted worker, the successor only the
+    // other workers.
+    simulation.worker_fault = [&](std::size_t instance,
+                                  std::size_t worker,
+                                  ports::pool_operation const& call)
     {
         auto const* const start = std::get_if<ports::start_order>(&call);
         if (start != nullptr && start->attempt_id.task.job == "a" && !restarted)
         {
             return fault_effect::refused;
         }
-        bool const cut =
-            instance == old
-                ? reaches_none && (worker != 0 || !restarted)
-                : (worker == 0 && restarted) || (worker == 3 && !reaches_last);
-        return cut ? fault_effect::request_lost : fault_effect::carried_out;
+        bool const lost =
+            instance == old_owner
+                ? old_owner_isolated && (worker != 0 || !restarted)
+                : (worker == 0 && restarted) ||
+                      (worker == 3 && !last_worker_reachable);
+        return lost ? fault_effect::request_lost : fault_effect::carried_out;
     };
-    world.submit(other_than(old), "busy", simple_job(16, 60s));
-    world.submit(other_than(old), "a", simple_job(4, 20s));
-    // A watch that waits already may still be answered.
-    world.store_fault = [old](std::size_t at, ports::kv_operation const& call)
+    simulation.submit(other_than(old_owner), "busy", simple_job(16, 60s));
+    simulation.submit(other_than(old_owner), "a", simple_job(4, 20s));
+    // A watch that is already pending may still be answered.
+    simulation.store_fault =
+        [old_owner](std::size_t at, ports::kv_operation const& call)
     {
-        return at == old && watches_jobs(call) ? fault_effect::request_lost
-                                               : fault_effect::carried_out;
+        return at == old_owner && watches_jobs(call)
+                   ? fault_effect::request_lost
+                   : fault_effect::carried_out;
     };
-    world.run(1500ms);
-    cut_from_store(world, old);
-    world.run(800ms);
-    reaches_none = true;
-    ASSERT_TRUE(world.run_until(
-        [&world, old]
+    simulation.run(1500ms);
+    disconnect_from_store(simulation, old_owner);
+    simulation.run(800ms);
+    old_owner_isolated = true;
+    ASSERT_TRUE(simulation.run_until(
+        [&simulation, old_owner]
         {
-            return world.owner() && *world.owner() != old;
+            return simulation.owner() && *simulation.owner() != old_owner;
         },
         2s));
-    world.run(100ms);
-    world.restart_worker(0);
+    simulation.run(100ms);
+    simulation.restart_worker(0);
     restarted = true;
-    world.run(2s);
-    reaches_last = true;
-    world.run(5s);
-    EXPECT_EQ(world.violation(), "");
+    simulation.run(2s);
+    last_worker_reachable = true;
+    simulation.run(5s);
+    EXPECT_EQ(simulation.violation(), "");
 }
 
-// Failure: a slow answer is thrown away for one that is as slow and later.
-TEST(pool_takeover, slow_reads_of_the_state_count)
+// Guards against a state read whose slow answer is discarded for that of a
+// later read which is as slow.
+TEST(pool_takeover, a_slow_answer_to_a_state_read_is_used)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    world.store_fault = [](std::size_t, ports::kv_operation const& call)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    simulation.store_fault = [](std::size_t, ports::kv_operation const& call)
     {
         auto const* const page = std::get_if<ports::kv_range>(&call);
         bool const jobs = page != nullptr && page->prefix == "pool/";
         return jobs ? fault_effect::delayed : fault_effect::carried_out;
     };
-    world.kill(owner);
-    EXPECT_TRUE(world.run_until(
-        [&world]
+    simulation.kill(owner);
+    EXPECT_TRUE(simulation.run_until(
+        [&simulation]
         {
-            return world.owner().has_value();
+            return simulation.owner().has_value();
         },
         1500ms + 2100ms));
 }
