--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -120,7 +120,7 @@
 {
     if (now - std::max(created_at_, load_advanced_at_) > settings_.load_timeout)
     {
-        claim_.hand_over(now, "loading the state timed out");
+        claim_.hand_over(now, "the state did not load in time");
     }
 }
 
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -156,7 +156,7 @@
                                      });
     if (!claimed)
     {
-        claim_.mark_lost("its key is missing from the loaded pages");
+        claim_.mark_lost("its key is gone from the loaded pages");
     }
     for (auto const& item : items)
     {
