--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -17,29 +17,29 @@
 
 constexpr common::duration watch_wait = std::chrono::milliseconds(1000);
 constexpr common::duration rank_interval = std::chrono::milliseconds(500);
-// Jobs, progress, roster, final states and what was learned.
-constexpr std::uint32_t parts_to_load = 5;
+// Jobs, progress, roster, final states and interference estimates.
+constexpr std::uint32_t part_count = 5;
 
 } // namespace
 
 owner::owner(owner_settings const& settings,
-             platform_records const& words,
+             platform_records const& records,
              operator_state const& operators,
-             claim& held,
+             claim& own_claim,
              outbox& out,
              common::time_point now)
-    : settings_(settings), platform_records_(words), operators_(operators),
-      claim_(held), out_(out), digest_(out),
-      ledger_(settings.commits, held, out, now), fleet_(settings.workers),
+    : settings_(settings), platform_records_(records), operators_(operators),
+      claim_(own_claim), out_(out), digest_(out),
+      ledger_(settings.commits, own_claim, out, now), fleet_(settings.workers),
       list_(settings.list,
-            words,
+            records,
             out,
-            [this](common::time_point at, worker_changes const& seen)
+            [this](common::time_point at, worker_changes const& changes)
             {
-                apply_worker_list(at, seen);
+                apply_worker_list(at, changes);
             }),
       colocation_(settings.colocation), created_at_(now),
-      loading_parts_(parts_to_load)
+      loading_parts_(part_count)
 {
     load_roster(now);
     load_jobs(now);
@@ -63,11 +63,11 @@
     list_.tick(now);
     if (!loaded_)
     {
-        give_up_loading(now);
+        check_load_timeout(now);
         return;
     }
     give_up_stalled_watch(now);
-    check_silent(now);
+    check_silent_workers(now);
     complete_takeover(now);
     poll_workers(now);
     for (auto const& id : scheduled_jobs_)
@@ -95,11 +95,11 @@
     ledger_.tick(now);
 }
 
-// Ends come a thousand times a second on a large pool, and each may make room.
-// A round for each of them looks at all workers again for each kind of task
-// that waits: that was most of the processor time of the owner, whose orders
-// then went out seconds late. Rounds a few milliseconds apart serve all of
-// them.
+// On a large pool a thousand tasks end per second, and each end may free
+// capacity. A dispatch round examines all workers for each kind of waiting
+// task; one round per end took most of the owner's processor time and delayed
+// its orders by seconds. Rounds a few milliseconds apart handle many ends at
+// once.
 void owner::dispatch_if_requested(common::time_point now)
 {
     if (!dispatch_requested_ || now < last_dispatch_ + settings_.dispatch_pause)
@@ -113,19 +113,21 @@
     dispatch(now);
 }
 
-// Nothing runs while an owner loads. One whose link can't carry the state would
-// keep the claim, and everybody waiting, for good.
-void owner::give_up_loading(common::time_point now)
+// No task starts while an owner loads. Without this timeout an owner whose link
+// is too slow for the state would keep the claim, and all jobs waiting,
+// forever.
+void owner::check_load_timeout(common::time_point now)
 {
     if (now - std::max(created_at_, load_advanced_at_) > settings_.load_timeout)
     {
-        claim_.hand_over(now, "the state does not load");
+        claim_.hand_over(now, "the state did not load in time");
     }
 }
 
-// An owner that hears of no job starts none and tells old counts as the present
-// ones, and with a claim that is renewed nobody takes its place. While the
-// store is silent altogether, a successor would hear no more.
+// An owner whose watch is stalled starts no new jobs and reports outdated
+// counts, and no other instance replaces it as long as its claim is renewed.
+// While the store does not answer at all, a successor could do no better, so
+// that time does not count.
 void owner::give_up_stalled_watch(common::time_point now)
 {
     if (now - claim_.confirmed_at() >= settings_.workers.unconfirmed_limit)
@@ -136,25 +138,25 @@
                   {watch_answered_at_, load_advanced_at_, store_silent_at_}) >
         settings_.stalled_watch_timeout)
     {
-        claim_.hand_over(now, "no watch for jobs is answered");
+        claim_.hand_over(now, "the watch for jobs is not answered");
     }
 }
 
-// Who refuses answers within milliseconds. Asked at once, and again, it would
-// take the processor and the calls that everything else needs.
+// A refusal arrives within milliseconds. Immediate retries in a loop would use
+// up the processor time and the calls that all other work needs.
 void owner::retry_later(common::time_point now,
-                        std::function<void(common::time_point)> what)
+                        std::function<void(common::time_point)> action)
 {
-    retries_.emplace_back(now + settings_.retry_pause, std::move(what));
+    retries_.emplace_back(now + settings_.retry_pause, std::move(action));
 }
 
 void owner::run_retries(common::time_point now)
 {
     while (!retries_.empty() && retries_.front().first <= now)
     {
-        auto const what = std::move(retries_.front().second);
+        auto const action = std::move(retries_.front().second);
         retries_.pop_front();
-        what(now);
+        action(now);
     }
 }
 
@@ -187,37 +189,39 @@
     return ledger_;
 }
 
-// A store that is silent towards us may have given the claim to somebody who
-// can't reach every worker that we reach. That successor counts on our silence
-// once it has raised the fence on half of the workers.
+// A store that does not answer this owner may have granted the claim to a
+// successor that can't reach all workers that this owner reaches. Once the
+// successor has raised the fencing token on half of the workers it relies on
+// this owner sending no more orders.
 bool owner::may_act(common::time_point now) const
 {
     auto const& limits = settings_.workers;
     auto const unconfirmed = now - claim_.confirmed_at();
-    bool const backed = unconfirmed < limits.unconfirmed_limit ||
-                        (unconfirmed < limits.quorum_limit &&
-                         fleet_.quorum(now - limits.quorum_window));
-    return !stopped_ && claim_.held() && backed;
+    bool const confirmed = unconfirmed < limits.unconfirmed_limit ||
+                           (unconfirmed < limits.quorum_limit &&
+                            fleet_.quorum(now - limits.quorum_window));
+    return !stopped_ && claim_.held() && confirmed;
 }
 
 void owner::watch(common::time_point now)
 {
-    out_.store(life_,
-               ports::kv_watch{std::string(keys::owned_prefix),
-                               watched_revision_,
-                               watch_wait},
-               watch_wait + settings_.call_timeout,
-               [this, asked = now](common::time_point at, kv_reply const& reply)
-               {
-                   on_watch(at, asked, reply);
-               });
+    out_.store(
+        life_,
+        ports::kv_watch{
+            std::string(keys::owned_prefix), watched_revision_, watch_wait},
+        watch_wait + settings_.call_timeout,
+        [this, requested_at = now](common::time_point at, kv_reply const& reply)
+        {
+            on_watch(at, requested_at, reply);
+        });
 }
 
-// An answer without events does not move the place from which the next watch
-// goes on: what a deaf watch missed comes with the next one that is not. Until
-// then all pages are read again whenever a watch is known to be deaf.
+// An answer without events does not advance the revision at which the next
+// watch starts, so that events missed by a stalled watch arrive with the next
+// working one. Until then all pages are read again whenever a watch is known to
+// be stalled.
 void owner::on_watch(common::time_point now,
-                     common::time_point asked,
+                     common::time_point requested_at,
                      kv_reply const& reply)
 {
     if (reply.status == kv_status::compacted)
@@ -237,7 +241,7 @@
                     });
         return;
     }
-    if (is_stalled(asked, reply))
+    if (is_stalled(requested_at, reply))
     {
         out_.log(severity::warning,
                  "watch_deaf",
@@ -253,7 +257,7 @@
     }
     synced_revision_ =
         std::max({synced_revision_, watched_revision_, reply.revision});
-    synced_until_ = asked;
+    synced_until_ = requested_at;
     watch_answered_at_ = now;
     if (!claim_.held())
     {
@@ -266,13 +270,15 @@
     }
 }
 
-// What we wrote ourselves below the watched prefix was there to be told.
-bool owner::is_stalled(common::time_point asked, kv_reply const& reply) const
+// This owner writes the backlog below the watched prefix, so a watch that
+// returns no event for that write has missed it.
+bool owner::is_stalled(common::time_point requested_at,
+                       kv_reply const& reply) const
 {
-    bool const there =
-        reply.revision >= backlog_revision_ || asked >= backlog_current_at_;
+    bool const revision_visible = reply.revision >= backlog_revision_ ||
+                                  requested_at >= backlog_current_at_;
     return reply.items.empty() && backlog_revision_ > watched_revision_ &&
-           there;
+           revision_visible;
 }
 
 void owner::apply_item(common::time_point now, ports::kv_item const& item)
@@ -330,12 +336,15 @@
     spec->accepted_unix_ms = accepted_by_own_clock(now, *spec, just_accepted);
     queue fallback;
     fallback.name = spec->queue;
-    auto const& used = rules != nullptr ? *rules : fallback;
+    auto const& queue_rules = rules != nullptr ? *rules : fallback;
     auto& run =
-        jobs_.emplace(id, make_job_run(std::move(*spec), item.revision, used))
+        jobs_
+            .emplace(id,
+                     make_job_run(std::move(*spec), item.revision, queue_rules))
             .first->second;
-    bool const timed = run.spec.occurrences > 1 || run.spec.first_unix_ms > 0;
-    if (timed)
+    bool const scheduled =
+        run.spec.occurrences > 1 || run.spec.first_unix_ms > 0;
+    if (scheduled)
     {
         scheduled_jobs_.push_back(id);
     }
@@ -353,11 +362,12 @@
     }
 }
 
-// The stamp of a job is of the clock of the instance that accepted it, and
-// machines disagree about the time of day by up to seconds. By a stamp ahead of
-// this clock a job would be late much later than its submitter counts; by one
-// behind it, it would be late when it arrives and go behind all others. What
-// was just accepted is taken to have come now, within 10 ms of the truth.
+// A job's acceptance time is by the clock of the instance that accepted it, and
+// the clocks of machines differ by up to seconds. With a time ahead of this
+// clock the job's deadline would be much later than its submitter expects; with
+// one behind it the job would be late on arrival and be scheduled after all
+// others. A job that was just accepted is taken to be accepted now, which is
+// right to within 10 ms.
 std::int64_t owner::accepted_by_own_clock(common::time_point now,
                                           job const& spec,
                                           bool just_accepted) const
@@ -389,8 +399,8 @@
 owner::known_task owner::find_task(ports::task_name const& name)
 {
     auto* const run = find_job(name.job);
-    auto* const each = run != nullptr ? run->find(name) : nullptr;
-    return each != nullptr ? known_task{run, each} : known_task{};
+    auto* const t = run != nullptr ? run->find(name) : nullptr;
+    return t != nullptr ? known_task{run, t} : known_task{};
 }
 
 job_run* owner::find_job(std::string const& id)
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -4,15 +4,15 @@
 
 #include <utility>
 
-// The platform's list of workers, and the roster of those that a successor must
-// ask.
+// Follows the platform's list of workers and maintains the roster: the stored
+// list of the workers that a successor must poll.
 namespace fuchsia::core::pool
 {
 
 void owner::apply_worker_list(common::time_point now,
-                              worker_changes const& seen)
+                              worker_changes const& changes)
 {
-    fleet_.take_list(seen);
+    fleet_.take_list(changes);
     complete_roster();
     if (loaded_)
     {
@@ -20,10 +20,11 @@
     }
 }
 
-// An owner that gets little processor time hears late, and would start tasks on
-// workers that said long ago that they leave, in data centres that are out, of
-// jobs that were cancelled. While the store is silent what was heard last has
-// to do.
+// Whether the state is recent enough to start tasks by. An owner that is short
+// of processor time receives updates late. It would start tasks on workers that
+// announced their leaving long ago, in data centres that are out of service, or
+// of jobs that were cancelled. While the store does not answer, the last known
+// state is used.
 bool owner::state_is_current(common::time_point now) const
 {
     bool const silent =
@@ -38,7 +39,7 @@
 void owner::complete_roster()
 {
     bool missing = false;
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
         missing = missing || !roster_.contains(id);
     }
@@ -48,31 +49,32 @@
     }
 }
 
-// A task may start only on a worker that a successor would ask.
+// Tasks may start on a worker only once the stored roster names it, so that a
+// successor will poll it.
 void owner::write_roster()
 {
-    if (roster_writing_ || !loaded_)
+    if (roster_write_pending_ || !loaded_)
     {
         return;
     }
-    roster_writing_ = true;
-    std::set<std::string> names;
-    for (auto const& [id, each] : fleet_.all())
+    roster_write_pending_ = true;
+    std::set<std::string> ids;
+    for (auto const& [id, w] : fleet_.all())
     {
-        names.insert(id);
+        ids.insert(id);
     }
     ledger_.write(write_rank::result,
                   {{{std::string(keys::roster), to_json(fleet_), 0}},
                    {},
-                   [this, names](common::time_point)
+                   [this, ids](common::time_point)
                    {
-                       roster_writing_ = false;
-                       roster_ = names;
-                       for (auto const& id : names)
+                       roster_write_pending_ = false;
+                       roster_ = ids;
+                       for (auto const& id : ids)
                        {
-                           if (auto* const each = fleet_.find(id))
+                           if (auto* const w = fleet_.find(id))
                            {
-                               each->rostered = true;
+                               w->rostered = true;
                            }
                        }
                    }});
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// What a new owner learns of the work of earlier ones.
+// Takeover: finds out which tasks earlier owners have started.
 namespace fuchsia::core::pool
 {
 
@@ -12,60 +12,62 @@
 namespace
 {
 
-/// Unreached workers that the line of a takeover names.
-constexpr std::size_t most_missing_named = 8;
+/// Maximum number of unreached workers named in the takeover's log line.
+constexpr std::size_t max_missing_named = 8;
 
 } // namespace
 
-// Nothing of an earlier incarnation runs any more.
-void owner::new_incarnation(common::time_point now,
-                            worker& of,
-                            std::uint64_t born)
+// Adopts a worker in a new incarnation. Tasks of an earlier incarnation no
+// longer run.
+void owner::adopt_incarnation(common::time_point now,
+                              worker& target,
+                              std::uint64_t incarnation)
 {
-    bool const known = of.adopted;
-    of.adopted = true;
-    of.incarnation = born;
-    of.durable_end = 0;
-    of.highest_end = 0;
-    of.ends_being_written = 0;
-    of.lease_until_ms = 0;
-    of.failed_jobs.clear();
-    if (known)
+    bool const previously_adopted = target.adopted;
+    target.adopted = true;
+    target.incarnation = incarnation;
+    target.durable_end = 0;
+    target.highest_end = 0;
+    target.ends_being_written = 0;
+    target.lease_until_ms = 0;
+    target.failed_jobs.clear();
+    if (previously_adopted)
     {
-        of.restarted_at = now;
+        target.restarted_at = now;
         out_.log(severity::info,
                  "worker_restarted",
-                 {{"worker", of.info.id}, {"born", std::to_string(born)}});
-        forget_runs(now, of, "worker restarted");
+                 {{"worker", target.info.id},
+                  {"born", std::to_string(incarnation)}});
+        mark_runs_lost(now, target, "worker restarted");
         return;
     }
-    digest_.worker_adopted(now, of.info.id);
+    digest_.worker_adopted(now, target.info.id);
 }
 
-// An earlier owner may have started it and seen it end: of a step, too, that is
-// not known to be open yet, since workers tell of its predecessors in any
-// order.
-bool owner::may_belong_to_earlier_owner(job_run const& run,
-                                        task const& each) const
+// Whether an earlier owner may have started the task. This includes blocked
+// tasks of steps that are not open yet, since workers report the ends of their
+// predecessors in any order.
+bool owner::may_belong_to_earlier_owner(job_run const& run, task const& t) const
 {
-    bool const blocked = each.phase == task_phase::blocked &&
+    bool const blocked = t.phase == task_phase::blocked &&
                          !takeover_complete_ && run.revision < claim_.epoch();
-    return each.phase == task_phase::unresolved || blocked;
+    return t.phase == task_phase::unresolved || blocked;
 }
 
-// An end that an earlier owner saw, or nobody: its worker tells it to whoever
-// adopts the worker. The task may run again elsewhere by now; its failure still
-// counts.
-void owner::take_inherited_failure(common::time_point now,
-                                   ports::ended_attempt const& row)
+// Counts a failure that happened before this owner adopted the worker. A worker
+// repeats such ends to each owner that adopts it, whether or not an earlier
+// owner has handled them. The task may already run again on another worker; the
+// failure counts all the same.
+void owner::count_inherited_failure(common::time_point now,
+                                    ports::ended_attempt const& row)
 {
     auto const& name = row.attempt_id.task;
-    auto const [run, each] = find_task(name);
-    if (each == nullptr || row.kind != end_kind::failed ||
-        each->phase == task_phase::done ||
-        std::find(each->failures.begin(),
-                  each->failures.end(),
-                  row.attempt_id.attempt) != each->failures.end())
+    auto const [run, t] = find_task(name);
+    if (t == nullptr || row.kind != end_kind::failed ||
+        t->phase == task_phase::done ||
+        std::find(t->failures.begin(),
+                  t->failures.end(),
+                  row.attempt_id.attempt) != t->failures.end())
     {
         return;
     }
@@ -77,7 +79,7 @@
     }
 }
 
-// Attempts that earlier owners saw fail used up what the job has.
+// Fails a job whose attempts were used up by failures under earlier owners.
 void owner::fail_exhausted_job(common::time_point now, job_run& run)
 {
     std::size_t failures = 0;
@@ -85,9 +87,9 @@
     {
         for (auto const& steps : occurrence.steps)
         {
-            for (auto const& each : steps.tasks)
+            for (auto const& t : steps.tasks)
             {
-                failures = std::max(failures, each.failures.size());
+                failures = std::max(failures, t.failures.size());
             }
         }
     }
@@ -99,8 +101,8 @@
     end_job(now, run, job_phase::failing);
 }
 
-// Whether every worker that an earlier owner may have used has told what it
-// runs, or can't run any of it any more.
+// Completes the takeover once every worker that an earlier owner may have used
+// has either reported what it runs or can't run any of it any more.
 void owner::complete_takeover(common::time_point now)
 {
     if (takeover_complete_ || !loaded_ || !list_.known())
@@ -108,14 +110,14 @@
         return;
     }
     std::vector<std::string> missing;
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
-        if (each.rostered && !each.adopted)
+        if (w.rostered && !w.adopted)
         {
             missing.push_back(id);
         }
     }
-    if (!missing.empty() && !waited_for_silence(now))
+    if (!missing.empty() && !earlier_leases_ended(now))
     {
         return;
     }
@@ -127,7 +129,7 @@
         "takeover_settled",
         {{"epoch", std::to_string(claim_.epoch())},
          {"unreached", std::to_string(missing.size())},
-         {"missing", joined(missing, most_missing_named)},
+         {"missing", joined(missing, max_missing_named)},
          {"after_ms",
           std::to_string(common::to_milliseconds(now - claim_.held_since()))}});
     std::vector<std::string> ids;
@@ -141,7 +143,7 @@
     }
 }
 
-// What no worker told of does not run anywhere.
+// Tasks that no worker has reported do not run anywhere.
 void owner::resolve_unresolved(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
@@ -166,23 +168,25 @@
     finish_if_over(run);
 }
 
-// Whether the last owner's leases are over on every worker, heard or not. From
-// the moment that half of the workers know the new fence it can have renewed
-// leases for one window, and those last for one lease.
-bool owner::waited_for_silence(common::time_point now)
+// Whether the leases given by earlier owners have ended on every worker, even
+// on those that this owner can't reach. Once half of the workers know the new
+// fencing token, an earlier owner can renew leases for at most one quorum
+// window, and the last of them ends one lease later.
+bool owner::earlier_leases_ended(common::time_point now)
 {
     auto const& limits = fleet_.settings();
-    if (majority_since_ == common::time_point{} && fleet_.quorum({}))
+    if (quorum_since_ == common::time_point{} && fleet_.quorum({}))
     {
-        majority_since_ = now;
+        quorum_since_ = now;
     }
     auto const lease = std::chrono::duration_cast<common::duration>(
         limits.lease * (1 + limits.clock_drift));
-    bool const silenced = majority_since_ != common::time_point{} &&
-                          now - majority_since_ >
-                              limits.quorum_window + lease + limits.lapse_slack;
-    return silenced || now - claim_.held_since() >
-                           limits.quorum_limit + lease + limits.lapse_slack;
+    bool const quorum_wait_over =
+        quorum_since_ != common::time_point{} &&
+        now - quorum_since_ > limits.quorum_window + lease + limits.lapse_slack;
+    return quorum_wait_over ||
+           now - claim_.held_since() >
+               limits.quorum_limit + lease + limits.lapse_slack;
 }
 
 } // namespace fuchsia::core::pool
