--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -10,51 +10,55 @@
 namespace
 {
 
-// Below this a tail tells nothing more: the queue grows as long as the
-// disturbance lasts.
-constexpr double least_headroom = 0.5;
-// Headroom; a single reading may be far off where a queue has overflowed.
-constexpr double most_error = 1.5;
-
-// Of a worker; less of a neighbour can't be seen in a tail.
-constexpr double least_share = 0.02;
-
-// Headroom by which the least disturbed tasks may differ.
-constexpr double like_the_least = 0.15;
-
-// Readings that the first estimate of an image's usual headroom counts as, and
-// the most that the mean looks back on.
-constexpr double first_readings = 50;
-constexpr double most_readings = 1500;
-
-// A pair counts as learned once this part of its first variance is left.
-constexpr double known_part = 0.2;
+// Lower bound of the headroom that is read from a tail latency. Lower values
+// carry no information, since the queue grows as long as the disturbance lasts.
+constexpr double min_tail_headroom = 0.5;
+// Maximum error of the headroom that one reading contributes. A single reading
+// may be far off where a queue has overflowed.
+constexpr double max_error = 1.5;
+
+// Share of a worker below which a neighbour has no observable effect on a tail
+// latency.
+constexpr double min_observable_share = 0.02;
+
+// Maximum difference of the headroom loss between tasks that count as the least
+// disturbed ones.
+constexpr double max_loss_difference = 0.15;
+
+// Number of readings that the initial estimate of an image's average headroom
+// counts as, and maximum number of readings that the average covers.
+constexpr double initial_readings = 50;
+constexpr double max_readings = 1500;
+
+// A pair counts as known once its variance is below this fraction of the prior
+// variance.
+constexpr double known_variance_fraction = 0.2;
 
 std::vector<neighbour_share>
-sum_by_image(std::vector<best_effort_view> const& fills,
+sum_by_image(std::vector<best_effort_view> const& best_effort,
              double best_effort_view::*share)
 {
     std::map<std::uint16_t, double> sums;
-    for (auto const& each : fills)
+    for (auto const& view : best_effort)
     {
-        sums[each.image] += each.*share;
+        sums[view.image] += view.*share;
     }
-    std::vector<neighbour_share> made;
-    made.reserve(sums.size());
+    std::vector<neighbour_share> shares;
+    shares.reserve(sums.size());
     for (auto const& [image, total] : sums)
     {
-        made.push_back({image, total});
+        shares.push_back({image, total});
     }
-    return made;
+    return shares;
 }
 
 } // namespace
 
 colocation::colocation(colocation_settings settings)
     : settings_(settings),
-      usual_(settings.max_images,
-             {(1 - settings.average_load) * settings.idle_headroom,
-              first_readings}),
+      average_headrooms_(settings.max_images,
+                         {(1 - settings.average_load) * settings.idle_headroom,
+                          initial_readings}),
       pairs_(settings.max_images * settings.max_images,
              {settings.prior_weight, settings.prior_variance})
 {
@@ -72,115 +76,121 @@
         .first->second;
 }
 
-double colocation::weight(std::uint16_t served, std::uint16_t beside) const
+double colocation::weight(std::uint16_t serving_image,
+                          std::uint16_t neighbour_image) const
 {
-    return pairs_[served * settings_.max_images + beside].weight;
+    return pairs_[serving_image * settings_.max_images + neighbour_image]
+        .weight;
 }
 
 std::vector<neighbour_share>
-shares_of(std::vector<best_effort_view> const& fills)
+shares_of(std::vector<best_effort_view> const& best_effort)
 {
-    return sum_by_image(fills, &best_effort_view::used);
+    return sum_by_image(best_effort, &best_effort_view::used);
 }
 
 std::vector<neighbour_share>
-declared_shares_of(std::vector<best_effort_view> const& fills)
+declared_shares_of(std::vector<best_effort_view> const& best_effort)
 {
-    return sum_by_image(fills, &best_effort_view::declared);
+    return sum_by_image(best_effort, &best_effort_view::declared);
 }
 
 double
 colocation::headroom_loss(std::uint16_t image,
-                          std::vector<neighbour_share> const& beside) const
+                          std::vector<neighbour_share> const& neighbours) const
 {
     double total = 0;
-    for (auto const& each : beside)
+    for (auto const& neighbour : neighbours)
     {
-        total += weight(image, each.image) * each.share;
+        total += weight(image, neighbour.image) * neighbour.share;
     }
     return total;
 }
 
-// What the neighbours of the last reading's task used beyond the mean of its
-// siblings' neighbours, by image.
-std::vector<double> const&
-colocation::beyond_the_mean(std::vector<serving_reading const*> const& readings)
+// Returns, by image, the difference between what the neighbours of the last
+// reading's task used and the mean over its siblings' neighbours.
+std::vector<double> const& colocation::deviations_from_mean(
+    std::vector<serving_reading const*> const& readings)
 {
-    beyond_.assign(std::min(numbers_.size(), settings_.max_images), 0);
+    deviations_.assign(std::min(numbers_.size(), settings_.max_images), 0);
     auto const count = static_cast<double>(readings.size());
-    for (auto const* each : readings)
+    for (auto const* reading : readings)
     {
-        for (auto const& other : each->neighbours)
+        for (auto const& neighbour : reading->neighbours)
         {
-            beyond_[other.image] -= other.share / count;
+            deviations_[neighbour.image] -= neighbour.share / count;
         }
     }
-    for (auto const& other : readings.back()->neighbours)
+    for (auto const& neighbour : readings.back()->neighbours)
     {
-        beyond_[other.image] += other.share;
+        deviations_[neighbour.image] += neighbour.share;
     }
-    return beyond_;
+    return deviations_;
 }
 
-// The load of their users is common to all tasks of a step, and unknown: a
-// reading is held against the mean of its siblings. A Kalman filter without the
-// terms between pairs shares the error out among the neighbours.
+// The load of the users is unknown, but common to all tasks of a step. A
+// reading is therefore compared with the mean of its siblings. The update is a
+// Kalman filter without the covariances between pairs; it distributes the error
+// over the neighbours.
 void colocation::learn(std::uint16_t image,
                        std::vector<serving_reading const*> const& readings)
 {
     double mean = 0;
-    for (auto const* each : readings)
+    for (auto const* reading : readings)
     {
-        mean += std::max(each->headroom, least_headroom);
+        mean += std::max(reading->headroom, min_tail_headroom);
     }
     mean /= static_cast<double>(readings.size());
-    auto const& beyond = beyond_the_mean(readings);
+    auto const& deviations = deviations_from_mean(readings);
     auto* const row = &pairs_[image * settings_.max_images];
-    double error = mean - std::max(readings.back()->headroom, least_headroom);
+    double error =
+        mean - std::max(readings.back()->headroom, min_tail_headroom);
     double total = settings_.reading_variance;
-    for (std::size_t other = 0; other < beyond.size(); ++other)
+    for (std::size_t neighbour_image = 0; neighbour_image < deviations.size();
+         ++neighbour_image)
     {
-        auto const share = beyond[other];
-        if (std::abs(share) >= least_share)
+        auto const deviation = deviations[neighbour_image];
+        if (std::abs(deviation) >= min_observable_share)
         {
-            error -= row[other].weight * share;
-            total += row[other].variance * share * share;
+            error -= row[neighbour_image].weight * deviation;
+            total += row[neighbour_image].variance * deviation * deviation;
         }
     }
-    error = std::clamp(error, -most_error, most_error);
-    for (std::size_t other = 0; other < beyond.size(); ++other)
+    error = std::clamp(error, -max_error, max_error);
+    for (std::size_t neighbour_image = 0; neighbour_image < deviations.size();
+         ++neighbour_image)
     {
-        auto const share = beyond[other];
-        if (std::abs(share) < least_share)
+        auto const deviation = deviations[neighbour_image];
+        if (std::abs(deviation) < min_observable_share)
         {
             continue;
         }
-        auto& pair = row[other];
-        double const gain = pair.variance * share / total;
+        auto& pair = row[neighbour_image];
+        double const gain = pair.variance * deviation / total;
         pair.weight =
             std::clamp(pair.weight + gain * error, 0.0, settings_.max_weight);
         pair.variance = std::max(settings_.min_variance,
-                                 pair.variance * (1 - gain * share));
+                                 pair.variance * (1 - gain * deviation));
     }
 }
 
-// The least disturbed tasks tell the load best: what is added back for
-// neighbours is as wrong as what was learned of them.
+// Uses the least disturbed tasks only: the loss that is added back for
+// neighbours has the error of the estimates of these neighbours.
 double colocation::isolated_headroom(
     std::vector<serving_reading const*> const& readings) const
 {
-    double least = readings.front()->headroom_loss;
-    for (auto const* each : readings)
+    double min_loss = readings.front()->headroom_loss;
+    for (auto const* reading : readings)
     {
-        least = std::min(least, each->headroom_loss);
+        min_loss = std::min(min_loss, reading->headroom_loss);
     }
     std::vector<double> estimates;
     estimates.reserve(readings.size());
-    for (auto const* each : readings)
+    for (auto const* reading : readings)
     {
-        if (each->headroom_loss <= least + like_the_least)
+        if (reading->headroom_loss <= min_loss + max_loss_difference)
         {
-            estimates.push_back(each->headroom + each->headroom_loss);
+            estimates.push_back(reading->headroom + reading->headroom_loss);
         }
     }
     auto const middle =
@@ -189,66 +199,74 @@
     return *middle;
 }
 
-// The users of one task may press harder than those of its siblings for a
-// second or so. That they press less is not counted on.
-double colocation::task_isolated_headroom(double alone,
+// The users of one task may load it more than those of its siblings for a
+// second or so, so a negative deviation is carried over. A positive one may be
+// gone at the next reading, and is not relied on.
+double colocation::task_isolated_headroom(double headroom,
                                           serving_reading const& last) const
 {
-    double const beyond = last.headroom + last.headroom_loss - alone;
-    bool const read = last.headroom > 0;
-    return read && beyond < 0 ? alone + settings_.residual_carryover * beyond
-                              : alone;
+    double const deviation = last.headroom + last.headroom_loss - headroom;
+    bool const has_reading = last.headroom > 0;
+    return has_reading && deviation < 0
+               ? headroom + settings_.residual_carryover * deviation
+               : headroom;
 }
 
-double colocation::load(std::uint16_t image, double alone) const noexcept
+double colocation::load(std::uint16_t image, double headroom) const noexcept
 {
-    double const idle = usual_[image].mean / (1 - settings_.average_load);
-    return alone <= 0 ? settings_.average_load
-                      : std::clamp(1 - alone / idle, 0.1, 1.0);
+    double const idle =
+        average_headrooms_[image].mean / (1 - settings_.average_load);
+    return headroom <= 0 ? settings_.average_load
+                         : std::clamp(1 - headroom / idle, 0.1, 1.0);
 }
 
-void colocation::observe_isolated_headroom(std::uint16_t image, double alone)
+void colocation::observe_isolated_headroom(std::uint16_t image, double headroom)
 {
-    auto& usual = usual_[image];
-    usual.readings = std::min(usual.readings + 1, most_readings);
-    usual.mean += (alone - usual.mean) / usual.readings;
+    auto& average = average_headrooms_[image];
+    average.readings = std::min(average.readings + 1, max_readings);
+    average.mean += (headroom - average.mean) / average.readings;
 }
 
-// Share of their speed that the neighbours which disturb `served` may have.
-double
-colocation::speed_beside(serving_view const& served,
-                         std::vector<best_effort_view> const& fills) const
+// Returns the fraction of full speed that the neighbours which disturb
+// `serving_task` may have.
+double colocation::speed_limit_for(
+    serving_view const& serving_task,
+    std::vector<best_effort_view> const& best_effort) const
 {
-    double wanted = 0;
-    for (auto const& each : fills)
+    double full_speed_loss = 0;
+    for (auto const& neighbour : best_effort)
     {
-        double const cost = weight(served.image, each.image);
-        wanted += disturbs(served.image, each.image) ? cost * each.declared : 0;
+        double const cost = weight(serving_task.image, neighbour.image);
+        full_speed_loss += disturbs(serving_task.image, neighbour.image)
+                               ? cost * neighbour.declared
+                               : 0;
     }
-    double const spare = served.task_isolated_headroom - settings_.min_headroom;
-    return wanted <= 0 ? 1 : std::clamp(spare / wanted, 0.0, 1.0);
+    double const spare =
+        serving_task.task_isolated_headroom - settings_.min_headroom;
+    return full_speed_loss <= 0 ? 1
+                                : std::clamp(spare / full_speed_loss, 0.0, 1.0);
 }
 
 std::vector<speed_limit_change>
-colocation::speed_limits(worker_view const& seen,
+colocation::speed_limits(worker_view const& view,
                          common::time_point now,
                          common::time_point& over_since) const
 {
-    std::vector<double> speeds(seen.best_effort.size(), 1.0);
-    bool over = false;
-    for (auto const& served : seen.serving)
+    std::vector<double> speeds(view.best_effort.size(), 1.0);
+    bool over_target = false;
+    for (auto const& serving_task : view.serving)
     {
-        over = over || served.headroom < 1;
-        double const speed = speed_beside(served, seen.best_effort);
+        over_target = over_target || serving_task.headroom < 1;
+        double const speed = speed_limit_for(serving_task, view.best_effort);
         for (std::size_t index = 0; index < speeds.size(); ++index)
         {
-            if (disturbs(served.image, seen.best_effort[index].image))
+            if (disturbs(serving_task.image, view.best_effort[index].image))
             {
                 speeds[index] = std::min(speeds[index], speed);
             }
         }
     }
-    if (!over)
+    if (!over_target)
     {
         over_since = {};
     }
@@ -256,54 +274,62 @@
     {
         over_since = now;
     }
-    bool const stop_all = over && now - over_since >= settings_.stop_after;
+    bool const stop_all =
+        over_target && now - over_since >= settings_.stop_after;
     std::vector<speed_limit_change> changes;
     for (std::size_t index = 0; index < speeds.size(); ++index)
     {
         auto const percent = static_cast<std::uint32_t>(
             std::lround(stop_all ? 0.0 : speeds[index] * 100));
-        auto const before = seen.best_effort[index].speed_limit;
-        auto const change =
-            percent > before ? percent - before : before - percent;
-        bool const to_end = percent == 0 || percent == 100;
-        if (change >= settings_.min_speed_change || (to_end && change > 0))
+        auto const current_limit = view.best_effort[index].speed_limit;
+        auto const change = percent > current_limit ? percent - current_limit
+                                                    : current_limit - percent;
+        bool const reaches_bound = percent == 0 || percent == 100;
+        if (change >= settings_.min_speed_change ||
+            (reaches_bound && change > 0))
         {
-            changes.push_back({seen.best_effort[index].name, percent});
+            changes.push_back({view.best_effort[index].name, percent});
         }
     }
     return changes;
 }
 
-double colocation::expected_headroom(worker_view const& seen,
+double colocation::expected_headroom(worker_view const& view,
                                      std::uint16_t image,
                                      double share) const
 {
     constexpr double plenty = 100;
-    double least = plenty;
-    for (auto const& served : seen.serving)
+    double lowest = plenty;
+    for (auto const& serving_task : view.serving)
     {
-        double taken = weight(served.image, image) * share;
-        for (auto const& each : seen.best_effort)
+        double loss = weight(serving_task.image, image) * share;
+        for (auto const& neighbour : view.best_effort)
         {
-            taken += weight(served.image, each.image) * each.declared;
+            loss += weight(serving_task.image, neighbour.image) *
+                    neighbour.declared;
         }
-        // One that nothing placed here disturbs is no reason to stay away.
-        least = disturbs(served.image, image)
-                    ? std::min(least, served.task_isolated_headroom - taken)
-                    : least;
+        // A serving task that `image` does not disturb does not speak against
+        // the worker.
+        lowest =
+            disturbs(serving_task.image, image)
+                ? std::min(lowest, serving_task.task_isolated_headroom - loss)
+                : lowest;
     }
-    return least;
+    return lowest;
 }
 
-bool colocation::disturbs(std::uint16_t served, std::uint16_t beside) const
+bool colocation::disturbs(std::uint16_t serving_image,
+                          std::uint16_t neighbour_image) const
 {
-    return weight(served, beside) > settings_.harmless_weight;
+    return weight(serving_image, neighbour_image) > settings_.harmless_weight;
 }
 
-bool colocation::pair_known(std::uint16_t served, std::uint16_t beside) const
+bool colocation::pair_known(std::uint16_t serving_image,
+                            std::uint16_t neighbour_image) const
 {
-    auto const& pair = pairs_[served * settings_.max_images + beside];
-    return pair.variance < known_part * settings_.prior_variance;
+    auto const& pair =
+        pairs_[serving_image * settings_.max_images + neighbour_image];
+    return pair.variance < known_variance_fraction * settings_.prior_variance;
 }
 
 interference_estimates colocation::estimates() const
@@ -313,60 +339,66 @@
     {
         names[number] = &image;
     }
-    // Images behind the last number share it, and are told apart by nobody.
+    // All images beyond the maximum share the last number and cannot be told
+    // apart.
     names.back() = nullptr;
-    interference_estimates made;
-    for (std::size_t served = 0; served < names.size(); ++served)
+    interference_estimates result;
+    for (std::size_t serving_image = 0; serving_image < names.size();
+         ++serving_image)
     {
-        auto const& usual = usual_[served];
-        if (names[served] == nullptr || usual.readings <= first_readings)
+        auto const& average = average_headrooms_[serving_image];
+        if (names[serving_image] == nullptr ||
+            average.readings <= initial_readings)
         {
             continue;
         }
-        made.headrooms.push_back({*names[served], usual.mean, usual.readings});
-        for (std::size_t other = 0; other < names.size(); ++other)
+        result.headrooms.push_back(
+            {*names[serving_image], average.mean, average.readings});
+        for (std::size_t neighbour_image = 0; neighbour_image < names.size();
+             ++neighbour_image)
         {
-            auto const& pair = pairs_[served * settings_.max_images + other];
-            if (names[other] != nullptr &&
+            auto const& pair =
+                pairs_[serving_image * settings_.max_images + neighbour_image];
+            if (names[neighbour_image] != nullptr &&
                 pair.variance < settings_.prior_variance)
             {
-                made.pairs.push_back({*names[served],
-                                      *names[other],
-                                      pair.weight,
-                                      pair.variance});
+                result.pairs.push_back({*names[serving_image],
+                                        *names[neighbour_image],
+                                        pair.weight,
+                                        pair.variance});
             }
         }
     }
-    return made;
+    return result;
 }
 
 void colocation::restore(interference_estimates const& earlier)
 {
-    for (auto const& each : earlier.headrooms)
+    for (auto const& record : earlier.headrooms)
     {
-        usual_[number_of(each.image)] = {
-            each.mean,
-            std::clamp(each.readings, first_readings, most_readings)};
+        average_headrooms_[number_of(record.image)] = {
+            record.mean,
+            std::clamp(record.readings, initial_readings, max_readings)};
     }
-    for (auto const& each : earlier.pairs)
+    for (auto const& record : earlier.pairs)
     {
-        auto const served = number_of(each.served);
-        auto const beside = number_of(each.beside);
-        pairs_[served * settings_.max_images + beside] = {
-            std::clamp(each.weight, 0.0, settings_.max_weight),
-            std::clamp(each.variance,
+        auto const serving_image = number_of(record.served);
+        auto const neighbour_image = number_of(record.beside);
+        pairs_[serving_image * settings_.max_images + neighbour_image] = {
+            std::clamp(record.weight, 0.0, settings_.max_weight),
+            std::clamp(record.variance,
                        settings_.min_variance,
                        settings_.prior_variance)};
     }
 }
 
-double colocation::worst_weight(worker_view const& seen,
+double colocation::worst_weight(worker_view const& view,
                                 std::uint16_t image) const
 {
     double worst = 0;
-    for (auto const& served : seen.serving)
+    for (auto const& serving_task : view.serving)
     {
-        worst = std::max(worst, weight(served.image, image));
+        worst = std::max(worst, weight(serving_task.image, image));
     }
     return worst;
 }
--- a/src/core/pool/colocation.hpp
+++ b/src/core/pool/colocation.hpp
@@ -9,98 +9,104 @@
 #include <string>
 #include <vector>
 
-// Tasks that fill beside tasks that serve.
+// Colocation of best-effort tasks with serving tasks.
 //
-// The headroom of a serving task, target / tail, falls linearly with the load
-// of its users and with the cores that disturbing neighbours use. All tasks of
-// one step share the load of their users: what they have in common is load, and
-// what sets one apart is its neighbours.
+// The headroom of a serving task is its latency target divided by its tail
+// latency. It falls linearly with the load of the users and with the cores that
+// disturbing neighbours use. All tasks of one step share the load of their
+// users, so a difference between them comes from their neighbours.
 namespace fuchsia::core::pool
 {
 
 struct colocation_settings
 {
-    /// Headroom that neighbours leave to a serving task. Above 1, since
-    /// readings are old and tails scatter.
+    /// Headroom that neighbours have to leave to a serving task. Above 1, since
+    /// readings are old and tail latencies scatter.
     double min_headroom = 1.7;
-    /// A task that fills is placed only where this headroom is expected to
-    /// stay.
+    /// Expected headroom of the serving tasks below which no best-effort task
+    /// is placed on their worker.
     double placement_headroom = 2.0;
-    /// Tasks that fill stand still on a worker whose serving task has been over
-    /// its target for this long, whatever was learned.
+    /// Best-effort tasks are paused on a worker whose serving task has been
+    /// over its target for this long, whatever has been learned.
     common::duration stop_after = std::chrono::milliseconds(1500);
-    /// A task that stood still for this long is moved elsewhere.
+    /// A best-effort task that has been paused for this long is moved to
+    /// another worker.
     common::duration evict_after = std::chrono::milliseconds(1500);
-    /// Percent; smaller changes of a task's speed are not worth an order.
+    /// Smallest change of a speed limit, in percent, that is worth an order to
+    /// the worker.
     std::uint32_t min_speed_change = 15;
-    /// Headroom that a whole worker of a pair that was never seen is taken to
-    /// cost, and how unsure that is.
+    /// Prior of a pair that has never been observed: the headroom that the
+    /// neighbour takes if it uses a whole worker, and the variance of this
+    /// estimate.
     double prior_weight = 6;
     double prior_variance = 16;
-    /// Of one reading's headroom around what load and neighbours explain.
+    /// Variance of one reading of the headroom around the value that load and
+    /// neighbours explain.
     double reading_variance = 0.09;
-    /// Of a pair, however often it was seen, since pairs change.
+    /// Lower bound of the variance of a pair, however often it was observed,
+    /// since pairs change.
     double min_variance = 0.1;
-    /// Headroom that a whole worker of a pair costs at most.
+    /// Maximum headroom that a neighbour takes if it uses a whole worker.
     double max_weight = 25;
-    /// A pair whose whole worker costs less headroom is taken for harmless.
+    /// Weight up to which a pair counts as harmless.
     double harmless_weight = 3;
-    /// Headroom of a serving task without any load, until its image was seen
-    /// for a while.
+    /// Headroom of a serving task without any load, used until enough readings
+    /// of its image have been observed.
     double idle_headroom = 6;
     /// Share of its cores that a serving task uses on average.
     double average_load = 0.45;
-    /// Share of a task's distance from its siblings that is left at its next
-    /// reading.
+    /// Share of a task's deviation from its siblings that is expected to remain
+    /// at its next reading.
     double residual_carryover = 0.6;
-    /// Images told apart; later ones share the last number.
+    /// Maximum number of distinct images; all later ones share the last number.
     std::size_t max_images = 64;
 };
 
-/// What neighbours use, summed up by image.
+/// Returns the cores that best-effort tasks use, summed by image.
 std::vector<neighbour_share>
-shares_of(std::vector<struct best_effort_view> const& fills);
-/// What they may use, summed up by image.
+shares_of(std::vector<struct best_effort_view> const& best_effort);
+/// Returns the cores that best-effort tasks have declared, summed by image.
 std::vector<neighbour_share>
-declared_shares_of(std::vector<struct best_effort_view> const& fills);
+declared_shares_of(std::vector<struct best_effort_view> const& best_effort);
 
 /// A serving task.
 struct serving_view
 {
-    std::uint16_t image = 0; ///< As `colocation::number_of` gives it.
-    double headroom = 0;     ///< Target / tail as last read.
+    std::uint16_t image = 0; ///< Number from `colocation::number_of`.
+    double headroom = 0;     ///< Target / tail latency of the last reading.
     double isolated_headroom =
-        0; ///< Headroom its step has without any neighbours.
+        0; ///< Headroom of its step without any neighbours.
     double task_isolated_headroom =
-        0; ///< The same of this task, as far as it lasts.
+        0; ///< Headroom of this task without neighbours, as expected at its
+           ///< next reading.
 };
 
-/// A task that fills, with its shares of the worker's cores.
+/// A best-effort task, with its shares of the worker's cores.
 struct best_effort_view
 {
     ports::task_name name;
     std::uint16_t image = 0;
     double declared = 0;
-    double used = 0; ///< As last read.
+    double used = 0; ///< Share used according to the last reading.
     std::uint32_t speed_limit = 100;
 };
 
-/// What stands beside each other on one worker.
+/// Tasks that are colocated on one worker.
 struct worker_view
 {
     std::vector<serving_view> serving;
     std::vector<best_effort_view> best_effort;
 };
 
-/// The speed that a task is to have from now on, in percent.
+/// New speed limit of a task, in percent.
 struct speed_limit_change
 {
     ports::task_name name;
     std::uint32_t percent = 100;
 };
 
-/// Learns which images disturb each other, and says how fast tasks that fill
-/// may work.
+/// Learns which images disturb each other, and determines the speed limits of
+/// best-effort tasks.
 class colocation
 {
 public:
@@ -109,48 +115,58 @@
     colocation_settings const& settings() const noexcept;
     std::uint16_t number_of(std::string const& image);
 
-    /// Headroom that neighbours take from a task of `image`, as far as known.
+    /// Returns the headroom that `neighbours` are estimated to take from a task
+    /// of `image`.
     double headroom_loss(std::uint16_t image,
-                         std::vector<neighbour_share> const& beside) const;
-    /// Learns from the last of `readings`, all of tasks of one step.
+                         std::vector<neighbour_share> const& neighbours) const;
+    /// Updates the estimates from the last of `readings`, which are all of
+    /// tasks of one step.
     void learn(std::uint16_t image,
                std::vector<serving_reading const*> const& readings);
-    /// Headroom that the tasks of one step would have without neighbours.
+    /// Returns the headroom that the tasks of one step would have without
+    /// neighbours.
     double isolated_headroom(
         std::vector<serving_reading const*> const& readings) const;
 
-    /// Headroom without neighbours that a task of a step will have when it is
-    /// asked next, by its own last reading.
-    double task_isolated_headroom(double alone,
+    /// Returns the headroom without neighbours that is expected at a task's
+    /// next reading, from its last reading and the `headroom` of its step
+    /// without neighbours.
+    double task_isolated_headroom(double headroom,
                                   serving_reading const& last) const;
 
-    /// Share of its cores that a serving task uses, by its headroom without
-    /// neighbours.
-    double load(std::uint16_t image, double alone) const noexcept;
-    /// Takes in what a reading says of an image's headroom without neighbours.
-    void observe_isolated_headroom(std::uint16_t image, double alone);
+    /// Returns the share of its cores that a serving task uses, from its
+    /// `headroom` without neighbours.
+    double load(std::uint16_t image, double headroom) const noexcept;
+    /// Updates the average headroom of an image without neighbours.
+    void observe_isolated_headroom(std::uint16_t image, double headroom);
 
-    /// Speeds that leave every serving task its headroom.
+    /// Returns the changes of speed limits that leave every serving task its
+    /// headroom. `over_since` is the time since which a serving task of the
+    /// worker has been over its target, and is updated.
     std::vector<speed_limit_change>
-    speed_limits(worker_view const& seen,
+    speed_limits(worker_view const& view,
                  common::time_point now,
                  common::time_point& over_since) const;
-    /// The least headroom that stays, were `image` to use `share` besides.
-    double expected_headroom(worker_view const& seen,
+    /// Returns the lowest headroom of the serving tasks that `image` disturbs
+    /// if it additionally uses `share` of the worker.
+    double expected_headroom(worker_view const& view,
                              std::uint16_t image,
                              double share) const;
-    /// Whether `beside` is taken to disturb `served`, as every pair is until
-    /// it was seen,
-    bool disturbs(std::uint16_t served, std::uint16_t beside) const;
-    /// and whether that was learned.
-    bool pair_known(std::uint16_t served, std::uint16_t beside) const;
-    /// What readings have taught so far.
+    /// Whether `neighbour_image` disturbs `serving_image`. Every pair counts as
+    /// disturbing until it has been observed.
+    bool disturbs(std::uint16_t serving_image,
+                  std::uint16_t neighbour_image) const;
+    /// Whether the estimate of the pair rests on enough readings.
+    bool pair_known(std::uint16_t serving_image,
+                    std::uint16_t neighbour_image) const;
+    /// Returns the estimates from all readings so far.
     interference_estimates estimates() const;
-    /// Takes over what an earlier owner had learned; of images that were seen
-    /// here before, too.
+    /// Replaces the estimates of all images in `earlier` by those of an earlier
+    /// owner, also where this object has observed the image itself.
     void restore(interference_estimates const& earlier);
-    /// Headroom that `image` takes at most, for a whole worker.
-    double worst_weight(worker_view const& seen, std::uint16_t image) const;
+    /// Returns the maximum headroom that `image` takes from a serving task
+    /// there if it uses a whole worker.
+    double worst_weight(worker_view const& view, std::uint16_t image) const;
 
 private:
     struct pair_estimate
@@ -158,23 +174,28 @@
         double weight = 0;
         double variance = 0;
     };
-    double weight(std::uint16_t served, std::uint16_t beside) const;
+    double weight(std::uint16_t serving_image,
+                  std::uint16_t neighbour_image) const;
     std::vector<double> const&
-    beyond_the_mean(std::vector<serving_reading const*> const& readings);
-    double speed_beside(serving_view const& served,
-                        std::vector<best_effort_view> const& fills) const;
+    deviations_from_mean(std::vector<serving_reading const*> const& readings);
+    double
+    speed_limit_for(serving_view const& serving_task,
+                    std::vector<best_effort_view> const& best_effort) const;
 
     colocation_settings settings_;
     std::map<std::string, std::uint16_t> numbers_;
-    /// Headroom without neighbours that tasks of an image have on average.
-    struct usual_headroom
+    /// Average headroom without neighbours of the tasks of an image.
+    struct average_headroom
     {
         double mean = 0;
-        double readings = 0; ///< That it rests on.
+        double readings = 0; ///< Number of readings behind `mean`.
     };
-    std::vector<usual_headroom> usual_; ///< By image.
-    std::vector<pair_estimate> pairs_;  ///< max_images squared, by the served.
-    std::vector<double> beyond_;        ///< Of the reading learned from last.
+    std::vector<average_headroom> average_headrooms_; ///< By image.
+    std::vector<pair_estimate>
+        pairs_; ///< Matrix of max_images rows and columns; the row is the
+                ///< serving image.
+    std::vector<double> deviations_; ///< Result of `deviations_from_mean`; kept
+                                     ///< to reuse its memory.
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/job_run.cpp
+++ b/src/core/pool/job_run.cpp
@@ -10,25 +10,26 @@
 namespace
 {
 
-// Up to three times its time limit a job still has some worth for its users.
-constexpr std::int64_t worthless_after = 3;
-// Of a time limit; sums of a few of them and a time of day stay exact.
-constexpr double longest_limit_ms = 1e15;
-
-// Bytes of checkpoints in one record of progress. With the rows of the largest
-// job they fit into one value of the store; a task whose checkpoint is left out
-// begins anew after a takeover.
-constexpr std::size_t checkpoint_room = 400'000;
-
-// As it stands in JSON, where some bytes take six.
+// A job keeps some value for its users up to this multiple of its time limit.
+constexpr std::int64_t worthless_limit_factor = 3;
+// Upper bound of a time limit, so that sums of a few limits and a time of day
+// stay exact.
+constexpr double max_limit_ms = 1e15;
+
+// Maximum number of bytes of checkpoints in one progress record. Together with
+// the rows of the largest job they fit into one value of the store. A task
+// whose checkpoint is left out starts from the beginning after a takeover.
+constexpr std::size_t max_checkpoint_bytes = 400'000;
+
+// Returns the size of the text in JSON, where some bytes take six.
 std::size_t written_size(std::string const& text)
 {
     constexpr std::size_t escaped = 6;
     std::size_t size = 0;
-    for (char const letter : text)
+    for (char const character : text)
     {
-        auto const byte = static_cast<unsigned char>(letter);
-        bool const plain = byte >= ' ' && letter != '"' && letter != '\\';
+        auto const byte = static_cast<unsigned char>(character);
+        bool const plain = byte >= ' ' && character != '"' && character != '\\';
         size += plain ? 1 : escaped;
     }
     return size;
@@ -36,15 +37,15 @@
 
 occurrence_run make_occurrence(job const& spec)
 {
-    occurrence_run made;
-    for (auto const& each : spec.steps)
+    occurrence_run result;
+    for (auto const& s : spec.steps)
     {
-        step_run steps;
-        steps.tasks.resize(each.count);
-        steps.tasks_left = each.count;
-        made.steps.push_back(std::move(steps));
+        step_run run;
+        run.tasks.resize(s.count);
+        run.tasks_left = s.count;
+        result.steps.push_back(std::move(run));
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -72,49 +73,50 @@
 
 job_run make_job_run(job spec, std::uint64_t revision, queue const& rules)
 {
-    job_run made;
-    made.revision = revision;
-    made.rules = rules;
-    made.rank = rules.priority;
+    job_run run;
+    run.revision = revision;
+    run.rules = rules;
+    run.rank = rules.priority;
     auto const chain = common::to_milliseconds(spec.longest_chain());
     auto const stretched = std::min(
-        static_cast<double>(chain) * rules.deadline_stretch, longest_limit_ms);
+        static_cast<double>(chain) * rules.deadline_stretch, max_limit_ms);
     auto const limit = static_cast<std::int64_t>(stretched) +
                        common::to_milliseconds(rules.deadline_slack);
     auto const first =
         spec.first_unix_ms > 0 ? spec.first_unix_ms : spec.accepted_unix_ms;
-    made.due_unix_ms = first + limit;
-    made.late_unix_ms = first + worthless_after * limit;
+    run.due_unix_ms = first + limit;
+    run.late_unix_ms = first + worthless_limit_factor * limit;
     for (std::uint32_t number = 0; number < spec.occurrences; ++number)
     {
         auto occurrence = make_occurrence(spec);
-        // Without a time of its own it may start whatever any clock says.
+        // A job without a first start time may start at once, whatever the
+        // clocks say.
         occurrence.due_unix_ms =
             spec.first_unix_ms > 0 ? first + number * spec.interval_ms : 0;
-        for (auto const& each : occurrence.steps)
+        for (auto const& s : occurrence.steps)
         {
-            made.tasks_left += each.tasks_left;
+            run.tasks_left += s.tasks_left;
         }
-        made.occurrences.push_back(std::move(occurrence));
+        run.occurrences.push_back(std::move(occurrence));
     }
-    made.spec = std::move(spec);
-    return made;
+    run.spec = std::move(spec);
+    return run;
 }
 
 bool out_of_attempts(job_run const& run,
                      std::size_t occurrence,
                      std::size_t number)
 {
-    auto const& what = run.spec.steps[number];
-    std::set<std::uint32_t> of_gang;
-    std::size_t most = 0;
-    for (auto const& each : run.occurrences[occurrence].steps[number].tasks)
+    auto const& s = run.spec.steps[number];
+    std::set<std::uint32_t> gang_failures;
+    std::size_t max_failures = 0;
+    for (auto const& t : run.occurrences[occurrence].steps[number].tasks)
     {
-        most = std::max(most, each.failures.size());
-        of_gang.insert(each.failures.begin(), each.failures.end());
+        max_failures = std::max(max_failures, t.failures.size());
+        gang_failures.insert(t.failures.begin(), t.failures.end());
     }
-    auto const failures = what.gang ? of_gang.size() : most;
-    return !what.long_running && failures >= run.rules.attempts;
+    auto const failures = s.gang ? gang_failures.size() : max_failures;
+    return !s.long_running && failures >= run.rules.attempts;
 }
 
 bool out_of_attempts(job_run const& run)
@@ -132,65 +134,65 @@
     return false;
 }
 
-void apply(progress const& known, job_run& to)
+void apply(progress const& saved, job_run& run)
 {
-    to.has_progress = true;
-    for (auto const& each : known.tasks)
+    run.has_progress = true;
+    for (auto const& row : saved.tasks)
     {
-        auto* const found =
-            to.find({known.job, each.occurrence, each.step, each.index});
-        if (found == nullptr)
+        auto* const t =
+            run.find({saved.job, row.occurrence, row.step, row.index});
+        if (t == nullptr)
         {
             continue;
         }
-        to.started = true;
-        found->failures = each.failures;
-        for (auto const attempt : each.failures)
+        run.started = true;
+        t->failures = row.failures;
+        for (auto const attempt : row.failures)
         {
-            found->attempt = std::max(found->attempt, attempt);
+            t->attempt = std::max(t->attempt, attempt);
         }
-        found->checkpoint = each.checkpoint;
-        if (each.done && found->phase != task_phase::done)
+        t->checkpoint = row.checkpoint;
+        if (row.done && t->phase != task_phase::done)
         {
-            found->phase = task_phase::done;
-            --to.occurrences[each.occurrence].steps[each.step].tasks_left;
-            --to.tasks_left;
+            t->phase = task_phase::done;
+            --run.occurrences[row.occurrence].steps[row.step].tasks_left;
+            --run.tasks_left;
         }
     }
 }
 
-progress progress_of(job_run const& from)
+progress progress_of(job_run const& run)
 {
-    progress made;
-    made.job = from.spec.id;
-    auto room = checkpoint_room;
-    for (std::uint32_t k = 0; k < from.occurrences.size(); ++k)
+    progress result;
+    result.job = run.spec.id;
+    auto bytes_left = max_checkpoint_bytes;
+    for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
-        auto const& steps = from.occurrences[k].steps;
+        auto const& steps = run.occurrences[k].steps;
         for (std::uint32_t number = 0; number < steps.size(); ++number)
         {
             auto const& tasks = steps[number].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
-                auto const& each = tasks[index];
-                bool const done = each.phase == task_phase::done;
-                auto const size = done ? 0 : written_size(each.checkpoint);
-                bool const kept = size > 0 && size <= room;
-                if (!done && !kept && each.failures.empty())
+                auto const& t = tasks[index];
+                bool const done = t.phase == task_phase::done;
+                auto const size = done ? 0 : written_size(t.checkpoint);
+                bool const kept = size > 0 && size <= bytes_left;
+                if (!done && !kept && t.failures.empty())
                 {
                     continue;
                 }
-                room -= kept ? size : 0;
-                made.tasks.push_back({k,
-                                      number,
-                                      index,
-                                      done,
-                                      each.failures,
-                                      kept ? each.checkpoint : std::string()});
+                bytes_left -= kept ? size : 0;
+                result.tasks.push_back({k,
+                                        number,
+                                        index,
+                                        done,
+                                        t.failures,
+                                        kept ? t.checkpoint : std::string()});
             }
         }
     }
-    return made;
+    return result;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -11,62 +11,71 @@
 #include <string>
 #include <vector>
 
-// A job while its owner works on it.
+// State of a job while its owner runs it.
 namespace fuchsia::core::pool
 {
 
 enum class task_phase : std::uint8_t
 {
-    blocked,    ///< Earlier steps are not done, or its time has not come.
-    unresolved, ///< A previous owner may have started it; not yet known where.
-    ready,      ///< Waits for a worker.
-    starting,   ///< The order is on its way.
+    blocked, ///< Earlier steps are not done, or the occurrence is not due yet.
+    unresolved, ///< A previous owner may have started it on a worker that is
+                ///< not known yet.
+    ready,      ///< Waiting for a worker.
+    starting,   ///< The start order has been sent and not answered.
     running,
-    stopping, ///< Ordered to stop; may run until its end is known.
+    stopping, ///< The stop order has been sent; the task may run until its end
+              ///< is known.
     done,
 };
 
-/// Cores that neighbours of one image used, as a share of the worker's.
+/// Cores that the neighbours of one image use, as a share of the worker's.
 struct neighbour_share
 {
     std::uint16_t image = 0;
     double share = 0;
 };
 
-/// How a serving task fared when its worker last told.
+/// Measurement of a serving task from its worker's last report.
 struct serving_reading
 {
     common::time_point when{};
-    double headroom = 0;      ///< Target / tail.
-    double headroom_loss = 0; ///< What its neighbours were taken to cost then.
-    std::vector<neighbour_share> neighbours; ///< By image, ascending.
+    double headroom = 0;      ///< Target / tail latency.
+    double headroom_loss = 0; ///< Headroom that its neighbours were estimated
+                              ///< to take at that time.
+    std::vector<neighbour_share> neighbours; ///< Sorted by image.
 };
 
-/// A task and its only run. At most one attempt may be at work anywhere, so
-/// the next one starts only once the last is known to be over.
+/// A task and its only attempt. At most one attempt may run anywhere, so the
+/// next one starts only once the previous one is known to be over.
 struct task
 {
     task_phase phase = task_phase::blocked;
-    std::uint32_t attempt = 0;            ///< Of the present or last run.
+    std::uint32_t attempt = 0; ///< Number of the present or last attempt.
     std::vector<std::uint32_t> failures;  ///< Attempts that failed.
-    std::string worker;                   ///< Of the present run.
+    std::string worker;                   ///< Worker of the present attempt.
     std::uint64_t worker_incarnation = 0; ///< Incarnation of that worker.
-    /// Its start got no answer and may be carried out seconds late: that a
-    /// worker does not show it proves nothing before the worker took a stop.
+    /// The start order got no answer and may be carried out seconds late. That
+    /// the worker does not list the task proves nothing until the worker has
+    /// accepted a stop order.
     bool start_unanswered = false;
-    bool ran_before = false; ///< It waits after a run that is over.
+    bool ran_before =
+        false; ///< The task is waiting after an attempt that is over.
     std::string checkpoint;
     std::uint32_t percent = 0;
     std::int64_t level = 0;
-    std::uint32_t speed_limit = 100; ///< As ordered.
-    common::time_point paused_at{};  ///< When it was ordered to stand still.
-    serving_reading reading;         ///< Of a serving task; the last one.
+    std::uint32_t speed_limit =
+        100; ///< Last speed limit sent to the worker, in percent.
+    common::time_point paused_at{}; ///< Time of the last speed limit order; the
+                                    ///< time of the pause while the limit is 0.
+    serving_reading reading;        ///< Last reading of a serving task.
     common::time_point started{};
-    common::time_point reported_at{};   ///< When its percent was last told.
-    common::time_point progressed_at{}; ///< Last seen to make progress.
+    common::time_point
+        reported_at{}; ///< Time of the last report of its progress.
+    common::time_point
+        progressed_at{}; ///< Time of the last report that showed progress.
     std::vector<std::string> failed_on; ///< Workers to avoid.
 
-    /// Whether it takes room on its worker.
+    /// Whether the task occupies capacity on its worker.
     bool placed() const noexcept
     {
         return phase == task_phase::starting || phase == task_phase::running ||
@@ -85,71 +94,80 @@
 struct step_run
 {
     std::vector<task> tasks;
-    std::vector<std::uint32_t> ready;      ///< Indexes, the next one last.
-    std::map<std::string, ticket> tickets; ///< By worker; kept when over.
+    std::vector<std::uint32_t>
+        ready; ///< Indexes of the ready tasks; the next one is last.
+    std::map<std::string, ticket>
+        tickets; ///< By worker; expired tickets are kept.
     std::set<std::string>
-        policy_requested_for;     ///< Workers that the policy was asked about.
+        policy_requested_for;     ///< Workers that a policy request has named.
     std::uint32_t tasks_left = 0; ///< Tasks that are not done.
-    bool open = false;            ///< Its tasks may start.
+    bool open = false;            ///< Whether its tasks may start.
     std::uint16_t image = 0;      ///< Number of the image that its tasks run.
     double isolated_headroom =
         0; ///< Headroom of its serving tasks without neighbours.
-    /// Of a lasting step: a worker that can't be used now has room for two of
-    /// its tasks.
+    /// For a long-running step: whether a worker that can't be used now has
+    /// capacity for two of its tasks.
     bool capacity_elsewhere = false;
 };
 
 struct occurrence_run
 {
     std::vector<step_run> steps;
-    std::int64_t due_unix_ms = 0; ///< 0: at once.
+    std::int64_t due_unix_ms = 0; ///< 0: due immediately.
 };
 
 enum class job_phase : std::uint8_t
 {
     active,
-    cancelling, ///< Nothing starts; what runs is being stopped.
-    failing,    ///< The same, after too many failures.
-    finished,   ///< All is over; the final state is on its way to the store.
-    recorded,   ///< The final state lies in the store.
+    cancelling, ///< No task starts any more; running tasks are being stopped.
+    failing,    ///< Like `cancelling`, after too many failures.
+    finished,   ///< All tasks are over; the final state is being written to the
+                ///< store.
+    recorded,   ///< The final state is in the store.
 };
 
 struct job_run
 {
     job spec;
-    std::uint64_t revision = 0; ///< Of the job's key.
-    queue rules;                ///< As they were when it was loaded.
+    std::uint64_t revision = 0; ///< Revision of the job's key in the store.
+    queue rules; ///< Rules of its queue at the time the job was loaded.
     job_phase phase = job_phase::active;
     ports::job_state outcome = ports::job_state::completed;
     std::vector<occurrence_run> occurrences;
     std::uint64_t tasks_left = 0; ///< Tasks that are not done.
-    std::uint32_t placed = 0;     ///< Tasks that take room somewhere.
-    bool started = false;         ///< Some task has ever been started.
-    bool dirty = false;           ///< Has progress that is not in the store.
-    bool has_progress = false;    ///< A progress record may lie in the store.
-    bool cancel_key = false;      ///< A cancel record lies in the store.
-    std::int64_t first_start_unix_ms = 0; ///< 0: not by this owner.
-    std::uint32_t rank = 0; ///< Its place among the waiting: lower is first.
-    std::int64_t due_unix_ms = 0;  ///< Where it earns all of its worth.
-    std::int64_t late_unix_ms = 0; ///< Where it earns nothing any more.
+    std::uint32_t placed =
+        0;                ///< Number of tasks that occupy capacity on a worker.
+    bool started = false; ///< Whether any task has ever been started.
+    bool dirty =
+        false; ///< Whether there is progress that is not in the store yet.
+    bool has_progress =
+        false; ///< Whether the store may contain a progress record.
+    bool cancel_key = false; ///< Whether the store contains a cancel record.
+    std::int64_t first_start_unix_ms = 0; ///< 0: not started by this owner.
+    std::uint32_t rank =
+        0; ///< Rank among the waiting jobs; the lowest starts first.
+    std::int64_t due_unix_ms =
+        0; ///< Time until which the job earns its full value.
+    std::int64_t late_unix_ms = 0; ///< Time from which the job earns nothing.
 
     task& at(ports::task_name const& name);
-    /// Null where the job has no such task.
+    /// Returns null if the job has no such task.
     task* find(ports::task_name const& name);
     step const& step_of(ports::task_name const& name) const;
 };
 
-/// Whether a task of the step has failed as often as its queue allows; a gang
-/// fails as one, whichever of its members does.
+/// Whether a task of the step has failed as often as its queue allows. A gang
+/// fails as a whole, whichever of its members fails.
 bool out_of_attempts(job_run const& run,
                      std::size_t occurrence,
                      std::size_t number);
-/// The same of any step.
+/// Whether this is true of any step of the job.
 bool out_of_attempts(job_run const& run);
 
-/// Lays out all tasks, as blocked; `steps` open later.
+/// Creates the run of a job with all tasks blocked; the owner opens the steps
+/// later.
 job_run make_job_run(job spec, std::uint64_t revision, queue const& rules);
-void apply(progress const& known, job_run& to);
-progress progress_of(job_run const& from);
+void apply(progress const& saved, job_run& run);
+progress progress_of(job_run const& run);
 
 } // namespace fuchsia::core::pool
