--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -14,53 +14,63 @@
 namespace
 {
 
-// Added to the rank of what can't earn all, or anything, any more: it runs on
-// what the rest leaves.
+// Added to the rank of jobs that can no longer earn their full value, or any
+// value, so that they run on the capacity that the others leave.
 constexpr std::uint32_t late_rank = 1000;
 constexpr std::uint32_t worthless_rank = 2000;
-constexpr std::uint32_t gone_rank = 4000;
-// Unix milliseconds beyond any job's.
-constexpr std::int64_t never_due = std::numeric_limits<std::int64_t>::max() / 2;
-// One round looks at this many steps that wait, so that a long queue costs no
-// more than a short one.
-constexpr std::size_t steps_per_round = 128;
+constexpr std::uint32_t removed_queue_rank = 4000;
+// Added to the due time, in Unix milliseconds, of long-running steps; greater
+// than the due time of any job.
+constexpr std::int64_t long_running_order =
+    std::numeric_limits<std::int64_t>::max() / 2;
+// Maximum number of waiting steps that one round examines, so that a long queue
+// costs no more than a short one.
+constexpr std::size_t max_steps_per_round = 128;
 
-struct shape
+struct placement_request
 {
-    step const* what = nullptr;
+    step const* step_spec = nullptr;
     std::string service;
 };
 
-// Whether `wanted` needs at least as much as what found no place just now.
-bool as_hard(shape const& failed, shape const& wanted)
+// Whether `requested` needs at least as much as the request that has just found
+// no worker.
+bool at_least_as_demanding(placement_request const& failed,
+                           placement_request const& requested)
 {
-    return failed.service == wanted.service &&
-           failed.what->best_effort == wanted.what->best_effort &&
-           failed.what->required_label == wanted.what->required_label &&
-           failed.what->max_per_worker == 0 &&
-           failed.what->image == wanted.what->image &&
-           wanted.what->declared.covers(failed.what->declared);
+    return failed.service == requested.service &&
+           failed.step_spec->best_effort == requested.step_spec->best_effort &&
+           failed.step_spec->required_label ==
+               requested.step_spec->required_label &&
+           failed.step_spec->max_per_worker == 0 &&
+           failed.step_spec->image == requested.step_spec->image &&
+           requested.step_spec->declared.covers(failed.step_spec->declared);
 }
 
 } // namespace
 
-// Lasting jobs are never late. What was at work already returns before all
-// else; what never was comes behind what can still be on time, so that room for
-// large short tasks, which is rare, goes to those.
+// Long-running jobs are never late. Tasks that have run before come first;
+// long-running tasks that have not come after all work that can still be on
+// time, so that capacity for large short tasks, which is rare, goes to that
+// work.
 owner::ready_key owner::key_of(job_run const& run,
                                std::uint32_t occurrence,
                                std::uint32_t number) const
 {
     auto const& steps = run.occurrences[occurrence].steps[number];
-    bool const lasting = run.spec.steps[number].long_running;
-    bool const returns =
+    bool const long_running = run.spec.steps[number].long_running;
+    bool const ran_before =
         !steps.ready.empty() && steps.tasks[steps.ready.back()].ran_before;
-    auto const behind = lasting && !returns ? never_due : 0;
-    return {
-        run.rank, behind + run.due_unix_ms, run.spec.id, occurrence, number};
+    auto const order_offset =
+        long_running && !ran_before ? long_running_order : 0;
+    return {run.rank,
+            order_offset + run.due_unix_ms,
+            run.spec.id,
+            occurrence,
+            number};
 }
 
-// What has become late goes behind what can still be on time.
+// Recomputes the ranks: late jobs come after those that can still be on time.
 void owner::rank_again(common::time_point now)
 {
     auto const now_ms = out_.unix_ms(now);
@@ -71,9 +81,9 @@
         {
             continue;
         }
-        bool const lasting = run.spec.steps.front().long_running;
+        bool const long_running = run.spec.steps.front().long_running;
         run.rank = run.rules.priority;
-        if (!lasting && run.spec.occurrences == 1)
+        if (!long_running && run.spec.occurrences == 1)
         {
             run.rank += now_ms > run.late_unix_ms  ? worthless_rank
                         : now_ms > run.due_unix_ms ? late_rank
@@ -81,7 +91,7 @@
         }
         if (operators_.config.named(run.spec.queue) == nullptr)
         {
-            run.rank += gone_rank;
+            run.rank += removed_queue_rank;
         }
         for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
         {
@@ -103,56 +113,59 @@
     {
         dispatch_steps(now);
     }
-    // It points at workers, and is right for this moment only.
+    // The index points to workers and is valid for this moment only.
     capacity_index_.reset();
 }
 
 void owner::dispatch_steps(common::time_point now)
 {
-    std::vector<shape> failed;
-    std::size_t looked_at = 0;
+    std::vector<placement_request> failed;
+    std::size_t examined_steps = 0;
     for (auto next = ready_.begin(); next != ready_.end();)
     {
-        // The step may be taken out of the set below.
+        // The step may be erased from the set below.
         auto const key = *next++;
         auto* const run = find_job(key.job);
-        auto const* const what =
+        auto const* const step_spec =
             run != nullptr ? &run->spec.steps[key.step] : nullptr;
-        if (what == nullptr)
+        if (step_spec == nullptr)
         {
             ready_.erase(key);
             continue;
         }
-        // Lasting steps that wait are looked at in no time, and may be many.
-        looked_at += what->long_running ? 0U : 1U;
-        if (looked_at > steps_per_round)
+        // Long-running steps are not counted: they are cheap to examine, and
+        // many of them may be waiting.
+        examined_steps += step_spec->long_running ? 0U : 1U;
+        if (examined_steps > max_steps_per_round)
         {
             return;
         }
-        shape const wanted{what, run->rules.service};
-        bool const hopeless = what->tail_target.count() == 0 &&
-                              std::any_of(failed.begin(),
-                                          failed.end(),
-                                          [&wanted](shape const& each)
-                                          {
-                                              return as_hard(each, wanted);
-                                          });
-        if (hopeless)
+        placement_request const requested{step_spec, run->rules.service};
+        bool const would_fail =
+            step_spec->tail_target.count() == 0 &&
+            std::any_of(failed.begin(),
+                        failed.end(),
+                        [&requested](placement_request const& f)
+                        {
+                            return at_least_as_demanding(f, requested);
+                        });
+        if (would_fail)
         {
             continue;
         }
-        // A gang that finds no place says nothing of its tasks one by one, and
-        // a lasting task may be kept from room that others may take.
-        bool const tells =
-            !what->gang && !run->rules.policy && !what->long_running;
-        if (!dispatch_step(now, key) && tells)
+        // A gang that finds no workers says nothing about its tasks one by one,
+        // and a long-running task may be refused capacity that other tasks may
+        // use.
+        bool const is_representative =
+            !step_spec->gang && !run->rules.policy && !step_spec->long_running;
+        if (!dispatch_step(now, key) && is_representative)
         {
-            failed.push_back(wanted);
+            failed.push_back(requested);
         }
     }
 }
 
-// False where a task of the step found no worker.
+// Returns false if a task of the step found no worker.
 bool owner::dispatch_step(common::time_point now, ready_key const& key)
 {
     auto& run = *find_job(key.job);
@@ -165,10 +178,10 @@
     {
         return dispatch_gang(now, key, run);
     }
-    // Tasks of one step that have not failed anywhere are alike: all workers
-    // are scored once for them, and after each placement just the one that was
-    // taken. A step of 26 tasks on 350 workers costs 376 scores in place of
-    // 9,100.
+    // Tasks of one step that have not failed anywhere are equivalent: all
+    // workers are scored once for them, and after each placement only the
+    // worker that was used is scored again. A step of 26 tasks on 350 workers
+    // costs 376 scores instead of 9,100.
     std::optional<std::vector<ranked_worker>> ranked;
     while (!steps.ready.empty() && run.phase == job_phase::active)
     {
@@ -181,36 +194,36 @@
         }
         bool const alike = run.at(name).failed_on.empty() &&
                            run.spec.steps[key.step].max_per_worker == 0;
-        auto* on = take_reservation(now, run, name);
-        if (on == nullptr && alike)
+        auto* target = take_reservation(now, run, name);
+        if (target == nullptr && alike)
         {
             if (!ranked)
             {
                 ranked = rank(now, run, name, "");
             }
-            on = best_of(*ranked);
+            target = best_of(*ranked);
         }
-        else if (on == nullptr)
+        else if (target == nullptr)
         {
-            on = best_of(rank(now, run, name, ""));
+            target = best_of(rank(now, run, name, ""));
         }
-        if (on == nullptr)
+        if (target == nullptr)
         {
             return false;
         }
         steps.ready.pop_back();
-        bool const left_room = must_leave_reserve(run, name);
-        place(run, name, *on);
+        bool const left_reserve = must_leave_reserve(run, name);
+        place(run, name, *target);
         note_placement(run, name);
-        capacity_changed(*on);
-        start(now, run, name, *on);
-        if (left_room != must_leave_reserve(run, name))
+        capacity_changed(*target);
+        start(now, run, name, *target);
+        if (left_reserve != must_leave_reserve(run, name))
         {
             ranked.reset();
         }
         else if (ranked)
         {
-            score_again(now, run, name, *on, left_room, *ranked);
+            score_again(now, run, name, *target, left_reserve, *ranked);
         }
     }
     ready_.erase(key);
@@ -220,17 +233,17 @@
 void owner::start(common::time_point now,
                   job_run& run,
                   ports::task_name const& name,
-                  worker& on)
+                  worker& target)
 {
-    auto& each = run.at(name);
-    ++each.attempt;
-    each.phase = task_phase::starting;
-    each.start_unanswered = false;
-    each.ran_before = false;
-    each.percent = 0;
-    each.speed_limit = 100;
-    each.started = now;
-    each.progressed_at = now;
+    auto& t = run.at(name);
+    ++t.attempt;
+    t.phase = task_phase::starting;
+    t.start_unanswered = false;
+    t.ran_before = false;
+    t.percent = 0;
+    t.speed_limit = 100;
+    t.started = now;
+    t.progressed_at = now;
     if (run.first_start_unix_ms == 0)
     {
         run.first_start_unix_ms = out_.unix_ms(now);
@@ -242,35 +255,36 @@
     ++counters_.starts;
     ports::start_order order;
     order.fencing_token = claim_.epoch();
-    order.attempt_id = {name, each.attempt};
+    order.attempt_id = {name, t.attempt};
     order.spec = run.spec.spec;
-    order.lease_until_ms = fleet_.lease_end(on, now);
-    order.checkpoint = each.checkpoint;
+    order.lease_until_ms = fleet_.lease_end(target, now);
+    order.checkpoint = t.checkpoint;
     auto const& tickets =
         run.occurrences[name.occurrence].steps[name.step].tickets;
-    if (auto const found = tickets.find(on.info.id); found != tickets.end())
+    if (auto const found = tickets.find(target.info.id); found != tickets.end())
     {
         order.ticket = found->second.text;
     }
-    on.lease_until_ms = std::max(on.lease_until_ms, order.lease_until_ms);
-    // A worker that was idle is asked seldom; from now on it is watched.
-    on.next_poll = std::min(on.next_poll, now + settings_.full_pause);
+    target.lease_until_ms =
+        std::max(target.lease_until_ms, order.lease_until_ms);
+    // An idle worker is polled rarely; with a task it is polled more often.
+    target.next_poll = std::min(target.next_poll, now + settings_.full_pause);
     out_.order(life_,
                {0,
-                on.info.id,
-                on.info.remote_endpoint,
-                on.incarnation,
+                target.info.id,
+                target.info.remote_endpoint,
+                target.incarnation,
                 order,
                 settings_.order_timeout},
-               [this, what = order.attempt_id, id = on.info.id](
+               [this, attempt_id = order.attempt_id, id = target.info.id](
                    common::time_point at, order_reply const& reply)
                {
-                   on_start(at, what, id, reply);
+                   on_start(at, attempt_id, id, reply);
                });
 }
 
 void owner::on_start(common::time_point now,
-                     ports::pool_attempt const& what,
+                     ports::pool_attempt const& attempt_id,
                      std::string const& id,
                      order_reply const& reply)
 {
@@ -279,10 +293,10 @@
         on_fenced(id);
         return;
     }
-    auto const [run, each] = find_task(what.task);
-    bool const ours = each != nullptr && each->worker == id &&
-                      each->attempt == what.attempt &&
-                      each->phase == task_phase::starting;
+    auto const [run, t] = find_task(attempt_id.task);
+    bool const ours = t != nullptr && t->worker == id &&
+                      t->attempt == attempt_id.attempt &&
+                      t->phase == task_phase::starting;
     if (!ours)
     {
         return;
@@ -290,43 +304,44 @@
     if (reply.status == order_status::done)
     {
         run->started = true;
-        each->phase = task_phase::running;
-        each->started = now;
-        each->progressed_at = now;
+        t->phase = task_phase::running;
+        t->started = now;
+        t->progressed_at = now;
         return;
     }
     out_.log(severity::info,
              "start_refused",
-             {{"job", what.task.job},
-              {"step", std::to_string(what.task.step)},
-              {"task", std::to_string(what.task.index)},
-              {"attempt", std::to_string(what.attempt)},
+             {{"job", attempt_id.task.job},
+              {"step", std::to_string(attempt_id.task.step)},
+              {"task", std::to_string(attempt_id.task.index)},
+              {"attempt", std::to_string(attempt_id.attempt)},
               {"worker", id},
               {"status", std::to_string(static_cast<unsigned>(reply.status))}});
     if (reply.status == order_status::unclear)
     {
-        // It may run, or be carried out in seconds: it must be stopped for good
-        // before another attempt may start anywhere.
+        // The start may have been carried out, or may be carried out seconds
+        // later: the task must be stopped for certain before another attempt
+        // may start anywhere.
         ++counters_.starts_unclear;
-        each->start_unanswered = true;
-        each->phase = task_phase::stopping;
-        order_stop(now, id, what);
+        t->start_unanswered = true;
+        t->phase = task_phase::stopping;
+        order_stop(now, id, attempt_id);
         return;
     }
     ++counters_.starts_refused;
     if (reply.status == order_status::no_ticket)
     {
-        run->occurrences[what.task.occurrence]
-            .steps[what.task.step]
+        run->occurrences[attempt_id.task.occurrence]
+            .steps[attempt_id.task.step]
             .tickets.erase(id);
     }
-    auto* const on = fleet_.find(id);
-    if (on != nullptr && reply.status != order_status::not_attempted)
+    auto* const target = fleet_.find(id);
+    if (target != nullptr && reply.status != order_status::not_attempted)
     {
-        on->full_until = now + settings_.full_pause;
+        target->full_until = now + settings_.full_pause;
     }
-    each->phase = task_phase::blocked;
-    task_over(now, *run, what.task);
+    t->phase = task_phase::blocked;
+    task_over(now, *run, attempt_id.task);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_gangs.cpp
+++ b/src/core/pool/owner_gangs.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-// Tasks that work only together.
+// Gang scheduling: tasks that run only together.
 namespace fuchsia::core::pool
 {
 
@@ -13,18 +13,18 @@
 
 std::set<std::string> racks_of(fleet& workers)
 {
-    std::set<std::string> made;
-    for (auto const& [id, each] : workers.all())
+    std::set<std::string> racks;
+    for (auto const& [id, w] : workers.all())
     {
-        made.insert(each.info.rack);
+        racks.insert(w.info.rack);
     }
-    return made;
+    return racks;
 }
 
 } // namespace
 
-// All tasks of a gang start at once or none does: one that waits for the rest
-// holds its room for nothing.
+// All tasks of a gang start at once or none does: a task that waits for the
+// others occupies its capacity for nothing.
 bool owner::dispatch_gang(common::time_point now,
                           ready_key const& key,
                           job_run& run)
@@ -33,7 +33,7 @@
     if (steps.ready.size() < steps.tasks.size() ||
         run.phase != job_phase::active)
     {
-        // Some member's last run is not over yet.
+        // The previous attempt of a member is not over yet.
         return true;
     }
     std::set<std::string> racks{""};
@@ -61,8 +61,8 @@
     for (std::uint32_t index = 0; index < steps.tasks.size(); ++index)
     {
         ports::task_name const name{key.job, key.occurrence, key.step, index};
-        auto* const on = best_of(rank(now, run, name, rack));
-        if (on == nullptr)
+        auto* const target = best_of(rank(now, run, name, rack));
+        if (target == nullptr)
         {
             for (std::uint32_t placed = 0; placed < index; ++placed)
             {
@@ -71,14 +71,15 @@
             }
             return false;
         }
-        place(run, name, *on);
-        capacity_changed(*on);
+        place(run, name, *target);
+        capacity_changed(*target);
     }
     return true;
 }
 
-// The members share the number of the attempt and one checkpoint. Checkpoints
-// begin with the progress that they hold, in digits of equal number.
+// All members get the same attempt number and the same checkpoint. Checkpoints
+// begin with the progress that they contain, in a fixed number of digits, so
+// the greatest one is the furthest.
 void owner::start_gang(common::time_point now,
                        ready_key const& key,
                        job_run& run)
@@ -86,26 +87,26 @@
     auto& steps = run.occurrences[key.occurrence].steps[key.step];
     std::uint32_t attempt = 0;
     std::string checkpoint;
-    for (auto const& each : steps.tasks)
+    for (auto const& t : steps.tasks)
     {
-        attempt = std::max(attempt, each.attempt);
-        checkpoint = std::max(checkpoint, each.checkpoint);
+        attempt = std::max(attempt, t.attempt);
+        checkpoint = std::max(checkpoint, t.checkpoint);
     }
     steps.ready.clear();
     ready_.erase(key);
     for (std::uint32_t index = 0; index < steps.tasks.size(); ++index)
     {
-        auto& each = steps.tasks[index];
-        each.attempt = attempt;
-        each.checkpoint = checkpoint;
+        auto& t = steps.tasks[index];
+        t.attempt = attempt;
+        t.checkpoint = checkpoint;
         start(now,
               run,
               {key.job, key.occurrence, key.step, index},
-              *fleet_.find(each.worker));
+              *fleet_.find(t.worker));
     }
 }
 
-// One member's end stands for all: they end together.
+// The members of a gang finish together, so the end of one marks all as done.
 void owner::gang_done(common::time_point now,
                       job_run& run,
                       ports::task_name const& name)
@@ -122,7 +123,8 @@
     after_done(now, run);
 }
 
-// Without one member the others wait for nothing, or work for nothing.
+// The other members can't finish without the one that ended, so they are
+// stopped.
 void owner::break_gang(common::time_point now,
                        job_run& run,
                        ports::task_name const& name)
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -3,44 +3,46 @@
 #include <algorithm>
 #include <utility>
 
-// Which worker a task starts on, and what speaks against the others.
+// Placement: the worker that a task starts on, and the obstacles at the others.
 namespace fuchsia::core::pool
 {
 
 namespace
 {
 
-// Scores: the lowest wins. A rack away from its data a task takes up to twice
-// as long; a worker on which it failed before is taken only when no other is
-// left.
+// Scores: the lowest wins. A task takes up to twice as long on another rack
+// than that of its data. A worker on which the task has failed before is used
+// only if no other is left.
 constexpr double far_penalty = 10;
 constexpr double failed_penalty = 100;
 constexpr double free_worker_penalty = 0.5;
-// For each time that a worker takes longer than estimated; a quarter more is
-// within what estimates are off by.
+// Penalty for each multiple of the estimated time that a worker takes. Slowness
+// up to a quarter is within the error of the estimates.
 constexpr double slow_penalty = 1;
-constexpr double usual_slowness = 1.25;
-// Serving tasks of one image stand together: what disturbs one of them disturbs
-// all, and has the other workers for itself. More than an empty worker can
-// cost, so that images mix only once no worker is empty: at 1.5 they mixed on
-// any worker that was nearly full. Over 36 days on each of three workloads
-// worth rose by 0.02, 0.02 and 0.03.
+constexpr double slowness_tolerance = 1.25;
+// Serving tasks of one image are kept together: a neighbour that disturbs one
+// of them disturbs all, and finds the other workers free of them. The penalty
+// exceeds the cost of an empty worker, so that images mix only once no worker
+// is empty: at 1.5 they mixed on any worker that was nearly full. Over 36 days
+// on each of three workloads the earned value rose by 0.02, 0.02 and 0.03.
 constexpr double other_image_penalty = 3;
 
-// A worker that was cleared for work that waits stays clear while any other
-// has room.
-constexpr double kept_clear_penalty = 5;
+// A worker that was cleared for waiting work gets no serving task that the work
+// disturbs while another worker has capacity.
+constexpr double cleared_worker_penalty = 5;
 
-// Tasks of the same step of the same occurrence that are placed there.
-std::uint32_t siblings_on(worker const& on, ports::task_name const& name)
+// Returns the number of tasks of the same step and occurrence that are placed
+// there.
+std::uint32_t siblings_on(worker const& target, ports::task_name const& name)
 {
     std::uint32_t count = 0;
-    auto each = on.runs.lower_bound({name.job, name.occurrence, name.step, 0});
-    while (each != on.runs.end() && each->job == name.job &&
-           each->occurrence == name.occurrence && each->step == name.step)
+    auto it =
+        target.runs.lower_bound({name.job, name.occurrence, name.step, 0});
+    while (it != target.runs.end() && it->job == name.job &&
+           it->occurrence == name.occurrence && it->step == name.step)
     {
         ++count;
-        ++each;
+        ++it;
     }
     return count;
 }
@@ -53,126 +55,129 @@
 
 } // namespace
 
-// A worker that started again has forgotten the fence of a successor that asked
-// its last incarnation, and would obey us. No start before the store has
-// confirmed since then that there is none.
-bool owner::may_trust(worker const& on) const
+// A worker that restarted has lost the fencing token of a successor that polled
+// its previous incarnation, and would accept our orders. No task starts there
+// before the store has confirmed since the restart that there is no successor.
+bool owner::may_trust(worker const& target) const
 {
-    return claim_.confirmed_at() >= on.restarted_at;
+    return claim_.confirmed_at() >= target.restarted_at;
 }
 
-// What speaks against the worker for any task.
+// Returns the obstacle at the worker that holds for any task.
 std::optional<obstacle> owner::obstacle_at(common::time_point now,
-                                           worker const& on) const
+                                           worker const& target) const
 {
-    if (!on.adopted || !on.rostered || !may_trust(on))
+    if (!target.adopted || !target.rostered || !may_trust(target))
     {
         return obstacle::unknown;
     }
-    if (on.silent)
+    if (target.silent)
     {
         return obstacle::silent;
     }
-    if (!on.listed || on.info.draining)
+    if (!target.listed || target.info.draining)
     {
         return obstacle::leaving;
     }
-    if (now < on.avoid_until)
+    if (now < target.avoid_until)
     {
         return obstacle::suspected;
     }
-    if (now < on.full_until)
+    if (now < target.full_until)
     {
         return obstacle::reported_full;
     }
-    if (operators_.data_centres_out.contains(on.info.data_centre))
+    if (operators_.data_centres_out.contains(target.info.data_centre))
     {
         return obstacle::data_centre;
     }
     return std::nullopt;
 }
 
-// What speaks against the worker for any task of the step.
+// Returns the obstacle at the worker that holds for any task of the step.
 std::optional<obstacle> owner::obstacle_of(common::time_point now,
-                                           worker const& on,
+                                           worker const& target,
                                            job_run const& run,
-                                           step const& what) const
+                                           step const& step_spec) const
 {
-    if (on.info.service != run.rules.service)
+    if (target.info.service != run.rules.service)
     {
         return obstacle::service;
     }
-    if (auto const reason = obstacle_at(now, on))
+    if (auto const reason = obstacle_at(now, target))
     {
         return reason;
     }
-    auto const& labels = on.info.labels;
+    auto const& labels = target.info.labels;
     bool const labelled =
-        what.required_label.empty() ||
-        std::find(labels.begin(), labels.end(), what.required_label) !=
+        step_spec.required_label.empty() ||
+        std::find(labels.begin(), labels.end(), step_spec.required_label) !=
             labels.end();
     return labelled ? std::nullopt : std::optional(obstacle::label);
 }
 
-// Whatever keeps this task from that worker now; empty where it may start.
+// Returns the obstacle that keeps this task from the worker now; empty if the
+// task may start there.
 std::optional<obstacle> owner::obstacle_to(common::time_point now,
-                                           worker& on,
+                                           worker& target,
                                            job_run& run,
                                            ports::task_name const& name)
 {
-    auto const& what = run.step_of(name);
-    if (auto const reason = obstacle_of(now, on, run, what))
+    auto const& step_spec = run.step_of(name);
+    if (auto const reason = obstacle_of(now, target, run, step_spec))
     {
         return reason;
     }
-    if (!fits(on, what))
+    if (!fits(target, step_spec))
     {
         return obstacle::capacity;
     }
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    if (run.rules.policy && !has_ticket(now, steps, on))
+    if (run.rules.policy && !has_ticket(now, steps, target))
     {
         return obstacle::ticket;
     }
-    if (what.max_per_worker > 0 && siblings_on(on, name) >= what.max_per_worker)
+    if (step_spec.max_per_worker > 0 &&
+        siblings_on(target, name) >= step_spec.max_per_worker)
     {
         return obstacle::siblings;
     }
-    return what.best_effort ? obstacle_to_best_effort(on, what, steps.image)
-                            : std::nullopt;
+    return step_spec.best_effort
+               ? obstacle_to_best_effort(target, step_spec, steps.image)
+               : std::nullopt;
 }
 
-bool owner::fits(worker const& on, step const& what) const
+bool owner::fits(worker const& target, step const& step_spec) const
 {
-    auto used = on.reserved;
-    used += what.declared;
-    if (what.best_effort)
+    auto used = target.reserved;
+    used += step_spec.declared;
+    if (step_spec.best_effort)
     {
         used.millicores = 0;
     }
-    return on.info.capacity.covers(used);
+    return target.info.capacity.covers(used);
 }
 
-// Which workers may be used at all does not change within a round.
+// The set of usable workers does not change within a round.
 capacity_index owner::usable_workers(common::time_point now)
 {
     std::vector<worker*> usable;
     usable.reserve(fleet_.all().size());
-    for (auto& [id, each] : fleet_.all())
+    for (auto& [id, w] : fleet_.all())
     {
-        if (!obstacle_at(now, each))
+        if (!obstacle_at(now, w))
         {
-            usable.push_back(&each);
+            usable.push_back(&w);
         }
     }
     return capacity_index(std::move(usable));
 }
 
-void owner::capacity_changed(worker const& at)
+void owner::capacity_changed(worker const& changed)
 {
     if (capacity_index_)
     {
-        capacity_index_->mark_changed(at);
+        capacity_index_->mark_changed(changed);
     }
 }
 
@@ -185,73 +190,76 @@
     {
         capacity_index_ = usable_workers(now);
     }
-    auto const& what = run.step_of(name);
-    bool const leaves_room = must_leave_reserve(run, name);
-    auto const least = what.declared.millicores * (leaves_room ? 2 : 1);
-    auto const candidates = what.best_effort
-                                ? capacity_index_->with_idle(least)
-                                : capacity_index_->with_free(least);
-    std::vector<ranked_worker> made;
-    for (auto* const each : candidates)
+    auto const& step_spec = run.step_of(name);
+    bool const leave_reserve = must_leave_reserve(run, name);
+    auto const min_millicores =
+        step_spec.declared.millicores * (leave_reserve ? 2 : 1);
+    auto const candidates = step_spec.best_effort
+                                ? capacity_index_->with_idle(min_millicores)
+                                : capacity_index_->with_free(min_millicores);
+    std::vector<ranked_worker> result;
+    for (auto* const w : candidates)
     {
-        bool const elsewhere = !rack.empty() && each->info.rack != rack;
-        if (elsewhere ||
-            (leaves_room && !each->has_capacity_for_two(what.declared)))
+        bool const other_rack = !rack.empty() && w->info.rack != rack;
+        if (other_rack ||
+            (leave_reserve && !w->has_capacity_for_two(step_spec.declared)))
         {
             continue;
         }
-        if (auto const found = score(now, *each, run, name))
+        if (auto const value = score(now, *w, run, name))
         {
-            made.push_back({*found, each});
+            result.push_back({*value, w});
         }
     }
-    return made;
+    return result;
 }
 
 worker* owner::best_of(std::vector<ranked_worker> const& ranked)
 {
-    auto const best = std::min_element(
-        ranked.begin(),
-        ranked.end(),
-        [](ranked_worker const& left, ranked_worker const& right)
-        {
-            return left.score < right.score;
-        });
+    auto const best =
+        std::min_element(ranked.begin(),
+                         ranked.end(),
+                         [](ranked_worker const& lhs, ranked_worker const& rhs)
+                         {
+                             return lhs.score < rhs.score;
+                         });
     return best == ranked.end() ? nullptr : best->which;
 }
 
-// `name` was just placed on `on`; its siblings find that changed.
+// Updates the score of `target`, on which `name` has just been placed, for the
+// siblings of the task.
 void owner::score_again(common::time_point now,
                         job_run& run,
                         ports::task_name const& name,
-                        worker& on,
-                        bool leaves_room,
+                        worker& target,
+                        bool leave_reserve,
                         std::vector<ranked_worker>& ranked)
 {
     auto const row = std::find_if(ranked.begin(),
                                   ranked.end(),
-                                  [&on](ranked_worker const& each)
+                                  [&target](ranked_worker const& r)
                                   {
-                                      return each.which == &on;
+                                      return r.which == &target;
                                   });
     if (row == ranked.end())
     {
         return;
     }
-    bool const keeps =
-        leaves_room && !on.has_capacity_for_two(run.step_of(name).declared);
-    auto const found = score(now, on, run, name);
-    if (found && !keeps)
+    bool const breaks_reserve =
+        leave_reserve &&
+        !target.has_capacity_for_two(run.step_of(name).declared);
+    auto const value = score(now, target, run, name);
+    if (value && !breaks_reserve)
     {
-        row->score = *found;
+        row->score = *value;
         return;
     }
     ranked.erase(row);
 }
 
-bool owner::serves_only(worker const& on, std::uint16_t image)
+bool owner::serves_only(worker const& target, std::uint16_t image)
 {
-    for (auto const& name : on.runs)
+    for (auto const& name : target.runs)
     {
         auto* const run = find_job(name.job);
         if (run == nullptr || run->step_of(name).tail_target.count() == 0)
@@ -267,84 +275,89 @@
 }
 
 std::optional<double> owner::score(common::time_point now,
-                                   worker& on,
+                                   worker& target,
                                    job_run& run,
                                    ports::task_name const& name)
 {
     ++counters_.scored;
-    if (obstacle_to(now, on, run, name))
+    if (obstacle_to(now, target, run, name))
     {
         return std::nullopt;
     }
-    auto const& what = run.step_of(name);
+    auto const& step_spec = run.step_of(name);
     auto const image = run.occurrences[name.occurrence].steps[name.step].image;
     double total = 0;
-    if (what.best_effort)
+    if (step_spec.best_effort)
     {
-        total = score_best_effort(on, what, image);
+        total = score_best_effort(target, step_spec, image);
     }
     else
     {
-        // Best fit: what stays free stays in one piece, and workers without
-        // serving tasks are left to those that would disturb them.
-        auto const free = on.info.capacity.millicores - on.reserved.millicores -
-                          what.declared.millicores;
-        total = share_of(free, on.info.capacity.millicores) +
-                (on.serves() ? 0.0 : 1.0);
-        if (what.tail_target.count() > 0 && on.serves() &&
-            !serves_only(on, image))
+        // Best fit: free capacity stays in one piece, and workers without
+        // serving tasks are left to tasks that would disturb them.
+        auto const free = target.info.capacity.millicores -
+                          target.reserved.millicores -
+                          step_spec.declared.millicores;
+        total = share_of(free, target.info.capacity.millicores) +
+                (target.serves() ? 0.0 : 1.0);
+        if (step_spec.tail_target.count() > 0 && target.serves() &&
+            !serves_only(target, image))
         {
             total += other_image_penalty;
         }
-        if (what.tail_target.count() > 0 && cleared_against(now, on, image))
+        if (step_spec.tail_target.count() > 0 &&
+            cleared_against(now, target, image))
         {
-            total += kept_clear_penalty;
+            total += cleared_worker_penalty;
         }
     }
-    if (!what.near_rack.empty() && on.info.rack != what.near_rack)
+    if (!step_spec.near_rack.empty() && target.info.rack != step_spec.near_rack)
     {
         total += far_penalty;
     }
-    total +=
-        slow_penalty * std::max(0.0, 1 / on.speed.value(now) - usual_slowness);
+    total += slow_penalty *
+             std::max(0.0, 1 / target.speed.value(now) - slowness_tolerance);
     auto const& failed = run.at(name).failed_on;
-    if (std::find(failed.begin(), failed.end(), on.info.id) != failed.end())
+    if (std::find(failed.begin(), failed.end(), target.info.id) != failed.end())
     {
         total += failed_penalty;
     }
     return total;
 }
 
-std::optional<obstacle> owner::obstacle_to_best_effort(worker& on,
-                                                       step const& what,
+std::optional<obstacle> owner::obstacle_to_best_effort(worker& target,
+                                                       step const& step_spec,
                                                        std::uint16_t image)
 {
-    auto const& seen = view_of(on);
-    if (on.idle_cores() < what.declared.millicores)
+    auto const& view = view_of(target);
+    if (target.idle_cores() < step_spec.declared.millicores)
     {
         return obstacle::no_idle_core;
     }
-    auto const share =
-        share_of(what.declared.millicores, on.info.capacity.millicores);
+    auto const share = share_of(step_spec.declared.millicores,
+                                target.info.capacity.millicores);
     bool const disturbs =
-        on.serves() && colocation_.expected_headroom(seen, image, share) <
-                           settings_.colocation.placement_headroom;
+        target.serves() && colocation_.expected_headroom(view, image, share) <
+                               settings_.colocation.placement_headroom;
     return disturbs ? std::optional(obstacle::disturbs) : std::nullopt;
 }
 
-// Tasks that fill go beside serving tasks that they do not disturb, as long as
-// there are idle cores, and leave workers without serving tasks to those that
-// would disturb everywhere else.
-double
-owner::score_best_effort(worker& on, step const& what, std::uint16_t image)
+// Best-effort tasks are placed next to serving tasks that they do not disturb
+// while there are idle cores. Workers without serving tasks are left to tasks
+// that would disturb serving tasks everywhere else.
+double owner::score_best_effort(worker& target,
+                                step const& step_spec,
+                                std::uint16_t image)
 {
-    auto const& seen = view_of(on);
-    auto const idle = on.idle_cores() - what.declared.millicores;
-    double const left = 1 - share_of(idle, on.info.capacity.millicores);
-    auto const share =
-        share_of(what.declared.millicores, on.info.capacity.millicores);
-    return on.serves() ? left + share * colocation_.worst_weight(seen, image)
-                       : left + free_worker_penalty;
+    auto const& view = view_of(target);
+    auto const idle = target.idle_cores() - step_spec.declared.millicores;
+    double const used_share =
+        1 - share_of(idle, target.info.capacity.millicores);
+    auto const share = share_of(step_spec.declared.millicores,
+                                target.info.capacity.millicores);
+    return target.serves()
+               ? used_share + share * colocation_.worst_weight(view, image)
+               : used_share + free_worker_penalty;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_policy.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -3,34 +3,35 @@
 #include <algorithm>
 #include <utility>
 
-// Steps that a policy allows on some workers only.
+// Steps whose workers are subject to a policy.
 namespace fuchsia::core::pool
 {
 
 namespace
 {
 
-// Named in one call, which takes longer for each.
-constexpr std::size_t least_workers = 12;
-constexpr std::size_t most_workers = 30;
-// A ticket is not used any more this long before it ends.
-constexpr common::duration ticket_reserve = std::chrono::milliseconds(150);
+// Number of workers in one policy request, which takes longer for each of them.
+constexpr std::size_t min_workers = 12;
+constexpr std::size_t max_workers = 30;
+// A ticket is not used any more during this time before it expires.
+constexpr common::duration ticket_margin = std::chrono::milliseconds(150);
+// Added to the expected duration of a policy request to give its timeout.
 constexpr common::duration call_grace = std::chrono::milliseconds(1500);
 
 } // namespace
 
 bool owner::has_ticket(common::time_point now,
                        step_run const& steps,
-                       worker const& on) const
+                       worker const& target) const
 {
-    auto const found = steps.tickets.find(on.info.id);
+    auto const found = steps.tickets.find(target.info.id);
     return found != steps.tickets.end() &&
-           found->second.worker_incarnation == on.incarnation &&
+           found->second.worker_incarnation == target.incarnation &&
            now < found->second.until;
 }
 
-// Asks for the step that comes first in the order of work; the service takes
-// one call at a time.
+// Sends a policy request for the first step in dispatch order; the service
+// handles one call at a time.
 void owner::request_policy(common::time_point now, ready_key const& key)
 {
     auto& run = *find_job(key.job);
@@ -42,18 +43,18 @@
     auto workers = workers_for_policy_request(now, run, key);
     if (workers.empty())
     {
-        // Everybody was refused or is busy: the policy's answer for a worker
-        // does not change, room does.
+        // All workers were refused or are full. The policy's answer for a
+        // worker does not change; its capacity does.
         return;
     }
     policy_call_pending_ = true;
     auto const& rules = *run.rules.policy;
-    auto const takes =
+    auto const expected_time =
         rules.decision + rules.per_worker * static_cast<int>(workers.size());
     ports::policy_request call;
     call.step = {key.job, key.occurrence, key.step, 0};
     call.workers = std::move(workers);
-    call.timeout = takes + call_grace;
+    call.timeout = expected_time + call_grace;
     for (auto const& id : call.workers)
     {
         steps.policy_requested_for.insert(id);
@@ -67,41 +68,41 @@
                         });
 }
 
-// Workers that could take a task of the step now: those that the policy has
-// allowed before, else those it was not asked about.
+// Returns workers that could take a task of the step now: those that the policy
+// has allowed before, or else those that no request has named.
 std::vector<std::string> owner::workers_for_policy_request(
     common::time_point now, job_run& run, ready_key const& key)
 {
-    auto const& what = run.spec.steps[key.step];
+    auto const& step_spec = run.spec.steps[key.step];
     auto const& steps = run.occurrences[key.occurrence].steps[key.step];
-    std::vector<std::string> known;
-    std::vector<std::string> fresh;
-    for (auto const& [id, each] : fleet_.all())
+    std::vector<std::string> allowed_before;
+    std::vector<std::string> not_requested;
+    for (auto const& [id, w] : fleet_.all())
     {
         bool const usable =
-            !obstacle_of(now, each, run, what) && fits(each, what);
-        if (!usable || has_ticket(now, steps, each))
+            !obstacle_of(now, w, run, step_spec) && fits(w, step_spec);
+        if (!usable || has_ticket(now, steps, w))
         {
             continue;
         }
         if (steps.tickets.contains(id))
         {
-            known.push_back(id);
+            allowed_before.push_back(id);
         }
         else if (!steps.policy_requested_for.contains(id))
         {
-            fresh.push_back(id);
+            not_requested.push_back(id);
         }
     }
-    auto& chosen = known.empty() ? fresh : known;
-    auto const wanted = std::clamp<std::size_t>(
-        std::size_t{2} * what.count, least_workers, most_workers);
-    chosen.resize(std::min(chosen.size(), wanted));
+    auto& chosen = allowed_before.empty() ? not_requested : allowed_before;
+    auto const max_chosen = std::clamp<std::size_t>(
+        std::size_t{2} * step_spec.count, min_workers, max_workers);
+    chosen.resize(std::min(chosen.size(), max_chosen));
     return std::move(chosen);
 }
 
 void owner::on_policy_reply(common::time_point now,
-                            common::time_point asked,
+                            common::time_point requested_at,
                             ready_key const& key,
                             ports::policy_reply const& reply)
 {
@@ -116,22 +117,23 @@
     if (!reply.answered)
     {
         steps.policy_requested_for.clear();
-        out_.log(ports::severity::warning,
-                 "advice_missing",
-                 {{"job", key.job},
-                  {"step", std::to_string(key.step)},
-                  {"after_ms",
-                   std::to_string(common::to_milliseconds(now - asked))}});
+        out_.log(
+            ports::severity::warning,
+            "advice_missing",
+            {{"job", key.job},
+             {"step", std::to_string(key.step)},
+             {"after_ms",
+              std::to_string(common::to_milliseconds(now - requested_at))}});
         return;
     }
-    for (auto const& each : reply.allowed)
+    for (auto const& grant : reply.allowed)
     {
-        auto const* const on = fleet_.find(each.worker);
-        if (on != nullptr)
+        auto const* const w = fleet_.find(grant.worker);
+        if (w != nullptr)
         {
-            steps.tickets[each.worker] = {each.ticket,
-                                          on->incarnation,
-                                          now + reply.valid - ticket_reserve};
+            steps.tickets[grant.worker] = {grant.ticket,
+                                           w->incarnation,
+                                           now + reply.valid - ticket_margin};
         }
     }
     dispatch(now);
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-// Moves serving tasks away from where they keep filling work out. The room at
-// the new place is reserved before the old run is stopped: a serving task that
-// finds no place would stand still until some other job is over.
+// Moves serving tasks away from workers where they keep best-effort work out.
+// The capacity at the new worker is reserved before the old attempt is stopped:
+// a serving task without a worker would be down until some other job is over.
 namespace fuchsia::core::pool
 {
 
@@ -13,8 +13,8 @@
 namespace
 {
 
-// Steps of filling work that are looked at.
-constexpr std::size_t most_steps = 256;
+// Maximum number of best-effort steps that are examined.
+constexpr std::size_t max_waiting_steps = 256;
 
 } // namespace
 
@@ -40,11 +40,12 @@
     }
 }
 
-// Filling work that has been waiting for a while and may still be of use.
+// Returns the best-effort work that has been waiting for the minimum time and
+// can still be on time.
 std::vector<waiting_image> owner::waiting_best_effort(common::time_point now)
 {
     std::map<std::uint16_t, waiting_image> by_image;
-    std::size_t looked_at = 0;
+    std::size_t examined_steps = 0;
     auto const now_ms = out_.unix_ms(now);
     for (auto const& key : ready_)
     {
@@ -54,64 +55,67 @@
         {
             continue;
         }
-        if (++looked_at > most_steps)
+        if (++examined_steps > max_waiting_steps)
         {
             break;
         }
         auto const& steps = run->occurrences[key.occurrence].steps[key.step];
-        auto const each = run->spec.steps[key.step].declared.millicores;
+        auto const task_millicores =
+            run->spec.steps[key.step].declared.millicores;
         auto& sum = by_image[steps.image];
         sum.image = steps.image;
-        sum.smallest_task =
-            sum.total == 0 ? each : std::min(sum.smallest_task, each);
-        sum.total += each * static_cast<std::int64_t>(steps.ready.size());
+        sum.smallest_task = sum.total == 0
+                                ? task_millicores
+                                : std::min(sum.smallest_task, task_millicores);
+        sum.total +=
+            task_millicores * static_cast<std::int64_t>(steps.ready.size());
     }
     std::erase_if(waiting_since_,
-                  [&by_image](auto const& each)
+                  [&by_image](auto const& entry)
                   {
-                      return !by_image.contains(each.first);
+                      return !by_image.contains(entry.first);
                   });
-    std::vector<waiting_image> made;
+    std::vector<waiting_image> result;
     for (auto const& [image, sum] : by_image)
     {
         auto const since = waiting_since_.emplace(image, now).first->second;
         if (now - since >= settings_.rebalance.min_wait && sum.total > 0)
         {
-            made.push_back(sum);
+            result.push_back(sum);
         }
     }
-    return made;
+    return result;
 }
 
 std::vector<rebalance_worker> owner::rebalance_workers(common::time_point now)
 {
-    std::vector<rebalance_worker> made;
-    for (auto& [id, each] : fleet_.all())
+    std::vector<rebalance_worker> result;
+    for (auto& [id, w] : fleet_.all())
     {
-        if (obstacle_at(now, each))
+        if (obstacle_at(now, w))
         {
             continue;
         }
         rebalance_worker row;
         row.id = id;
-        row.service = each.info.service;
-        row.capacity = each.info.capacity.millicores;
-        row.free = each.info.capacity;
-        row.free -= each.reserved;
-        row.best_effort = declared_shares_of(view_of(each).best_effort);
-        row.idle = each.idle_cores();
-        row.may_be_cleared = each.reservations.empty();
-        for (auto const& [image, until] : each.cleared_for)
+        row.service = w.info.service;
+        row.capacity = w.info.capacity.millicores;
+        row.free = w.info.capacity;
+        row.free -= w.reserved;
+        row.best_effort = declared_shares_of(view_of(w).best_effort);
+        row.idle = w.idle_cores();
+        row.may_be_cleared = w.reservations.empty();
+        for (auto const& [image, until] : w.cleared_for)
         {
             if (now < until)
             {
                 row.cleared_for.push_back(image);
             }
         }
-        for (auto const& name : each.runs)
+        for (auto const& name : w.runs)
         {
-            auto const [run, task] = find_task(name);
-            if (task == nullptr || run->step_of(name).tail_target.count() == 0)
+            auto const [run, t] = find_task(name);
+            if (t == nullptr || run->step_of(name).tail_target.count() == 0)
             {
                 continue;
             }
@@ -123,35 +127,37 @@
                                    steps.isolated_headroom,
                                    may_move(now, *run, name)});
         }
-        made.push_back(std::move(row));
+        result.push_back(std::move(row));
     }
-    return made;
+    return result;
 }
 
-// Others of its step that are away count against what the step may miss; where
-// it says nothing, half of the step stays at work.
+// Tasks of the step that are unavailable count against its `max_unavailable`;
+// without that setting, half of the step stays available.
 bool owner::may_move(common::time_point now,
                      job_run const& run,
                      ports::task_name const& name) const
 {
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    auto const& each = steps.tasks[name.index];
-    auto const& what = run.step_of(name);
-    std::uint32_t away = 0;
-    for (auto const& other : steps.tasks)
+    auto const& t = steps.tasks[name.index];
+    auto const& step_spec = run.step_of(name);
+    std::uint32_t unavailable = 0;
+    for (auto const& sibling : steps.tasks)
     {
-        bool const at_work =
-            other.phase == task_phase::running && other.percent >= 100;
-        away += at_work ? 0U : 1U;
+        bool const serving =
+            sibling.phase == task_phase::running && sibling.percent >= 100;
+        unavailable += serving ? 0U : 1U;
     }
     auto const half = static_cast<std::uint32_t>(steps.tasks.size() / 2);
-    auto const allowed =
-        what.max_unavailable > 0 ? what.max_unavailable : std::max(half, 1U);
-    return run.phase == job_phase::active && !what.gang &&
-           what.max_per_worker == 0 && what.required_label.empty() &&
-           what.near_rack.empty() && !run.rules.policy &&
-           each.phase == task_phase::running && each.percent >= 100 &&
-           now - each.started >= settings_.rebalance.min_stay && away < allowed;
+    auto const allowed = step_spec.max_unavailable > 0
+                             ? step_spec.max_unavailable
+                             : std::max(half, 1U);
+    return run.phase == job_phase::active && !step_spec.gang &&
+           step_spec.max_per_worker == 0 && step_spec.required_label.empty() &&
+           step_spec.near_rack.empty() && !run.rules.policy &&
+           t.phase == task_phase::running && t.percent >= 100 &&
+           now - t.started >= settings_.rebalance.min_stay &&
+           unavailable < allowed;
 }
 
 void owner::execute_plan(common::time_point now, rebalance_plan const& plan)
@@ -161,45 +167,49 @@
     {
         return;
     }
-    std::vector<std::string> told;
+    std::vector<std::string> moved_tasks;
     for (auto const& move : plan.moves)
     {
-        auto const [run, each] = find_task(move.name);
-        auto* const to = fleet_.find(move.to);
-        // An earlier move of this plan may have used up what its step may miss.
-        if (each == nullptr || to == nullptr || !may_move(now, *run, move.name))
+        auto const [run, t] = find_task(move.name);
+        auto* const target = fleet_.find(move.to);
+        // An earlier move of this plan may have used up the unavailable tasks
+        // that its step allows.
+        if (t == nullptr || target == nullptr ||
+            !may_move(now, *run, move.name))
         {
             continue;
         }
         ++counters_.rebalanced;
         reservations_[move.name] = move.to;
-        to->reservations.insert(move.name);
-        to->reserved += run->step_of(move.name).declared;
-        to->view_known = false;
-        told.push_back(move.name.job + "." + text_of(move.name) + ">" +
-                       move.to);
+        target->reservations.insert(move.name);
+        target->reserved += run->step_of(move.name).declared;
+        target->view_known = false;
+        moved_tasks.push_back(move.name.job + "." + text_of(move.name) + ">" +
+                              move.to);
         stop_run(now, *run, move.name);
     }
-    if (!told.empty())
+    if (!moved_tasks.empty())
     {
         out_.log(severity::info,
                  "tasks_move",
                  {{"worker", plan.from},
                   {"for_image", std::to_string(plan.image)},
                   {"idle_cores", std::to_string(plan.idle / 1000)},
-                  {"tasks", joined(told, told.size())}});
+                  {"tasks", joined(moved_tasks, moved_tasks.size())}});
     }
     from->cleared_for[plan.image] = now + settings_.rebalance.clear_period;
 }
 
-// Where the task was to move, if it may still start there.
+// Returns the worker that the task was to move to, if the task may still start
+// there.
 worker* owner::take_reservation(common::time_point now,
                                 job_run& run,
                                 ports::task_name const& name)
 {
-    auto* const to = release_reservation(run, name);
-    bool const usable = to != nullptr && !obstacle_to(now, *to, run, name);
-    return usable ? to : nullptr;
+    auto* const target = release_reservation(run, name);
+    bool const usable =
+        target != nullptr && !obstacle_to(now, *target, run, name);
+    return usable ? target : nullptr;
 }
 
 worker* owner::release_reservation(job_run const& run,
@@ -210,28 +220,28 @@
     {
         return nullptr;
     }
-    auto* const to = fleet_.find(found->second);
+    auto* const target = fleet_.find(found->second);
     reservations_.erase(found);
-    if (to == nullptr || to->reservations.erase(name) == 0)
+    if (target == nullptr || target->reservations.erase(name) == 0)
     {
         return nullptr;
     }
-    to->reserved -= run.step_of(name).declared;
-    to->view_known = false;
-    capacity_changed(*to);
-    return to;
+    target->reserved -= run.step_of(name).declared;
+    target->view_known = false;
+    capacity_changed(*target);
+    return target;
 }
 
 bool owner::cleared_against(common::time_point now,
-                            worker const& on,
+                            worker const& target,
                             std::uint16_t image) const
 {
-    return std::any_of(on.cleared_for.begin(),
-                       on.cleared_for.end(),
-                       [&](auto const& each)
+    return std::any_of(target.cleared_for.begin(),
+                       target.cleared_for.end(),
+                       [&](auto const& entry)
                        {
-                           return now < each.second &&
-                                  colocation_.disturbs(image, each.first);
+                           return now < entry.second &&
+                                  colocation_.disturbs(image, entry.first);
                        });
 }
 
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-// Room that tasks which last leave to short work with reserved cores.
+// Reserve of capacity that long-running tasks leave to short jobs with reserved
+// cores.
 namespace fuchsia::core::pool
 {
 
@@ -15,7 +16,7 @@
 void owner::observe_short_job_demand(common::time_point now)
 {
     std::map<std::string, short_job_demand> demands;
-    std::map<std::string, std::int64_t> left;
+    std::map<std::string, std::int64_t> available;
     for (auto const& [id, run] : jobs_)
     {
         auto const demand = short_job_demand_of(now, run);
@@ -23,64 +24,64 @@
         sum.millicores += demand.millicores;
         sum.tasks += demand.tasks;
     }
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
-        if (each.listed && !each.info.draining &&
-            !operators_.data_centres_out.contains(each.info.data_centre))
+        if (w.listed && !w.info.draining &&
+            !operators_.data_centres_out.contains(w.info.data_centre))
         {
-            left[each.info.service] +=
-                short_job_reserve_of(each.info.service)
-                    .usable_millicores(each.info.capacity.millicores -
-                                       each.long_running_cores);
+            available[w.info.service] +=
+                short_job_reserve_of(w.info.service)
+                    .usable_millicores(w.info.capacity.millicores -
+                                       w.long_running_cores);
         }
     }
     for (auto const& [service, demand] : demands)
     {
-        auto& room = short_job_reserve_of(service);
-        room.observe(now, demand);
-        room.set_available(left[service]);
+        auto& reserve = short_job_reserve_of(service);
+        reserve.observe(now, demand);
+        reserve.set_available(available[service]);
     }
     note_capacity_of_unusable(now);
 }
 
-// What is late already may wait for what is left.
+// Late jobs do not count: they may wait for the capacity that remains.
 short_job_demand owner::short_job_demand_of(common::time_point now,
                                             job_run const& run) const
 {
-    short_job_demand made;
+    short_job_demand demand;
     bool const on_time = out_.unix_ms(now) <= run.due_unix_ms;
     for (auto const& occurrence : run.occurrences)
     {
         for (std::size_t number = 0; number < occurrence.steps.size(); ++number)
         {
-            auto const& what = run.spec.steps[number];
-            if (what.best_effort || what.long_running)
+            auto const& step_spec = run.spec.steps[number];
+            if (step_spec.best_effort || step_spec.long_running)
             {
                 continue;
             }
-            for (auto const& each : occurrence.steps[number].tasks)
+            for (auto const& t : occurrence.steps[number].tasks)
             {
-                bool const counts =
-                    each.placed() ||
-                    (on_time && each.phase == task_phase::ready);
-                made.millicores += counts ? what.declared.millicores : 0;
-                made.tasks += counts ? 1 : 0;
+                bool const needs_cores =
+                    t.placed() || (on_time && t.phase == task_phase::ready);
+                demand.millicores +=
+                    needs_cores ? step_spec.declared.millicores : 0;
+                demand.tasks += needs_cores ? 1 : 0;
             }
         }
     }
-    return made;
+    return demand;
 }
 
-// A task that lasts may not wait while a worker has room for two of it, whether
-// or not this owner would use that worker now.
+// A long-running task may not wait while a worker has capacity for two of its
+// tasks, whether or not this owner would use that worker now.
 void owner::note_capacity_of_unusable(common::time_point now)
 {
     std::vector<worker const*> unusable;
-    for (auto const& [id, each] : fleet_.all())
+    for (auto const& [id, w] : fleet_.all())
     {
-        if (each.listed && !each.info.draining && obstacle_at(now, each))
+        if (w.listed && !w.info.draining && obstacle_at(now, w))
         {
-            unusable.push_back(&each);
+            unusable.push_back(&w);
         }
     }
     for (auto const& key : ready_)
@@ -90,44 +91,44 @@
         {
             continue;
         }
-        auto const& what = run->spec.steps[key.step];
+        auto const& step_spec = run->spec.steps[key.step];
         run->occurrences[key.occurrence].steps[key.step].capacity_elsewhere =
             std::any_of(unusable.begin(),
                         unusable.end(),
-                        [&what, run](worker const* each)
+                        [&step_spec, run](worker const* w)
                         {
-                            return each->info.service == run->rules.service &&
-                                   each->has_capacity_for_two(what.declared);
+                            return w->info.service == run->rules.service &&
+                                   w->has_capacity_for_two(step_spec.declared);
                         });
     }
 }
 
-// A job of which nothing is at work serves nobody: its first task goes before
-// the room of others, and so does what was at work before.
+// A job without a running task serves nobody: its first task takes precedence
+// over the reserve, and so do tasks that have run before.
 bool owner::must_leave_reserve(job_run const& run, ports::task_name const& name)
 {
-    auto const& what = run.step_of(name);
+    auto const& step_spec = run.step_of(name);
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
-    bool const may_have_to = what.long_running && !what.best_effort &&
-                             !steps.capacity_elsewhere &&
-                             !steps.tasks[name.index].ran_before &&
-                             !short_job_reserve_of(run.rules.service)
-                                  .leaves_enough(what.declared.millicores);
-    return may_have_to && std::any_of(steps.tasks.begin(),
-                                      steps.tasks.end(),
-                                      [](task const& each)
-                                      {
-                                          return each.placed();
-                                      });
+    bool const may_apply = step_spec.long_running && !step_spec.best_effort &&
+                           !steps.capacity_elsewhere &&
+                           !steps.tasks[name.index].ran_before &&
+                           !short_job_reserve_of(run.rules.service)
+                                .leaves_enough(step_spec.declared.millicores);
+    return may_apply && std::any_of(steps.tasks.begin(),
+                                    steps.tasks.end(),
+                                    [](task const& t)
+                                    {
+                                        return t.placed();
+                                    });
 }
 
 void owner::note_placement(job_run const& run, ports::task_name const& name)
 {
-    auto const& what = run.step_of(name);
-    if (what.long_running && !what.best_effort)
+    auto const& step_spec = run.step_of(name);
+    if (step_spec.long_running && !step_spec.best_effort)
     {
         short_job_reserve_of(run.rules.service)
-            .consume(what.declared.millicores);
+            .consume(step_spec.declared.millicores);
     }
 }
 
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-// Keeps serving tasks within their targets beside tasks that fill.
+// Protects the latency targets of serving tasks from the best-effort tasks on
+// the same worker.
 namespace fuchsia::core::pool
 {
 
@@ -13,150 +14,156 @@
 namespace
 {
 
-// Readings of the tasks of one step that are taken together.
-constexpr common::duration reading_age = std::chrono::milliseconds(1000);
-// With fewer, one task's neighbours can't be told from the load of its users.
-constexpr std::size_t readings_to_learn = 3;
-// Of the headroom that load and neighbours explain: where half of a worker's
-// tasks have less, it is the worker.
-constexpr double odd_ratio = 0.4;
-constexpr std::size_t tails_to_judge = 2;
-// And its tasks get on slower than this part of what was estimated: a bad
-// neighbour makes tails long too, and must be learned.
-constexpr double slow_worker = 0.6;
-// Headroom.
-constexpr double least_expected = 0.5;
+// Maximum age of the readings of the siblings that a reading is compared with.
+constexpr common::duration max_reading_age = std::chrono::milliseconds(1000);
+// Minimum number of readings to learn from. With fewer, the effect of a task's
+// neighbours can't be separated from the load of its users.
+constexpr std::size_t min_readings_to_learn = 3;
+// Ratio of measured to expected headroom. If half of the tasks of a worker are
+// below it, the worker itself is the cause.
+constexpr double outlier_ratio = 0.4;
+constexpr std::size_t min_tails = 2;
+// Speed below which a worker counts as slow. Its tails are ignored only if its
+// tasks are also this slow: a bad neighbour makes tails long too, and must be
+// learned.
+constexpr double slow_worker_speed = 0.6;
+// Lower bound of the expected headroom in the ratio.
+constexpr double min_expected_headroom = 0.5;
 
 } // namespace
 
-worker_view const& owner::view_of(worker& of)
+worker_view const& owner::view_of(worker& w)
 {
-    if (of.view_known)
+    if (w.view_known)
     {
-        return of.view;
+        return w.view;
     }
-    of.view_known = true;
-    auto& made = of.view;
-    made.serving.clear();
-    made.best_effort.clear();
-    of.serving_used = 0;
+    w.view_known = true;
+    auto& view = w.view;
+    view.serving.clear();
+    view.best_effort.clear();
+    w.serving_used = 0;
     auto const cores = static_cast<double>(
-        std::max<std::int64_t>(of.info.capacity.millicores, 1));
-    for (auto const& name : of.runs)
+        std::max<std::int64_t>(w.info.capacity.millicores, 1));
+    for (auto const& name : w.runs)
     {
-        auto const [run, each] = find_task(name);
-        if (each == nullptr)
+        auto const [run, t] = find_task(name);
+        if (t == nullptr)
         {
             continue;
         }
-        auto const& what = run->step_of(name);
+        auto const& step_spec = run->step_of(name);
         auto const& steps = run->occurrences[name.occurrence].steps[name.step];
         auto const target =
-            static_cast<double>(common::to_milliseconds(what.tail_target));
+            static_cast<double>(common::to_milliseconds(step_spec.tail_target));
         if (target > 0)
         {
             double const load =
                 colocation_.load(steps.image, steps.isolated_headroom);
-            of.serving_used += static_cast<std::int64_t>(
-                load * static_cast<double>(what.declared.millicores));
+            w.serving_used += static_cast<std::int64_t>(
+                load * static_cast<double>(step_spec.declared.millicores));
         }
-        if (target > 0 && each->percent >= 100)
+        if (target > 0 && t->percent >= 100)
         {
-            auto const tail = static_cast<double>(each->level);
-            made.serving.push_back(
+            auto const tail = static_cast<double>(t->level);
+            view.serving.push_back(
                 {steps.image,
                  tail > 0 ? target / tail : steps.isolated_headroom,
                  steps.isolated_headroom,
                  colocation_.task_isolated_headroom(steps.isolated_headroom,
-                                                    each->reading)});
+                                                    t->reading)});
         }
-        if (what.best_effort)
+        if (step_spec.best_effort)
         {
-            made.best_effort.push_back(
+            view.best_effort.push_back(
                 {name,
                  steps.image,
-                 static_cast<double>(what.declared.millicores) / cores,
-                 static_cast<double>(each->level) / cores,
-                 each->speed_limit});
+                 static_cast<double>(step_spec.declared.millicores) / cores,
+                 static_cast<double>(t->level) / cores,
+                 t->speed_limit});
         }
     }
-    // What is on its way here must find its headroom when it comes.
-    for (auto const& name : of.reservations)
+    // Serving tasks that are being moved here must find their headroom on
+    // arrival.
+    for (auto const& name : w.reservations)
     {
-        auto const [run, each] = find_task(name);
-        if (each != nullptr)
+        auto const [run, t] = find_task(name);
+        if (t != nullptr)
         {
             auto const& steps =
                 run->occurrences[name.occurrence].steps[name.step];
-            made.serving.push_back({steps.image,
+            view.serving.push_back({steps.image,
                                     steps.isolated_headroom,
                                     steps.isolated_headroom,
                                     steps.isolated_headroom});
         }
     }
-    return made;
+    return view;
 }
 
-// A worker that turns slow makes all tails on it long at once. Taken for the
-// work of neighbours, that would teach that everything disturbs.
-bool owner::tails_are_outliers(worker& of)
+// A worker that becomes slow makes all its tails long at once. If this were
+// attributed to the neighbours, every image would be learned as disturbing.
+bool owner::tails_are_outliers(worker& w)
 {
     std::vector<double> ratios;
-    for (auto const& served : view_of(of).serving)
+    for (auto const& serving_task : view_of(w).serving)
     {
-        auto const expected = served.isolated_headroom -
-                              colocation_.headroom_loss(
-                                  served.image, shares_of(of.view.best_effort));
-        if (served.isolated_headroom > 0)
+        auto const expected =
+            serving_task.isolated_headroom -
+            colocation_.headroom_loss(serving_task.image,
+                                      shares_of(w.view.best_effort));
+        if (serving_task.isolated_headroom > 0)
         {
-            ratios.push_back(served.headroom /
-                             std::max(expected, least_expected));
+            ratios.push_back(serving_task.headroom /
+                             std::max(expected, min_expected_headroom));
         }
     }
-    if (ratios.size() < tails_to_judge)
+    if (ratios.size() < min_tails)
     {
         return false;
     }
     auto const middle =
         ratios.begin() + static_cast<std::ptrdiff_t>(ratios.size() / 2);
     std::nth_element(ratios.begin(), middle, ratios.end());
-    return *middle < odd_ratio;
+    return *middle < outlier_ratio;
 }
 
-// What the tasks of one step have in common is the load of their users.
-void owner::read_serving(common::time_point now, worker& of)
+// Updates the readings of the serving tasks of a worker. The tasks of one step
+// have the load of their users in common.
+void owner::read_serving(common::time_point now, worker& w)
 {
-    if (of.speed.value(now) < slow_worker && tails_are_outliers(of))
+    if (w.speed.value(now) < slow_worker_speed && tails_are_outliers(w))
     {
         return;
     }
-    auto const beside = shares_of(view_of(of).best_effort);
+    auto const neighbours = shares_of(view_of(w).best_effort);
     std::vector<serving_reading const*> readings;
-    for (auto const& name : of.runs)
+    for (auto const& name : w.runs)
     {
-        auto const [run, each] = find_task(name);
+        auto const [run, t] = find_task(name);
         auto const target =
-            each != nullptr
+            t != nullptr
                 ? common::to_milliseconds(run->step_of(name).tail_target)
                 : 0;
-        // A worker that has no figure yet says 0.
-        if (target <= 0 || each->percent < 100 || each->level <= 0)
+        // A worker that has no measurement yet reports 0.
+        if (target <= 0 || t->percent < 100 || t->level <= 0)
         {
             continue;
         }
         auto& steps = run->occurrences[name.occurrence].steps[name.step];
-        auto& reading = each->reading;
+        auto& reading = t->reading;
         reading.when = now;
         reading.headroom =
-            static_cast<double>(target) / static_cast<double>(each->level);
-        reading.headroom_loss = colocation_.headroom_loss(steps.image, beside);
-        reading.neighbours = beside;
+            static_cast<double>(target) / static_cast<double>(t->level);
+        reading.headroom_loss =
+            colocation_.headroom_loss(steps.image, neighbours);
+        reading.neighbours = neighbours;
         readings.clear();
         for (auto const& sibling : steps.tasks)
         {
             bool const fresh = sibling.reading.headroom > 0 &&
-                               now - sibling.reading.when <= reading_age;
-            if (fresh && &sibling != each)
+                               now - sibling.reading.when <= max_reading_age;
+            if (fresh && &sibling != t)
             {
                 readings.push_back(&sibling.reading);
             }
@@ -165,84 +172,86 @@
         steps.isolated_headroom = colocation_.isolated_headroom(readings);
         colocation_.observe_isolated_headroom(steps.image,
                                               steps.isolated_headroom);
-        if (readings.size() >= readings_to_learn)
+        if (readings.size() >= min_readings_to_learn)
         {
             colocation_.learn(steps.image, readings);
         }
     }
-    of.view_known = false;
+    w.view_known = false;
 }
 
-// A successor knows workers by the roster before the list tells what they have:
-// shares of cores that are not known yet would teach nonsense.
-void owner::protect_serving(common::time_point now, worker& of)
+// A successor knows workers from the roster before the platform's list gives
+// their capacity. Shares of an unknown number of cores would give wrong
+// estimates.
+void owner::protect_serving(common::time_point now, worker& w)
 {
-    if (of.info.capacity.millicores == 0)
+    if (w.info.capacity.millicores == 0)
     {
         return;
     }
-    if (!of.serves())
+    if (!w.serves())
     {
-        of.over_since = {};
+        w.over_since = {};
         return;
     }
-    read_serving(now, of);
-    // A copy: pacing changes what it is made from.
-    auto const seen = view_of(of);
-    for (auto const& change :
-         colocation_.speed_limits(seen, now, of.over_since))
+    read_serving(now, w);
+    // This is a copy, since setting a speed limit invalidates the view.
+    auto const view = view_of(w);
+    for (auto const& change : colocation_.speed_limits(view, now, w.over_since))
     {
-        set_speed_limit(now, of, change.name, change.percent);
+        set_speed_limit(now, w, change.name, change.percent);
     }
-    evict_idle(now, of, seen.best_effort);
+    evict_idle(now, w, view.best_effort);
 }
 
-// A task that stands still has a better place elsewhere, if it can go on there.
+// Evicts paused tasks that have checkpoints, so that they continue on another
+// worker.
 void owner::evict_idle(common::time_point now,
-                       worker& of,
-                       std::vector<best_effort_view> const& fills)
+                       worker& w,
+                       std::vector<best_effort_view> const& best_effort)
 {
-    for (auto const& fill : fills)
+    for (auto const& view : best_effort)
     {
-        auto* const run = find_job(fill.name.job);
-        auto& each = run->at(fill.name);
-        bool const waits =
-            each.phase == task_phase::running && each.speed_limit == 0 &&
-            now - each.paused_at > settings_.colocation.evict_after;
-        if (waits && run->step_of(fill.name).checkpoints)
+        auto* const run = find_job(view.name.job);
+        auto& t = run->at(view.name);
+        bool const is_paused =
+            t.phase == task_phase::running && t.speed_limit == 0 &&
+            now - t.paused_at > settings_.colocation.evict_after;
+        if (is_paused && run->step_of(view.name).checkpoints)
         {
             ++counters_.evicted;
-            each.phase = task_phase::stopping;
-            order_stop(now, of.info.id, {fill.name, each.attempt});
+            t.phase = task_phase::stopping;
+            order_stop(now, w.info.id, {view.name, t.attempt});
         }
     }
 }
 
 void owner::set_speed_limit(common::time_point now,
-                            worker& on,
+                            worker& target,
                             ports::task_name const& name,
                             std::uint32_t percent)
 {
     auto* const run = find_job(name.job);
-    auto& each = run->at(name);
-    if (each.phase != task_phase::running)
+    auto& t = run->at(name);
+    if (t.phase != task_phase::running)
     {
         return;
     }
     ++counters_.speed_limit_changes;
-    each.speed_limit = percent;
-    each.paused_at = now;
-    on.view_known = false;
+    t.speed_limit = percent;
+    t.paused_at = now;
+    target.view_known = false;
     out_.order(
         life_,
         {0,
-         on.info.id,
-         on.info.remote_endpoint,
-         on.incarnation,
-         ports::speed_limit_order{
-             claim_.epoch(), {name, each.attempt}, percent},
+         target.info.id,
+         target.info.remote_endpoint,
+         target.incarnation,
+         ports::speed_limit_order{claim_.epoch(), {name, t.attempt}, percent},
          settings_.order_timeout},
-        [this, id = on.info.id, what = ports::pool_attempt{name, each.attempt}](
+        [this,
+         id = target.info.id,
+         attempt_id = ports::pool_attempt{name, t.attempt}](
             common::time_point, order_reply const& reply)
         {
             if (reply.status == order_status::stale_fencing_token)
@@ -251,25 +260,27 @@
             }
             else if (reply.status != order_status::done)
             {
-                speed_limit_failed(id, what);
+                speed_limit_failed(id, attempt_id);
             }
         });
 }
 
-// Believed, a task that was to stand still would go on beside one that it slows
-// down. The next look at its worker finds it at another speed than wanted.
+// If a failed order were taken as carried out, a task that should be paused
+// would go on next to a task that it slows down. The limit is set to a value
+// that differs from the wanted one, so that the next check of the worker sends
+// the order again.
 void owner::speed_limit_failed(std::string const& id,
-                               ports::pool_attempt const& what)
+                               ports::pool_attempt const& attempt_id)
 {
-    auto const [run, each] = find_task(what.task);
-    if (each == nullptr || each->worker != id || each->attempt != what.attempt)
+    auto const [run, t] = find_task(attempt_id.task);
+    if (t == nullptr || t->worker != id || t->attempt != attempt_id.attempt)
     {
         return;
     }
-    each->speed_limit = each->speed_limit < 100 ? 100 : 0;
-    if (auto* const on = fleet_.find(id))
+    t->speed_limit = t->speed_limit < 100 ? 100 : 0;
+    if (auto* const w = fleet_.find(id))
     {
-        on->view_known = false;
+        w->view_known = false;
     }
 }
 
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -2,34 +2,33 @@
 
 #include <algorithm>
 
-// Answers those who ask what the owner believes. Changes nothing.
+// Read-only views of the owner's state.
 namespace fuchsia::core::pool
 {
 
 std::vector<worker_status> owner::workers(common::time_point now) const
 {
-    std::vector<worker_status> made;
-    for (auto const& [id, each] : fleet_.all())
+    std::vector<worker_status> result;
+    for (auto const& [id, w] : fleet_.all())
     {
         worker_status row;
         row.id = id;
-        row.data_centre = each.info.data_centre;
-        row.rack = each.info.rack;
-        row.incarnation = each.adopted ? each.incarnation : 0;
-        row.listed = each.listed;
-        row.draining = each.info.draining;
-        row.silent = each.silent;
-        row.suspected = now < each.avoid_until;
-        row.tasks = each.runs.size();
-        row.capacity = each.info.capacity;
-        row.reserved = each.reserved;
-        row.silence =
-            each.adopted ? now - each.last_contact : common::duration{};
-        row.lease_left = fleet_.lease_left(each, now);
-        row.speed = each.speed.value(now);
-        made.push_back(std::move(row));
+        row.data_centre = w.info.data_centre;
+        row.rack = w.info.rack;
+        row.incarnation = w.adopted ? w.incarnation : 0;
+        row.listed = w.listed;
+        row.draining = w.info.draining;
+        row.silent = w.silent;
+        row.suspected = now < w.avoid_until;
+        row.tasks = w.runs.size();
+        row.capacity = w.info.capacity;
+        row.reserved = w.reserved;
+        row.silence = w.adopted ? now - w.last_contact : common::duration{};
+        row.lease_left = fleet_.lease_left(w, now);
+        row.speed = w.speed.value(now);
+        result.push_back(std::move(row));
     }
-    return made;
+    return result;
 }
 
 job_status_row owner::row_of(common::time_point now, job_run const& run) const
@@ -48,54 +47,54 @@
 
 std::vector<job_status_row> owner::jobs(common::time_point now) const
 {
-    std::vector<job_status_row> made;
-    made.reserve(jobs_.size());
+    std::vector<job_status_row> result;
+    result.reserve(jobs_.size());
     for (auto const& [id, run] : jobs_)
     {
-        made.push_back(row_of(now, run));
+        result.push_back(row_of(now, run));
     }
-    std::sort(made.begin(),
-              made.end(),
-              [](job_status_row const& left, job_status_row const& right)
+    std::sort(result.begin(),
+              result.end(),
+              [](job_status_row const& lhs, job_status_row const& rhs)
               {
-                  return std::tie(left.rank, left.due_in, left.id) <
-                         std::tie(right.rank, right.due_in, right.id);
+                  return std::tie(lhs.rank, lhs.due_in, lhs.id) <
+                         std::tie(rhs.rank, rhs.due_in, rhs.id);
               });
-    return made;
+    return result;
 }
 
 step_status owner::why_waiting(common::time_point now,
                                job_run& run,
                                ports::task_name const& first)
 {
-    step_status made;
-    made.occurrence = first.occurrence;
-    made.step = first.step;
-    made.ready =
+    step_status status;
+    status.occurrence = first.occurrence;
+    status.step = first.step;
+    status.ready =
         run.occurrences[first.occurrence].steps[first.step].ready.size();
     auto const& declared = run.step_of(first).declared;
-    bool const leaves_room = must_leave_reserve(run, first);
-    for (auto& [id, each] : fleet_.all())
+    bool const leave_reserve = must_leave_reserve(run, first);
+    for (auto& [id, w] : fleet_.all())
     {
-        auto reason = obstacle_to(now, each, run, first);
-        if (!reason && leaves_room && !each.has_capacity_for_two(declared))
+        auto reason = obstacle_to(now, w, run, first);
+        if (!reason && leave_reserve && !w.has_capacity_for_two(declared))
         {
             reason = obstacle::short_job_reserve;
         }
         if (reason)
         {
-            ++made.obstacles[*reason];
-            made.idle_unusable +=
+            ++status.obstacles[*reason];
+            status.idle_unusable +=
                 *reason == obstacle::disturbs
-                    ? std::max<std::int64_t>(each.idle_cores(), 0)
+                    ? std::max<std::int64_t>(w.idle_cores(), 0)
                     : 0;
         }
         else
         {
-            ++made.possible;
+            ++status.possible;
         }
     }
-    return made;
+    return status;
 }
 
 std::optional<job_status_detail> owner::describe(common::time_point now,
@@ -106,8 +105,8 @@
     {
         return std::nullopt;
     }
-    job_status_detail made;
-    made.job = row_of(now, *run);
+    job_status_detail detail;
+    detail.job = row_of(now, *run);
     for (std::uint32_t k = 0; k < run->occurrences.size(); ++k)
     {
         auto const& steps = run->occurrences[k].steps;
@@ -116,23 +115,23 @@
             auto const& tasks = steps[number].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
-                auto const& each = tasks[index];
-                made.tasks.push_back({{id, k, number, index},
-                                      each.phase,
-                                      each.attempt,
-                                      each.failures.size(),
-                                      each.worker,
-                                      each.percent,
-                                      each.speed_limit});
+                auto const& t = tasks[index];
+                detail.tasks.push_back({{id, k, number, index},
+                                        t.phase,
+                                        t.attempt,
+                                        t.failures.size(),
+                                        t.worker,
+                                        t.percent,
+                                        t.speed_limit});
             }
             if (!steps[number].ready.empty())
             {
-                made.waiting.push_back(why_waiting(
+                detail.waiting.push_back(why_waiting(
                     now, *run, {id, k, number, steps[number].ready.back()}));
             }
         }
     }
-    return made;
+    return detail;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/owner_waiting.cpp
+++ b/src/core/pool/owner_waiting.cpp
@@ -2,9 +2,8 @@
 
 #include <utility>
 
-// Says in the log why steps wait. Whoever asks afterwards why a job was late
-// finds its second and its kind of step here, with what kept it from how many
-// workers.
+// Logs why steps wait. For a job that was late, the log shows by second, queue
+// and image which obstacles there were at how many workers.
 namespace fuchsia::core::pool
 {
 
@@ -13,19 +12,19 @@
 namespace
 {
 
-// Steps that are looked at and kinds that are told of, each second: the lines
-// stay few however long the queue is.
-constexpr std::size_t most_steps = 512;
-constexpr std::size_t most_lines = 12;
-// Between two lines about a kind that goes on waiting.
-constexpr common::duration told_again_after = std::chrono::seconds(5);
+// Maximum number of steps examined and of lines written per second, so that the
+// log stays short however long the queue is.
+constexpr std::size_t max_examined_steps = 512;
+constexpr std::size_t max_lines = 12;
+// Time between two lines about steps of one queue and image that keep waiting.
+constexpr common::duration repeat_interval = std::chrono::seconds(5);
 
 } // namespace
 
 std::vector<owner::waiting_kind> owner::waiting_kinds()
 {
     std::map<std::pair<std::string, std::string>, waiting_kind> kinds;
-    std::size_t looked_at = 0;
+    std::size_t examined_steps = 0;
     for (auto const& key : ready_)
     {
         auto* const run = find_job(key.job);
@@ -33,7 +32,7 @@
         {
             continue;
         }
-        if (++looked_at > most_steps)
+        if (++examined_steps > max_examined_steps)
         {
             break;
         }
@@ -47,24 +46,25 @@
         ++kind.steps;
         kind.tasks += steps.ready.size();
     }
-    std::vector<waiting_kind> made;
+    std::vector<waiting_kind> result;
     for (auto const& [name, kind] : kinds)
     {
-        if (kind.tasks > 0 && made.size() < most_lines)
+        if (kind.tasks > 0 && result.size() < max_lines)
         {
-            made.push_back(kind);
+            result.push_back(kind);
         }
     }
-    return made;
+    return result;
 }
 
-// What keeps the first task of a kind from each worker stands for the rest.
+// Logs the obstacles of the first waiting task of each queue and image; it
+// stands for the rest.
 void owner::log_waiting(common::time_point now)
 {
     std::erase_if(waiting_reported_at_,
-                  [now](auto const& told)
+                  [now](auto const& entry)
                   {
-                      return now - told.second >= told_again_after;
+                      return now - entry.second >= repeat_interval;
                   });
     for (auto const& kind : waiting_kinds())
     {
@@ -81,19 +81,19 @@
         {
             continue;
         }
-        auto const found = why_waiting(
+        auto const status = why_waiting(
             now, run, {key.job, key.occurrence, key.step, ready.back()});
         std::vector<ports::header> fields{
             {"queue", run.spec.queue},
             {"image", image},
             {"steps", std::to_string(kind.steps)},
             {"tasks", std::to_string(kind.tasks)},
-            {"possible", std::to_string(found.possible)},
+            {"possible", std::to_string(status.possible)},
             {"idle_where_it_disturbs",
-             std::to_string(found.idle_unusable / 1000)}};
-        for (auto const& [why, count] : found.obstacles)
+             std::to_string(status.idle_unusable / 1000)}};
+        for (auto const& [reason, count] : status.obstacles)
         {
-            auto const name = obstacle_names[static_cast<std::size_t>(why)];
+            auto const name = obstacle_names[static_cast<std::size_t>(reason)];
             fields.push_back({std::string(name), std::to_string(count)});
         }
         out_.log(severity::info, "steps_wait", std::move(fields));
