--- a/tests/unit/pool/capacity_index_test.cpp
+++ b/tests/unit/pool/capacity_index_test.cpp
@@ -12,53 +12,53 @@
 {
 
 constexpr std::size_t pools = 60;
-constexpr std::size_t most_workers = 40;
+constexpr std::size_t max_workers = 40;
 constexpr int steps = 200;
 
-// A pool whose workers have random room, some of them without a view.
+// A pool whose workers have random free capacity, some of them without a view.
 class random_pool
 {
 public:
     explicit random_pool(std::uint64_t seed) : random_(seed)
     {
-        auto const count = 1 + below(most_workers);
-        for (std::int64_t number = 0; number < count; ++number)
+        auto const count = 1 + below(max_workers);
+        for (std::int64_t index = 0; index < count; ++index)
         {
-            auto const id = "w" + std::to_string(number);
-            auto& each = workers_[id];
-            each.info.id = id;
-            each.info.capacity = {8'000 * (1 + below(2)), 8'000, 0};
-            change(each);
+            auto const id = "w" + std::to_string(index);
+            auto& w = workers_[id];
+            w.info.id = id;
+            w.info.capacity = {8'000 * (1 + below(2)), 8'000, 0};
+            randomize(w);
         }
     }
 
     std::vector<worker*> all()
     {
-        std::vector<worker*> made;
-        for (auto& [id, each] : workers_)
+        std::vector<worker*> result;
+        for (auto& [id, w] : workers_)
         {
-            made.push_back(&each);
+            result.push_back(&w);
         }
-        return made;
+        return result;
     }
 
-    worker& any()
+    worker& any_worker()
     {
-        auto const found = all();
-        return *found[static_cast<std::size_t>(below(found.size()))];
+        auto const candidates = all();
+        return *candidates[static_cast<std::size_t>(below(candidates.size()))];
     }
 
-    void change(worker& of)
+    void randomize(worker& w)
     {
-        of.reserved.millicores = amount();
-        of.serving_cores = of.reserved.millicores / 2;
-        of.serving_used = of.serving_cores / 2;
-        of.best_effort_cores = amount();
-        of.view_known = below(4) > 0;
+        w.reserved.millicores = random_millicores();
+        w.serving_cores = w.reserved.millicores / 2;
+        w.serving_used = w.serving_cores / 2;
+        w.best_effort_cores = random_millicores();
+        w.view_known = below(4) > 0;
     }
 
-    // Few amounts, so that many workers are alike.
-    std::int64_t amount()
+    // Returns one of a few amounts, so that many workers are equivalent.
+    std::int64_t random_millicores()
     {
         return 1'000 * below(6);
     }
@@ -73,47 +73,48 @@
     std::map<std::string, worker> workers_;
 };
 
-bool has_free(worker const& of, std::int64_t millicores)
+bool has_free(worker const& w, std::int64_t millicores)
 {
-    return of.info.capacity.millicores - of.reserved.millicores >= millicores;
+    return w.info.capacity.millicores - w.reserved.millicores >= millicores;
 }
 
-bool has_idle(worker const& of, std::int64_t millicores)
+bool has_idle(worker const& w, std::int64_t millicores)
 {
-    return !of.view_known || of.idle_cores() >= millicores;
+    return !w.view_known || w.idle_cores() >= millicores;
 }
 
-std::vector<std::string> ids_of(std::vector<worker*> const& from)
+std::vector<std::string> ids_of(std::vector<worker*> const& workers)
 {
-    std::vector<std::string> made;
-    made.reserve(from.size());
-    for (auto const* each : from)
+    std::vector<std::string> ids;
+    ids.reserve(workers.size());
+    for (auto const* w : workers)
     {
-        made.push_back(each->info.id);
+        ids.push_back(w->info.id);
     }
-    return made;
+    return ids;
 }
 
 template<class Has>
 std::vector<std::string>
-by_walk(random_pool& pool, std::int64_t millicores, Has has)
+by_linear_search(random_pool& pool, std::int64_t millicores, Has has_capacity)
 {
-    std::vector<std::string> made;
-    for (auto const* each : pool.all())
+    std::vector<std::string> ids;
+    for (auto const* w : pool.all())
     {
-        if (has(*each, millicores))
+        if (has_capacity(*w, millicores))
         {
-            made.push_back(each->info.id);
+            ids.push_back(w->info.id);
         }
     }
-    return made;
+    return ids;
 }
 
 } // namespace
 
-// A worker with room that the index leaves out, one that it names twice, or
-// another sequence: not the worker is chosen that looking at all would choose.
-TEST(room_index, names_the_workers_that_a_walk_finds)
+// Failure: the index leaves out a worker with capacity, lists one twice, or
+// changes the order, so that another worker is chosen than by a search of all
+// workers.
+TEST(capacity_index, lists_the_same_workers_as_a_linear_search)
 {
     for (std::uint64_t seed = 1; seed <= pools; ++seed)
     {
@@ -121,26 +122,26 @@
         capacity_index index(pool.all());
         for (int step = 0; step < steps; ++step)
         {
-            auto const wanted = pool.amount();
-            ASSERT_EQ(ids_of(index.with_free(wanted)),
-                      by_walk(pool, wanted, has_free))
+            auto const millicores = pool.random_millicores();
+            ASSERT_EQ(ids_of(index.with_free(millicores)),
+                      by_linear_search(pool, millicores, has_free))
                 << "seed " << seed << ", step " << step;
-            ASSERT_EQ(ids_of(index.with_idle(wanted)),
-                      by_walk(pool, wanted, has_idle))
+            ASSERT_EQ(ids_of(index.with_idle(millicores)),
+                      by_linear_search(pool, millicores, has_idle))
                 << "seed " << seed << ", step " << step;
-            auto& changed = pool.any();
-            pool.change(changed);
+            auto& changed = pool.any_worker();
+            pool.randomize(changed);
             index.mark_changed(changed);
         }
     }
 }
 
-// A worker that got its view while it was looked at: it would be looked at for
-// each further task of the round.
-TEST(room_index, leaves_out_a_full_worker_once_its_view_is_known)
+// Failure: a full worker whose view was computed during the round is checked
+// again for each further task of the round.
+TEST(capacity_index, excludes_a_full_worker_once_its_view_is_known)
 {
     random_pool pool(1);
-    auto& full = pool.any();
+    auto& full = pool.any_worker();
     full.view_known = false;
     full.best_effort_cores = full.info.capacity.millicores;
     capacity_index index({&full});
@@ -149,15 +150,16 @@
     EXPECT_TRUE(index.with_idle(1'000).empty());
 }
 
-// A worker that may not be used is none of the index's.
-TEST(room_index, does_not_take_in_what_it_was_not_given)
+// The index contains only usable workers; changes of other workers have no
+// effect on it.
+TEST(capacity_index, ignores_changes_of_workers_it_was_not_given)
 {
     random_pool pool(2);
-    auto& used = pool.any();
+    auto& usable = pool.any_worker();
     worker other;
     other.info.id = "x";
     other.info.capacity = {8'000, 8'000, 0};
-    capacity_index index({&used});
+    capacity_index index({&usable});
     index.with_free(0);
     index.mark_changed(other);
     EXPECT_EQ(index.with_free(-100'000).size(), 1U);
--- a/tests/unit/pool/colocation_test.cpp
+++ b/tests/unit/pool/colocation_test.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-// Headroom of a serving task without load, and what a worker's cores of a heavy
-// neighbour take of it.
+// Headroom of a serving task without load, and the headroom that a heavy
+// neighbour takes per worker.
 constexpr double idle_headroom = 6;
-constexpr double heavy = 8;
+constexpr double heavy_weight = 8;
 
 struct step_readings
 {
@@ -23,21 +23,21 @@
 
     std::vector<serving_reading const*> with_last(std::size_t last) const
     {
-        std::vector<serving_reading const*> made;
+        std::vector<serving_reading const*> result;
         for (std::size_t index = 0; index < readings.size(); ++index)
         {
             if (index != last)
             {
-                made.push_back(&readings[index]);
+                result.push_back(&readings[index]);
             }
         }
-        made.push_back(&readings[last]);
-        return made;
+        result.push_back(&readings[last]);
+        return result;
     }
 };
 
-// Readings of a step of six tasks under one load, beside random amounts of a
-// heavy and of a harmless image, and some noise.
+// Returns noisy readings of a step of six tasks under one load, next to random
+// shares of a heavy and of a harmless image.
 step_readings draw(std::mt19937& random,
                    std::uint16_t heavy_image,
                    std::uint16_t light_image,
@@ -45,181 +45,195 @@
 {
     std::uniform_real_distribution<double> share(0, 0.2);
     std::normal_distribution<double> noise(0, 0.2);
-    step_readings made;
+    step_readings result;
     for (int task = 0; task < 6; ++task)
     {
-        double const beside = share(random);
-        double const harmless = 2 * share(random);
+        double const heavy_share = share(random);
+        double const light_share = 2 * share(random);
         serving_reading reading;
-        reading.headroom = std::max(
-            0.1, idle_headroom * (1 - load) - heavy * beside + noise(random));
-        reading.neighbours = {{heavy_image, beside}, {light_image, harmless}};
-        made.readings.push_back(reading);
+        reading.headroom =
+            std::max(0.1,
+                     idle_headroom * (1 - load) - heavy_weight * heavy_share +
+                         noise(random));
+        reading.neighbours = {{heavy_image, heavy_share},
+                              {light_image, light_share}};
+        result.readings.push_back(reading);
     }
-    return made;
+    return result;
 }
 
 best_effort_view
-make_fill(std::uint16_t image, double share, std::uint32_t index)
-{
-    best_effort_view made;
-    made.name = {"fill", 0, 0, index};
-    made.image = image;
-    made.declared = share;
-    made.used = share;
-    return made;
+make_best_effort(std::uint16_t image, double share, std::uint32_t index)
+{
+    best_effort_view view;
+    view.name = {"fill", 0, 0, index};
+    view.image = image;
+    view.declared = share;
+    view.used = share;
+    return view;
 }
 
-// A serving task whose users press as those of the whole step do.
-serving_view
-like_its_siblings(std::uint16_t image, double headroom, double alone)
+// Returns a serving task whose load is that of its whole step.
+serving_view serving_without_deviation(std::uint16_t image,
+                                       double headroom,
+                                       double isolated_headroom)
 {
-    return {image, headroom, alone, alone};
+    return {image, headroom, isolated_headroom, isolated_headroom};
 }
 
-struct learned_pair : testing::Test
+struct learned_pairs : testing::Test
 {
-    learned_pair()
+    learned_pairs()
     {
         std::mt19937 random(7);
         for (int second = 0; second < 200; ++second)
         {
-            // The load swings, as that of real users does.
+            // The load varies, as that of real users does.
             double const load = 0.48 + 0.24 * std::sin(second / 10.0);
-            auto const seen = draw(random, heavy_image, light_image, load);
-            for (std::size_t task = 0; task < seen.readings.size(); ++task)
+            auto const step = draw(random, heavy_image, light_image, load);
+            for (std::size_t task = 0; task < step.readings.size(); ++task)
             {
-                sharing.learn(image, seen.with_last(task));
+                model.learn(image, step.with_last(task));
             }
         }
     }
 
-    colocation sharing{colocation_settings{}};
-    std::uint16_t image = sharing.number_of("serving");
-    std::uint16_t heavy_image = sharing.number_of("heavy");
-    std::uint16_t light_image = sharing.number_of("light");
+    colocation model{colocation_settings{}};
+    std::uint16_t image = model.number_of("serving");
+    std::uint16_t heavy_image = model.number_of("heavy");
+    std::uint16_t light_image = model.number_of("light");
 };
 
 } // namespace
 
-// Failure: a swing of the users' load is taken for the work of a neighbour.
-TEST_F(learned_pair, tells_heavy_from_harmless_under_a_swinging_load)
+// Failure: a change of the users' load is attributed to a neighbour.
+TEST_F(learned_pairs,
+       distinguishes_heavy_from_harmless_images_under_varying_load)
 {
-    worker_view alone;
-    alone.serving.push_back(like_its_siblings(image, 3, 3));
-    EXPECT_NEAR(sharing.worst_weight(alone, heavy_image), heavy, 2);
-    EXPECT_LT(sharing.worst_weight(alone, light_image), 1);
+    worker_view view;
+    view.serving.push_back(serving_without_deviation(image, 3, 3));
+    EXPECT_NEAR(model.worst_weight(view, heavy_image), heavy_weight, 2);
+    EXPECT_LT(model.worst_weight(view, light_image), 1);
 }
 
-// Failure: work is placed by its pair alone, or by the load alone.
-TEST_F(learned_pair, places_by_load_and_pair)
+// Failure: placement considers only the pair of images, or only the load.
+TEST_F(learned_pairs, expected_headroom_depends_on_load_and_image)
 {
-    auto const limit = sharing.settings().placement_headroom;
+    auto const limit = model.settings().placement_headroom;
     worker_view peak;
-    peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
-    EXPECT_LT(sharing.expected_headroom(peak, heavy_image, 0.15), limit);
-    EXPECT_GT(sharing.expected_headroom(peak, light_image, 0.15), limit);
+    peak.serving.push_back(serving_without_deviation(image, 1.8, 1.8));
+    EXPECT_LT(model.expected_headroom(peak, heavy_image, 0.15), limit);
+    EXPECT_GT(model.expected_headroom(peak, light_image, 0.15), limit);
     worker_view trough;
-    trough.serving.push_back(like_its_siblings(image, 4.5, 4.5));
-    EXPECT_GT(sharing.expected_headroom(trough, heavy_image, 0.15), limit);
+    trough.serving.push_back(serving_without_deviation(image, 4.5, 4.5));
+    EXPECT_GT(model.expected_headroom(trough, heavy_image, 0.15), limit);
 }
 
-// Failure: harmless neighbours are slowed, or the culprit more than needed.
-TEST_F(learned_pair, slows_the_culprit_and_no_other)
+// Failure: harmless neighbours are slowed down, or the disturbing one more than
+// needed.
+TEST_F(learned_pairs, limits_only_the_disturbing_image)
 {
-    worker_view seen;
-    seen.serving.push_back(like_its_siblings(image, 1.0, 2.8));
-    seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
-    seen.best_effort.push_back(make_fill(light_image, 0.3, 1));
-    time_point over{};
-    auto const changes = sharing.speed_limits(seen, time_point(1s), over);
+    worker_view view;
+    view.serving.push_back(serving_without_deviation(image, 1.0, 2.8));
+    view.best_effort.push_back(make_best_effort(heavy_image, 0.3, 0));
+    view.best_effort.push_back(make_best_effort(light_image, 0.3, 1));
+    time_point over_since{};
+    auto const changes = model.speed_limits(view, time_point(1s), over_since);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes.front().name.index, 0U);
     EXPECT_GT(changes.front().percent, 30U);
     EXPECT_LT(changes.front().percent, 70U);
 }
 
-// Failure: a task whose own users press is judged by its siblings alone.
-TEST_F(learned_pair, slows_the_neighbour_of_a_task_whose_own_users_press)
+// Failure: a task with a higher load than its siblings is judged by the load of
+// its siblings alone.
+TEST_F(learned_pairs,
+       limits_the_neighbour_of_a_task_with_a_higher_load_than_its_siblings)
 {
     serving_reading last;
     last.headroom = 1.2;
     last.headroom_loss = 1.3;
-    double const alone = 4.5;
-    double const own = sharing.task_isolated_headroom(alone, last);
-    EXPECT_NEAR(own, 3.3, 0.01);
-    worker_view seen;
-    seen.best_effort.push_back(make_fill(heavy_image, 0.3, 0));
-    time_point over{};
-    seen.serving.push_back(like_its_siblings(image, 1.2, alone));
-    EXPECT_TRUE(sharing.speed_limits(seen, time_point(1s), over).empty());
-    seen.serving.front().task_isolated_headroom = own;
-    auto const changes = sharing.speed_limits(seen, time_point(1s), over);
+    double const step_headroom = 4.5;
+    double const task_headroom =
+        model.task_isolated_headroom(step_headroom, last);
+    EXPECT_NEAR(task_headroom, 3.3, 0.01);
+    worker_view view;
+    view.best_effort.push_back(make_best_effort(heavy_image, 0.3, 0));
+    time_point over_since{};
+    view.serving.push_back(
+        serving_without_deviation(image, 1.2, step_headroom));
+    EXPECT_TRUE(model.speed_limits(view, time_point(1s), over_since).empty());
+    view.serving.front().task_isolated_headroom = task_headroom;
+    auto const changes = model.speed_limits(view, time_point(1s), over_since);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_LT(changes.front().percent, 85U);
 }
 
-// Failure: room is given away that a task's users need again at once.
-TEST(colocation, a_calm_moment_of_one_task_is_not_counted_on)
+// Failure: neighbours get headroom that the task needs again at its next
+// reading.
+TEST(colocation, low_load_of_one_task_does_not_raise_its_expected_headroom)
 {
-    colocation const sharing{colocation_settings{}};
+    colocation const model{colocation_settings{}};
     serving_reading last;
     last.headroom = 5;
-    EXPECT_DOUBLE_EQ(sharing.task_isolated_headroom(3, last), 3);
+    EXPECT_DOUBLE_EQ(model.task_isolated_headroom(3, last), 3);
 }
 
-// Failure: a task stays over its target, since nobody is known to disturb it.
-TEST_F(learned_pair, stops_all_before_users_are_harmed)
+// Failure: a task stays over its target, since no neighbour is known to disturb
+// it.
+TEST_F(learned_pairs, pauses_all_best_effort_tasks_after_a_time_over_the_target)
 {
-    worker_view seen;
-    seen.serving.push_back(like_its_siblings(image, 0.5, 4));
-    seen.best_effort.push_back(make_fill(light_image, 0.3, 0));
-    time_point over{};
-    EXPECT_TRUE(sharing.speed_limits(seen, time_point(10s), over).empty());
-    auto const changes = sharing.speed_limits(seen, time_point(11600ms), over);
+    worker_view view;
+    view.serving.push_back(serving_without_deviation(image, 0.5, 4));
+    view.best_effort.push_back(make_best_effort(light_image, 0.3, 0));
+    time_point over_since{};
+    EXPECT_TRUE(model.speed_limits(view, time_point(10s), over_since).empty());
+    auto const changes =
+        model.speed_limits(view, time_point(11600ms), over_since);
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes.front().percent, 0U);
 }
 
-// Failure: a pair that was never seen is tried at a peak, or not at all.
-TEST(colocation, tries_an_unknown_pair_where_there_is_room)
+// Failure: a pair that was never observed is tried at peak load, or never.
+TEST(colocation, unknown_image_is_expected_to_fit_only_at_low_load)
 {
-    colocation sharing{colocation_settings{}};
-    auto const image = sharing.number_of("serving");
-    auto const unknown = sharing.number_of("unknown");
+    colocation model{colocation_settings{}};
+    auto const image = model.number_of("serving");
+    auto const unknown = model.number_of("unknown");
     worker_view trough;
-    trough.serving.push_back(like_its_siblings(image, 4, 4));
+    trough.serving.push_back(serving_without_deviation(image, 4, 4));
     worker_view peak;
-    peak.serving.push_back(like_its_siblings(image, 1.8, 1.8));
-    auto const limit = sharing.settings().placement_headroom;
-    EXPECT_GT(sharing.expected_headroom(trough, unknown, 0.15), limit);
-    EXPECT_LT(sharing.expected_headroom(peak, unknown, 0.15), limit);
+    peak.serving.push_back(serving_without_deviation(image, 1.8, 1.8));
+    auto const limit = model.settings().placement_headroom;
+    EXPECT_GT(model.expected_headroom(trough, unknown, 0.15), limit);
+    EXPECT_LT(model.expected_headroom(peak, unknown, 0.15), limit);
 }
 
-// Failure: a task that has hardly begun is blamed for a long tail.
-TEST(colocation, a_tiny_neighbour_is_not_blamed)
-{
-    colocation sharing{colocation_settings{}};
-    auto const image = sharing.number_of("serving");
-    auto const tiny = sharing.number_of("tiny");
-    serving_reading calm;
-    calm.headroom = 3;
-    serving_reading hit;
-    hit.headroom = 0.5;
-    hit.neighbours = {{tiny, 0.003}};
+// Failure: a long tail is attributed to a neighbour that has hardly started.
+TEST(colocation, neighbour_with_a_negligible_share_changes_no_estimate)
+{
+    colocation model{colocation_settings{}};
+    auto const image = model.number_of("serving");
+    auto const tiny = model.number_of("tiny");
+    serving_reading undisturbed;
+    undisturbed.headroom = 3;
+    serving_reading disturbed;
+    disturbed.headroom = 0.5;
+    disturbed.neighbours = {{tiny, 0.003}};
     for (int repeat = 0; repeat < 100; ++repeat)
     {
-        sharing.learn(image, {&calm, &calm, &hit});
+        model.learn(image, {&undisturbed, &undisturbed, &disturbed});
     }
-    worker_view seen;
-    seen.serving.push_back(like_its_siblings(image, 3, 3));
+    worker_view view;
+    view.serving.push_back(serving_without_deviation(image, 3, 3));
 
-    EXPECT_DOUBLE_EQ(sharing.worst_weight(seen, tiny),
-                     sharing.settings().prior_weight);
+    EXPECT_DOUBLE_EQ(model.worst_weight(view, tiny),
+                     model.settings().prior_weight);
 }
 
-// Failure: load is read by one figure for all images; idle cores look used.
-TEST(colocation_load, is_read_by_what_is_usual_for_the_image)
+// Failure: the load is derived from one idle headroom for all images, so idle
+// cores look used.
+TEST(colocation_load, is_relative_to_the_average_headroom_of_the_image)
 {
     colocation model{colocation_settings{}};
     std::mt19937 random(11);
@@ -236,8 +250,8 @@
     }
 }
 
-// Failure: load is guessed from a headroom that was never read.
-TEST(colocation_load, is_the_usual_one_while_none_was_read)
+// Failure: the load is derived from a headroom that was never measured.
+TEST(colocation_load, is_the_average_load_without_a_headroom)
 {
     colocation model{colocation_settings{}};
     auto const image = model.number_of("new");
--- a/tests/unit/pool/learned_test.cpp
+++ b/tests/unit/pool/learned_test.cpp
@@ -12,66 +12,70 @@
 namespace
 {
 
-// A colocation that has seen two serving images beside a harmless and a heavy
-// one.
-colocation taught()
+// Returns a colocation that has learned from a serving image next to a harmless
+// and a heavy one.
+colocation make_trained_colocation()
 {
-    colocation made({});
-    auto const first = made.number_of("first");
-    auto const heavy = made.number_of("heavy");
-    auto const light = made.number_of("light");
+    colocation model({});
+    auto const first = model.number_of("first");
+    auto const heavy = model.number_of("heavy");
+    auto const light = model.number_of("light");
     for (int step = 0; step < 200; ++step)
     {
         std::vector<serving_reading> readings(4);
-        std::vector<serving_reading const*> all;
+        std::vector<serving_reading const*> pointers;
         for (std::size_t task = 0; task < readings.size(); ++task)
         {
             bool const beside_heavy = task % 2 == 0;
-            auto& each = readings[task];
-            each.headroom = beside_heavy ? 2.0 : 4.0;
-            each.neighbours = {{beside_heavy ? heavy : light, 0.2}};
-            all.push_back(&each);
+            auto& reading = readings[task];
+            reading.headroom = beside_heavy ? 2.0 : 4.0;
+            reading.neighbours = {{beside_heavy ? heavy : light, 0.2}};
+            pointers.push_back(&reading);
         }
-        made.observe_isolated_headroom(first, 4.0);
-        made.learn(first, all);
+        model.observe_isolated_headroom(first, 4.0);
+        model.learn(first, pointers);
     }
-    return made;
+    return model;
 }
 
 } // namespace
 
-// A successor that learns anew takes idle cores for used, and filling work
-// waits for many seconds after each failover.
-TEST(pool_learned, a_successor_expects_what_its_predecessor_did)
+// A successor that has to learn again takes idle cores for used ones, and
+// best-effort work waits for many seconds after each failover.
+TEST(pool_interference_estimates,
+     successor_restores_the_estimates_of_its_predecessor)
 {
-    auto const before = taught();
+    auto const before = make_trained_colocation();
     common::failure reason;
-    auto const read =
+    auto const restored =
         parse_interference_estimates(to_json(before.estimates()), reason);
-    ASSERT_TRUE(read) << to_string(reason);
+    ASSERT_TRUE(restored) << to_string(reason);
     colocation after({});
-    // It met the images in another order.
+    // The successor numbers the images in another order.
     after.number_of("light");
-    after.restore(*read);
-    auto const served = after.number_of("first");
-    auto old = taught();
-    EXPECT_NEAR(
-        after.load(served, 2.0), old.load(old.number_of("first"), 2.0), 0.01);
+    after.restore(*restored);
+    auto const serving_image = after.number_of("first");
+    auto original = make_trained_colocation();
+    EXPECT_NEAR(after.load(serving_image, 2.0),
+                original.load(original.number_of("first"), 2.0),
+                0.01);
     for (auto const* image : {"heavy", "light"})
     {
         EXPECT_NEAR(
-            after.headroom_loss(served, {{after.number_of(image), 1.0}}),
-            old.headroom_loss(old.number_of("first"),
-                              {{old.number_of(image), 1.0}}),
+            after.headroom_loss(serving_image, {{after.number_of(image), 1.0}}),
+            original.headroom_loss(original.number_of("first"),
+                                   {{original.number_of(image), 1.0}}),
             0.02)
             << image;
-        EXPECT_EQ(after.pair_known(served, after.number_of(image)),
-                  old.pair_known(old.number_of("first"), old.number_of(image)));
+        EXPECT_EQ(after.pair_known(serving_image, after.number_of(image)),
+                  original.pair_known(original.number_of("first"),
+                                      original.number_of(image)));
     }
 }
 
-// Images that nobody has read yet say nothing, and would look like knowledge.
-TEST(pool_learned, what_was_never_seen_is_not_recorded)
+// Estimates of images without readings contain no information, but would count
+// as learned.
+TEST(pool_interference_estimates, images_without_readings_are_not_recorded)
 {
     colocation fresh({});
     fresh.number_of("first");
@@ -80,8 +84,8 @@
     EXPECT_TRUE(fresh.estimates().pairs.empty());
 }
 
-// A damaged record must neither stop an owner nor be believed in part.
-TEST(pool_learned, a_record_that_makes_no_sense_is_refused)
+// A damaged record must neither stop an owner nor be used in part.
+TEST(pool_interference_estimates, malformed_records_are_rejected)
 {
     for (auto const* text :
          {"",
@@ -100,13 +104,14 @@
     }
 }
 
-// A successor heard workers before it had read what cores they have, took one
-// thousandth of a core for all of them, and filling work waited for minutes.
-TEST(pool_learned, nothing_is_learned_of_workers_of_unknown_size)
+// Failure: a successor got reports from workers before it had loaded their
+// number of cores, assumed one thousandth of a core for all of them, and
+// best-effort work waited for minutes.
+TEST(pool_interference_estimates, no_estimates_from_workers_of_unknown_capacity)
 {
     namespace ports = fuchsia::ports;
     using fuchsia::tests::unit::pool::fault_effect;
-    pool_world world(3, 4);
+    pool_simulation world(3, 4);
     ASSERT_TRUE(fuchsia::tests::unit::pool::run_until_owned(world));
     auto const first = *world.owner();
     auto serving = fuchsia::tests::unit::pool::simple_job(24, 1s);
@@ -114,14 +119,14 @@
     serving.steps.front().image = "serves";
     serving.steps.front().tail_target = 100ms;
     serving.spec = "lasts tail=20";
-    auto filling = fuchsia::tests::unit::pool::simple_job(16, 60s);
-    filling.steps.front().best_effort = true;
-    filling.steps.front().image = "fills";
-    filling.spec = "work=60000 cores=1000";
+    auto best_effort = fuchsia::tests::unit::pool::simple_job(16, 60s);
+    best_effort.steps.front().best_effort = true;
+    best_effort.steps.front().image = "fills";
+    best_effort.spec = "work=60000 cores=1000";
     auto const other = fuchsia::tests::unit::pool::other_than(first);
     world.submit(other, "serving", serving);
     world.run(5s);
-    world.submit(other, "filling", filling);
+    world.submit(other, "filling", best_effort);
     world.run(3s);
     auto const idle = [&world]
     {
@@ -139,7 +144,8 @@
     {
         auto const* const pages = std::get_if<ports::kv_range>(&call);
         bool const list = pages != nullptr && pages->prefix == "workers/";
-        return instance != first && list ? fate::delayed : fate::carried_out;
+        return instance != first && list ? fault_effect::delayed
+                                         : fault_effect::carried_out;
     };
     world.kill(first);
     ASSERT_TRUE(world.run_until(
@@ -152,10 +158,10 @@
     EXPECT_GE(idle(), before / 2);
 }
 
-// An owner whose predecessor's record is damaged must work all the same.
-TEST(pool_learned, an_owner_works_without_the_record)
+// An owner whose predecessor's record is damaged must still schedule.
+TEST(pool_interference_estimates, owner_schedules_despite_a_damaged_record)
 {
-    pool_world world;
+    pool_simulation world;
     ASSERT_TRUE(world.run_until(
         [&world]
         {
--- a/tests/unit/pool/owner_choice_test.cpp
+++ b/tests/unit/pool/owner_choice_test.cpp
@@ -5,57 +5,60 @@
 using namespace fuchsia::tests::unit::pool;
 namespace ports = fuchsia::ports;
 
-// Which instance schedules, where some have a seventh of the processor and a
-// twentieth of the link of others.
+// Choice of the owner, where some instances have a seventh of the processor and
+// a twentieth of the network bandwidth of the others.
 namespace
 {
 
-constexpr double small = 0.05;
+constexpr double small_factor = 0.05;
 
-// Starts all instances anew with these sizes, in this order.
-void start_with(pool_simulation& world, std::vector<double> const& sizes)
+// Restarts all instances with these speed factors, in this order.
+void start_with(pool_simulation& world,
+                std::vector<double> const& speed_factors)
 {
-    for (std::size_t number = 0; number < sizes.size(); ++number)
+    for (std::size_t instance = 0; instance < speed_factors.size(); ++instance)
     {
-        world.kill(number);
+        world.kill(instance);
     }
     world.run(3s);
-    for (std::size_t number = 0; number < sizes.size(); ++number)
+    for (std::size_t instance = 0; instance < speed_factors.size(); ++instance)
     {
-        world.set_speed_factor(number, sizes[number]);
-        world.start(number);
+        world.set_speed_factor(instance, speed_factors[instance]);
+        world.start(instance);
         world.run(100ms);
     }
 }
 
-bool owned_by(pool_simulation& world, std::size_t number, duration patience)
+bool becomes_owner(pool_simulation& world,
+                   std::size_t instance,
+                   duration timeout)
 {
     return world.run_until(
-        [&world, number]
+        [&world, instance]
         {
-            return world.owner() == number;
+            return world.owner() == instance;
         },
-        patience);
+        timeout);
 }
 
-bool somebody_owns(pool_simulation& world, duration patience)
+bool any_becomes_owner(pool_simulation& world, duration timeout)
 {
     return world.run_until(
         [&world]
         {
             return world.owner().has_value();
         },
-        patience);
+        timeout);
 }
 
-// A page of the state that the last owner left.
+// Whether the call reads a page of the state in the store.
 bool is_page(ports::kv_operation const& call)
 {
     auto const* const range = std::get_if<ports::kv_range>(&call);
     return range != nullptr && range->prefix == "pool/";
 }
 
-// The configuration.
+// Whether the call reads the configuration.
 bool is_configuration(ports::kv_operation const& call)
 {
     auto const* const range = std::get_if<ports::kv_range>(&call);
@@ -64,62 +67,63 @@
 
 } // namespace
 
-// A small instance was the first to start and took the claim. On a large pool
-// it is slow from then on, which users see as tasks that start seconds late.
-TEST(pool_owner_choice, a_small_owner_gives_way_to_a_large_instance)
+// Failure: a small instance that started first keeps the claim. On a large pool
+// it stays slow, and tasks start seconds late.
+TEST(pool_owner_choice, small_owner_hands_the_claim_to_a_large_instance)
 {
     pool_simulation world;
-    start_with(world, {small, 1, small});
-    EXPECT_TRUE(owned_by(world, 1, 2s));
+    start_with(world, {small_factor, 1, small_factor});
+    EXPECT_TRUE(becomes_owner(world, 1, 2s));
     EXPECT_EQ(world.violation(), "");
 }
 
 // The large owner dies, and small instances see the free claim as soon as the
 // other large one does.
-TEST(pool_owner_choice, a_large_instance_follows_a_large_one)
+TEST(pool_owner_choice, large_instance_takes_over_from_a_large_one)
 {
     pool_simulation world(6);
-    start_with(world, {1, small, small, small, small, 1});
-    ASSERT_TRUE(owned_by(world, 0, 4s));
-    bool small_ever = false;
+    start_with(world,
+               {1, small_factor, small_factor, small_factor, small_factor, 1});
+    ASSERT_TRUE(becomes_owner(world, 0, 4s));
+    bool small_owned = false;
     world.kill(0);
     EXPECT_TRUE(world.run_until(
-        [&world, &small_ever]
+        [&world, &small_owned]
         {
             auto const owner = world.owner();
-            small_ever = small_ever || (owner && *owner != 5);
+            small_owned = small_owned || (owner && *owner != 5);
             return owner == 5;
         },
         3s));
-    EXPECT_FALSE(small_ever);
+    EXPECT_FALSE(small_owned);
 }
 
-// All large instances are gone. The small ones are slow, but nothing at all
-// would run without them.
-TEST(pool_owner_choice, a_small_instance_takes_over_when_no_large_one_lives)
+// All large instances are down. The small ones are slow, but nothing would run
+// without them.
+TEST(pool_owner_choice, small_instance_takes_over_without_a_large_one)
 {
     pool_simulation world;
-    start_with(world, {1, small, small});
-    ASSERT_TRUE(owned_by(world, 0, 4s));
+    start_with(world, {1, small_factor, small_factor});
+    ASSERT_TRUE(becomes_owner(world, 0, 4s));
     world.kill(0);
-    EXPECT_TRUE(somebody_owns(world, 3s));
+    EXPECT_TRUE(any_becomes_owner(world, 3s));
 }
 
-// Alike instances never ask each other for the claim: each such change would
-// stop new work for a moment.
-TEST(pool_owner_choice, alike_instances_leave_the_claim_where_it_is)
+// Instances of similar speed do not request the claim from each other: each
+// change of the owner interrupts new work for a moment.
+TEST(pool_owner_choice, similar_instances_do_not_move_the_claim)
 {
     pool_simulation world;
     start_with(world, {0.6, 1, 0.6});
-    ASSERT_TRUE(owned_by(world, 0, 4s));
+    ASSERT_TRUE(becomes_owner(world, 0, 4s));
     world.run(20s);
     EXPECT_EQ(world.owner(), 0U);
 }
 
-// Pages of the state come slowly over a thin link. With the time limit of an
-// ordinary call they were asked for again and again, and nothing ran till the
-// end of the day.
-TEST(pool_owner_choice, an_owner_waits_for_slow_pages)
+// Failure: pages of the state come slowly over a link of low bandwidth. With
+// the timeout of an ordinary call they were requested again and again, and
+// nothing ran until the end of the day.
+TEST(pool_owner_choice, owner_waits_for_slow_pages_of_the_state)
 {
     pool_simulation world;
     world.store_fault = [](std::size_t, ports::kv_operation const& call)
@@ -128,12 +132,12 @@
                              : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
-    EXPECT_TRUE(somebody_owns(world, 10s));
+    EXPECT_TRUE(any_becomes_owner(world, 10s));
 }
 
-// The state never loads on one instance, which holds the claim and renews it.
-// Without an end to that, nothing runs until somebody kills it.
-TEST(pool_owner_choice, an_owner_that_cannot_load_gives_the_claim_up)
+// One instance can't load the state, but holds and renews the claim. Without a
+// time limit nothing runs until an operator kills it.
+TEST(pool_owner_choice, owner_that_cannot_load_the_state_releases_the_claim)
 {
     pool_simulation world;
     world.store_fault =
@@ -143,12 +147,13 @@
                                               : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
-    EXPECT_TRUE(somebody_owns(world, 12s));
+    EXPECT_TRUE(any_becomes_owner(world, 12s));
     EXPECT_NE(world.owner(), 0U);
 }
 
-// The same for one that gets no configuration: it may not schedule without it.
-TEST(pool_owner_choice, an_owner_without_configuration_gives_the_claim_up)
+// The same holds for an instance that gets no configuration: it may not
+// schedule without one.
+TEST(pool_owner_choice, owner_without_configuration_releases_the_claim)
 {
     pool_simulation world;
     world.store_fault =
@@ -159,6 +164,6 @@
                    : fault_effect::carried_out;
     };
     start_with(world, {1, 1, 1});
-    EXPECT_TRUE(somebody_owns(world, 12s));
+    EXPECT_TRUE(any_becomes_owner(world, 12s));
     EXPECT_NE(world.owner(), 0U);
 }
--- a/tests/unit/pool/placement_load_test.cpp
+++ b/tests/unit/pool/placement_load_test.cpp
@@ -5,14 +5,14 @@
 using namespace fuchsia::tests::unit::pool;
 namespace ports = fuchsia::ports;
 
-// What placing costs on a large pool: counted, not timed. An owner that looks
-// at all workers for each task and after each end sends its orders seconds
-// late, and cancelled tasks run on for as long.
+// Cost of placement on a large pool, counted in scores, not timed. An owner
+// that examines all workers for each task and after each task end sends its
+// orders seconds late, and cancelled tasks keep running for as long.
 namespace
 {
 
 constexpr std::size_t workers = 40;
-constexpr std::uint32_t cores_each = 8;
+constexpr std::uint32_t cores_per_worker = 8;
 constexpr int kinds = 12;
 
 struct large_pool : testing::Test
@@ -32,14 +32,14 @@
         return world.owner_at(*world.owner()).counters();
     }
 
-    /// Tasks that outlast any test take all cores.
+    /// Occupies all cores with tasks that outlast any test.
     void fill_up()
     {
-        world.submit(0, "full", simple_job(workers * cores_each, 10min));
+        world.submit(0, "full", simple_job(workers * cores_per_worker, 10min));
         world.run_until(
             [this]
             {
-                return counters().starts == workers * cores_each;
+                return counters().starts == workers * cores_per_worker;
             });
     }
 
@@ -48,8 +48,9 @@
 
 } // namespace
 
-// A wide step: its tasks are alike, so the workers are ranked once for all.
-TEST_F(large_pool, ranks_workers_once_for_a_wide_step)
+// The tasks of a step are equivalent, so the workers are ranked once for all of
+// them.
+TEST_F(large_pool, scores_workers_once_for_a_step_of_many_tasks)
 {
     constexpr std::uint32_t width = 60;
     auto const before = counters().scored;
@@ -59,9 +60,9 @@
     EXPECT_LE(counters().scored - before, workers + width);
 }
 
-// Many tasks end within a second while others wait for their room. Rounds of
-// placing don't become more than one in 10 ms, and none of the room is left.
-TEST_F(large_pool, serves_many_ends_by_few_rounds)
+// Many tasks end within a second while others wait for their capacity. There is
+// at most one placement round in 10 ms, and no capacity stays unused.
+TEST_F(large_pool, many_task_ends_cause_few_placement_rounds)
 {
     for (int number = 0; number < 100; ++number)
     {
@@ -82,9 +83,9 @@
     EXPECT_EQ(world.violation(), "");
 }
 
-// Steps of many kinds wait on a full pool. Each of them is held against no
-// worker without room for it, round after round.
-TEST_F(large_pool, looks_at_no_full_worker_for_what_waits)
+// Steps of many images wait on a full pool. In no round is any of them checked
+// against a worker without capacity for it.
+TEST_F(large_pool, waiting_steps_score_no_full_worker)
 {
     fill_up();
     for (int kind = 0; kind < kinds; ++kind)
@@ -100,9 +101,9 @@
     EXPECT_EQ(counters().scored - before.scored, 0U);
 }
 
-// The same of steps that fill: a worker that told something new is looked at
-// once, whatever number of kinds waits.
-TEST_F(large_pool, looks_once_at_each_changed_worker_for_filling_steps)
+// The same holds for best-effort steps: a worker with a new report is examined
+// once, however many images wait.
+TEST_F(large_pool, waiting_best_effort_steps_score_each_changed_worker_once)
 {
     fill_up();
     for (int kind = 0; kind < kinds; ++kind)
--- a/tests/unit/pool/rebalance_test.cpp
+++ b/tests/unit/pool/rebalance_test.cpp
@@ -14,71 +14,72 @@
 {
 
 constexpr std::int64_t cores = 64'000;
-constexpr std::int64_t task_cores = 11'000;
-constexpr double alone = 4;
-
-// A model that has learned which of the images disturb each other: a reading of
-// three siblings, the last of which has the only neighbour.
-void teach(colocation& pairs,
-           std::uint16_t served,
-           std::uint16_t fill,
+constexpr std::int64_t task_millicores = 11'000;
+constexpr double isolated_headroom = 4;
+
+// Trains the model on one pair of images, with readings of three siblings, the
+// last of which has the only neighbour.
+void train(colocation& pairs,
+           std::uint16_t serving_image,
+           std::uint16_t best_effort_image,
            double weight)
 {
     constexpr double share = 0.3;
     for (int round = 0; round < 40; ++round)
     {
-        serving_reading calm;
-        calm.headroom = alone;
-        serving_reading beside;
-        beside.headroom = std::max(alone - weight * share, 0.5);
-        beside.neighbours = {{fill, share}};
-        pairs.learn(served, {&calm, &calm, &beside});
+        serving_reading undisturbed;
+        undisturbed.headroom = isolated_headroom;
+        serving_reading disturbed;
+        disturbed.headroom = std::max(isolated_headroom - weight * share, 0.5);
+        disturbed.neighbours = {{best_effort_image, share}};
+        pairs.learn(serving_image, {&undisturbed, &undisturbed, &disturbed});
     }
 }
 
 movable_task make_task(std::uint16_t image, std::uint32_t index)
 {
-    movable_task made;
-    made.name = {"serving", 0, 0, index};
-    made.image = image;
-    made.declared = {task_cores, 1000, 0};
-    made.isolated_headroom = alone;
-    made.may_move = true;
-    return made;
+    movable_task t;
+    t.name = {"serving", 0, 0, index};
+    t.image = image;
+    t.declared = {task_millicores, 1000, 0};
+    t.isolated_headroom = isolated_headroom;
+    t.may_move = true;
+    return t;
 }
 
-// A worker with `images` on it, one serving task each, that use half of what
-// they reserve.
+// Returns a worker with one serving task for each of `images`. The tasks use
+// half of the cores that they reserve.
 rebalance_worker make_worker(std::string id,
                              std::vector<std::uint16_t> const& images)
 {
-    static std::uint32_t next = 0;
-    rebalance_worker made;
-    made.id = std::move(id);
-    made.capacity = cores;
-    auto const reserved = static_cast<std::int64_t>(images.size()) * task_cores;
-    made.free = {cores - reserved, 250'000, 0};
-    made.idle = cores - reserved / 2;
-    made.may_be_cleared = true;
+    static std::uint32_t next_index = 0;
+    rebalance_worker w;
+    w.id = std::move(id);
+    w.capacity = cores;
+    auto const reserved =
+        static_cast<std::int64_t>(images.size()) * task_millicores;
+    w.free = {cores - reserved, 250'000, 0};
+    w.idle = cores - reserved / 2;
+    w.may_be_cleared = true;
     for (auto const image : images)
     {
-        made.serving.push_back(make_task(image, ++next));
+        w.serving.push_back(make_task(image, ++next_index));
     }
-    return made;
+    return w;
 }
 
-struct regrouping : testing::Test
+struct rebalancing : testing::Test
 {
-    regrouping() : pairs(colocation_settings{})
+    rebalancing() : pairs(colocation_settings{})
     {
         delicate = pairs.number_of("delicate");
         sturdy = pairs.number_of("sturdy");
         heavy = pairs.number_of("heavy");
         light = pairs.number_of("light");
-        teach(pairs, delicate, heavy, 9);
-        teach(pairs, delicate, light, 0);
-        teach(pairs, sturdy, heavy, 0);
-        teach(pairs, sturdy, light, 0);
+        train(pairs, delicate, heavy, 9);
+        train(pairs, delicate, light, 0);
+        train(pairs, sturdy, heavy, 0);
+        train(pairs, sturdy, light, 0);
     }
 
     std::optional<rebalance_plan> plan() const
@@ -86,51 +87,51 @@
         return plan_rebalance(settings, pairs, workers, waiting);
     }
 
-    // Carries the plan out at once, as stop and start do within a second.
-    void apply(rebalance_plan const& what)
+    // Executes the plan at once, as a stop and a start do within a second.
+    void apply(rebalance_plan const& plan)
     {
         auto const find = [this](std::string const& id) -> rebalance_worker&
         {
             return *std::find_if(workers.begin(),
                                  workers.end(),
-                                 [&id](auto const& each)
+                                 [&id](auto const& item)
                                  {
-                                     return each.id == id;
+                                     return item.id == id;
                                  });
         };
-        auto& from = find(what.from);
-        for (auto const& move : what.moves)
+        auto& from = find(plan.from);
+        for (auto const& move : plan.moves)
         {
             auto const task = std::find_if(from.serving.begin(),
                                            from.serving.end(),
-                                           [&move](auto const& each)
+                                           [&move](auto const& item)
                                            {
-                                               return each.name == move.name;
+                                               return item.name == move.name;
                                            });
-            auto& to = find(move.to);
-            to.serving.push_back(*task);
-            to.free -= task->declared;
-            to.idle -= task->declared.millicores / 2;
+            auto& target = find(move.to);
+            target.serving.push_back(*task);
+            target.free -= task->declared;
+            target.idle -= task->declared.millicores / 2;
             from.free += task->declared;
             from.idle += task->declared.millicores / 2;
             from.serving.erase(task);
         }
-        from.cleared_for.push_back(what.image);
+        from.cleared_for.push_back(plan.image);
     }
 
-    std::int64_t open_to(std::uint16_t fill) const
+    std::int64_t idle_millicores_for(std::uint16_t best_effort_image) const
     {
         std::int64_t total = 0;
-        for (auto const& each : workers)
+        for (auto const& w : workers)
         {
-            bool const open =
-                std::none_of(each.serving.begin(),
-                             each.serving.end(),
-                             [&](auto const& task)
-                             {
-                                 return pairs.disturbs(task.image, fill);
-                             });
-            total += open ? each.idle : 0;
+            bool const undisturbed = std::none_of(
+                w.serving.begin(),
+                w.serving.end(),
+                [&](auto const& t)
+                {
+                    return pairs.disturbs(t.image, best_effort_image);
+                });
+            total += undisturbed ? w.idle : 0;
         }
         return total;
     }
@@ -147,21 +148,22 @@
 
 } // namespace
 
-// Failure: work waits beside idle cores, a delicate task on each worker.
-TEST_F(regrouping, clears_the_worker_that_costs_least)
+// Failure: work waits although there are idle cores, since a delicate task runs
+// on each worker.
+TEST_F(rebalancing, clears_the_worker_with_the_lowest_cost)
 {
     workers = {make_worker("a", {delicate, sturdy, sturdy}),
                make_worker("b", {delicate, delicate, sturdy})};
     waiting = {{heavy, 7000, 70'000}};
-    auto const made = plan();
-    ASSERT_TRUE(made.has_value());
-    EXPECT_EQ(made->from, "a");
-    ASSERT_EQ(made->moves.size(), 1U);
-    EXPECT_EQ(made->moves.front().to, "b");
+    auto const found = plan();
+    ASSERT_TRUE(found.has_value());
+    EXPECT_EQ(found->from, "a");
+    ASSERT_EQ(found->moves.size(), 1U);
+    EXPECT_EQ(found->moves.front().to, "b");
 }
 
-// Failure: serving tasks move for work that only waits its turn.
-TEST_F(regrouping, moves_nothing_while_the_work_has_a_place)
+// Failure: serving tasks move for work that is only waiting for its turn.
+TEST_F(rebalancing, moves_nothing_while_a_worker_can_take_the_work)
 {
     workers = {make_worker("a", {delicate, sturdy}),
                make_worker("b", {delicate, delicate}),
@@ -171,7 +173,7 @@
 }
 
 // Failure: serving tasks move for a pair that may be harmless.
-TEST_F(regrouping, moves_nothing_for_a_pair_that_is_not_known)
+TEST_F(rebalancing, moves_nothing_for_an_unknown_pair)
 {
     auto const fresh = pairs.number_of("fresh");
     workers = {make_worker("a", {delicate}), make_worker("b", {delicate})};
@@ -179,8 +181,8 @@
     EXPECT_FALSE(plan().has_value());
 }
 
-// Failure: a serving task is stopped and finds no room.
-TEST_F(regrouping, moves_nothing_without_room_elsewhere)
+// Failure: a serving task is stopped and no worker has capacity for it.
+TEST_F(rebalancing, moves_nothing_without_capacity_elsewhere)
 {
     workers = {
         make_worker("a", {delicate, sturdy}),
@@ -189,21 +191,21 @@
     EXPECT_FALSE(plan().has_value());
 }
 
-// Failure: two tasks that leave one worker are promised the same room.
-TEST_F(regrouping, promises_room_once)
+// Failure: the same capacity is reserved for two tasks that leave one worker.
+TEST_F(rebalancing, reserves_capacity_only_once)
 {
     workers = {make_worker("a", {delicate, delicate}),
                make_worker("b", {delicate, delicate, delicate, delicate}),
                make_worker("c", {delicate, delicate, delicate, delicate})};
     waiting = {{heavy, 7000, 70'000}};
-    auto const made = plan();
-    ASSERT_TRUE(made.has_value());
-    ASSERT_EQ(made->moves.size(), 2U);
-    EXPECT_NE(made->moves[0].to, made->moves[1].to);
+    auto const found = plan();
+    ASSERT_TRUE(found.has_value());
+    ASSERT_EQ(found->moves.size(), 2U);
+    EXPECT_NE(found->moves[0].to, found->moves[1].to);
 }
 
-// Failure: a serving task moves beside what disturbs it.
-TEST_F(regrouping, keeps_away_from_what_disturbs_there)
+// Failure: a serving task moves to a worker with work that disturbs it.
+TEST_F(rebalancing, moves_no_task_next_to_disturbing_work)
 {
     workers = {make_worker("a", {delicate, sturdy}),
                make_worker("b", {delicate})};
@@ -214,7 +216,7 @@
 }
 
 // Failure: a task moves to another service's worker, where it can't start.
-TEST_F(regrouping, keeps_tasks_with_their_service)
+TEST_F(rebalancing, moves_tasks_only_within_their_service)
 {
     workers = {make_worker("a", {delicate, sturdy}),
                make_worker("b", {delicate, delicate})};
@@ -223,8 +225,9 @@
     EXPECT_FALSE(plan().has_value());
 }
 
-// Failure: the next plan fills a worker that was just cleared.
-TEST_F(regrouping, leaves_a_cleared_worker_clear)
+// Failure: the next plan moves a disturbed task to a worker that was just
+// cleared.
+TEST_F(rebalancing, moves_no_disturbed_task_to_a_cleared_worker)
 {
     workers = {make_worker("a", {}), make_worker("b", {delicate})};
     workers[0].cleared_for = {heavy};
@@ -233,8 +236,8 @@
     EXPECT_FALSE(plan().has_value());
 }
 
-// Failure: plans open too few idle cores of a mixed pool, or never end.
-TEST_F(regrouping, opens_a_mixed_pool_to_the_work_that_waits)
+// Failure: plans make too few idle cores of a mixed pool usable, or never end.
+TEST_F(rebalancing, makes_idle_cores_of_a_mixed_pool_usable)
 {
     std::mt19937 random(7);
     for (int number = 0; number < 48; ++number)
@@ -247,33 +250,36 @@
         workers.push_back(make_worker("w" + std::to_string(number), images));
     }
     waiting = {{heavy, 7000, 2'000'000}};
-    auto const before = open_to(heavy);
+    auto const before = idle_millicores_for(heavy);
     std::size_t moves = 0;
     for (int round = 0; round < 100; ++round)
     {
-        // All that is open is taken by the work at once.
-        auto seen = workers;
-        for (auto& each : seen)
+        // The waiting work uses all undisturbed workers at once.
+        auto busy_workers = workers;
+        for (auto& w : busy_workers)
         {
-            bool const open = std::none_of(each.serving.begin(),
-                                           each.serving.end(),
-                                           [&](auto const& task)
-                                           {
-                                               return task.image == delicate;
-                                           });
-            each.idle = open ? 0 : each.idle;
-            each.best_effort = open ? std::vector<neighbour_share>{{heavy, 0.5}}
-                                    : std::vector<neighbour_share>{};
+            bool const undisturbed =
+                std::none_of(w.serving.begin(),
+                             w.serving.end(),
+                             [&](auto const& t)
+                             {
+                                 return t.image == delicate;
+                             });
+            w.idle = undisturbed ? 0 : w.idle;
+            w.best_effort = undisturbed
+                                ? std::vector<neighbour_share>{{heavy, 0.5}}
+                                : std::vector<neighbour_share>{};
         }
-        auto const made = plan_rebalance(settings, pairs, seen, waiting);
-        if (!made)
+        auto const found =
+            plan_rebalance(settings, pairs, busy_workers, waiting);
+        if (!found)
         {
             break;
         }
-        moves += made->moves.size();
-        apply(*made);
+        moves += found->moves.size();
+        apply(*found);
     }
-    EXPECT_GT(open_to(heavy), before + 150'000);
+    EXPECT_GT(idle_millicores_for(heavy), before + 150'000);
     EXPECT_GT(moves, 0U);
     EXPECT_LT(moves, 100U);
 }
@@ -281,35 +287,36 @@
 namespace
 {
 
-// A serving task whose tail is a fifth of its target while nobody disturbs it.
+// Returns a job of serving tasks whose tail latency is a fifth of the target
+// without disturbance.
 job serving_job(std::uint32_t count)
 {
-    auto made = simple_job(count, 1s);
-    made.spec = "lasts tail=20";
-    auto& what = made.steps.front();
-    what.declared = {2000, 100, 0};
-    what.long_running = true;
-    what.image = "delicate";
-    what.tail_target = 100ms;
-    return made;
+    auto job = simple_job(count, 1s);
+    job.spec = "lasts tail=20";
+    auto& s = job.steps.front();
+    s.declared = {2000, 100, 0};
+    s.long_running = true;
+    s.image = "delicate";
+    s.tail_target = 100ms;
+    return job;
 }
 
-job filling_job(std::uint32_t count)
+job best_effort_job(std::uint32_t count)
 {
-    auto made = simple_job(count, 1500ms);
-    made.spec = "work=1500 strain=30 cores=1000";
-    auto& what = made.steps.front();
-    what.declared = {1000, 100, 0};
-    what.best_effort = true;
-    what.image = "heavy";
-    return made;
+    auto job = simple_job(count, 1500ms);
+    job.spec = "work=1500 strain=30 cores=1000";
+    auto& s = job.steps.front();
+    s.declared = {1000, 100, 0};
+    s.best_effort = true;
+    s.image = "heavy";
+    return job;
 }
 
-// Four workers with one delicate task each, six of eight cores idle, and heavy
-// work that comes faster than it may run beside them.
-struct scattered_pool
+// Four workers with one delicate task each and six of eight cores idle; heavy
+// work arrives faster than it may run next to these tasks.
+struct spread_serving_pool
 {
-    scattered_pool()
+    spread_serving_pool()
     {
         world.run_until(
             [this]
@@ -333,7 +340,7 @@
         for (int round = 0; round < rounds; ++round)
         {
             auto const number = std::to_string(next++);
-            world.submit(0, "fill" + number, filling_job(5));
+            world.submit(0, "fill" + number, best_effort_job(5));
             world.run(500ms);
         }
     }
@@ -354,7 +361,7 @@
         return count;
     }
 
-    std::size_t serving_at_work()
+    std::size_t running_serving_tasks()
     {
         std::size_t count = 0;
         for (std::uint32_t index = 0; index < 4; ++index)
@@ -370,36 +377,36 @@
 
 } // namespace
 
-// Failure: serving tasks stay in the way, or run twice as they move.
-TEST(pool_regroup, serving_tasks_make_room_for_work_that_waits)
+// Failure: serving tasks keep blocking the work, or run twice while they move.
+TEST(pool_rebalance, serving_tasks_move_away_for_waiting_work)
 {
-    scattered_pool pool;
+    spread_serving_pool pool;
     ASSERT_EQ(pool.workers_without_serving(), 0U);
     pool.send_heavy_work(50);
     EXPECT_GT(pool.workers_without_serving(), 0U);
     pool.world.run(2s);
-    EXPECT_EQ(pool.serving_at_work(), 4U);
+    EXPECT_EQ(pool.running_serving_tasks(), 4U);
     EXPECT_EQ(pool.world.violation(), "");
 }
 
-// Failure: a task that moves at a takeover starts twice, or never.
-TEST(pool_regroup, a_killed_owner_leaves_no_task_without_a_place)
+// Failure: a task that moves during a takeover starts twice, or never.
+TEST(pool_rebalance, serving_tasks_all_run_after_the_owner_is_killed)
 {
     for (int rounds = 20; rounds < 44; rounds += 3)
     {
-        scattered_pool pool;
+        spread_serving_pool pool;
         pool.send_heavy_work(rounds);
         pool.world.kill(*pool.world.owner());
         pool.world.run(10s);
-        EXPECT_EQ(pool.serving_at_work(), 4U) << "after " << rounds;
+        EXPECT_EQ(pool.running_serving_tasks(), 4U) << "after " << rounds;
         EXPECT_EQ(pool.world.violation(), "") << "after " << rounds;
     }
 }
 
-// Failure: room promised to cancelled tasks stays reserved.
-TEST(pool_regroup, cancelled_tasks_give_their_promised_room_back)
+// Failure: the reservations of cancelled tasks are kept.
+TEST(pool_rebalance, cancelled_tasks_release_their_reservations)
 {
-    scattered_pool pool;
+    spread_serving_pool pool;
     pool.send_heavy_work(30);
     pool.world.cancel(0, "serving");
     pool.world.run(10s);
@@ -407,9 +414,9 @@
                       "wide",
                       []
                       {
-                          auto made = simple_job(4, 500ms);
-                          made.steps.front().declared = {8000, 100, 0};
-                          return made;
+                          auto wide_job = simple_job(4, 500ms);
+                          wide_job.steps.front().declared = {8000, 100, 0};
+                          return wide_job;
                       }());
     EXPECT_TRUE(pool.world.run_until(
         [&pool]
@@ -419,8 +426,8 @@
     EXPECT_EQ(pool.world.violation(), "");
 }
 
-// Failure: two serving images share a worker beside empty ones.
-TEST(pool_serving, images_share_a_worker_only_once_none_is_empty)
+// Failure: two serving images share a worker although others are empty.
+TEST(pool_serving, images_share_a_worker_only_if_none_is_empty)
 {
     pool_simulation world;
     world.run_until(
@@ -445,10 +452,11 @@
     EXPECT_EQ(mixed, 0U);
 }
 
-// Moves of many serving tasks filled the owner's output just when work waited.
-TEST(pool_regroup, tells_the_moves_from_a_worker_in_one_line)
+// Failure: log lines for the moves of many serving tasks filled the owner's
+// output just when work was waiting.
+TEST(pool_rebalance, logs_the_moves_from_a_worker_in_one_line)
 {
-    scattered_pool pool;
+    spread_serving_pool pool;
     pool.send_heavy_work(50);
     std::map<std::pair<time_point, std::string>, std::size_t> lines;
     std::size_t moved = 0;
--- a/tests/unit/pool/short_job_reserve_test.cpp
+++ b/tests/unit/pool/short_job_reserve_test.cpp
@@ -12,23 +12,24 @@
 
 constexpr common::time_point start{1h};
 
-// Tasks of so many cores of the 8 of a worker.
+// Returns a job whose tasks need `cores` of the 8 cores of a worker.
 fuchsia::core::pool::job sized_job(std::uint32_t tasks, std::int64_t cores)
 {
-    auto made = simple_job(tasks, 1s);
-    made.steps.front().declared.millicores = cores * 1000;
-    return made;
+    auto job = simple_job(tasks, 1s);
+    job.steps.front().declared.millicores = cores * 1000;
+    return job;
 }
 
-fuchsia::core::pool::job lasting_job(std::uint32_t tasks, std::int64_t cores)
+fuchsia::core::pool::job long_running_job(std::uint32_t tasks,
+                                          std::int64_t cores)
 {
-    auto made = sized_job(tasks, cores);
-    made.steps.front().long_running = true;
-    made.spec = "lasts";
-    return made;
+    auto job = sized_job(tasks, cores);
+    job.steps.front().long_running = true;
+    job.spec = "lasts";
+    return job;
 }
 
-// Short tasks that need 24 of the 32 cores, for some seconds.
+// Submits short tasks that need 24 of the 32 cores, for 5 s.
 void keep_busy(pool_simulation& world, std::size_t at)
 {
     for (int second = 0; second < 5; ++second)
@@ -38,121 +39,124 @@
     }
 }
 
-std::size_t at_work(pool_simulation& world)
+std::size_t running_tasks(pool_simulation& world)
 {
-    std::size_t made = 0;
-    for (std::size_t number = 0; number < world.worker_count(); ++number)
+    std::size_t count = 0;
+    for (std::size_t index = 0; index < world.worker_count(); ++index)
     {
-        made += world.worker(number).running();
+        count += world.worker(index).running();
     }
-    return made;
+    return count;
 }
 
-// Short tasks need most of the pool, then lasting ones come, of which five have
-// a place: wherever two of them had room they may not wait. Returns an instance
-// that is not the owner.
-std::size_t leave_room(pool_simulation& world)
+// Lets short tasks use most of the pool, then submits long-running ones, of
+// which five can start: they may not wait while a worker has capacity for two
+// of them. Returns an instance that is not the owner.
+std::size_t start_with_reserve(pool_simulation& world)
 {
     run_until_owned(world);
     auto const other = other_than(*world.owner());
     world.run(1s);
     keep_busy(world, other);
-    world.submit(other, "lasting", lasting_job(20, 3));
+    world.submit(other, "lasting", long_running_job(20, 3));
     world.run(2s);
     return other;
 }
 
 } // namespace
 
-// Room for what is needed on average is missing in each burst; room for the
-// highest burst lies idle.
-TEST(pool_guaranteed_room, expects_what_is_enough_most_of_the_time)
+// A reserve for the average demand is too small in each burst; one for the
+// highest burst leaves cores idle.
+TEST(pool_short_job_reserve, expected_demand_covers_most_of_the_window)
 {
-    guaranteed_room room({});
+    short_job_reserve reserve({});
     for (int step = 0; step < 40; ++step)
     {
-        room.observe(start + step * 500ms, {(step % 10 + 1) * 1'000, 1});
+        reserve.observe(start + step * 500ms, {(step % 10 + 1) * 1'000, 1});
     }
-    EXPECT_EQ(room.expected(), 8'000);
+    EXPECT_EQ(reserve.expected(), 8'000);
     for (int step = 40; step < 81; ++step)
     {
-        room.observe(start + step * 500ms, {2'000, 1});
+        reserve.observe(start + step * 500ms, {2'000, 1});
     }
-    EXPECT_EQ(room.expected(), 2'000);
+    EXPECT_EQ(reserve.expected(), 2'000);
 }
 
-// Slivers add up to cores that no task can use.
-TEST(pool_guaranteed_room, counts_whole_pieces_alone)
+// Fragments smaller than a task add up to cores that no task can use.
+TEST(pool_short_job_reserve,
+     usable_millicores_are_multiples_of_the_average_task)
 {
-    guaranteed_room room({});
-    EXPECT_EQ(room.usable_millicores(7'000), 7'000);
-    room.observe(start, {24'000, 2});
-    EXPECT_EQ(room.usable_millicores(11'999), 0);
-    EXPECT_EQ(room.usable_millicores(30'000), 24'000);
-    EXPECT_EQ(room.usable_millicores(-1'000), 0);
+    short_job_reserve reserve({});
+    EXPECT_EQ(reserve.usable_millicores(7'000), 7'000);
+    reserve.observe(start, {24'000, 2});
+    EXPECT_EQ(reserve.usable_millicores(11'999), 0);
+    EXPECT_EQ(reserve.usable_millicores(30'000), 24'000);
+    EXPECT_EQ(reserve.usable_millicores(-1'000), 0);
 }
 
-TEST(pool_guaranteed_room, spares_what_is_beyond_the_expected)
+TEST(pool_short_job_reserve, leaves_enough_up_to_the_expected_demand)
 {
-    guaranteed_room room({});
-    room.observe(start, {24'000, 2});
-    room.set_available(40'000);
-    EXPECT_TRUE(room.leaves_enough(16'000));
-    EXPECT_FALSE(room.leaves_enough(17'000));
-    room.consume(10'000);
-    EXPECT_FALSE(room.leaves_enough(7'000));
+    short_job_reserve reserve({});
+    reserve.observe(start, {24'000, 2});
+    reserve.set_available(40'000);
+    EXPECT_TRUE(reserve.leaves_enough(16'000));
+    EXPECT_FALSE(reserve.leaves_enough(17'000));
+    reserve.consume(10'000);
+    EXPECT_FALSE(reserve.leaves_enough(7'000));
 }
 
-// Lasting tasks took all that could be reserved, and short jobs waited until
-// they were late.
-TEST(pool_guaranteed_room,
-     a_burst_of_short_tasks_finds_room_beside_lasting_ones)
+// Failure: long-running tasks took all capacity that could be reserved, and
+// short jobs waited until they were late.
+TEST(pool_short_job_reserve,
+     burst_of_short_tasks_finds_capacity_beside_long_running_ones)
 {
     pool_simulation world(3, 4);
-    auto const other = leave_room(world);
-    ASSERT_EQ(at_work(world), 5U);
+    auto const other = start_with_reserve(world);
+    ASSERT_EQ(running_tasks(world), 5U);
     world.submit(other, "burst", sized_job(4, 4));
     world.run(200ms);
-    EXPECT_EQ(at_work(world), 8U);
+    EXPECT_EQ(running_tasks(world), 8U);
 }
 
-// A lasting job of which nothing is at work serves nobody, while another one of
-// many tasks could do with one less.
-TEST(pool_guaranteed_room, each_lasting_job_has_a_task_at_work)
+// A long-running job without a running task serves nobody, while another one
+// with many tasks can do with one less.
+TEST(pool_short_job_reserve, every_long_running_job_gets_its_first_task)
 {
     pool_simulation world(3, 4);
-    auto const other = leave_room(world);
-    ASSERT_EQ(at_work(world), 5U);
-    world.submit(other, "other", lasting_job(20, 3));
+    auto const other = start_with_reserve(world);
+    ASSERT_EQ(running_tasks(world), 5U);
+    world.submit(other, "other", long_running_job(20, 3));
     world.run(1s);
-    EXPECT_EQ(at_work(world), 6U);
+    EXPECT_EQ(running_tasks(world), 6U);
 }
 
-// A lasting task that failed waited for good behind short ones, though there
-// was room for it.
-TEST(pool_guaranteed_room, what_was_at_work_returns_first)
+// Failure: a long-running task that had failed waited forever behind short
+// ones, though there was capacity for it.
+TEST(pool_short_job_reserve,
+     failed_long_running_task_restarts_before_the_reserve)
 {
     pool_simulation world(3, 4);
-    leave_room(world);
-    ASSERT_EQ(at_work(world), 5U);
-    // A worker with two of them dies; two find a place at once.
-    std::size_t two = 0;
-    while (world.worker(two).running() != 2)
+    start_with_reserve(world);
+    ASSERT_EQ(running_tasks(world), 5U);
+    // A worker with two of the tasks dies; two tasks start again at once.
+    std::size_t index = 0;
+    while (world.worker(index).running() != 2)
     {
-        ++two;
+        ++index;
     }
-    world.restart_worker(two);
+    world.restart_worker(index);
     world.run(3s);
-    EXPECT_EQ(at_work(world), 6U);
+    EXPECT_EQ(running_tasks(world), 6U);
 }
 
-// Without short work lasting tasks may have everything.
-TEST(pool_guaranteed_room, nothing_is_kept_where_nobody_needs_it)
+// Without short jobs long-running tasks may use the whole pool.
+TEST(pool_short_job_reserve, nothing_is_reserved_without_short_jobs)
 {
     pool_simulation world(3, 4);
     ASSERT_TRUE(run_until_owned(world));
     world.run(1s);
-    world.submit(other_than(*world.owner()), "lasting", lasting_job(20, 3));
+    world.submit(
+        other_than(*world.owner()), "lasting", long_running_job(20, 3));
     world.run(2s);
-    EXPECT_EQ(at_work(world), 8U);
+    EXPECT_EQ(running_tasks(world), 8U);
 }
--- a/tests/unit/pool/view_test.cpp
+++ b/tests/unit/pool/view_test.cpp
@@ -32,25 +32,26 @@
 
 } // namespace
 
-// A task that needs more than any worker has left waits; whoever asks is told
-// that room is what is missing, by the number of workers.
-TEST_F(pool_view, says_what_a_waiting_job_lacks)
+// A task that needs more than any worker has left waits; the description gives
+// capacity as the obstacle, with the number of workers.
+TEST_F(pool_view, reports_the_obstacles_of_a_waiting_job)
 {
     auto wide = simple_job(1, 1s);
     wide.steps.front().declared.millicores = 1'000'000'000;
     world.submit(0, "wide", wide);
     world.run(1s);
-    auto const seen = scheduler().describe(world.now(), "wide");
-    ASSERT_TRUE(seen.has_value());
-    EXPECT_FALSE(seen->job.started);
-    ASSERT_EQ(seen->waiting.size(), 1U);
-    EXPECT_EQ(seen->waiting.front().possible, 0U);
-    EXPECT_EQ(seen->waiting.front().obstacles.at(obstacle::capacity),
+    auto const detail = scheduler().describe(world.now(), "wide");
+    ASSERT_TRUE(detail.has_value());
+    EXPECT_FALSE(detail->job.started);
+    ASSERT_EQ(detail->waiting.size(), 1U);
+    EXPECT_EQ(detail->waiting.front().possible, 0U);
+    EXPECT_EQ(detail->waiting.front().obstacles.at(obstacle::capacity),
               world.worker_count());
 }
 
-// A worker that stops answering is why a task stays away from it.
-TEST_F(pool_view, tells_a_silent_worker_from_a_full_one)
+// Failure: a worker that stops answering is not shown as the reason why tasks
+// do not start there.
+TEST_F(pool_view, reports_a_worker_that_stops_answering_as_silent)
 {
     world.worker_fault =
         [](std::size_t, std::size_t worker, ports::pool_operation const&)
@@ -62,27 +63,27 @@
     auto const rows = scheduler().workers(world.now());
     auto const silent = std::count_if(rows.begin(),
                                       rows.end(),
-                                      [](worker_status const& each)
+                                      [](worker_status const& w)
                                       {
-                                          return each.silent;
+                                          return w.silent;
                                       });
     EXPECT_EQ(silent, 1);
 }
 
-// What runs is told with its attempt and its worker, and a job that is over is
-// not shown as one at work.
-TEST_F(pool_view, shows_tasks_while_they_run)
+// Running tasks are described with their attempt and worker; a job that is over
+// is not described as running.
+TEST_F(pool_view, describes_jobs_only_while_they_run)
 {
     world.submit(0, "two", simple_job(2, 1s));
     world.run(500ms);
-    auto const seen = scheduler().describe(world.now(), "two");
-    ASSERT_TRUE(seen.has_value());
-    ASSERT_EQ(seen->tasks.size(), 2U);
-    for (auto const& each : seen->tasks)
+    auto const detail = scheduler().describe(world.now(), "two");
+    ASSERT_TRUE(detail.has_value());
+    ASSERT_EQ(detail->tasks.size(), 2U);
+    for (auto const& t : detail->tasks)
     {
-        EXPECT_EQ(each.phase, task_phase::running);
-        EXPECT_EQ(each.attempt, 1U);
-        EXPECT_FALSE(each.worker.empty());
+        EXPECT_EQ(t.phase, task_phase::running);
+        EXPECT_EQ(t.attempt, 1U);
+        EXPECT_FALSE(t.worker.empty());
     }
     EXPECT_EQ(scheduler().jobs(world.now()).size(), 1U);
     world.run(5s);
--- a/tests/unit/pool/worker_speed_test.cpp
+++ b/tests/unit/pool/worker_speed_test.cpp
@@ -6,9 +6,9 @@
 using fuchsia::core::pool::worker_speed;
 using namespace std::chrono_literals;
 
-// A worker takes six times as long as estimated for some seconds and looks
-// healthy. Tasks that go on being placed there are late.
-TEST(worker_speed, sees_a_slow_worker_within_two_seconds)
+// Failure: a worker takes six times as long as estimated for some seconds and
+// looks healthy. Tasks that are still placed there are late.
+TEST(worker_speed, detects_a_slow_worker_within_two_seconds)
 {
     worker_speed speed;
     time_point now(10s);
@@ -18,12 +18,13 @@
         speed.observe(now, 4, 1s, 250ms);
     }
     EXPECT_LT(speed.value(now), 0.4);
-    // It is tried again later.
+    // The worker is used again later.
     EXPECT_GT(speed.value(now + 20s), 0.9);
 }
 
-// Estimates are off by half either way: one task says nothing of its worker.
-TEST(worker_speed, one_task_says_little)
+// Estimates are off by half in either direction: one task says nothing about
+// its worker.
+TEST(worker_speed, one_sample_changes_the_speed_little)
 {
     worker_speed speed;
     speed.observe(time_point(10s), 10, 1s, 250ms);
