--- a/src/core/pool/colocation.cpp
+++ b/src/core/pool/colocation.cpp
@@ -382,8 +382,8 @@
     }
     for (auto const& record : earlier.pairs)
     {
-        auto const serving_image = number_of(record.served);
-        auto const neighbour_image = number_of(record.beside);
+        auto const serving_image = number_of(record.serving_image);
+        auto const neighbour_image = number_of(record.neighbour_image);
         pairs_[serving_image * settings_.max_images + neighbour_image] = {
             std::clamp(record.weight, 0.0, settings_.max_weight),
             std::clamp(record.variance,
--- a/src/core/pool/interference_estimates.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -100,8 +100,8 @@
     json::array pairs;
     for (auto const& record : value.pairs)
     {
-        pairs.push_back(json::array{images.number_of(record.served),
-                                    images.number_of(record.beside),
+        pairs.push_back(json::array{images.number_of(record.serving_image),
+                                    images.number_of(record.neighbour_image),
                                     scaled(record.weight),
                                     scaled(record.variance)});
     }
--- a/src/core/pool/interference_estimates.hpp
+++ b/src/core/pool/interference_estimates.hpp
@@ -21,12 +21,12 @@
     double readings = 0; ///< Number of readings behind `mean`.
 };
 
-/// Headroom that `beside` takes from a task of `served` if it uses a whole
-/// worker.
+/// Headroom that `neighbour_image` takes from a task of `serving_image` if it
+/// uses a whole worker.
 struct pair_record
 {
-    std::string served;
-    std::string beside;
+    std::string serving_image;
+    std::string neighbour_image;
     double weight = 0;
     double variance = 0;
 };
