--- a/src/core/pool/request_handler.cpp
+++ b/src/core/pool/request_handler.cpp
@@ -17,10 +17,10 @@
 namespace
 {
 
-// One failure may be a connection that broke just then.
-constexpr std::uint32_t failures_to_believe = 2;
+// A single failure may be due to a connection that has just broken.
+constexpr std::uint32_t min_failed_commits = 2;
 
-std::optional<job_state> final_from(std::string_view text)
+std::optional<job_state> parse_final_state(std::string_view text)
 {
     if (text == "completed")
     {
@@ -37,27 +37,29 @@
 } // namespace
 
 request_handler::request_handler(request_handler_settings settings,
-                                 operator_follower const& rules,
+                                 operator_follower const& operators,
                                  outbox& out,
                                  revision_times& times)
-    : settings_(settings), rules_(rules), out_(out), times_(times)
+    : settings_(settings), operators_(operators), out_(out),
+      revision_times_(times)
 {
 }
 
 std::size_t request_handler::open() const noexcept
 {
-    return open_;
+    return open_requests_;
 }
 
-// A call that fails for want of a connection takes most of a second. After two
-// of them in a row the next callers are not made to wait for a third. A lost
-// answer says nothing of the next call.
+// A call that fails because there is no connection takes most of a second.
+// After two consecutive failures, further callers are refused at once instead
+// of waiting for a third. A lost answer does not count as a failure: it does
+// not show whether the next call will succeed.
 bool request_handler::store_unavailable(common::time_point now) const noexcept
 {
-    auto const silent = store_silence(now);
-    bool const failing =
-        failures_ >= failures_to_believe && silent > settings_.failing_after;
-    return failing || silent > settings_.store_unavailable_after;
+    auto const silence = store_silence(now);
+    bool const failing = failed_commits_ >= min_failed_commits &&
+                         silence > settings_.failing_after;
+    return failing || silence > settings_.store_unavailable_after;
 }
 
 common::duration
@@ -66,15 +68,15 @@
     return now - out_.store_answered();
 }
 
-void request_handler::note(ports::kv_reply const& reply)
+void request_handler::count_failure(ports::kv_reply const& reply)
 {
     if (reply.status == kv_status::refused)
     {
-        ++failures_;
+        ++failed_commits_;
     }
     else if (reply.status != kv_status::unclear)
     {
-        failures_ = 0;
+        failed_commits_ = 0;
     }
 }
 
@@ -82,55 +84,63 @@
                                  pool_request const& request,
                                  owner const* owned)
 {
-    ++open_;
-    if (!rules_.loaded())
+    ++open_requests_;
+    if (!operators_.loaded())
     {
-        refuse(request.caller, "no configuration was read yet");
+        refuse(request.caller, "no configuration has been read yet");
         return;
     }
-    auto const* const into =
-        rules_.state().config.find(request.host, request.path);
+    auto const* const target_queue =
+        operators_.state().config.find(request.host, request.path);
     bool const submits = std::holds_alternative<submit_request>(request.action);
-    // A job's state lies in the store, whatever has become of its queue.
-    bool const of_job = into != nullptr && !submits &&
-                        request.path.size() > into->prefix.size();
-    if (!of_job && configuration_is_old(now))
+    // The state of a job is in the store even if its queue has been changed or
+    // removed, so queries and cancellations of a job don't need a current
+    // configuration.
+    bool const concerns_job = target_queue != nullptr && !submits &&
+                              request.path.size() > target_queue->prefix.size();
+    if (!concerns_job && configuration_is_old(now))
     {
-        refuse_by_old_configuration(now, request);
+        refuse_for_old_configuration(now, request);
         return;
     }
-    if (into == nullptr)
+    if (target_queue == nullptr)
     {
         answer(request.caller, ports::queue_not_found{});
         return;
     }
-    auto id = request.path.substr(into->prefix.size());
-    bool const of_queue =
+    auto id = request.path.substr(target_queue->prefix.size());
+    bool const concerns_queue =
         id.empty() && std::holds_alternative<query_request>(request.action);
-    if (!of_queue && !is_job_id(id))
+    if (!concerns_queue && !is_job_id(id))
     {
         answer_malformed_id(request.caller, submits);
         return;
     }
-    if (auto const* const given = std::get_if<submit_request>(&request.action))
+    if (auto const* const submission =
+            std::get_if<submit_request>(&request.action))
     {
-        submit(now, request.caller, given->job_spec, *into, std::move(id));
+        submit(now,
+               request.caller,
+               submission->job_spec,
+               *target_queue,
+               std::move(id));
     }
     else if (std::holds_alternative<cancel_request>(request.action))
     {
-        cancel(now, ask_about(now, request.caller, id));
+        cancel(now, make_job_request(now, request.caller, id));
     }
-    else if (of_queue)
+    else if (concerns_queue)
     {
-        query_queue(now, request.caller, into->name, owned);
+        query_queue(now, request.caller, target_queue->name, owned);
     }
     else
     {
-        query(now, ask_about(now, request.caller, id), owned);
+        query(now, make_job_request(now, request.caller, id), owned);
     }
 }
 
-// Nobody can have handed such a job in.
+// A job with a malformed id cannot have been submitted, so it is reported as
+// not found.
 void request_handler::answer_malformed_id(std::uint64_t caller, bool submits)
 {
     if (!submits)
@@ -147,16 +157,16 @@
 bool request_handler::configuration_is_old(
     common::time_point now) const noexcept
 {
-    return now - rules_.state().current_as_of >
+    return now - operators_.state().current_as_of >
            settings_.configuration_age_limit;
 }
 
-// An instance that hears late of changes would go on saying that a queue which
-// was just added is absent, and take jobs for one that is gone.
-void request_handler::refuse_by_old_configuration(common::time_point now,
-                                                  pool_request const& request)
+// An instance that receives configuration changes late would still report a
+// newly added queue as not found, and accept jobs for a removed queue.
+void request_handler::refuse_for_old_configuration(common::time_point now,
+                                                   pool_request const& request)
 {
-    auto const& state = rules_.state();
+    auto const& state = operators_.state();
     out_.log(
         severity::warning,
         "configuration_old",
@@ -164,17 +174,19 @@
          {"version", std::to_string(state.config.version)},
          {"age_ms",
           std::to_string(common::to_milliseconds(now - state.current_as_of))}});
-    refuse(request.caller, "what operators set was last heard too long ago");
+    refuse(request.caller, "the operator configuration is out of date");
 }
 
-// The job's key must not exist, nor the record of its end: the same id, sent
-// again after its answer was lost or seconds after it was accepted, stays one
-// job, whichever instance gets it. Nor must its cancelling, which may have
-// overtaken it: a job that was cancelled before it came never runs.
+// Submission is idempotent: the commit requires that neither the job's key nor
+// its final state exists. An id that is submitted again, because its answer was
+// lost or seconds after it was accepted, stays one job, whichever instance
+// receives it. The commit also requires that no cancellation exists, because a
+// cancellation may overtake the submission: a job that was cancelled before it
+// arrived never runs.
 void request_handler::submit(common::time_point now,
                              std::uint64_t caller,
-                             job what,
-                             queue const& into,
+                             job submitted,
+                             queue const& target_queue,
                              std::string id)
 {
     if (store_unavailable(now))
@@ -184,30 +196,31 @@
                  {{"job", id},
                   {"store_silent_ms",
                    std::to_string(common::to_milliseconds(store_silence(now)))},
-                  {"failures", std::to_string(failures_)}});
-        refuse(caller, "the store is away");
+                  {"failures", std::to_string(failed_commits_)}});
+        refuse(caller, "the store is unavailable");
         return;
     }
-    what.id = id;
-    what.queue = into.name;
-    what.accepted_unix_ms = out_.unix_ms(now);
+    submitted.id = id;
+    submitted.queue = target_queue.name;
+    submitted.accepted_unix_ms = out_.unix_ms(now);
     ports::kv_commit commit;
     commit.preconditions.push_back({keys::job(id), 0});
     commit.preconditions.push_back({keys::final_state(id), 0});
     commit.preconditions.push_back({keys::cancel(id), 0});
-    commit.puts.push_back({keys::job(id), to_json(what), 0});
+    commit.puts.push_back({keys::job(id), to_json(submitted), 0});
     out_.store(
         life_,
         std::move(commit),
         settings_.call_timeout,
         [this, caller, id, now](common::time_point at, kv_reply const& reply)
         {
-            auto const took = std::to_string(common::to_milliseconds(at - now));
-            note(reply);
-            times_.note(now, reply.revision);
+            auto const elapsed_ms =
+                std::to_string(common::to_milliseconds(at - now));
+            count_failure(reply);
+            revision_times_.note(now, reply.revision);
             out_.push(ports::duration_sample{ports::duration_metric::accept,
                                              at - now});
-            auto const silent =
+            auto const silent_ms =
                 std::to_string(common::to_milliseconds(store_silence(at)));
             switch (reply.status)
             {
@@ -216,7 +229,7 @@
                          "job_accepted",
                          {{"job", id},
                           {"revision", std::to_string(reply.revision)},
-                          {"took_ms", took}});
+                          {"took_ms", elapsed_ms}});
                 answer(caller, ports::job_accepted{});
                 return;
             case kv_status::conflict:
@@ -227,177 +240,180 @@
                 out_.log(severity::warning,
                          "job_refused",
                          {{"job", id},
-                          {"took_ms", took},
-                          {"store_silent_ms", silent}});
-                refuse(caller, "the store did not take the job");
+                          {"took_ms", elapsed_ms},
+                          {"store_silent_ms", silent_ms}});
+                refuse(caller, "the store refused the job");
                 return;
             default:
                 out_.log(severity::warning,
                          "job_unclear",
                          {{"job", id},
-                          {"took_ms", took},
-                          {"store_silent_ms", silent}});
-                unknown(caller, "the store did not answer");
+                          {"took_ms", elapsed_ms},
+                          {"store_silent_ms", silent_ms}});
+                answer_unknown_outcome(caller, "the store did not answer");
                 return;
             }
         });
 }
 
-request_handler::job_question request_handler::ask_about(
+request_handler::job_request request_handler::make_job_request(
     common::time_point now, std::uint64_t caller, std::string const& id) const
 {
     return {caller, id, now + settings_.answer_limit};
 }
 
-// A call may take a connection first, which is not in its limit.
-common::duration request_handler::time_for(common::time_point now,
-                                           job_question const& asked,
-                                           common::duration limit) const
+// The result does not include the time to open a connection, which a call may
+// need first.
+common::duration request_handler::timeout_for(common::time_point now,
+                                              job_request const& request,
+                                              common::duration limit) const
 {
-    return std::clamp(asked.until - now, settings_.least_timeout, limit);
+    return std::clamp(request.deadline - now, settings_.min_timeout, limit);
 }
 
 void request_handler::query(common::time_point now,
-                            job_question const& asked,
+                            job_request const& request,
                             owner const* owned)
 {
-    auto const known = finals_.find(asked.id);
-    if (known != finals_.end())
+    auto const cached = final_states_.find(request.id);
+    if (cached != final_states_.end())
     {
-        answer(asked.caller, ports::job_status{known->second});
+        answer(request.caller, ports::job_status{cached->second});
         return;
     }
     auto const state = owned != nullptr && owned->loaded()
-                           ? owned->state_of(asked.id)
+                           ? owned->state_of(request.id)
                            : std::nullopt;
     if (state)
     {
-        answer(asked.caller, ports::job_status{*state});
+        answer(request.caller, ports::job_status{*state});
         return;
     }
     if (store_unavailable(now))
     {
-        refuse(asked.caller, "the store is away");
+        refuse(request.caller, "the store is unavailable");
         return;
     }
-    query_old_final(now, asked);
+    query_stale_final(now, request);
 }
 
-// Submitters ask most often when the last task has ended, and an end is never
-// taken back: a copy that is seconds behind may say that there is one, at a
-// tenth of the price. That it knows none says nothing.
-void request_handler::query_old_final(common::time_point now,
-                                      job_question const& asked)
+// Most queries come after the last task has ended, and a final state never
+// changes. A stale read therefore gives a correct final state at a tenth of the
+// cost, even from a replica that is seconds behind. If the stale read finds
+// none, the job may still have ended.
+void request_handler::query_stale_final(common::time_point now,
+                                        job_request const& request)
 {
     out_.store(life_,
-               ports::kv_read{keys::final_state(asked.id), true},
-               time_for(now, asked, settings_.old_read_timeout),
-               [this, asked](common::time_point at, kv_reply const& reply)
+               ports::kv_read{keys::final_state(request.id), true},
+               timeout_for(now, request, settings_.stale_read_timeout),
+               [this, request](common::time_point at, kv_reply const& reply)
                {
                    if (reply.status == kv_status::done && !reply.items.empty())
                    {
-                       answer_final(asked, reply.items.front());
+                       answer_final(request, reply.items.front());
                        return;
                    }
-                   query_job(at, asked);
+                   query_job(at, request);
                });
 }
 
-// The job's key before that of its end: a job that ends between the two reads
-// is then found by the second, and none is taken for unknown.
+// Reads the job's key before its final state: a job that ends between the two
+// reads is found by the second read instead of being reported as not found.
 void request_handler::query_job(common::time_point now,
-                                job_question const& asked)
+                                job_request const& request)
 {
     out_.store(life_,
-               ports::kv_read{keys::job(asked.id)},
-               time_for(now, asked, settings_.read_timeout),
-               [this, asked](common::time_point at, kv_reply const& reply)
+               ports::kv_read{keys::job(request.id)},
+               timeout_for(now, request, settings_.read_timeout),
+               [this, request](common::time_point at, kv_reply const& reply)
                {
                    if (reply.status == kv_status::done)
                    {
-                       answer(asked.caller,
+                       answer(request.caller,
                               ports::job_status{job_state::active});
                    }
                    else if (reply.status == kv_status::missing)
                    {
-                       query_final(at, asked);
+                       query_final(at, request);
                    }
                    else
                    {
-                       refuse(asked.caller, "the store did not answer");
+                       refuse(request.caller, "the store did not answer");
                    }
                });
 }
 
 void request_handler::query_final(common::time_point now,
-                                  job_question const& asked)
+                                  job_request const& request)
 {
     out_.store(life_,
-               ports::kv_read{keys::final_state(asked.id)},
-               time_for(now, asked, settings_.read_timeout),
-               [this, asked](common::time_point, kv_reply const& reply)
+               ports::kv_read{keys::final_state(request.id)},
+               timeout_for(now, request, settings_.read_timeout),
+               [this, request](common::time_point, kv_reply const& reply)
                {
                    if (reply.status == kv_status::done && !reply.items.empty())
                    {
-                       answer_final(asked, reply.items.front());
+                       answer_final(request, reply.items.front());
                    }
                    else if (reply.status == kv_status::missing)
                    {
-                       answer(asked.caller, ports::job_not_found{});
+                       answer(request.caller, ports::job_not_found{});
                    }
                    else
                    {
-                       refuse(asked.caller, "the store did not answer");
+                       refuse(request.caller, "the store did not answer");
                    }
                });
 }
 
-void request_handler::answer_final(job_question const& asked,
+void request_handler::answer_final(job_request const& request,
                                    ports::kv_item const& item)
 {
-    auto const state = final_from(item.value);
+    auto const state = parse_final_state(item.value);
     if (!state)
     {
-        out_.log(severity::error, "final_unreadable", {{"job", asked.id}});
-        refuse(asked.caller, "the record of the job's end can't be read");
+        out_.log(severity::error, "final_unreadable", {{"job", request.id}});
+        refuse(request.caller, "the final state of the job can't be parsed");
         return;
     }
-    remember(asked.id, *state);
-    answer(asked.caller, ports::job_status{*state});
+    cache_final_state(request.id, *state);
+    answer(request.caller, ports::job_status{*state});
 }
 
-void request_handler::answer(std::uint64_t caller, ports::job_answer what)
+void request_handler::answer(std::uint64_t caller, ports::job_answer job_answer)
 {
-    --open_;
-    out_.reply(caller, std::move(what));
+    --open_requests_;
+    out_.reply(caller, std::move(job_answer));
 }
 
-void request_handler::refuse(std::uint64_t caller, std::string why)
+void request_handler::refuse(std::uint64_t caller, std::string reason)
 {
     answer(caller,
            ports::job_refused{
-               {result_code::store_unavailable, "store", std::move(why)},
+               {result_code::store_unavailable, "store", std::move(reason)},
                settings_.retry_after});
 }
 
-void request_handler::unknown(std::uint64_t caller, std::string why)
+void request_handler::answer_unknown_outcome(std::uint64_t caller,
+                                             std::string reason)
 {
     answer(caller,
            ports::job_outcome_unknown{
-               {result_code::store_unclear, "store", std::move(why)}});
+               {result_code::store_unclear, "store", std::move(reason)}});
 }
 
-void request_handler::remember(std::string const& id, job_state state)
+void request_handler::cache_final_state(std::string const& id, job_state state)
 {
-    if (!finals_.emplace(id, state).second)
+    if (!final_states_.emplace(id, state).second)
     {
         return;
     }
-    final_order_.push_back(id);
-    if (final_order_.size() > settings_.max_final_states)
+    final_state_order_.push_back(id);
+    if (final_state_order_.size() > settings_.max_final_states)
     {
-        finals_.erase(final_order_.front());
-        final_order_.pop_front();
+        final_states_.erase(final_state_order_.front());
+        final_state_order_.pop_front();
     }
 }
 
--- a/src/core/pool/request_handler.hpp
+++ b/src/core/pool/request_handler.hpp
@@ -17,93 +17,103 @@
 
 struct request_handler_settings
 {
-    /// Callers wait 3 s for an answer; a slow store answers in 0.4 s.
+    /// Timeout of a commit and of the backlog read. Callers wait 3 s for an
+    /// answer; a slow store answers in 0.4 s.
     common::duration call_timeout = std::chrono::milliseconds(1500);
-    /// Of each read of a job or its final state: up to two of them, and a call
-    /// with one of the other limits, follow one another for one answer.
+    /// Timeout of each read of a job or its final state. One answer may need
+    /// two such reads and one call with another timeout, one after the other.
     common::duration read_timeout = std::chrono::milliseconds(1000);
-    /// Of the read that may be old, which is only the cheaper way.
-    common::duration old_read_timeout = std::chrono::milliseconds(600);
-    /// Of all calls for one answer about a job together; the last of them may
-    /// need a new connection beyond that.
+    /// Timeout of the stale read of a final state, which only saves a more
+    /// expensive read.
+    common::duration stale_read_timeout = std::chrono::milliseconds(600);
+    /// Maximum total time of the store calls for one answer about a job. The
+    /// last call may additionally need time for a new connection.
     common::duration answer_limit = std::chrono::milliseconds(2200);
-    /// What the last of them has in any case.
-    common::duration least_timeout = std::chrono::milliseconds(200);
-    /// A store that has not answered anything for this long is taken for away,
-    /// and what needs it is refused at once.
+    /// Minimum timeout of a call, even where `answer_limit` is almost used up.
+    common::duration min_timeout = std::chrono::milliseconds(200);
+    /// A store that has not answered any call for this long is considered
+    /// unavailable, and requests that need it are refused at once.
     common::duration store_unavailable_after = std::chrono::milliseconds(2000);
-    /// After two failed calls in a row this much silence is enough. Longer than
-    /// the answers of a store that is merely slow.
+    /// Time without an answer after which the store is considered unavailable
+    /// if two commits in a row have failed. Longer than a store that is merely
+    /// slow takes to answer.
     common::duration failing_after = std::chrono::milliseconds(600);
-    /// When to come back after a refusal: the store's short outages end within
-    /// seconds, and another instance may reach it now.
+    /// Time after which a refused caller should retry. Short outages of the
+    /// store end within seconds, and another instance may reach it now.
     common::duration retry_after = std::chrono::milliseconds(500);
-    /// What operators set may be in force after this long: by an older state
-    /// no job is taken and no queue is said to be absent.
+    /// Maximum age of the operator configuration. A change may be in force
+    /// after this time, so no job is accepted and no queue is reported as not
+    /// found on the basis of an older configuration.
     common::duration configuration_age_limit = std::chrono::milliseconds(1950);
-    /// A count that may leave out jobs accepted longer ago is not told.
+    /// Maximum age of a reported count of waiting jobs. A count that may omit
+    /// jobs accepted longer ago is not reported.
     common::duration count_age_limit = std::chrono::milliseconds(4000);
-    /// Final states remembered, so that repeated questions need no call.
+    /// Maximum number of cached final states. Repeated queries of a cached
+    /// state need no call to the store.
     std::size_t max_final_states = 4096;
 };
 
-/// Answers submitters. Any instance does: what was accepted lies in the store
-/// before the answer goes out, and its owner learns of it there.
+/// Answers requests of submitters. Every instance can answer them: an accepted
+/// job is in the store before the answer is sent, and the owner learns of the
+/// job from the store.
 class request_handler
 {
 public:
     request_handler(request_handler_settings settings,
-                    operator_follower const& rules,
+                    operator_follower const& operators,
                     outbox& out,
                     revision_times& times);
 
     void on_request(common::time_point now,
                     pool_request const& request,
                     owner const* owned);
-    /// Requests without an answer.
+    /// Number of requests that have not been answered yet.
     std::size_t open() const noexcept;
     bool store_unavailable(common::time_point now) const noexcept;
-    /// Whether what operators set was last heard too long ago to take jobs.
+    /// Whether the operator configuration was last confirmed too long ago to
+    /// accept jobs.
     bool configuration_is_old(common::time_point now) const noexcept;
 
 private:
-    /// Where a count comes from.
+    /// Source of a count of waiting jobs.
     struct count_source
     {
-        char const* from = "";
-        std::uint64_t store = 0; ///< The store's revision when it was read.
-        /// Every job that was accepted longer ago is in it; empty: not known.
+        char const* origin = "";
+        /// Revision of the store when the count was read.
+        std::uint64_t store_revision = 0;
+        /// Every job that was accepted longer ago is in the count; empty if
+        /// not known.
         std::optional<common::duration> age;
     };
 
-    /// What a caller wants to know of a job, or wants to be cancelled.
-    struct job_question
+    /// Request to query or cancel a job.
+    struct job_request
     {
         std::uint64_t caller = 0;
         std::string id;
-        common::time_point until{}; ///< It is answered by then.
+        common::time_point deadline{}; ///< Time by which it is answered.
     };
-    job_question ask_about(common::time_point now,
-                           std::uint64_t caller,
-                           std::string const& id) const;
-    /// What is left for a call, at most `limit`.
-    common::duration time_for(common::time_point now,
-                              job_question const& asked,
-                              common::duration limit) const;
+    job_request make_job_request(common::time_point now,
+                                 std::uint64_t caller,
+                                 std::string const& id) const;
+    /// Timeout of the next store call for `request`, at most `limit`.
+    common::duration timeout_for(common::time_point now,
+                                 job_request const& request,
+                                 common::duration limit) const;
 
     void submit(common::time_point now,
                 std::uint64_t caller,
-                job what,
-                queue const& into,
+                job submitted,
+                queue const& target_queue,
                 std::string id);
     void answer_malformed_id(std::uint64_t caller, bool submits);
     void query(common::time_point now,
-               job_question const& asked,
+               job_request const& request,
                owner const* owned);
-    void query_old_final(common::time_point now, job_question const& asked);
-    void query_job(common::time_point now, job_question const& asked);
-    void answer_final(job_question const& asked, ports::kv_item const& item);
-    void query_final(common::time_point now, job_question const& asked);
+    void query_stale_final(common::time_point now, job_request const& request);
+    void query_job(common::time_point now, job_request const& request);
+    void answer_final(job_request const& request, ports::kv_item const& item);
+    void query_final(common::time_point now, job_request const& request);
     void query_queue(common::time_point now,
                      std::uint64_t caller,
                      std::string const& name,
@@ -114,35 +124,36 @@
                     ports::kv_reply const& reply);
     void report_waiting(std::uint64_t caller,
                         std::string const& name,
-                        backlog const& known,
+                        backlog const& counts,
                         count_source const& source);
 
-    // front_cancel.cpp
-    void cancel(common::time_point now, job_question const& asked);
-    void cancel_ended(common::time_point now, job_question const& asked);
-    void cancel_unknown(common::time_point now, job_question const& asked);
-    void cancel_known(common::time_point now,
-                      job_question const& asked,
-                      std::uint64_t revision);
+    // request_handler_cancel.cpp
+    void cancel(common::time_point now, job_request const& request);
+    void cancel_if_ended(common::time_point now, job_request const& request);
+    void cancel_ahead_of_submission(common::time_point now,
+                                    job_request const& request);
+    void cancel_existing(common::time_point now,
+                         job_request const& request,
+                         std::uint64_t revision);
 
     common::duration store_silence(common::time_point now) const noexcept;
-    void refuse_by_old_configuration(common::time_point now,
-                                     pool_request const& request);
-    void note(ports::kv_reply const& reply);
-    void answer(std::uint64_t caller, ports::job_answer what);
-    void refuse(std::uint64_t caller, std::string why);
-    void unknown(std::uint64_t caller, std::string why);
-    void remember(std::string const& id, ports::job_state state);
+    void refuse_for_old_configuration(common::time_point now,
+                                      pool_request const& request);
+    void count_failure(ports::kv_reply const& reply);
+    void answer(std::uint64_t caller, ports::job_answer job_answer);
+    void refuse(std::uint64_t caller, std::string reason);
+    void answer_unknown_outcome(std::uint64_t caller, std::string reason);
+    void cache_final_state(std::string const& id, ports::job_state state);
 
     request_handler_settings settings_;
-    operator_follower const& rules_;
+    operator_follower const& operators_;
     outbox& out_;
-    revision_times& times_;
+    revision_times& revision_times_;
     lifetime_token life_ = std::make_shared<char>();
-    std::size_t open_ = 0;
-    std::uint32_t failures_ = 0; ///< Failed commits in a row.
-    std::unordered_map<std::string, ports::job_state> finals_;
-    std::deque<std::string> final_order_;
+    std::size_t open_requests_ = 0;
+    std::uint32_t failed_commits_ = 0; ///< Consecutive failed commits.
+    std::unordered_map<std::string, ports::job_state> final_states_;
+    std::deque<std::string> final_state_order_;
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/request_handler_cancel.cpp
+++ b/src/core/pool/request_handler_cancel.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-// A job's cancelling: before the job comes, while it is there, after its end.
+// Cancellation of a job that has not arrived yet, is active or has ended.
 namespace fuchsia::core::pool
 {
 
@@ -11,122 +11,125 @@
 using ports::kv_status;
 using ports::severity;
 
-void request_handler::cancel(common::time_point now, job_question const& asked)
+void request_handler::cancel(common::time_point now, job_request const& request)
 {
     if (store_unavailable(now))
     {
-        refuse(asked.caller, "the store is away");
+        refuse(request.caller, "the store is unavailable");
         return;
     }
     out_.store(life_,
-               ports::kv_read{keys::job(asked.id)},
-               time_for(now, asked, settings_.read_timeout),
-               [this, asked](common::time_point at, kv_reply const& reply)
+               ports::kv_read{keys::job(request.id)},
+               timeout_for(now, request, settings_.read_timeout),
+               [this, request](common::time_point at, kv_reply const& reply)
                {
                    if (reply.status == kv_status::done && !reply.items.empty())
                    {
-                       cancel_known(at, asked, reply.items.front().revision);
+                       cancel_existing(
+                           at, request, reply.items.front().revision);
                        return;
                    }
                    if (reply.status != kv_status::missing)
                    {
-                       refuse(asked.caller, "the store did not answer");
+                       refuse(request.caller, "the store did not answer");
                        return;
                    }
-                   cancel_ended(at, asked);
+                   cancel_if_ended(at, request);
                });
 }
 
-void request_handler::cancel_ended(common::time_point now,
-                                   job_question const& asked)
+void request_handler::cancel_if_ended(common::time_point now,
+                                      job_request const& request)
 {
     out_.store(life_,
-               ports::kv_read{keys::final_state(asked.id)},
-               time_for(now, asked, settings_.read_timeout),
-               [this, asked](common::time_point at, kv_reply const& reply)
+               ports::kv_read{keys::final_state(request.id)},
+               timeout_for(now, request, settings_.read_timeout),
+               [this, request](common::time_point at, kv_reply const& reply)
                {
                    if (reply.status == kv_status::done)
                    {
-                       answer(asked.caller, ports::job_accepted{});
+                       answer(request.caller, ports::job_accepted{});
                    }
                    else if (reply.status == kv_status::missing)
                    {
-                       cancel_unknown(at, asked);
+                       cancel_ahead_of_submission(at, request);
                    }
                    else
                    {
-                       refuse(asked.caller, "the store did not answer");
+                       refuse(request.caller, "the store did not answer");
                    }
                });
 }
 
-// Its submission may still be on the way, or be carried out by the store
-// seconds from now: it finds the cancelling there and makes no job.
-void request_handler::cancel_unknown(common::time_point now,
-                                     job_question const& asked)
+// The submission may still be on its way, or the store may execute it seconds
+// from now. It then finds the cancellation record, and no job is created.
+void request_handler::cancel_ahead_of_submission(common::time_point now,
+                                                 job_request const& request)
 {
     ports::kv_commit commit;
-    commit.preconditions.push_back({keys::job(asked.id), 0});
-    commit.preconditions.push_back({keys::final_state(asked.id), 0});
-    commit.puts.push_back({keys::cancel(asked.id), "cancelled", 0});
+    commit.preconditions.push_back({keys::job(request.id), 0});
+    commit.preconditions.push_back({keys::final_state(request.id), 0});
+    commit.puts.push_back({keys::cancel(request.id), "cancelled", 0});
     out_.store(
         life_,
         std::move(commit),
-        time_for(now, asked, settings_.call_timeout),
-        [this, asked](common::time_point at, kv_reply const& reply)
+        timeout_for(now, request, settings_.call_timeout),
+        [this, request](common::time_point at, kv_reply const& reply)
         {
             switch (reply.status)
             {
             case kv_status::done:
-                out_.log(severity::info, "cancel_ahead", {{"job", asked.id}});
-                answer(asked.caller, ports::job_not_found{});
+                out_.log(severity::info, "cancel_ahead", {{"job", request.id}});
+                answer(request.caller, ports::job_not_found{});
                 return;
             case kv_status::conflict:
-                // The job came just now.
-                cancel(at, asked);
+                // The job was created or ended after the reads.
+                cancel(at, request);
                 return;
             case kv_status::refused:
-                refuse(asked.caller, "the store did not take the cancelling");
+                refuse(request.caller, "the store refused the cancellation");
                 return;
             default:
-                unknown(asked.caller, "the store did not answer");
+                answer_unknown_outcome(request.caller,
+                                       "the store did not answer");
                 return;
             }
         });
 }
 
-void request_handler::cancel_known(common::time_point now,
-                                   job_question const& asked,
-                                   std::uint64_t revision)
+void request_handler::cancel_existing(common::time_point now,
+                                      job_request const& request,
+                                      std::uint64_t revision)
 {
     ports::kv_commit commit;
-    commit.preconditions.push_back({keys::job(asked.id), revision});
-    commit.puts.push_back({keys::cancel(asked.id), "cancelled", 0});
+    commit.preconditions.push_back({keys::job(request.id), revision});
+    commit.puts.push_back({keys::cancel(request.id), "cancelled", 0});
     out_.store(
         life_,
         std::move(commit),
-        time_for(now, asked, settings_.call_timeout),
-        [this, asked](common::time_point, kv_reply const& reply)
+        timeout_for(now, request, settings_.call_timeout),
+        [this, request](common::time_point, kv_reply const& reply)
         {
             out_.log(severity::info,
                      "cancel_asked",
-                     {{"job", asked.id},
+                     {{"job", request.id},
                       {"status",
                        std::to_string(static_cast<unsigned>(reply.status))}});
-            // A conflict: it ended just now.
-            bool const taken = reply.status == kv_status::done ||
-                               reply.status == kv_status::conflict;
-            if (taken)
+            // A conflict means that the job has just ended.
+            bool const accepted = reply.status == kv_status::done ||
+                                  reply.status == kv_status::conflict;
+            if (accepted)
             {
-                answer(asked.caller, ports::job_accepted{});
+                answer(request.caller, ports::job_accepted{});
             }
             else if (reply.status == kv_status::refused)
             {
-                refuse(asked.caller, "the store did not take the cancelling");
+                refuse(request.caller, "the store refused the cancellation");
             }
             else
             {
-                unknown(asked.caller, "the store did not answer");
+                answer_unknown_outcome(request.caller,
+                                       "the store did not answer");
             }
         });
 }
--- a/src/core/pool/request_handler_counts.cpp
+++ b/src/core/pool/request_handler_counts.cpp
@@ -3,7 +3,8 @@
 
 #include <utility>
 
-// How many jobs of a queue wait, and whether that is known well enough to tell.
+// Queries for the number of waiting jobs of a queue. A count is reported only
+// if it is recent enough.
 namespace fuchsia::core::pool
 {
 
@@ -36,12 +37,12 @@
         settings_.call_timeout,
         [this, caller, name, now](common::time_point at, kv_reply const& reply)
         {
-            times_.note(now, reply.revision);
+            revision_times_.note(now, reply.revision);
             on_backlog(at, caller, name, reply);
         });
 }
 
-// A record that was never written has heard of nothing yet.
+// A missing record counts as empty and synced up to no revision.
 void request_handler::on_backlog(common::time_point now,
                                  std::uint64_t caller,
                                  std::string const& name,
@@ -53,37 +54,39 @@
         return;
     }
     common::failure reason;
-    auto const known = reply.items.empty()
-                           ? std::optional(backlog{})
-                           : parse_backlog(reply.items.front().value, reason);
-    if (!known)
+    auto const counts = reply.items.empty()
+                            ? std::optional(backlog{})
+                            : parse_backlog(reply.items.front().value, reason);
+    if (!counts)
     {
         out_.log(severity::error,
                  "backlog_unreadable",
                  {{"why", common::to_string(reason)}});
-        refuse(caller, "the backlog can't be read");
+        refuse(caller, "the backlog record can't be parsed");
         return;
     }
-    auto const complete = times_.complete_until(known->synced_revision);
+    auto const complete =
+        revision_times_.complete_until(counts->synced_revision);
     auto const age = complete ? std::optional(now - *complete) : std::nullopt;
-    report_waiting(caller, name, *known, {"store", reply.revision, age});
+    report_waiting(caller, name, *counts, {"store", reply.revision, age});
 }
 
-// An owner that is gone or far behind leaves a count that may be far too low.
-// Nobody's clock but this one's tells how old it is.
+// The record of an owner that is gone or far behind may contain a count that is
+// far too low. The age of the count is measured with this instance's clock
+// only.
 void request_handler::report_waiting(std::uint64_t caller,
                                      std::string const& name,
-                                     backlog const& known,
+                                     backlog const& counts,
                                      count_source const& source)
 {
-    auto const found = known.waiting.find(name);
-    auto const jobs = found == known.waiting.end() ? 0 : found->second;
+    auto const found = counts.waiting.find(name);
+    auto const jobs = found == counts.waiting.end() ? 0 : found->second;
     std::vector<ports::header> fields{
         {"queue", name},
         {"jobs", std::to_string(jobs)},
-        {"from", source.from},
-        {"heard", std::to_string(known.synced_revision)},
-        {"store", std::to_string(source.store)},
+        {"from", source.origin},
+        {"heard", std::to_string(counts.synced_revision)},
+        {"store", std::to_string(source.store_revision)},
         {"age_ms",
          source.age ? std::to_string(common::to_milliseconds(*source.age))
                     : "unknown"}};
@@ -97,7 +100,7 @@
     answer(caller,
            ports::job_refused{{result_code::backlog_unknown,
                                name,
-                               "what is known of waiting jobs is too old"},
+                               "the count of waiting jobs is out of date"},
                               settings_.retry_after});
 }
 
