--- a/src/core/pool/ledger.cpp
+++ b/src/core/pool/ledger.cpp
@@ -19,39 +19,43 @@
 } // namespace
 
 ledger::ledger(ledger_settings settings,
-               claim& held,
+               claim& owned_claim,
                outbox& out,
                common::time_point now)
-    : settings_(settings), claim_(held), out_(out), ticked_(now)
+    : settings_(settings), claim_(owned_claim), out_(out), last_tick_(now)
 {
 }
 
-template<class Look>
-void ledger::for_each(Look look) const
+template<class Visitor>
+void ledger::for_each(Visitor visit) const
 {
-    std::for_each(in_flight_.begin(), in_flight_.end(), look);
-    std::for_each(results_.begin(), results_.end(), look);
-    std::for_each(records_.begin(), records_.end(), look);
+    std::for_each(in_flight_.begin(), in_flight_.end(), visit);
+    std::for_each(results_.begin(), results_.end(), visit);
+    std::for_each(records_.begin(), records_.end(), visit);
 }
 
-// Acknowledged once the needless record is out of the way, an end would be lost
-// with this owner while the entry still waits.
-void ledger::write(write_rank rank, entry what, std::string const& instead_of)
+// The entry takes the number of the record that it replaces, so that barriers
+// of that record also wait for the entry. Otherwise the end of a task could be
+// acknowledged while the entry still waits, and would be lost if this owner
+// failed.
+void ledger::write(write_rank rank,
+                   entry new_entry,
+                   std::string const& replaced_key)
 {
-    queued made;
-    made.what = std::move(what);
-    enqueue(rank, std::move(made));
-    if (instead_of.empty())
+    queued_entry queued;
+    queued.content = std::move(new_entry);
+    enqueue(rank, std::move(queued));
+    if (replaced_key.empty())
     {
         return;
     }
-    auto& number = waiting_of(rank).back().number;
+    auto& number = queue_of(rank).back().number;
     for_each(
-        [&number, &instead_of](queued const& each)
+        [&number, &replaced_key](queued_entry const& item)
         {
-            if (each.latest == instead_of)
+            if (item.latest_key == replaced_key)
             {
-                number = std::min(number, each.number);
+                number = std::min(number, item.number);
             }
         });
 }
@@ -61,32 +65,32 @@
                           value_source value,
                           durable_handler on_durable)
 {
-    if (!latest_.insert(key).second)
+    if (!queued_keys_.insert(key).second)
     {
         return;
     }
-    queued made;
-    made.latest = key;
-    made.value = std::move(value);
-    made.what.on_durable = std::move(on_durable);
-    enqueue(rank, std::move(made));
+    queued_entry item;
+    item.latest_key = key;
+    item.value = std::move(value);
+    item.content.on_durable = std::move(on_durable);
+    enqueue(rank, std::move(item));
 }
 
-void ledger::enqueue(write_rank rank, queued what)
+void ledger::enqueue(write_rank rank, queued_entry item)
 {
-    what.since = ticked_;
-    what.number = ++last_entry_;
-    waiting_of(rank).push_back(std::move(what));
+    item.queued_at = last_tick_;
+    item.number = ++last_entry_;
+    queue_of(rank).push_back(std::move(item));
 }
 
-std::deque<ledger::queued>& ledger::waiting_of(write_rank rank) noexcept
+std::deque<ledger::queued_entry>& ledger::queue_of(write_rank rank) noexcept
 {
     return rank == write_rank::result ? results_ : records_;
 }
 
-void ledger::after_all(durable_handler then)
+void ledger::after_all(durable_handler handler)
 {
-    barriers_.push_back({last_entry_, std::move(then)});
+    barriers_.push_back({last_entry_, std::move(handler)});
 }
 
 std::size_t ledger::entries() const noexcept
@@ -99,14 +103,14 @@
     return entries() + barriers_.size();
 }
 
-ledger::queued const* ledger::oldest() const noexcept
+ledger::queued_entry const* ledger::oldest() const noexcept
 {
-    queued const* first = nullptr;
+    queued_entry const* first = nullptr;
     for_each(
-        [&first](queued const& each)
+        [&first](queued_entry const& item)
         {
-            bool const older = first == nullptr || each.number < first->number;
-            first = older ? &each : first;
+            bool const older = first == nullptr || item.number < first->number;
+            first = older ? &item : first;
         });
     return first;
 }
@@ -114,7 +118,7 @@
 common::duration ledger::lag(common::time_point now) const noexcept
 {
     auto const* const first = oldest();
-    return first == nullptr ? common::duration{} : now - first->since;
+    return first == nullptr ? common::duration{} : now - first->queued_at;
 }
 
 commit_mark ledger::last_commit() const noexcept
@@ -127,22 +131,23 @@
     return revision_;
 }
 
-// What a handler writes comes behind all that counts here.
+// Entries that a handler writes get higher numbers, so they don't affect the
+// barriers that are passed here.
 void ledger::pass_barriers(common::time_point now)
 {
     auto const* const first = oldest();
     auto const durable = first == nullptr ? last_entry_ : first->number - 1;
     while (!barriers_.empty() && barriers_.front().number <= durable)
     {
-        auto const then = std::move(barriers_.front().then);
+        auto const handler = std::move(barriers_.front().handler);
         barriers_.pop_front();
-        then(now);
+        handler(now);
     }
 }
 
 void ledger::tick(common::time_point now)
 {
-    ticked_ = now;
+    last_tick_ = now;
     if (!claim_.held())
     {
         return;
@@ -152,7 +157,7 @@
         pass_barriers(now);
         return;
     }
-    if (busy_ || now < next_step_)
+    if (call_pending_ || now < next_call_at_)
     {
         return;
     }
@@ -166,41 +171,41 @@
     }
 }
 
-// Also tells which commit without an answer took effect: the key holds its
-// number. It need not be the last one that was sent.
+// Reads the common key for its revision. Its value also shows which of the
+// commits without an answer took effect; that need not be the last one sent.
 void ledger::read_revision()
 {
-    busy_ = true;
-    out_.store(life_,
-               ports::kv_read{ledger_key},
-               settings_.call_timeout,
-               [this](common::time_point at, kv_reply const& reply)
-               {
-                   busy_ = false;
-                   bool const known = reply.status == kv_status::done ||
-                                      reply.status == kv_status::missing;
-                   if (!known)
-                   {
-                       next_step_ = at + settings_.retry;
-                       return;
-                   }
-                   bool const exists = !reply.items.empty();
-                   auto const applied =
-                       exists ? own_commit(reply.items.front().value) : 0;
-                   revision_known_ = true;
-                   committed(
-                       at, exists ? reply.items.front().revision : 0, applied);
-                   tick(at);
-               });
+    call_pending_ = true;
+    out_.store(
+        life_,
+        ports::kv_read{ledger_key},
+        settings_.call_timeout,
+        [this](common::time_point at, kv_reply const& reply)
+        {
+            call_pending_ = false;
+            bool const readable = reply.status == kv_status::done ||
+                                  reply.status == kv_status::missing;
+            if (!readable)
+            {
+                next_call_at_ = at + settings_.retry;
+                return;
+            }
+            bool const exists = !reply.items.empty();
+            auto const applied =
+                exists ? own_commit_number(reply.items.front().value) : 0;
+            revision_known_ = true;
+            committed(at, exists ? reply.items.front().revision : 0, applied);
+            tick(at);
+        });
 }
 
-std::string ledger::mark_of(std::uint64_t commit) const
+std::string ledger::commit_mark_text(std::uint64_t commit) const
 {
     return std::to_string(claim_.epoch()) + "." + std::to_string(commit);
 }
 
-// 0 where the mark is not of a commit of this owner.
-std::uint64_t ledger::own_commit(std::string_view mark) const
+// Returns 0 if the mark does not identify a commit of this owner.
+std::uint64_t ledger::own_commit_number(std::string_view mark) const
 {
     auto const prefix = std::to_string(claim_.epoch()) + ".";
     std::uint64_t number = 0;
@@ -212,50 +217,51 @@
     return number;
 }
 
-void ledger::queued::refresh()
+void ledger::queued_entry::refresh()
 {
-    text = value ? value() : std::nullopt;
+    latest_value = value ? value() : std::nullopt;
 }
 
-std::size_t ledger::queued::changes() const noexcept
+std::size_t ledger::queued_entry::changes() const noexcept
 {
-    return what.puts.size() + what.erases.size() + (text ? 1 : 0);
+    return content.puts.size() + content.erases.size() + (latest_value ? 1 : 0);
 }
 
-// After a commit that had no effect its entries are still in flight.
+// Entries of a commit that had no effect are still in flight; their values are
+// read again for the next commit.
 void ledger::refresh_in_flight()
 {
-    for (auto& each : in_flight_)
+    for (auto& item : in_flight_)
     {
-        each.refresh();
+        item.refresh();
     }
 }
 
-// Takes what waits until the commit holds `most` changes.
-void ledger::take_waiting(write_rank rank, std::size_t most)
+// Moves waiting entries into the commit until it holds `change_limit` changes.
+void ledger::take_waiting(write_rank rank, std::size_t change_limit)
 {
-    auto& waiting = waiting_of(rank);
+    auto& waiting = queue_of(rank);
     std::size_t changes = 0;
     std::set<std::string> present;
-    for (auto const& each : in_flight_)
+    for (auto const& item : in_flight_)
     {
-        changes += each.changes();
-        present.insert(each.latest);
+        changes += item.changes();
+        present.insert(item.latest_key);
     }
     while (!waiting.empty())
     {
         auto& next = waiting.front();
-        bool const known =
-            !next.latest.empty() && present.contains(next.latest);
+        bool const already_present =
+            !next.latest_key.empty() && present.contains(next.latest_key);
         next.refresh();
-        changes += known ? 0 : next.changes();
-        if (changes > most && !in_flight_.empty())
+        changes += already_present ? 0 : next.changes();
+        if (changes > change_limit && !in_flight_.empty())
         {
             return;
         }
-        latest_.erase(next.latest);
-        present.insert(next.latest);
-        next.sent = number_ + 1;
+        queued_keys_.erase(next.latest_key);
+        present.insert(next.latest_key);
+        next.first_commit = last_commit_number_ + 1;
         in_flight_.push_back(std::move(next));
         waiting.pop_front();
     }
@@ -263,77 +269,82 @@
 
 ports::kv_commit ledger::changes_in_flight() const
 {
-    ports::kv_commit made;
+    ports::kv_commit commit;
     std::set<std::string> present;
-    for (auto const& each : in_flight_)
+    for (auto const& item : in_flight_)
     {
-        auto const& what = each.what;
-        made.puts.insert(made.puts.end(), what.puts.begin(), what.puts.end());
-        made.erases.insert(
-            made.erases.end(), what.erases.begin(), what.erases.end());
-        if (each.text && present.insert(each.latest).second)
+        auto const& content = item.content;
+        commit.puts.insert(
+            commit.puts.end(), content.puts.begin(), content.puts.end());
+        commit.erases.insert(
+            commit.erases.end(), content.erases.begin(), content.erases.end());
+        if (item.latest_value && present.insert(item.latest_key).second)
         {
-            made.puts.push_back({each.latest, *each.text, 0});
+            commit.puts.push_back({item.latest_key, *item.latest_value, 0});
         }
     }
-    return made;
+    return commit;
 }
 
 void ledger::commit(common::time_point now)
 {
     refresh_in_flight();
-    auto const kept = records_.empty() ? 0 : settings_.record_share;
-    take_waiting(write_rank::result, settings_.max_changes - kept);
+    auto const reserved = records_.empty() ? 0 : settings_.record_share;
+    take_waiting(write_rank::result, settings_.max_changes - reserved);
     take_waiting(write_rank::record, settings_.max_changes);
     auto commit = changes_in_flight();
     if (commit.puts.empty() && commit.erases.empty())
     {
-        committed(now, revision_, number_ + 1);
+        committed(now, revision_, last_commit_number_ + 1);
         return;
     }
-    ++number_;
-    sent_ = now;
+    ++last_commit_number_;
+    last_commit_sent_at_ = now;
     commit.preconditions.push_back(claim_.condition());
     commit.preconditions.push_back({ledger_key, revision_});
-    commit.puts.push_back({ledger_key, mark_of(number_), 0});
-    busy_ = true;
-    next_step_ = now + settings_.interval;
+    commit.puts.push_back(
+        {ledger_key, commit_mark_text(last_commit_number_), 0});
+    call_pending_ = true;
+    next_call_at_ = now + settings_.interval;
     out_.store(life_,
                std::move(commit),
                settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
-                   busy_ = false;
+                   call_pending_ = false;
                    on_commit(at, reply);
                });
 }
 
-// Everything that commits up to `number` held is durable.
+// Handles that all entries of commits up to `number` have become durable.
 void ledger::committed(common::time_point now,
                        std::uint64_t revision,
                        std::uint64_t number)
 {
     revision_ = revision;
-    auto const rest = std::stable_partition(in_flight_.begin(),
-                                            in_flight_.end(),
-                                            [number](queued const& each)
-                                            {
-                                                return each.sent <= number;
-                                            });
-    std::vector<queued> durable(std::make_move_iterator(in_flight_.begin()),
-                                std::make_move_iterator(rest));
+    auto const rest =
+        std::stable_partition(in_flight_.begin(),
+                              in_flight_.end(),
+                              [number](queued_entry const& item)
+                              {
+                                  return item.first_commit <= number;
+                              });
+    std::vector<queued_entry> durable(
+        std::make_move_iterator(in_flight_.begin()),
+        std::make_move_iterator(rest));
     in_flight_.erase(in_flight_.begin(), rest);
-    // Records lose nothing by waiting: the next commit holds their newest
-    // values. Results are asked for.
+    // A full commit of results is sent at once because callers query results.
+    // Records can wait without loss: the next commit contains their newest
+    // values.
     if (results_.size() >= settings_.max_changes)
     {
-        next_step_ = now;
+        next_call_at_ = now;
     }
-    for (auto const& each : durable)
+    for (auto const& item : durable)
     {
-        if (each.what.on_durable)
+        if (item.content.on_durable)
         {
-            each.what.on_durable(now);
+            item.content.on_durable(now);
         }
     }
     pass_barriers(now);
@@ -343,19 +354,20 @@
 {
     if (reply.status == kv_status::done)
     {
-        last_commit_ = {sent_, reply.revision};
-        committed(now, reply.revision, number_);
+        last_commit_ = {last_commit_sent_at_, reply.revision};
+        committed(now, reply.revision, last_commit_number_);
         return;
     }
     if (reply.status == kv_status::refused)
     {
-        next_step_ = now + settings_.retry;
+        next_call_at_ = now + settings_.retry;
         return;
     }
-    // Unclear, or another revision than ours: either a late commit of our own
-    // came through, or the claim is gone, which its own watch tells.
+    // The outcome is unclear or a revision differs. Either a late commit of
+    // this owner has taken effect, or the claim is lost, which the watch on the
+    // claim also detects.
     revision_known_ = false;
-    next_step_ = now + settings_.retry;
+    next_call_at_ = now + settings_.retry;
     if (reply.status == kv_status::conflict)
     {
         for (auto const& item : reply.items)
@@ -363,14 +375,15 @@
             if (item.key == claim_.condition().key &&
                 item.revision != claim_.condition().revision)
             {
-                claim_.mark_lost("a commit found another claim");
+                claim_.mark_lost(
+                    "a commit found a different revision of the claim");
                 return;
             }
         }
     }
     out_.log(ports::severity::warning,
              "commit_unclear",
-             {{"commit", std::to_string(number_)},
+             {{"commit", std::to_string(last_commit_number_)},
               {"entries", std::to_string(in_flight_.size())}});
 }
 
--- a/src/core/pool/outbox.cpp
+++ b/src/core/pool/outbox.cpp
@@ -5,32 +5,34 @@
 namespace fuchsia::core::pool
 {
 
-void outbox::store(lifetime_token const& asker,
+void outbox::store(lifetime_token const& requester,
                    ports::kv_operation operation,
                    common::duration timeout,
                    kv_handler handle)
 {
     auto const id = ++next_id_;
-    kv_calls_.emplace(id, waiting<kv_handler>{asker, std::move(handle)});
+    kv_calls_.emplace(id,
+                      pending_call<kv_handler>{requester, std::move(handle)});
     actions_.emplace_back(ports::kv_call{id, std::move(operation), timeout});
 }
 
-void outbox::order(lifetime_token const& asker,
+void outbox::order(lifetime_token const& requester,
                    ports::pool_order order,
                    order_handler handle)
 {
     order.id = ++next_id_;
-    orders_.emplace(order.id, waiting<order_handler>{asker, std::move(handle)});
+    orders_.emplace(order.id,
+                    pending_call<order_handler>{requester, std::move(handle)});
     actions_.emplace_back(std::move(order));
 }
 
-void outbox::request_policy(lifetime_token const& asker,
+void outbox::request_policy(lifetime_token const& requester,
                             ports::policy_request call,
                             policy_handler handle)
 {
     call.id = ++next_id_;
-    policy_calls_.emplace(call.id,
-                          waiting<policy_handler>{asker, std::move(handle)});
+    policy_calls_.emplace(
+        call.id, pending_call<policy_handler>{requester, std::move(handle)});
     actions_.emplace_back(std::move(call));
 }
 
@@ -56,7 +58,7 @@
 {
 
 template<class Table, class Reply>
-void hand_over(Table& table, common::time_point now, Reply const& reply)
+void deliver_reply(Table& table, common::time_point now, Reply const& reply)
 {
     auto const found = table.find(reply.id);
     if (found == table.end())
@@ -65,7 +67,7 @@
     }
     auto const entry = std::move(found->second);
     table.erase(found);
-    if (auto const alive = entry.asker.lock())
+    if (auto const alive = entry.requester.lock())
     {
         entry.handle(now, reply);
     }
@@ -78,7 +80,7 @@
     bool const answered = reply.status != ports::kv_status::refused &&
                           reply.status != ports::kv_status::unclear;
     store_answered_ = answered ? now : store_answered_;
-    hand_over(kv_calls_, now, reply);
+    deliver_reply(kv_calls_, now, reply);
 }
 
 common::time_point outbox::store_answered() const noexcept
@@ -89,13 +91,13 @@
 void outbox::on_order_reply(common::time_point now,
                             ports::order_reply const& reply)
 {
-    hand_over(orders_, now, reply);
+    deliver_reply(orders_, now, reply);
 }
 
 void outbox::on_policy_reply(common::time_point now,
                              ports::policy_reply const& reply)
 {
-    hand_over(policy_calls_, now, reply);
+    deliver_reply(policy_calls_, now, reply);
 }
 
 ports::pool_actions outbox::take_actions()
--- a/src/core/pool/outbox.hpp
+++ b/src/core/pool/outbox.hpp
@@ -13,11 +13,12 @@
 namespace fuchsia::core::pool
 {
 
-/// Ends with the object that asked; answers that come later go nowhere.
+/// Expires with the object that sent a request. Answers that arrive later are
+/// dropped.
 using lifetime_token = std::shared_ptr<void>;
 
-/// Collects what the parts of an instance ask for, and hands each answer back
-/// to the part that waits for it.
+/// Collects the actions requested by the components of an instance and passes
+/// each answer to the component that waits for it.
 class outbox
 {
 public:
@@ -29,14 +30,14 @@
     using policy_handler =
         std::function<void(common::time_point, ports::policy_reply const&)>;
 
-    void store(lifetime_token const& asker,
+    void store(lifetime_token const& requester,
                ports::kv_operation operation,
                common::duration timeout,
                kv_handler handle);
-    void order(lifetime_token const& asker,
+    void order(lifetime_token const& requester,
                ports::pool_order order,
                order_handler handle);
-    void request_policy(lifetime_token const& asker,
+    void request_policy(lifetime_token const& requester,
                         ports::policy_request call,
                         policy_handler handle);
     void reply(std::uint64_t caller, ports::job_answer answer);
@@ -46,32 +47,33 @@
     void push(ports::pool_action action);
 
     void on_kv_reply(common::time_point now, ports::kv_reply const& reply);
-    /// When the store last answered any call.
+    /// Time of the store's last answer to any call.
     common::time_point store_answered() const noexcept;
     void on_order_reply(common::time_point now,
                         ports::order_reply const& reply);
     void on_policy_reply(common::time_point now,
                          ports::policy_reply const& reply);
 
-    /// Takes everything that was asked for since the last call.
+    /// Returns and removes the actions requested since the last call.
     ports::pool_actions take_actions();
 
-    /// Unix milliseconds at `now`, by this machine's clock.
+    /// Converts `now` to Unix milliseconds by this machine's clock.
     std::int64_t unix_ms(common::time_point now) const noexcept;
     void set_unix_offset(std::int64_t offset_ms) noexcept;
 
 private:
     template<class Handler>
-    struct waiting
+    struct pending_call
     {
-        std::weak_ptr<void> asker;
+        std::weak_ptr<void> requester;
         Handler handle;
     };
 
     ports::pool_actions actions_;
-    std::unordered_map<std::uint64_t, waiting<kv_handler>> kv_calls_;
-    std::unordered_map<std::uint64_t, waiting<order_handler>> orders_;
-    std::unordered_map<std::uint64_t, waiting<policy_handler>> policy_calls_;
+    std::unordered_map<std::uint64_t, pending_call<kv_handler>> kv_calls_;
+    std::unordered_map<std::uint64_t, pending_call<order_handler>> orders_;
+    std::unordered_map<std::uint64_t, pending_call<policy_handler>>
+        policy_calls_;
     common::time_point store_answered_{};
     std::uint64_t next_id_ = 0;
     std::int64_t unix_offset_ms_ = 0;
