--- a/src/core/pool/backlog.cpp
+++ b/src/core/pool/backlog.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-constexpr auto largest = std::numeric_limits<std::int64_t>::max();
+constexpr auto max_count = std::numeric_limits<std::int64_t>::max();
 
 } // namespace
 
@@ -36,21 +36,23 @@
         return std::nullopt;
     }
     common::json_reader in(*object, "backlog");
-    backlog made;
-    made.synced_revision =
-        static_cast<std::uint64_t>(in.integer("heard", 0, largest));
+    backlog result;
+    result.synced_revision =
+        static_cast<std::uint64_t>(in.integer("heard", 0, max_count));
     auto const* const waiting = in.object("waiting");
     if (waiting == nullptr)
     {
-        in.fail(common::result_code::missing_key, "waiting", "has no counts");
+        in.fail(common::result_code::missing_key,
+                "waiting",
+                "the counts of waiting jobs are missing");
     }
     else
     {
         common::json_reader counts(*waiting, "backlog.waiting");
         for (auto const& [queue, count] : *waiting)
         {
-            made.waiting[queue] = static_cast<std::uint64_t>(
-                counts.integer(std::string_view(queue), 0, largest));
+            result.waiting[queue] = static_cast<std::uint64_t>(
+                counts.integer(std::string_view(queue), 0, max_count));
         }
         if (!counts.ok())
         {
@@ -63,7 +65,7 @@
         reason = in.reason();
         return std::nullopt;
     }
-    return made;
+    return result;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/backlog.hpp
+++ b/src/core/pool/backlog.hpp
@@ -11,12 +11,12 @@
 namespace fuchsia::core::pool
 {
 
-/// How many jobs wait, as the owner records it for all instances.
+/// Numbers of waiting jobs, recorded by the owner for all instances.
 struct backlog
 {
-    /// Jobs accepted up to this revision of the store are in the counts.
+    /// Revision of the store up to which accepted jobs are in the counts.
     std::uint64_t synced_revision = 0;
-    std::map<std::string, std::uint64_t> waiting; ///< Jobs, by queue.
+    std::map<std::string, std::uint64_t> waiting; ///< Number of jobs by queue.
 };
 
 std::string to_json(backlog const& value);
--- a/src/core/pool/job.cpp
+++ b/src/core/pool/job.cpp
@@ -13,9 +13,10 @@
 
 namespace json = boost::json;
 
-// Tasks of a step that a limit may name; more is no limit.
-constexpr std::int64_t max_limit = 1'000'000;
-constexpr std::size_t max_id = 64; // Bytes.
+// Maximum number of tasks in a limit of a step. The value is larger than the
+// number of tasks of any step, so a higher limit would have no effect.
+constexpr std::int64_t max_task_limit = 1'000'000;
+constexpr std::size_t max_id_bytes = 64;
 constexpr std::int64_t max_integer = std::int64_t{1} << 52;
 
 json::object step_to_json(step const& value)
@@ -26,18 +27,18 @@
                      {"accelerators", value.declared.accelerators},
                      {"estimate_ms", common::to_milliseconds(value.estimate)},
                      {"after", json::value_from(value.after)}};
-    auto const flag = [&out](char const* key, bool set)
+    auto const flag = [&out](char const* key, bool enabled)
     {
-        if (set)
+        if (enabled)
         {
             out[key] = true;
         }
     };
-    auto const text = [&out](char const* key, std::string const& set)
+    auto const text = [&out](char const* key, std::string const& content)
     {
-        if (!set.empty())
+        if (!content.empty())
         {
-            out[key] = set;
+            out[key] = content;
         }
     };
     flag("checkpoints", value.checkpoints);
@@ -77,53 +78,57 @@
     value.near_rack = in.text_or("near_rack", "");
     value.image = in.text_or("image", "");
     value.max_per_worker = static_cast<std::uint32_t>(
-        in.integer_or("max_per_worker", 0, 0, max_limit));
-    value.max_unavailable =
-        static_cast<std::uint32_t>(in.integer_or("may_miss", 0, 0, max_limit));
+        in.integer_or("max_per_worker", 0, 0, max_task_limit));
+    value.max_unavailable = static_cast<std::uint32_t>(
+        in.integer_or("may_miss", 0, 0, max_task_limit));
     value.tail_target = std::chrono::milliseconds(number("tail_target_ms"));
     value.after = earlier_steps(in, "after");
     return value;
 }
 
-common::failure wrong(std::string where, std::string why)
+common::failure malformed(std::string location, std::string reason)
 {
-    return {
-        common::result_code::malformed_job, std::move(where), std::move(why)};
+    return {common::result_code::malformed_job,
+            std::move(location),
+            std::move(reason)};
 }
 
-bool within(std::int64_t size)
+bool is_valid_resource(std::int64_t size)
 {
     return 0 <= size && size <= max_resource_value;
 }
 
 std::optional<common::failure>
-check_step(step const& value, std::size_t number, std::string const& where)
+check_step(step const& value, std::size_t number, std::string const& location)
 {
     if (value.count == 0 || value.count > max_tasks_per_step)
     {
-        return wrong(where + ".count", "1 to 10000 tasks are allowed");
+        return malformed(location + ".count", "1 to 10000 tasks are allowed");
     }
     auto const& size = value.declared;
-    if (!within(size.millicores) || !within(size.memory_mb) ||
-        !within(size.accelerators))
+    if (!is_valid_resource(size.millicores) ||
+        !is_valid_resource(size.memory_mb) ||
+        !is_valid_resource(size.accelerators))
     {
-        return wrong(where, "a task is larger than any worker");
+        return malformed(location,
+                         "a resource is not between 0 and 1000000000");
     }
     if (value.estimate > max_duration || value.tail_target > max_duration)
     {
-        return wrong(where, "a time is longer than a year");
+        return malformed(location, "a duration is longer than 366 days");
     }
     if (value.required_label.size() > max_name_bytes ||
         value.near_rack.size() > max_name_bytes ||
         value.image.size() > max_name_bytes)
     {
-        return wrong(where, "a name is longer than 256 bytes");
+        return malformed(location, "a name is longer than 256 bytes");
     }
     for (auto const earlier : value.after)
     {
         if (earlier >= number)
         {
-            return wrong(where + ".after", "only earlier steps may stand");
+            return malformed(location + ".after",
+                             "only earlier steps are allowed");
         }
     }
     return std::nullopt;
@@ -135,14 +140,14 @@
 {
     std::vector<common::duration> ends;
     common::duration longest{};
-    for (auto const& each : steps)
+    for (auto const& current : steps)
     {
         common::duration begin{};
-        for (auto const earlier : each.after)
+        for (auto const earlier : current.after)
         {
             begin = std::max(begin, ends[earlier]);
         }
-        ends.push_back(begin + each.estimate);
+        ends.push_back(begin + current.estimate);
         longest = std::max(longest, ends.back());
     }
     return longest;
@@ -151,9 +156,9 @@
 std::string to_json(job const& value)
 {
     json::array steps;
-    for (auto const& each : value.steps)
+    for (auto const& current : value.steps)
     {
-        steps.push_back(step_to_json(each));
+        steps.push_back(step_to_json(current));
     }
     json::object out{{"id", value.id},
                      {"queue", value.queue},
@@ -190,15 +195,16 @@
     {
         if (!(*steps)[number].is_object())
         {
-            reason = wrong("job.steps", "every step is an object");
+            reason = malformed("job.steps", "every step must be an object");
             return std::nullopt;
         }
-        common::json_reader each((*steps)[number].as_object(),
-                                 "job.steps[" + std::to_string(number) + "]");
-        value.steps.push_back(step_from_json(each));
-        if (!each.ok())
+        common::json_reader step_reader((*steps)[number].as_object(),
+                                        "job.steps[" + std::to_string(number) +
+                                            "]");
+        value.steps.push_back(step_from_json(step_reader));
+        if (!step_reader.ok())
         {
-            reason = each.reason();
+            reason = step_reader.reason();
             return std::nullopt;
         }
     }
@@ -209,7 +215,7 @@
     }
     if (!is_job_id(value.id))
     {
-        reason = wrong("job.id", "1 to 64 letters, digits, - and _");
+        reason = malformed("job.id", "1 to 64 letters, digits, - and _");
         return std::nullopt;
     }
     if (auto problem = validate_job(value))
@@ -222,22 +228,22 @@
 
 bool is_job_id(std::string_view text) noexcept
 {
-    return !text.empty() && text.size() <= max_id &&
+    return !text.empty() && text.size() <= max_id_bytes &&
            std::all_of(text.begin(),
                        text.end(),
-                       [](char letter)
+                       [](char c)
                        {
-                           return (letter >= 'a' && letter <= 'z') ||
-                                  (letter >= 'A' && letter <= 'Z') ||
-                                  (letter >= '0' && letter <= '9') ||
-                                  letter == '-' || letter == '_';
+                           return (c >= 'a' && c <= 'z') ||
+                                  (c >= 'A' && c <= 'Z') ||
+                                  (c >= '0' && c <= '9') || c == '-' ||
+                                  c == '_';
                        });
 }
 
 std::vector<std::uint32_t> earlier_steps(common::json_reader& in,
                                          std::string_view key)
 {
-    std::vector<std::uint32_t> made;
+    std::vector<std::uint32_t> numbers;
     auto const* const list = in.array(key);
     for (std::size_t index = 0; list != nullptr && index < list->size();
          ++index)
@@ -249,36 +255,36 @@
             in.fail(common::result_code::wrong_type,
                     key,
                     "the number of an earlier step is expected");
-            return made;
+            return numbers;
         }
-        made.push_back(static_cast<std::uint32_t>(*number));
+        numbers.push_back(static_cast<std::uint32_t>(*number));
     }
-    return made;
+    return numbers;
 }
 
 std::optional<common::failure> validate_job(job const& value)
 {
     if (value.steps.empty() || value.steps.size() > max_steps)
     {
-        return wrong("job.steps", "1 to 256 steps are needed");
+        return malformed("job.steps", "1 to 256 steps are required");
     }
     if (value.spec.size() > max_spec_bytes)
     {
-        return wrong("job.spec", "longer than 16 KiB");
+        return malformed("job.spec", "longer than 16 KiB");
     }
     if (value.occurrences > max_occurrences)
     {
-        return wrong("job.occurrences", "more than 10000");
+        return malformed("job.occurrences", "more than 10000");
     }
     if (std::chrono::milliseconds(value.interval_ms) > max_duration)
     {
-        return wrong("job.interval", "longer than a year");
+        return malformed("job.interval", "longer than 366 days");
     }
     std::uint64_t tasks = 0;
     for (std::size_t number = 0; number < value.steps.size(); ++number)
     {
-        auto const where = "job.steps[" + std::to_string(number) + "]";
-        if (auto problem = check_step(value.steps[number], number, where))
+        auto const location = "job.steps[" + std::to_string(number) + "]";
+        if (auto problem = check_step(value.steps[number], number, location))
         {
             return problem;
         }
@@ -286,8 +292,8 @@
     }
     if (tasks > max_tasks)
     {
-        return wrong("job.steps",
-                     std::to_string(tasks) + " tasks, 20000 are allowed");
+        return malformed("job.steps",
+                         std::to_string(tasks) + " tasks, 20000 are allowed");
     }
     return std::nullopt;
 }
--- a/src/core/pool/keys.hpp
+++ b/src/core/pool/keys.hpp
@@ -4,27 +4,28 @@
 #include <string>
 #include <string_view>
 
-// Where the scheduler's state lies in the store. The claim and the accepted
-// jobs share one prefix on purpose: an owner watches both in one sequence, so
-// it can't learn of a job that was accepted after it had lost its claim
-// without learning of the loss first.
+// Keys of the scheduler's state in the store. The claim and the accepted jobs
+// share one prefix on purpose: an owner watches both in one ordered sequence,
+// so it learns of the loss of its claim before any job accepted after that
+// loss.
 namespace fuchsia::core::pool::keys
 {
 
 constexpr std::string_view owned_prefix = "pool/";
 constexpr std::string_view claim = "pool/claim";
-/// An instance that could schedule more asks the owner for the claim.
+/// Request of an instance with more capacity to take over the owner's claim.
 constexpr std::string_view handover = "pool/handover";
-/// How many jobs of each queue wait. Written all the time, and watched with the
-/// jobs: a watch that does not tell of it is deaf.
+/// Number of waiting jobs of each queue. The key is written continually and
+/// watched together with the jobs: a watch that does not report the writes has
+/// stalled.
 constexpr std::string_view backlog = "pool/backlog";
 constexpr std::string_view job_prefix = "pool/job/";
 constexpr std::string_view cancel_suffix = "/cancel";
 constexpr std::string_view progress_prefix = "progress/";
 constexpr std::string_view final_prefix = "final/";
-/// Workers that may hold tasks: who takes over asks each of them.
+/// Workers that may run tasks. A new owner queries each of them on takeover.
 constexpr std::string_view roster = "roster";
-/// What owners learned of images.
+/// Interference estimates of images.
 constexpr std::string_view interference_estimates = "learned";
 
 inline std::string job(std::string_view id)
--- a/src/core/pool/log_digest.cpp
+++ b/src/core/pool/log_digest.cpp
@@ -15,43 +15,44 @@
            "." + std::to_string(name.index);
 }
 
-std::string joined(std::vector<std::string> const& names, std::size_t most)
+std::string joined(std::vector<std::string> const& names, std::size_t max_names)
 {
-    std::string made;
-    for (std::size_t k = 0; k < names.size() && k < most; ++k)
+    std::string text;
+    for (std::size_t k = 0; k < names.size() && k < max_names; ++k)
     {
-        made += k > 0 ? "," : "";
-        made += names[k];
+        text += k > 0 ? "," : "";
+        text += names[k];
     }
-    return made;
+    return text;
 }
 
 namespace
 {
 
-constexpr common::duration gathered_for = std::chrono::seconds(2);
-/// Workers that a line names; the rest are counted.
-constexpr std::size_t most_workers = 3;
+constexpr common::duration digest_interval = std::chrono::seconds(2);
+/// Maximum number of workers listed in a line; the others are only counted.
+constexpr std::size_t max_listed_workers = 3;
 
-/// "w1:3,w2:1": the workers with most failures, by number.
-std::string worst_of(std::map<std::string, std::size_t> const& failures)
+/// Returns the workers with most failures and their counts: "w1:3,w2:1".
+std::string
+list_most_failures(std::map<std::string, std::size_t> const& failures)
 {
-    std::vector<std::pair<std::string, std::size_t>> order(failures.begin(),
-                                                           failures.end());
-    std::stable_sort(order.begin(),
-                     order.end(),
-                     [](auto const& left, auto const& right)
+    std::vector<std::pair<std::string, std::size_t>> sorted(failures.begin(),
+                                                            failures.end());
+    std::stable_sort(sorted.begin(),
+                     sorted.end(),
+                     [](auto const& lhs, auto const& rhs)
                      {
-                         return left.second > right.second;
+                         return lhs.second > rhs.second;
                      });
-    order.resize(std::min(order.size(), most_workers));
-    std::string made;
-    for (auto const& [worker, count] : order)
+    sorted.resize(std::min(sorted.size(), max_listed_workers));
+    std::string text;
+    for (auto const& [worker, count] : sorted)
     {
-        made += made.empty() ? "" : ",";
-        made += worker + ":" + std::to_string(count);
+        text += text.empty() ? "" : ",";
+        text += worker + ":" + std::to_string(count);
     }
-    return made;
+    return text;
 }
 
 } // namespace
@@ -70,7 +71,7 @@
 {
     if (failures_.empty())
     {
-        failing_since_ = now;
+        first_failure_at_ = now;
     }
     ++failures_[worker];
 }
@@ -80,18 +81,18 @@
 {
     if (adopted_.empty())
     {
-        adopting_since_ = now;
+        first_adoption_at_ = now;
     }
     adopted_.push_back(worker);
 }
 
 void log_digest::tick(common::time_point now)
 {
-    if (now - failing_since_ >= gathered_for)
+    if (now - first_failure_at_ >= digest_interval)
     {
         write_failures();
     }
-    if (now - adopting_since_ >= gathered_for)
+    if (now - first_adoption_at_ >= digest_interval)
     {
         write_adoptions();
     }
@@ -112,7 +113,7 @@
              "tasks_failed",
              {{"runs", std::to_string(runs)},
               {"workers", std::to_string(failures_.size())},
-              {"most", worst_of(failures_)}});
+              {"most", list_most_failures(failures_)}});
     failures_.clear();
 }
 
@@ -125,7 +126,7 @@
     out_.log(severity::info,
              "workers_adopted",
              {{"workers", std::to_string(adopted_.size())},
-              {"first", joined(adopted_, most_workers)}});
+              {"first", joined(adopted_, max_listed_workers)}});
     adopted_.clear();
 }
 
--- a/src/core/pool/log_digest.hpp
+++ b/src/core/pool/log_digest.hpp
@@ -11,26 +11,27 @@
 namespace fuchsia::core::pool
 {
 
-/// Which task of its job: occurrence, step and number, "0.2.7".
+/// Returns the occurrence, step and index of a task: "0.2.7".
 std::string text_of(ports::task_name const& name);
 
-/// The first of the names, at most `most`: "a,b".
-std::string joined(std::vector<std::string> const& names, std::size_t most);
+/// Returns the first `max_names` names, separated by commas: "a,b".
+std::string joined(std::vector<std::string> const& names,
+                   std::size_t max_names);
 
-/// Gathers what an owner meets many times a second into a line each two
-/// seconds. Only the end of a process' output is at hand after a failure: told
-/// one by one, these would leave a few seconds of it.
+/// Combines events that occur many times a second into one log line every two
+/// seconds. After a failure only the end of the process output is available;
+/// one line per event would reduce it to a few seconds.
 class log_digest
 {
 public:
     explicit log_digest(outbox& out);
-    /// Writes what is gathered.
+    /// Writes the events collected so far.
     ~log_digest();
     log_digest(log_digest const&) = delete;
     log_digest& operator=(log_digest const&) = delete;
 
     void task_failed(common::time_point now, std::string const& worker);
-    /// A worker answered this owner for the first time.
+    /// Records that a worker answered this owner for the first time.
     void worker_adopted(common::time_point now, std::string const& worker);
     void tick(common::time_point now);
 
@@ -39,10 +40,11 @@
     void write_adoptions();
 
     outbox& out_;
-    std::map<std::string, std::size_t> failures_; ///< Runs by worker.
-    common::time_point failing_since_{};
-    std::vector<std::string> adopted_; ///< Workers.
-    common::time_point adopting_since_{};
+    std::map<std::string, std::size_t>
+        failures_; ///< Number of failed runs by worker.
+    common::time_point first_failure_at_{};
+    std::vector<std::string> adopted_; ///< Ids of adopted workers.
+    common::time_point first_adoption_at_{};
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/request.hpp
+++ b/src/core/pool/request.hpp
@@ -9,17 +9,19 @@
 namespace fuchsia::core::pool
 {
 
-/// Hands a job in; its id and queue follow from the path.
+/// Submits a job. The path of the request determines its id and queue.
 struct submit_request
 {
     job job_spec;
 };
 
-/// The state of the job, or, where the path names none, of the queue.
+/// Queries the state of the job in the path, or of the queue if the path
+/// contains no job id.
 struct query_request
 {
 };
 
+/// Cancels the job in the path.
 struct cancel_request
 {
 };
--- a/src/core/pool/revision_times.cpp
+++ b/src/core/pool/revision_times.cpp
@@ -8,21 +8,22 @@
 namespace
 {
 
-constexpr common::duration spacing = std::chrono::milliseconds(100);
-constexpr std::size_t kept = 100;
+// Minimum time between the calls of two samples.
+constexpr common::duration min_spacing = std::chrono::milliseconds(100);
+constexpr std::size_t max_samples = 100;
 
 } // namespace
 
-void revision_times::note(common::time_point asked, std::uint64_t revision)
+void revision_times::note(common::time_point sent_at, std::uint64_t revision)
 {
-    bool const crowded =
-        !samples_.empty() && asked < samples_.back().asked + spacing;
-    if (revision == 0 || crowded)
+    bool const too_close =
+        !samples_.empty() && sent_at < samples_.back().sent_at + min_spacing;
+    if (revision == 0 || too_close)
     {
         return;
     }
-    samples_.push_back({asked, revision});
-    if (samples_.size() > kept)
+    samples_.push_back({sent_at, revision});
+    if (samples_.size() > max_samples)
     {
         samples_.pop_front();
     }
@@ -32,11 +33,12 @@
 revision_times::complete_until(std::uint64_t revision) const
 {
     std::optional<common::time_point> latest;
-    for (auto const& each : samples_)
+    for (auto const& current : samples_)
     {
-        if (each.revision <= revision)
+        if (current.revision <= revision)
         {
-            latest = std::max(latest.value_or(each.asked), each.asked);
+            latest =
+                std::max(latest.value_or(current.sent_at), current.sent_at);
         }
     }
     return latest;
