--- a/tests/unit/pool/cancel_test.cpp
+++ b/tests/unit/pool/cancel_test.cpp
@@ -24,63 +24,63 @@
     return made;
 }
 
-std::size_t running_in_all(pool_simulation& world)
+std::size_t running_in_all(pool_simulation& simulation)
 {
     std::size_t running = 0;
-    for (std::size_t number = 0; number < world.worker_count(); ++number)
+    for (std::size_t number = 0; number < simulation.worker_count(); ++number)
     {
-        running += world.worker(number).running();
+        running += simulation.worker(number).running();
     }
     return running;
 }
 
-std::size_t begun_in_all(pool_simulation& world)
+std::size_t begun_in_all(pool_simulation& simulation)
 {
     std::size_t begun = 0;
-    for (std::size_t number = 0; number < world.worker_count(); ++number)
+    for (std::size_t number = 0; number < simulation.worker_count(); ++number)
     {
-        begun += world.worker(number).started_runs().size();
+        begun += simulation.worker(number).started_runs().size();
     }
     return begun;
 }
 
-bool nothing_runs(pool_simulation& world, duration patience)
+bool nothing_runs(pool_simulation& simulation, duration patience)
 {
-    return world.run_until(
-        [&world]
+    return simulation.run_until(
+        [&simulation]
         {
-            return running_in_all(world) == 0;
+            return running_in_all(simulation) == 0;
         },
         patience);
 }
 
 // Whether its caller was told that the job is cancelled, or that there is none.
-bool acknowledged(pool_simulation& world, std::uint64_t request)
+bool acknowledged(pool_simulation& simulation, std::uint64_t request)
 {
-    world.run_until(
-        [&world, request]
+    simulation.run_until(
+        [&simulation, request]
         {
-            return world.answer(request).has_value();
+            return simulation.answer(request).has_value();
         });
-    auto const got = world.answer(request);
+    auto const got = simulation.answer(request);
     return got && (std::holds_alternative<ports::job_accepted>(*got) ||
                    std::holds_alternative<ports::job_not_found>(*got));
 }
 
 // From now on the owner's watches for jobs are answered with nothing.
-void deafen(pool_simulation& world, std::size_t owner)
+void deafen(pool_simulation& simulation, std::size_t owner)
 {
-    world.store_fault = [owner](std::size_t at, ports::kv_operation const& call)
+    simulation.store_fault = [owner](std::size_t at, ports::kv_operation const& call)
     {
         return at == owner && watches_jobs(call) ? fault_effect::watch_stalled
                                                  : fault_effect::carried_out;
     };
 }
 
-std::size_t logged(pool_simulation const& world, std::string const& event)
+std::size_t logged(pool_simulation const& simulation, std::string const& event)
 {
     std::size_t lines = 0;
-    for (auto const& line : world.log())
+    for (auto const& line : simulation.log())
     {
         lines += line.what.event == event ? 1U : 0U;
     }
@@ -106,23 +106,23 @@
            commit->puts.front().key == "pool/job/" + id;
 }
 
-void cancel_backwards(pool_simulation& world,
+void cancel_backwards(pool_simulation& simulation,
                       std::size_t at,
                       std::string const& name,
                       std::size_t count)
 {
     for (std::size_t number = count; number > 0; --number)
     {
-        world.cancel(at, name + std::to_string(number - 1));
+        simulation.cancel(at, name + std::to_string(number - 1));
     }
 }
 
 // From now on the first such order to each worker meets this, the others pass.
 template<class Order>
-void first_order_meets(pool_simulation& world, fault_effect how)
+void first_order_meets(pool_simulation& simulation, fault_effect how)
 {
     auto hit = std::make_shared<std::set<std::size_t>>();
-    world.worker_fault = [hit, how](std::size_t,
+    simulation.worker_fault = [hit, how](std::size_t,
                                     std::size_t worker,
                                     ports::pool_operation const& call)
     {
@@ -139,49 +139,49 @@
 {
     for (auto const how : {fault_effect::executed_late, fault_effect::delayed})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        world.store_fault = [how](std::size_t, ports::kv_operation const& call)
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        simulation.store_fault = [how](std::size_t, ports::kv_operation const& call)
         {
             return writes_job(call, "a") ? how : fault_effect::carried_out;
         };
-        world.submit(1, "a", lasting_job(6));
-        world.run(100ms);
-        EXPECT_TRUE(acknowledged(world, world.cancel(2, "a")));
-        world.run(10s);
-        EXPECT_EQ(begun_in_all(world), 0U);
+        simulation.submit(1, "a", lasting_job(6));
+        simulation.run(100ms);
+        EXPECT_TRUE(acknowledged(simulation, simulation.cancel(2, "a")));
+        simulation.run(10s);
+        EXPECT_EQ(begun_in_all(simulation), 0U);
     }
 }
 
 // Failure: a job that is unknown when it is cancelled is told to be there.
 TEST(pool_cancel, the_cancelling_of_an_unknown_job_makes_none)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const request = world.cancel(2, "a");
-    EXPECT_TRUE(acknowledged(world, request));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const request = simulation.cancel(2, "a");
+    EXPECT_TRUE(acknowledged(simulation, request));
     EXPECT_TRUE(
-        std::holds_alternative<ports::job_not_found>(*world.answer(request)));
+        std::holds_alternative<ports::job_not_found>(*simulation.answer(request)));
     for (std::size_t number = 0; number < 3; ++number)
     {
-        EXPECT_EQ(world.state(number, "a"), std::nullopt);
+        EXPECT_EQ(simulation.state(number, "a"), std::nullopt);
     }
-    EXPECT_EQ(world.reported_waiting_jobs(1), 0U);
+    EXPECT_EQ(simulation.reported_waiting_jobs(1), 0U);
 }
 
 // Failure: cancellings of unknown jobs pile up in the store.
 TEST(pool_cancel, the_cancelling_of_an_unknown_job_goes_in_time)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
     constexpr std::size_t jobs = 40;
-    cancel_backwards(world, 1, "never", jobs);
-    world.run(1s);
-    EXPECT_TRUE(world.store().find("pool/job/never0/cancel").has_value());
-    world.kill(*world.owner());
-    world.run(90s);
+    cancel_backwards(simulation, 1, "never", jobs);
+    simulation.run(1s);
+    EXPECT_TRUE(simulation.store().find("pool/job/never0/cancel").has_value());
+    simulation.kill(*simulation.owner());
+    simulation.run(90s);
     auto const left =
-        world.store().answer(world.now(), ports::kv_range{"pool/job/", ""});
+        simulation.store().answer(simulation.now(), ports::kv_range{"pool/job/", ""});
     ASSERT_TRUE(left.has_value());
     EXPECT_TRUE(left->items.empty());
 }
@@ -189,14 +189,14 @@
 // Failure: a job that is sent again after its cancelling runs.
 TEST(pool_cancel, a_job_that_was_cancelled_ahead_is_told_absent)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    EXPECT_TRUE(acknowledged(world, world.cancel(2, "a")));
-    world.submit(1, "a", lasting_job(6));
-    world.run(5s);
-    EXPECT_EQ(begun_in_all(world), 0U);
-    EXPECT_EQ(world.state(0, "a"), std::nullopt);
-    EXPECT_EQ(world.reported_waiting_jobs(1), 0U);
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    EXPECT_TRUE(acknowledged(simulation, simulation.cancel(2, "a")));
+    simulation.submit(1, "a", lasting_job(6));
+    simulation.run(5s);
+    EXPECT_EQ(begun_in_all(simulation), 0U);
+    EXPECT_EQ(simulation.state(0, "a"), std::nullopt);
+    EXPECT_EQ(simulation.reported_waiting_jobs(1), 0U);
 }
 
 // Failure: tasks run on as the owner's watches answer and tell it nothing.
@@ -204,17 +204,17 @@
 {
     for (auto when = 0ms; when <= 2000ms; when += 100ms)
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        auto const owner = *world.owner();
-        world.submit(other_than(owner), "a", lasting_job(6));
-        world.run(1s);
-        ASSERT_EQ(running_in_all(world), 6U);
-        deafen(world, owner);
-        world.run(when);
-        EXPECT_TRUE(acknowledged(world, world.cancel(other_than(owner), "a")));
-        EXPECT_TRUE(nothing_runs(world, cancel_limit)) << when.count();
-        EXPECT_EQ(world.owner(), owner);
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        auto const owner = *simulation.owner();
+        simulation.submit(other_than(owner), "a", lasting_job(6));
+        simulation.run(1s);
+        ASSERT_EQ(running_in_all(simulation), 6U);
+        deafen(simulation, owner);
+        simulation.run(when);
+        EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other_than(owner), "a")));
+        EXPECT_TRUE(nothing_runs(simulation, cancel_limit)) << when.count();
+        EXPECT_EQ(simulation.owner(), owner);
     }
 }
 
@@ -229,11 +229,11 @@
     {
         for (auto const way : {2ms, 200ms})
         {
-            pool_simulation world;
-            ASSERT_TRUE(run_until_owned(world));
-            world.set_store_latency(way);
+            pool_simulation simulation;
+            ASSERT_TRUE(run_until_owned(simulation));
+            simulation.set_store_latency(way);
             std::size_t calls = 0;
-            world.store_fault =
+            simulation.store_fault =
                 [how, &calls](std::size_t, ports::kv_operation const& call)
             {
                 bool const meant =
@@ -244,15 +244,15 @@
             };
             for (int number = 0; number < 20; ++number)
             {
-                submit_many(world,
+                submit_many(simulation,
                             number % 3,
                             "job" + std::to_string(number) + ".",
                             2,
                             simple_job(2, 500ms));
-                world.run(1s);
+                simulation.run(1s);
             }
             EXPECT_GT(calls, 30U);
-            EXPECT_EQ(logged(world, "watch_deaf"), 0U);
+            EXPECT_EQ(logged(simulation, "watch_deaf"), 0U);
         }
     }
 }
@@ -260,34 +260,34 @@
 // Failure: a job starts after its cancelling, by news that are not heard.
 TEST(pool_cancel, a_deaf_watch_starts_nothing_of_a_cancelled_job)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    world.submit(other_than(owner), "fills", simple_job(32, 8s));
-    world.submit(other_than(owner), "a", lasting_job(6));
-    world.run(1s);
-    deafen(world, owner);
-    world.run(1500ms);
-    EXPECT_TRUE(acknowledged(world, world.cancel(other_than(owner), "a")));
-    world.run(12s);
-    EXPECT_EQ(begun_in_all(world), 32U);
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    simulation.submit(other_than(owner), "fills", simple_job(32, 8s));
+    simulation.submit(other_than(owner), "a", lasting_job(6));
+    simulation.run(1s);
+    deafen(simulation, owner);
+    simulation.run(1500ms);
+    EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other_than(owner), "a")));
+    simulation.run(12s);
+    EXPECT_EQ(begun_in_all(simulation), 32U);
 }
 
 // Failure: an owner takes a job from a page that is newer than its claim.
 TEST(pool_cancel, a_later_page_does_not_hide_the_loss_of_the_claim)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
     auto const other = other_than(owner);
     auto small = lasting_job(1);
     small.steps.front().declared = {1, 1, 0};
-    submit_many(world, other, "a", 600, small);
-    world.run(3s);
-    ASSERT_EQ(running_in_all(world), 600U);
+    submit_many(simulation, other, "a", 600, small);
+    simulation.run(3s);
+    ASSERT_EQ(running_in_all(simulation), 600U);
     bool paged = false;
     bool lost = false;
-    world.store_fault =
+    simulation.store_fault =
         [owner, &paged, &lost](std::size_t at, ports::kv_operation const& call)
     {
         auto const* const page = std::get_if<ports::kv_range>(&call);
@@ -303,31 +303,31 @@
                : lost && tells      ? fault_effect::request_lost
                                     : fault_effect::carried_out;
     };
-    ASSERT_TRUE(world.run_until(
+    ASSERT_TRUE(simulation.run_until(
         [&paged]
         {
             return paged;
         }));
-    world.run(1200ms);
+    simulation.run(1200ms);
     lost = true;
     // The owner keeps one worker, a successor reaches all others.
-    world.worker_fault = [owner](std::size_t instance,
+    simulation.worker_fault = [owner](std::size_t instance,
                                  std::size_t worker,
                                  ports::pool_operation const&)
     {
         bool const passes = (worker == 0) == (instance == owner);
         return passes ? fault_effect::carried_out : fault_effect::request_lost;
     };
-    world.store().expire_key("pool/claim");
-    world.run(300ms);
-    ASSERT_NE(world.owner(), owner);
-    world.submit(other, "z", lasting_job(8));
-    world.run(3s);
-    EXPECT_EQ(world.violation(), "");
+    simulation.store().expire_key("pool/claim");
+    simulation.run(300ms);
+    ASSERT_NE(simulation.owner(), owner);
+    simulation.submit(other, "z", lasting_job(8));
+    simulation.run(3s);
+    EXPECT_EQ(simulation.violation(), "");
     std::size_t places = 0;
     for (std::uint32_t index = 0; index < 8; ++index)
     {
-        places += world.running_count({"z", 0, 0, index});
+        places += simulation.running_count({"z", 0, 0, index});
     }
     EXPECT_EQ(places, 8U);
 }
@@ -335,15 +335,15 @@
 // Failure: one lost page hides all cancellings for the length of its time-out.
 TEST(pool_cancel, a_lost_page_does_not_hide_a_cancelling)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    world.submit(other_than(owner), "a", lasting_job(6));
-    world.run(1s);
-    ASSERT_EQ(running_in_all(world), 6U);
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    simulation.submit(other_than(owner), "a", lasting_job(6));
+    simulation.run(1s);
+    ASSERT_EQ(running_in_all(simulation), 6U);
     bool forgotten = false;
     bool lost = false;
-    world.store_fault = [owner, &forgotten, &lost, &world](
+    simulation.store_fault = [owner, &forgotten, &lost, &simulation](
                             std::size_t at, ports::kv_operation const& call)
     {
         auto const* const page = std::get_if<ports::kv_range>(&call);
@@ -352,20 +352,20 @@
         if (at == owner && watches_jobs(call) && !forgotten)
         {
             forgotten = true;
-            world.store().put("elsewhere", "");
-            world.store().compact();
+            simulation.store().put("elsewhere", "");
+            simulation.store().compact();
         }
         bool const hit = jobs && !lost;
         lost = lost || hit;
         return hit ? fault_effect::request_lost : fault_effect::carried_out;
     };
-    ASSERT_TRUE(world.run_until(
+    ASSERT_TRUE(simulation.run_until(
         [&lost]
         {
             return lost;
         }));
-    EXPECT_TRUE(acknowledged(world, world.cancel(other_than(owner), "a")));
-    EXPECT_TRUE(nothing_runs(world, cancel_limit));
+    EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other_than(owner), "a")));
+    EXPECT_TRUE(nothing_runs(simulation, cancel_limit));
 }
 
 // Failure: all that runs lapses, as a takeover waits for one lost read.
@@ -373,25 +373,25 @@
 {
     for (std::size_t victim = 0; victim < 5; ++victim)
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        auto const owner = *world.owner();
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        auto const owner = *simulation.owner();
         auto const other = other_than(owner);
-        world.submit(other, "a", lasting_job(6));
-        world.run(1s);
-        ASSERT_EQ(running_in_all(world), 6U);
+        simulation.submit(other, "a", lasting_job(6));
+        simulation.run(1s);
+        ASSERT_EQ(running_in_all(simulation), 6U);
         std::size_t reads = 0;
-        world.store_fault =
+        simulation.store_fault =
             [&reads, victim](std::size_t, ports::kv_operation const& call)
         {
             bool const hit = reads_state(call) && reads++ == victim;
             return hit ? fault_effect::request_lost : fault_effect::carried_out;
         };
-        world.kill(owner);
-        world.run(8s);
+        simulation.kill(owner);
+        simulation.run(8s);
         EXPECT_GE(reads, 5U);
-        EXPECT_EQ(begun_in_all(world), 6U) << victim;
-        EXPECT_EQ(running_in_all(world), 6U) << victim;
+        EXPECT_EQ(begun_in_all(simulation), 6U) << victim;
+        EXPECT_EQ(running_in_all(simulation), 6U) << victim;
     }
 }
 
@@ -403,36 +403,36 @@
     {
         for (auto when = 20ms; when <= 400ms; when += 20ms)
         {
-            pool_simulation world(3, 8);
-            ASSERT_TRUE(run_until_owned(world));
-            auto const owner = *world.owner();
+            pool_simulation simulation(3, 8);
+            ASSERT_TRUE(run_until_owned(simulation));
+            auto const owner = *simulation.owner();
             auto const other = other_than(owner);
-            submit_many(world, other, "job", jobs, lasting_job(1));
-            world.run(2s);
-            ASSERT_EQ(running_in_all(world), jobs);
-            cancel_backwards(world, other, "job", jobs);
+            submit_many(simulation, other, "job", jobs, lasting_job(1));
+            simulation.run(2s);
+            ASSERT_EQ(running_in_all(simulation), jobs);
+            cancel_backwards(simulation, other, "job", jobs);
             // The ends of all jobs are known and wait to be written.
-            ASSERT_TRUE(world.run_until(
-                [&world, owner]
+            ASSERT_TRUE(simulation.run_until(
+                [&simulation, owner]
                 {
-                    return world.owner_at(owner).commits().waiting() >= jobs;
+                    return simulation.owner_at(owner).commits().waiting() >= jobs;
                 }));
             if (forgets)
             {
                 // All pages are read again.
-                world.store().compact();
+                simulation.store().compact();
             }
             else
             {
-                cancel_backwards(world, other, "job", jobs);
+                cancel_backwards(simulation, other, "job", jobs);
             }
-            world.run(when);
-            world.kill(owner);
-            auto const begun = begun_in_all(world);
-            world.run(8s);
-            EXPECT_EQ(begun_in_all(world), begun)
+            simulation.run(when);
+            simulation.kill(owner);
+            auto const begun = begun_in_all(simulation);
+            simulation.run(8s);
+            EXPECT_EQ(begun_in_all(simulation), begun)
                 << "killed after " << when.count() << " ms";
-            EXPECT_EQ(running_in_all(world), 0U)
+            EXPECT_EQ(running_in_all(simulation), 0U)
                 << "killed after " << when.count() << " ms";
         }
     }
@@ -449,14 +449,14 @@
     {
         for (auto const when : {0ms, 3ms, 10ms, 100ms, 300ms})
         {
-            pool_simulation world;
-            ASSERT_TRUE(run_until_owned(world));
-            auto const owner = *world.owner();
+            pool_simulation simulation;
+            ASSERT_TRUE(run_until_owned(simulation));
+            auto const owner = *simulation.owner();
             auto const other = other_than(owner);
-            world.submit(other, "a", lasting_job(6));
-            world.run(1s);
-            ASSERT_EQ(running_in_all(world), 6U);
-            world.store_fault =
+            simulation.submit(other, "a", lasting_job(6));
+            simulation.run(1s);
+            ASSERT_EQ(running_in_all(simulation), 6U);
+            simulation.store_fault =
                 [owner, commits](std::size_t at,
                                  ports::kv_operation const& call)
             {
@@ -464,15 +464,15 @@
                                  std::holds_alternative<ports::kv_commit>(call);
                 return hit ? commits : fault_effect::carried_out;
             };
-            EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
-            world.run(when);
-            world.kill(owner);
-            world.store().compact();
-            EXPECT_TRUE(nothing_runs(world, 5s));
-            auto const begun = begun_in_all(world);
-            world.run(5s);
-            EXPECT_EQ(begun_in_all(world), begun);
-            EXPECT_EQ(world.state(other, "a"), ports::job_state::cancelled);
+            EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other, "a")));
+            simulation.run(when);
+            simulation.kill(owner);
+            simulation.store().compact();
+            EXPECT_TRUE(nothing_runs(simulation, 5s));
+            auto const begun = begun_in_all(simulation);
+            simulation.run(5s);
+            EXPECT_EQ(begun_in_all(simulation), begun);
+            EXPECT_EQ(simulation.state(other, "a"), ports::job_state::cancelled);
         }
     }
 }
@@ -485,15 +485,15 @@
                            fault_effect::executed_late,
                            fault_effect::refused})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        world.submit(1, "a", lasting_job(6));
-        world.run(1s);
-        first_order_meets<ports::stop_order>(world, how);
-        EXPECT_TRUE(acknowledged(world, world.cancel(1, "a")));
-        EXPECT_TRUE(nothing_runs(world, 1s));
-        world.run(3s);
-        EXPECT_EQ(world.state(1, "a"), ports::job_state::cancelled);
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        simulation.submit(1, "a", lasting_job(6));
+        simulation.run(1s);
+        first_order_meets<ports::stop_order>(simulation, how);
+        EXPECT_TRUE(acknowledged(simulation, simulation.cancel(1, "a")));
+        EXPECT_TRUE(nothing_runs(simulation, 1s));
+        simulation.run(3s);
+        EXPECT_EQ(simulation.state(1, "a"), ports::job_state::cancelled);
     }
 }
 
@@ -502,49 +502,49 @@
 {
     for (bool const takeover : {false, true})
     {
-        pool_simulation world;
-        ASSERT_TRUE(run_until_owned(world));
-        auto const owner = *world.owner();
+        pool_simulation simulation;
+        ASSERT_TRUE(run_until_owned(simulation));
+        auto const owner = *simulation.owner();
         auto const other = other_than(owner);
-        first_order_meets<ports::start_order>(world,
+        first_order_meets<ports::start_order>(simulation,
                                               fault_effect::executed_late);
-        world.submit(other, "a", lasting_job(6));
-        world.run(100ms);
-        EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
+        simulation.submit(other, "a", lasting_job(6));
+        simulation.run(100ms);
+        EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other, "a")));
         if (takeover)
         {
-            world.kill(owner);
+            simulation.kill(owner);
         }
-        world.run(3500ms);
-        EXPECT_TRUE(nothing_runs(world, cancel_limit));
-        EXPECT_EQ(world.violation(), "");
+        simulation.run(3500ms);
+        EXPECT_TRUE(nothing_runs(simulation, cancel_limit));
+        EXPECT_EQ(simulation.violation(), "");
     }
 }
 
 // Failure: tasks of a worker that the successor reaches late are not stopped.
 TEST(pool_cancel, a_worker_that_the_successor_reaches_late)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
     auto const other = other_than(owner);
-    world.submit(other, "a", lasting_job(6));
-    world.run(1s);
-    ASSERT_GT(world.worker(0).running(), 0U);
-    auto const until = world.now() + 3s;
-    world.worker_fault = [&world, until](std::size_t,
+    simulation.submit(other, "a", lasting_job(6));
+    simulation.run(1s);
+    ASSERT_GT(simulation.worker(0).running(), 0U);
+    auto const until = simulation.now() + 3s;
+    simulation.worker_fault = [&simulation, until](std::size_t,
                                          std::size_t worker,
                                          ports::pool_operation const&)
     {
-        return worker == 0 && world.now() < until ? fault_effect::request_lost
+        return worker == 0 && simulation.now() < until ? fault_effect::request_lost
                                                   : fault_effect::carried_out;
     };
-    EXPECT_TRUE(acknowledged(world, world.cancel(other, "a")));
-    world.kill(owner);
-    world.run(3s);
-    EXPECT_TRUE(nothing_runs(world, cancel_limit));
-    auto const begun = begun_in_all(world);
-    world.run(5s);
-    EXPECT_EQ(begun_in_all(world), begun);
-    EXPECT_EQ(world.state(other, "a"), ports::job_state::cancelled);
+    EXPECT_TRUE(acknowledged(simulation, simulation.cancel(other, "a")));
+    simulation.kill(owner);
+    simulation.run(3s);
+    EXPECT_TRUE(nothing_runs(simulation, cancel_limit));
+    auto const begun = begun_in_all(simulation);
+    simulation.run(5s);
+    EXPECT_EQ(begun_in_all(simulation), begun);
+    EXPECT_EQ(simulation.state(other, "a"), ports::job_state::cancelled);
 }
--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -37,7 +37,7 @@
 public:
     explicit cancel_walk(std::uint64_t seed) : random_(seed)
     {
-        world_.run(1s);
+        simulation_.run(1s);
     }
 
     std::string run()
@@ -69,7 +69,7 @@
         for (std::uint64_t step = 0; step < steps; ++step)
         {
             act();
-            world_.run(std::chrono::milliseconds(1 + draw(400)));
+            simulation_.run(std::chrono::milliseconds(1 + draw(400)));
         }
     }
 
@@ -90,7 +90,7 @@
         auto const victim = draw(2 * instances);
         auto const usual = any_fate();
         bool const deaf = draw(2) == 0;
-        world_.store_fault =
+        simulation_.store_fault =
             [this, store_share, victim, usual, deaf](
                 std::size_t at, ports::kv_operation const& call)
         {
@@ -103,7 +103,7 @@
             return hit ? usual : fault_effect::carried_out;
         };
         auto const order_share = draw(2) == 0 ? 0 : draw(100);
-        world_.worker_fault = [this, order_share](std::size_t,
+        simulation_.worker_fault = [this, order_share](std::size_t,
                                                   std::size_t,
                                                   ports::pool_operation const&)
         {
@@ -129,19 +129,19 @@
             cancel();
             return;
         case 6:
-            world_.store().compact();
+            simulation_.store().compact();
             return;
         case 7:
             kill();
             return;
         case 8:
-            world_.freeze(draw(instances), seconds_below(4));
+            simulation_.freeze(draw(instances), seconds_below(4));
             return;
         case 9:
-            world_.restart_worker(draw(workers));
+            simulation_.restart_worker(draw(workers));
             return;
         case 10:
-            world_.store().expire_key("pool/claim");
+            simulation_.store().expire_key("pool/claim");
             return;
         default:
             choose_faults();
@@ -163,7 +163,7 @@
             what.steps.front().long_running = true;
             what.spec = "lasts";
         }
-        job.submits.push_back(world_.submit(
+        job.submits.push_back(simulation_.submit(
             draw(instances), "job" + std::to_string(number), what));
     }
 
@@ -172,14 +172,14 @@
         auto const id = "job" + std::to_string(draw(most_jobs));
         if (jobs_.contains(id))
         {
-            jobs_[id].cancels.push_back(world_.cancel(draw(instances), id));
+            jobs_[id].cancels.push_back(simulation_.cancel(draw(instances), id));
         }
     }
 
     void kill()
     {
-        auto const victim = world_.owner().value_or(draw(instances));
-        world_.kill(victim);
+        auto const victim = simulation_.owner().value_or(draw(instances));
+        simulation_.kill(victim);
         killed_.insert(victim);
         if (draw(2) == 0)
         {
@@ -191,7 +191,7 @@
     {
         for (auto const each : killed_)
         {
-            world_.start(each);
+            simulation_.start(each);
         }
         killed_.clear();
     }
@@ -199,19 +199,19 @@
     // The store is sound for 3 s before any bound counts; it may stay deaf.
     void calm()
     {
-        world_.worker_fault = nullptr;
+        simulation_.worker_fault = nullptr;
         bool const deaf = draw(2) == 0;
-        world_.store_fault =
+        simulation_.store_fault =
             [deaf](std::size_t, ports::kv_operation const& call)
         {
             return deaf && watches_jobs(call) ? fault_effect::watch_stalled
                                               : fault_effect::carried_out;
         };
         revive();
-        world_.run(3s);
+        simulation_.run(3s);
         cancel();
         cancel();
-        world_.run(50ms + 3200ms);
+        simulation_.run(50ms + 3200ms);
     }
 
     template<class Answer>
@@ -219,7 +219,7 @@
     {
         for (auto const request : requests)
         {
-            auto const got = world_.answer(request);
+            auto const got = simulation_.answer(request);
             if (got && std::holds_alternative<Answer>(*got))
             {
                 return true;
@@ -233,8 +233,8 @@
         std::size_t sum = 0;
         for (std::uint32_t index = 0; index < job.tasks; ++index)
         {
-            sum += world_.running_count({id, 0, 0, index});
-            sum += world_.running_count({id, 0, 1, index});
+            sum += simulation_.running_count({id, 0, 0, index});
+            sum += simulation_.running_count({id, 0, 1, index});
         }
         return sum;
     }
@@ -256,9 +256,9 @@
     std::size_t begun_of(std::set<std::string> const& ids)
     {
         std::size_t sum = 0;
-        for (std::size_t number = 0; number < world_.worker_count(); ++number)
+        for (std::size_t number = 0; number < simulation_.worker_count(); ++number)
         {
-            for (auto const& each : world_.worker(number).started_runs())
+            for (auto const& each : simulation_.worker(number).started_runs())
             {
                 sum += ids.contains(each.task.job) ? 1U : 0U;
             }
@@ -269,10 +269,10 @@
     // An instance that takes the store for away refuses at first.
     bool completes(std::string const& id)
     {
-        return world_.run_until(
+        return simulation_.run_until(
             [this, &id]
             {
-                return world_.state(0, id) == ports::job_state::completed;
+                return simulation_.state(0, id) == ports::job_state::completed;
             },
             3s);
     }
@@ -288,7 +288,7 @@
                 broken_ = id + " runs on";
             }
         }
-        world_.run(5s);
+        simulation_.run(5s);
         if (begun_of(gone) != begun)
         {
             broken_ = "a cancelled job began again";
@@ -304,14 +304,14 @@
                 broken_ = id + " does not run, and nobody cancelled it";
             }
         }
-        if (!world_.violation().empty())
+        if (!simulation_.violation().empty())
         {
-            broken_ = world_.violation();
+            broken_ = simulation_.violation();
         }
     }
 
     std::mt19937_64 random_;
-    pool_simulation world_{instances, workers};
+    pool_simulation simulation_{instances, workers};
     std::map<std::string, job_fate> jobs_;
     std::set<std::size_t> killed_;
     std::string broken_;
--- a/tests/unit/pool/pool_simulation.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -10,78 +10,81 @@
 
 constexpr std::int64_t unix_offset_ms = 1'700'000'000'000;
 constexpr duration worker_delay = 1ms;
-constexpr duration late_by = 2s;
-constexpr duration tick_every = 10ms;
+constexpr duration late_delay = 2s;
+constexpr duration tick_interval = 10ms;
 constexpr char const* host = "jobs.example";
 constexpr char const* prefix = "/q/";
 constexpr std::uint32_t attempts = 3;
 
-ports::pool_worker make_info(std::size_t number, std::uint64_t born)
+ports::pool_worker make_info(std::size_t number, std::uint64_t incarnation)
 {
-    ports::pool_worker made;
-    made.id = "w" + std::to_string(number);
-    made.service = "s";
-    made.remote_endpoint = {"10.0.0." + std::to_string(number + 1), 80};
-    made.data_centre = number % 2 == 0 ? "even" : "odd";
-    made.rack = made.data_centre;
-    made.capacity = {8000, 8000, 0};
-    made.incarnation = born;
-    return made;
+    ports::pool_worker info;
+    info.id = "w" + std::to_string(number);
+    info.service = "s";
+    info.remote_endpoint = {"10.0.0." + std::to_string(number + 1), 80};
+    info.data_centre = number % 2 == 0 ? "even" : "odd";
+    info.rack = info.data_centre;
+    info.capacity = {8000, 8000, 0};
+    info.incarnation = incarnation;
+    return info;
 }
 
-// The stand-in's own words for what operators and workers write.
-core::pool::platform_records make_words()
+// Key prefixes and parsers for the simplified records of workers and operators
+// that the simulation writes.
+core::pool::platform_records make_platform_records()
 {
-    core::pool::platform_records made;
-    made.workers_prefix = "workers/";
-    made.operators_prefix = "operators/";
-    made.read_worker =
+    core::pool::platform_records records;
+    records.workers_prefix = "workers/";
+    records.operators_prefix = "operators/";
+    records.read_worker =
         [](ports::kv_item const& item,
            core::common::failure& reason) -> std::optional<ports::pool_worker>
     {
-        // "number born draining"
+        // Format: "number incarnation", optionally followed by " draining".
         if (item.value.find_first_of("0123456789") != 0 ||
             item.value.find(' ') == std::string::npos)
         {
-            reason = {core::common::result_code::wrong_type, item.key, "odd"};
+            reason = {core::common::result_code::wrong_type,
+                      item.key,
+                      "malformed worker record"};
             return std::nullopt;
         }
-        auto const born = item.value.find(' ');
+        auto const separator = item.value.find(' ');
         auto worker = make_info(std::stoul(item.value),
-                                std::stoull(item.value.substr(born)));
+                                std::stoull(item.value.substr(separator)));
         worker.draining = item.value.ends_with("draining");
         return worker;
     };
-    made.read_operator =
+    records.read_operator =
         [](ports::kv_item const& item,
            core::common::failure&) -> std::optional<core::pool::operator_change>
     {
-        constexpr std::string_view out = "operators/out/";
-        if (item.key.starts_with(out))
+        constexpr std::string_view excluded_prefix = "operators/out/";
+        if (item.key.starts_with(excluded_prefix))
         {
-            return core::pool::data_centre_change{item.key.substr(out.size()),
-                                                  !item.erased};
+            return core::pool::data_centre_change{
+                item.key.substr(excluded_prefix.size()), !item.erased};
         }
         core::pool::configuration config;
         config.version = std::stoull(item.value);
-        bool const advised = item.value.ends_with("advised");
+        bool const has_policy = item.value.ends_with("advised");
         core::pool::queue queue;
         queue.name = "q";
         queue.host = host;
         queue.prefix = prefix;
         queue.service = "s";
         queue.attempts = attempts;
-        if (advised)
+        if (has_policy)
         {
             queue.policy = core::pool::policy_rules{300ms, 2ms};
         }
         config.queues.push_back(queue);
         return config;
     };
-    return made;
+    return records;
 }
 
-// The same as the answer to a call that was never made.
+// Returns a copy of the reply with the id of a call that was never sent.
 template<class Reply>
 Reply to_nobody(Reply reply)
 {
@@ -91,12 +94,12 @@
 
 } // namespace
 
-bool run_until_owned(pool_simulation& world)
+bool run_until_owned(pool_simulation& simulation)
 {
-    return world.run_until(
-        [&world]
+    return simulation.run_until(
+        [&simulation]
         {
-            return world.owner().has_value();
+            return simulation.owner().has_value();
         });
 }
 
@@ -105,15 +108,16 @@
     return number == 0 ? 1 : 0;
 }
 
-void submit_many(pool_simulation& world,
-                 std::size_t at,
+void submit_many(pool_simulation& simulation,
+                 std::size_t instance,
                  std::string const& name,
                  std::size_t count,
-                 core::pool::job const& what)
+                 core::pool::job const& submitted_job)
 {
     for (std::size_t number = 0; number < count; ++number)
     {
-        world.submit(at, name + std::to_string(number), what);
+        simulation.submit(
+            instance, name + std::to_string(number), submitted_job);
     }
 }
 
@@ -125,23 +129,23 @@
 
 core::pool::job simple_job(std::uint32_t count, duration work)
 {
-    core::pool::job made;
+    core::pool::job result;
     core::pool::step step;
     step.count = count;
     step.declared = {1000, 100, 0};
     step.estimate = work;
-    made.steps.push_back(step);
-    made.spec = "work=" + std::to_string(core::common::to_milliseconds(work));
-    return made;
+    result.steps.push_back(step);
+    result.spec = "work=" + std::to_string(core::common::to_milliseconds(work));
+    return result;
 }
 
 core::pool::job chained_job(duration work)
 {
-    auto made = simple_job(2, work);
-    auto second = made.steps.front();
+    auto result = simple_job(2, work);
+    auto second = result.steps.front();
     second.after = {0};
-    made.steps.push_back(second);
-    return made;
+    result.steps.push_back(second);
+    return result;
 }
 
 pool_simulation::pool_simulation(std::size_t instances, std::size_t workers)
@@ -160,30 +164,30 @@
     tick_all();
 }
 
-void pool_simulation::run(duration how_long)
+void pool_simulation::run(duration length)
 {
-    auto const until = timeline_.now() + how_long;
-    while (timeline_.step(until))
+    auto const until = clock_.now() + length;
+    while (clock_.step(until))
     {
     }
 }
 
-bool pool_simulation::run_until(std::function<bool()> const& holds,
-                                duration patience)
+bool pool_simulation::run_until(std::function<bool()> const& condition,
+                                duration timeout)
 {
-    auto const until = timeline_.now() + patience;
-    while (!holds())
+    auto const until = clock_.now() + timeout;
+    while (!condition())
     {
-        if (!timeline_.step(until))
+        if (!clock_.step(until))
         {
-            return holds();
+            return condition();
         }
     }
     return true;
 }
 
-std::uint64_t pool_simulation::ask(std::size_t instance,
-                                   core::pool::pool_request request)
+std::uint64_t pool_simulation::send_request(std::size_t instance,
+                                            core::pool::pool_request request)
 {
     auto const id = ++next_request_;
     request.caller = id;
@@ -198,12 +202,12 @@
 
 std::uint64_t pool_simulation::submit(std::size_t instance,
                                       std::string const& id,
-                                      core::pool::job what)
+                                      core::pool::job submitted_job)
 {
     core::pool::pool_request request;
     request.path = prefix + id;
-    request.action = core::pool::submit_request{std::move(what)};
-    return ask(instance, std::move(request));
+    request.action = core::pool::submit_request{std::move(submitted_job)};
+    return send_request(instance, std::move(request));
 }
 
 std::uint64_t pool_simulation::cancel(std::size_t instance,
@@ -212,7 +216,7 @@
     core::pool::pool_request request;
     request.path = prefix + id;
     request.action = core::pool::cancel_request{};
-    return ask(instance, std::move(request));
+    return send_request(instance, std::move(request));
 }
 
 std::uint64_t pool_simulation::query(std::size_t instance,
@@ -228,7 +232,7 @@
     core::pool::pool_request request;
     request.path = path + id;
     request.action = core::pool::query_request{};
-    return ask(instance, std::move(request));
+    return send_request(instance, std::move(request));
 }
 
 std::optional<ports::job_answer>
@@ -248,9 +252,9 @@
         {
             return answer(request).has_value();
         });
-    auto const got = answer(request);
+    auto const received = answer(request);
     auto const* const status =
-        got ? std::get_if<ports::job_status>(&*got) : nullptr;
+        received ? std::get_if<ports::job_status>(&*received) : nullptr;
     return status == nullptr ? std::nullopt : std::optional(status->state);
 }
 
@@ -263,9 +267,9 @@
         {
             return answer(request).has_value();
         });
-    auto const got = answer(request);
+    auto const received = answer(request);
     auto const* const status =
-        got ? std::get_if<ports::queue_status>(&*got) : nullptr;
+        received ? std::get_if<ports::queue_status>(&*received) : nullptr;
     return status == nullptr ? std::nullopt : std::optional(status->pending);
 }
 
@@ -274,19 +278,19 @@
     instances_[instance].commit_delay = delay;
 }
 
-void pool_simulation::set_store_latency(duration way)
+void pool_simulation::set_store_latency(duration one_way)
 {
-    store_latency_ = way;
+    store_latency_ = one_way;
 }
 
-void pool_simulation::set_final_state_retention(duration how_long)
+void pool_simulation::set_final_state_retention(duration length)
 {
-    final_state_retention_ = how_long;
+    final_state_retention_ = length;
 }
 
-void pool_simulation::set_speed_factor(std::size_t instance, double size)
+void pool_simulation::set_speed_factor(std::size_t instance, double factor)
 {
-    instances_[instance].size = size;
+    instances_[instance].speed_factor = factor;
 }
 
 void pool_simulation::kill(std::size_t instance)
@@ -297,18 +301,18 @@
 
 void pool_simulation::start(std::size_t instance)
 {
-    auto& each = instances_[instance];
-    each.incarnation = ++each.last_incarnation;
-    each.stopped = false;
+    auto& target = instances_[instance];
+    target.incarnation = ++target.last_incarnation;
+    target.stopped = false;
     core::pool::pool_settings settings;
-    settings.claim.size = each.size;
+    settings.claim.size = target.speed_factor;
     settings.owner.final_state_retention =
         final_state_retention_.value_or(settings.owner.final_state_retention);
-    each.engine = std::make_unique<core::pool::engine>(
+    target.engine = std::make_unique<core::pool::engine>(
         settings,
-        make_words(),
+        make_platform_records(),
         "i" + std::to_string(instance) + "#" +
-            std::to_string(each.incarnation));
+            std::to_string(target.incarnation));
     deliver(instance,
             [this](core::pool::engine& engine)
             {
@@ -316,9 +320,9 @@
             });
 }
 
-void pool_simulation::freeze(std::size_t instance, duration how_long)
+void pool_simulation::freeze(std::size_t instance, duration length)
 {
-    instances_[instance].frozen_until = now() + how_long;
+    instances_[instance].frozen_until = now() + length;
 }
 
 void pool_simulation::stop(std::size_t instance)
@@ -334,12 +338,12 @@
 {
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
-        auto const& each = instances_[number];
-        if (each.engine && each.engine->active_owner() != nullptr &&
-            each.engine->active_owner()->loaded() &&
+        auto const& candidate = instances_[number];
+        if (candidate.engine && candidate.engine->active_owner() != nullptr &&
+            candidate.engine->active_owner()->loaded() &&
             store_.find("pool/claim") &&
             store_.find("pool/claim")->create_revision ==
-                each.engine->claimed().epoch())
+                candidate.engine->claimed().epoch())
         {
             return number;
         }
@@ -370,7 +374,8 @@
 void pool_simulation::restart_worker(std::size_t number)
 {
     auto const info = make_info(number, ++next_incarnation_);
-    // Clocks start at different times and one of them is slow.
+    // Worker clocks start at different times, and the clock of worker 0 is
+    // slow.
     double const speed = number == 0 ? 0.98 : 1.0;
     workers_[number] = std::make_unique<standins::pool::worker_state>(
         info, now() - std::chrono::seconds(number), speed);
@@ -386,9 +391,9 @@
 std::size_t pool_simulation::running_count(ports::task_name const& task) const
 {
     std::size_t count = 0;
-    for (auto const& each : workers_)
+    for (auto const& worker : workers_)
     {
-        count += each->runs(task) ? 1U : 0U;
+        count += worker->runs(task) ? 1U : 0U;
     }
     return count;
 }
@@ -400,7 +405,7 @@
 
 time_point pool_simulation::now() const noexcept
 {
-    return timeline_.now();
+    return clock_.now();
 }
 
 bool pool_simulation::stopped(std::size_t instance) const
@@ -415,35 +420,35 @@
 
 std::string text_of(logged_line const& line)
 {
-    auto made = line.what.event;
+    auto text = line.what.event;
     for (auto const& field : line.what.fields)
     {
-        made += " " + field.name + "=" + field.value;
+        text += " " + field.name + "=" + field.value;
     }
-    return made;
+    return text;
 }
 
 void pool_simulation::deliver(
-    std::size_t number, std::function<void(core::pool::engine&)> const& what)
+    std::size_t number, std::function<void(core::pool::engine&)> const& action)
 {
-    auto const& each = instances_[number];
-    if (!each.engine)
+    auto const& target = instances_[number];
+    if (!target.engine)
     {
         return;
     }
-    if (each.frozen_until > now())
+    if (target.frozen_until > now())
     {
-        timeline_.after(each.frozen_until - now(),
-                        [this, number, incarnation = each.incarnation, what]
-                        {
-                            if (instances_[number].life == life)
-                            {
-                                deliver(number, what);
-                            }
-                        });
+        clock_.after(target.frozen_until - now(),
+                     [this, number, incarnation = target.incarnation, action]
+                     {
+                         if (instances_[number].incarnation == incarnation)
+                         {
+                             deliver(number, action);
+                         }
+                     });
         return;
     }
-    what(*each.engine);
+    action(*target.engine);
     perform(number);
 }
 
@@ -461,10 +466,10 @@
         {
             call_worker(number, *order);
         }
-        else if (auto const* const ask =
+        else if (auto const* const policy_call =
                      std::get_if<ports::policy_request>(&action))
         {
-            call_policy(number, *ask);
+            call_policy(number, *policy_call);
         }
         else if (auto const* const reply =
                      std::get_if<ports::job_reply>(&action))
@@ -485,13 +490,13 @@
 
 void pool_simulation::call_store(std::size_t number, ports::kv_call const& call)
 {
-    auto const what = store_fault ? store_fault(number, call.operation)
-                                  : fault_effect::carried_out;
-    auto const life = instances_[number].incarnation;
-    auto const tell =
-        [this, number, life, id = call.id](ports::kv_status status)
+    auto const effect = store_fault ? store_fault(number, call.operation)
+                                    : fault_effect::carried_out;
+    auto const incarnation = instances_[number].incarnation;
+    auto const reply_with =
+        [this, number, incarnation, id = call.id](ports::kv_status status)
     {
-        if (instances_[number].incarnation == life)
+        if (instances_[number].incarnation == incarnation)
         {
             ports::kv_reply reply;
             reply.id = id;
@@ -503,74 +508,75 @@
                     });
         }
     };
-    if (what == fault_effect::refused)
+    if (effect == fault_effect::refused)
     {
-        timeline_.after(2 * store_latency_,
-                        [tell]
-                        {
-                            tell(ports::kv_status::refused);
-                        });
+        clock_.after(2 * store_latency_,
+                     [reply_with]
+                     {
+                         reply_with(ports::kv_status::refused);
+                     });
         return;
     }
-    if (what == fault_effect::watch_stalled)
+    if (effect == fault_effect::watch_stalled)
     {
         auto const wait = std::get<ports::kv_watch>(call.operation).wait;
-        timeline_.after(wait,
-                        [this, number, life, id = call.id]
-                        {
-                            if (instances_[number].incarnation != life)
-                            {
-                                return;
-                            }
-                            ports::kv_reply reply;
-                            reply.id = id;
-                            reply.status = ports::kv_status::done;
-                            reply.revision = store_.revision();
-                            deliver(number,
-                                    [this, reply](core::pool::engine& engine)
-                                    {
-                                        engine.on_kv_reply(now(), reply);
-                                    });
-                        });
+        clock_.after(wait,
+                     [this, number, incarnation, id = call.id]
+                     {
+                         if (instances_[number].incarnation != incarnation)
+                         {
+                             return;
+                         }
+                         ports::kv_reply reply;
+                         reply.id = id;
+                         reply.status = ports::kv_status::done;
+                         reply.revision = store_.revision();
+                         deliver(number,
+                                 [this, reply](core::pool::engine& engine)
+                                 {
+                                     engine.on_kv_reply(now(), reply);
+                                 });
+                     });
         return;
     }
     bool const commits =
         std::holds_alternative<ports::kv_commit>(call.operation);
-    auto const way = store_latency_ +
-                     (commits ? instances_[number].commit_delay : duration{});
-    // No caller hears an answer that comes after its time limit.
-    bool const answered = (what == fault_effect::carried_out &&
-                           call.timeout > way + store_latency_) ||
-                          (what == fault_effect::delayed &&
-                           call.timeout > late_by + store_latency_);
+    auto const one_way =
+        store_latency_ +
+        (commits ? instances_[number].commit_delay : duration{});
+    // An answer that arrives after the timeout of the call is dropped.
+    bool const answered = (effect == fault_effect::carried_out &&
+                           call.timeout > one_way + store_latency_) ||
+                          (effect == fault_effect::delayed &&
+                           call.timeout > late_delay + store_latency_);
     if (!answered)
     {
-        timeline_.after(call.timeout,
-                        [tell]
-                        {
-                            tell(ports::kv_status::unclear);
-                        });
+        clock_.after(call.timeout,
+                     [reply_with]
+                     {
+                         reply_with(ports::kv_status::unclear);
+                     });
     }
-    if (what == fault_effect::request_lost)
+    if (effect == fault_effect::request_lost)
     {
         return;
     }
-    bool const delayed =
-        what == fault_effect::executed_late || what == fault_effect::delayed;
-    timeline_.after(delayed ? late_by : way,
-                    [this, number, life, call, answered]
-                    {
-                        apply_store(number, life, call, answered);
-                    });
+    bool const delayed = effect == fault_effect::executed_late ||
+                         effect == fault_effect::delayed;
+    clock_.after(delayed ? late_delay : one_way,
+                 [this, number, incarnation, call, answered]
+                 {
+                     apply_store(number, incarnation, call, answered);
+                 });
 }
 
 void pool_simulation::apply_store(std::size_t number,
-                                  std::uint64_t life,
+                                  std::uint64_t incarnation,
                                   ports::kv_call const& call,
                                   bool answered)
 {
     auto reply = store_.answer(now(), call.operation);
-    wake_watches();
+    answer_watches();
     if (!answered)
     {
         return;
@@ -578,26 +584,26 @@
     if (!reply)
     {
         auto const wait = std::get<ports::kv_watch>(call.operation).wait;
-        watches_.push_back({number, life, call, now() + wait});
-        timeline_.after(wait,
-                        [this]
-                        {
-                            wake_watches();
-                        });
+        watches_.push_back({number, incarnation, call, now() + wait});
+        clock_.after(wait,
+                     [this]
+                     {
+                         answer_watches();
+                     });
         return;
     }
     reply->id = call.id;
-    timeline_.after(store_latency_,
-                    [this, number, life, reply = *reply]
-                    {
-                        if (instances_[number].incarnation == life)
-                        {
-                            hand_back(number, reply);
-                        }
-                    });
+    clock_.after(store_latency_,
+                 [this, number, incarnation, reply = *reply]
+                 {
+                     if (instances_[number].incarnation == incarnation)
+                     {
+                         deliver_reply(number, reply);
+                     }
+                 });
 }
 
-void pool_simulation::hand_back(std::size_t number, ports::kv_reply reply)
+void pool_simulation::deliver_reply(std::size_t number, ports::kv_reply reply)
 {
     bool const twice = store_answer && store_answer(reply);
     deliver(number,
@@ -612,7 +618,8 @@
             });
 }
 
-void pool_simulation::hand_back(std::size_t number, ports::order_reply reply)
+void pool_simulation::deliver_reply(std::size_t number,
+                                    ports::order_reply reply)
 {
     bool const twice = worker_answer && worker_answer(reply);
     deliver(number,
@@ -635,7 +642,7 @@
 
 std::size_t pool_simulation::starts_without_ticket() const noexcept
 {
-    return without_ticket_;
+    return starts_without_ticket_;
 }
 
 void pool_simulation::call_policy(std::size_t number,
@@ -643,7 +650,7 @@
 {
     if (policy_busy_ && violation_.empty())
     {
-        violation_ = "a second call of the policy at a time";
+        violation_ = "two concurrent calls of the policy service";
     }
     policy_busy_ = true;
     ports::policy_reply reply;
@@ -657,118 +664,122 @@
             reply.allowed.push_back({id, "ticket " + id});
         }
     }
-    timeline_.after(300ms,
-                    [this, number, life = instances_[number].incarnation, reply]
+    clock_.after(
+        300ms,
+        [this, number, incarnation = instances_[number].incarnation, reply]
+        {
+            policy_busy_ = false;
+            if (instances_[number].incarnation != incarnation)
+            {
+                return;
+            }
+            deliver(number,
+                    [this, reply](core::pool::engine& engine)
                     {
-                        policy_busy_ = false;
-                        if (instances_[number].incarnation != life)
-                        {
-                            return;
-                        }
-                        deliver(number,
-                                [this, reply](core::pool::engine& engine)
-                                {
-                                    engine.on_policy_reply(now(), reply);
-                                });
+                        engine.on_policy_reply(now(), reply);
                     });
+        });
 }
 
-void pool_simulation::wake_watches()
+void pool_simulation::answer_watches()
 {
     auto const waiting = std::exchange(watches_, {});
-    for (auto const& each : waiting)
+    for (auto const& watch : waiting)
     {
-        auto reply = store_.answer(now(), each.call.operation);
-        if (!reply && now() < each.until)
+        auto reply = store_.answer(now(), watch.call.operation);
+        if (!reply && now() < watch.until)
         {
-            watches_.push_back(each);
+            watches_.push_back(watch);
             continue;
         }
-        auto told = reply.value_or(ports::kv_reply{});
+        auto watch_reply = reply.value_or(ports::kv_reply{});
         if (!reply)
         {
-            told.status = ports::kv_status::done;
-            told.revision = store_.revision();
+            watch_reply.status = ports::kv_status::done;
+            watch_reply.revision = store_.revision();
         }
-        told.id = each.call.id;
-        timeline_.after(store_latency_,
-                        [this, each, told]
-                        {
-                            if (instances_[each.instance].incarnation ==
-                                each.incarnation)
-                            {
-                                hand_back(each.instance, told);
-                            }
-                        });
+        watch_reply.id = watch.call.id;
+        clock_.after(store_latency_,
+                     [this, watch, watch_reply]
+                     {
+                         if (instances_[watch.instance].incarnation ==
+                             watch.incarnation)
+                         {
+                             deliver_reply(watch.instance, watch_reply);
+                         }
+                     });
     }
 }
 
 void pool_simulation::call_worker(std::size_t number,
                                   ports::pool_order const& order)
 {
-    auto const where = std::stoul(order.worker.substr(1));
-    auto const what = worker_fault
-                          ? worker_fault(number, where, order.operation)
-                          : fault_effect::carried_out;
-    auto const life = instances_[number].incarnation;
-    if (what != fault_effect::carried_out)
+    auto const worker_number = std::stoul(order.worker.substr(1));
+    auto const effect =
+        worker_fault ? worker_fault(number, worker_number, order.operation)
+                     : fault_effect::carried_out;
+    auto const incarnation = instances_[number].incarnation;
+    if (effect != fault_effect::carried_out)
     {
-        bool const refused = what == fault_effect::refused;
+        bool const refused = effect == fault_effect::refused;
         ports::order_reply reply;
         reply.id = order.id;
         reply.status = refused ? ports::order_status::not_sent
                                : ports::order_status::unclear;
-        timeline_.after(refused ? 2 * worker_delay : order.timeout,
-                        [this, number, life, reply]
-                        {
-                            if (instances_[number].incarnation != life)
-                            {
-                                return;
-                            }
-                            deliver(number,
-                                    [this, reply](core::pool::engine& engine)
-                                    {
-                                        engine.on_order_reply(now(), reply);
-                                    });
-                        });
-    }
-    if (what == fault_effect::request_lost || what == fault_effect::refused)
+        clock_.after(refused ? 2 * worker_delay : order.timeout,
+                     [this, number, incarnation, reply]
+                     {
+                         if (instances_[number].incarnation != incarnation)
+                         {
+                             return;
+                         }
+                         deliver(number,
+                                 [this, reply](core::pool::engine& engine)
+                                 {
+                                     engine.on_order_reply(now(), reply);
+                                 });
+                     });
+    }
+    if (effect == fault_effect::request_lost || effect == fault_effect::refused)
     {
         return;
     }
-    timeline_.after(
-        what == fault_effect::executed_late ? late_by : worker_delay,
-        [this, number, life, order, what]
-        {
-            apply_worker(
-                number, life, order, what == fault_effect::carried_out);
-        });
+    clock_.after(effect == fault_effect::executed_late ? late_delay
+                                                       : worker_delay,
+                 [this, number, incarnation, order, effect]
+                 {
+                     apply_worker(number,
+                                  incarnation,
+                                  order,
+                                  effect == fault_effect::carried_out);
+                 });
 }
 
 void pool_simulation::apply_worker(std::size_t number,
-                                   std::uint64_t life,
+                                   std::uint64_t incarnation,
                                    ports::pool_order const& order,
                                    bool answered)
 {
-    auto const where = std::stoul(order.worker.substr(1));
-    auto& target = *workers_[where];
+    auto const worker_number = std::stoul(order.worker.substr(1));
+    auto& target = *workers_[worker_number];
     auto const* const start = std::get_if<ports::start_order>(&order.operation);
-    without_ticket_ += tickets_required_ && start != nullptr &&
-                               start->ticket != "ticket " + order.worker
-                           ? 1U
-                           : 0U;
+    starts_without_ticket_ += tickets_required_ && start != nullptr &&
+                                      start->ticket != "ticket " + order.worker
+                                  ? 1U
+                                  : 0U;
     auto const begun = target.started_runs().size();
-    bool const meant = order.incarnation == 0 ||
-                       order.incarnation == target.info().incarnation;
+    bool const matches_incarnation =
+        order.incarnation == 0 ||
+        order.incarnation == target.info().incarnation;
     ports::order_reply reply;
     reply.status = ports::order_status::wrong_incarnation;
-    if (meant)
+    if (matches_incarnation)
     {
         reply = target.apply(now(), order.operation);
     }
     if (target.started_runs().size() > begun)
     {
-        check_start(where, target.started_runs().back());
+        check_start(worker_number, target.started_runs().back());
     }
     check_ends();
     if (!answered)
@@ -776,66 +787,68 @@
         return;
     }
     reply.id = order.id;
-    // A hold waits for an end; the stand-in answers after a tenth of that.
-    auto const* const hold = std::get_if<ports::poll_order>(&order.operation);
-    auto const wait = hold != nullptr ? hold->wait / 10 : duration{};
-    timeline_.after(wait + worker_delay,
-                    [this, number, life, reply]
-                    {
-                        if (instances_[number].incarnation == life)
-                        {
-                            hand_back(number, reply);
-                        }
-                    });
+    // A long poll waits for the end of an attempt; the simulation answers after
+    // a tenth of the wait.
+    auto const* const poll = std::get_if<ports::poll_order>(&order.operation);
+    auto const wait = poll != nullptr ? poll->wait / 10 : duration{};
+    clock_.after(wait + worker_delay,
+                 [this, number, incarnation, reply]
+                 {
+                     if (instances_[number].incarnation == incarnation)
+                     {
+                         deliver_reply(number, reply);
+                     }
+                 });
 }
 
 void pool_simulation::tick_all()
 {
     store_.expire(now());
-    wake_watches();
-    for (auto& each : workers_)
+    answer_watches();
+    for (auto& current : workers_)
     {
-        each->advance(now());
+        current->advance(now());
     }
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
-        auto& each = instances_[number];
-        if (each.engine && each.frozen_until <= now() && !each.stopped)
+        auto& current = instances_[number];
+        if (current.engine && current.frozen_until <= now() && !current.stopped)
         {
-            each.engine->set_unix_offset(
+            current.engine->set_unix_offset(
                 unix_offset_ms +
-                core::common::to_milliseconds(each.clock_ahead));
-            each.engine->tick(now());
+                core::common::to_milliseconds(current.clock_ahead));
+            current.engine->tick(now());
             perform(number);
         }
     }
-    timeline_.after(tick_every,
-                    [this]
-                    {
-                        tick_all();
-                    });
+    clock_.after(tick_interval,
+                 [this]
+                 {
+                     tick_all();
+                 });
 }
 
-void pool_simulation::check_start(std::size_t where,
-                                  ports::pool_attempt const& what)
+void pool_simulation::check_start(std::size_t worker_number,
+                                  ports::pool_attempt const& attempt)
 {
     if (!violation_.empty())
     {
         return;
     }
-    auto const name = what.task.job + "." + std::to_string(what.task.step) +
-                      "." + std::to_string(what.task.index) + " attempt " +
-                      std::to_string(what.attempt) + " on w" +
-                      std::to_string(where);
-    if (running_count(what.task) > 1)
+    auto const name = attempt.task.job + "." +
+                      std::to_string(attempt.task.step) + "." +
+                      std::to_string(attempt.task.index) + " attempt " +
+                      std::to_string(attempt.attempt) + " on w" +
+                      std::to_string(worker_number);
+    if (running_count(attempt.task) > 1)
     {
-        violation_ = "two places: " + name;
+        violation_ = "runs on two workers: " + name;
     }
-    else if (done_.contains(what.task))
+    else if (done_.contains(attempt.task))
     {
         violation_ = "ran again after it was done: " + name;
     }
-    else if (failed_[what.task] >= attempts)
+    else if (failed_[attempt.task] >= attempts)
     {
         violation_ = "ran again after its last attempt: " + name;
     }
@@ -845,9 +858,9 @@
 {
     done_.clear();
     failed_.clear();
-    for (auto const& each : workers_)
+    for (auto const& worker : workers_)
     {
-        for (auto const& row : each->acknowledged_ends())
+        for (auto const& row : worker->acknowledged_ends())
         {
             if (row.kind == ports::end_kind::done)
             {
--- a/tests/unit/pool/pool_simulation.hpp
+++ b/tests/unit/pool/pool_simulation.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-// Instances of the scheduler, a store and workers in virtual time, with the
-// faults that a deployment sees. The world watches what the workers do and
-// remembers the first broken promise.
+// Simulates instances of the scheduler, a store and workers in virtual time,
+// with the faults that occur in a deployment. The simulation checks what the
+// workers run and records the first violation of an invariant.
 namespace fuchsia::tests::unit::pool
 {
 
@@ -24,20 +24,20 @@
 using core::common::time_point;
 using namespace std::chrono_literals;
 
-/// What a fault does to one call on its way.
+/// Effect of a fault on one call.
 enum class fault_effect : std::uint8_t
 {
     carried_out,
-    answer_lost,   ///< Carried out; the caller hears nothing.
-    refused,       ///< Nothing was done, and the caller is told.
-    request_lost,  ///< Nothing was done; the caller hears nothing.
-    watch_stalled, ///< A watch: answered at the end of its wait, with nothing.
-    executed_late, ///< Carried out 2 s later; the caller hears nothing.
-    delayed, ///< Carried out and answered 2 s later, if the caller waits so
-             ///< long.
+    answer_lost,   ///< Executed; the caller gets no answer.
+    refused,       ///< Not executed; the caller is told so.
+    request_lost,  ///< Not executed; the caller gets no answer.
+    watch_stalled, ///< A watch is answered after its wait without changes.
+    executed_late, ///< Executed 2 s later; the caller gets no answer.
+    /// Executed and answered 2 s later, if the timeout of the call allows it.
+    delayed,
 };
 
-/// A line that an instance logged.
+/// A log line of an instance.
 struct logged_line
 {
     time_point when{};
@@ -45,7 +45,7 @@
     ports::log_event what;
 };
 
-/// As it is written, behind time, level and program.
+/// Returns the line as it is written, without time, level and program.
 std::string text_of(logged_line const& line);
 
 class pool_simulation
@@ -54,54 +54,65 @@
     explicit pool_simulation(std::size_t instances = 3,
                              std::size_t workers = 4);
 
-    void run(duration how_long);
-    /// Until `holds`, at most `patience`; whether it came to hold.
-    bool run_until(std::function<bool()> const& holds, duration patience = 30s);
-
-    /// Hands a job in at an instance; the answer goes to `answers`.
-    std::uint64_t
-    submit(std::size_t instance, std::string const& id, core::pool::job what);
+    void run(duration length);
+    /// Runs until `condition` holds, at most for `timeout`. Returns whether the
+    /// condition holds.
+    bool run_until(std::function<bool()> const& condition,
+                   duration timeout = 30s);
+
+    /// Submits a job to an instance and returns the number of the request,
+    /// whose answer `answer` returns.
+    std::uint64_t submit(std::size_t instance,
+                         std::string const& id,
+                         core::pool::job submitted_job);
     std::uint64_t cancel(std::size_t instance, std::string const& id);
     std::uint64_t query(std::size_t instance, std::string const& id);
-    /// The same below another path than the queue's.
+    /// Like `query`, with `path` instead of the path of the queue.
     std::uint64_t query_at(std::size_t instance,
                            std::string const& path,
                            std::string const& id);
-    /// Jobs that wait as the instance tells it; empty where it refuses.
+    /// Returns the number of waiting jobs that the instance reports; empty if
+    /// it refuses to answer.
     std::optional<std::uint64_t> reported_waiting_jobs(std::size_t instance);
     std::optional<ports::job_answer> answer(std::uint64_t request) const;
-    /// Asks until there is a state; empty where the job is not known.
+    /// Queries a job and waits for the answer. Returns the reported state;
+    /// empty if the answer has none, as for an unknown job.
     std::optional<ports::job_state> state(std::size_t instance,
                                           std::string const& id);
 
-    /// From now on its time of day runs that much ahead of the others'.
+    /// Sets how far the time of day of an instance is ahead of that of the
+    /// others.
     void set_clock_ahead(std::size_t instance, duration ahead);
-    /// What it has of processor and link, from its next start on; 1 at first.
-    void set_speed_factor(std::size_t instance, double size);
-    /// How long owners keep final states, from their next start on.
-    void set_final_state_retention(duration how_long);
-    /// From now on each of its commits takes that much longer.
+    /// Sets the relative processor and network speed of an instance, effective
+    /// from its next start. The default is 1.
+    void set_speed_factor(std::size_t instance, double factor);
+    /// Sets how long owners keep final states, effective from the next start of
+    /// an instance.
+    void set_final_state_retention(duration length);
+    /// Sets the additional latency of each commit of an instance.
     void set_commit_delay(std::size_t instance, duration delay);
-    /// From now on each way to the store and back takes that long.
-    void set_store_latency(duration way);
+    /// Sets the latency of the way to the store, and of the way back.
+    void set_store_latency(duration one_way);
     void kill(std::size_t instance);
     void start(std::size_t instance);
-    /// Stands still, and gets what came meanwhile when it wakes.
-    void freeze(std::size_t instance, duration how_long);
+    /// Pauses an instance. Messages that arrive during the pause are delivered
+    /// at its end.
+    void freeze(std::size_t instance, duration length);
     void stop(std::size_t instance);
     std::optional<std::size_t> owner() const;
-    /// The owner's part of an instance that is one.
+    /// Returns the owner component of an instance that is the owner.
     core::pool::owner& owner_at(std::size_t instance);
 
     standins::pool::kv_state& store() noexcept;
     standins::pool::worker_state& worker(std::size_t number);
-    /// The worker dies and comes back with nothing, under the same id.
+    /// Restarts a worker with the same id and no state.
     void restart_worker(std::size_t number);
     std::size_t worker_count() const noexcept;
-    /// Workers that run `task` now.
+    /// Returns the number of workers that currently run `task`.
     std::size_t running_count(ports::task_name const& task) const;
 
-    /// Decide what happens to calls; may be empty.
+    /// Functions that choose the fault of a call to the store or to a worker.
+    /// They may be empty.
     std::function<fault_effect(std::size_t instance,
                                ports::kv_operation const&)>
         store_fault;
@@ -109,63 +120,67 @@
         std::size_t instance, std::size_t worker, ports::pool_operation const&)>
         worker_fault;
 
-    /// Change answers on their way back; may be empty. True: it comes twice,
-    /// and once as if to another call.
+    /// Functions that may modify answers on their way back. They may be empty.
+    /// If they return true, the answer is delivered twice, and once more with
+    /// the id of a call that was never sent.
     std::function<bool(ports::kv_reply&)> store_answer;
     std::function<bool(ports::order_reply&)> worker_answer;
 
-    /// From now on a policy allows tasks on workers of odd number only, by
-    /// tickets; it takes one call at a time.
+    /// Enables a policy that allows tasks, by tickets, only on workers with an
+    /// odd number. Its service accepts one call at a time.
     void require_tickets();
     std::size_t starts_without_ticket() const noexcept;
 
-    /// The first promise that was broken; empty: none.
+    /// Returns the first violation of an invariant; empty if there is none.
     std::string const& violation() const noexcept;
     time_point now() const noexcept;
     bool stopped(std::size_t instance) const;
-    /// All that instances logged, in order.
+    /// Returns the log lines of all instances in order of time.
     std::vector<logged_line> const& log() const noexcept;
 
 private:
     struct instance
     {
         std::unique_ptr<core::pool::engine> engine;
-        std::uint64_t incarnation =
-            0; ///< Answers of an earlier life are dropped.
+        /// Answers to calls of an earlier incarnation are dropped.
+        std::uint64_t incarnation = 0;
         std::uint64_t last_incarnation = 0;
         time_point frozen_until{};
         bool stopped = false;
         duration clock_ahead{};
         duration commit_delay{};
-        double size = 1;
+        double speed_factor = 1;
         time_point next_tick{};
     };
 
     void deliver(std::size_t number,
-                 std::function<void(core::pool::engine&)> const& what);
+                 std::function<void(core::pool::engine&)> const& action);
     void perform(std::size_t number);
     void call_store(std::size_t number, ports::kv_call const& call);
     void apply_store(std::size_t number,
-                     std::uint64_t life,
+                     std::uint64_t incarnation,
                      ports::kv_call const& call,
                      bool answered);
     void call_worker(std::size_t number, ports::pool_order const& order);
     void apply_worker(std::size_t number,
-                      std::uint64_t life,
+                      std::uint64_t incarnation,
                       ports::pool_order const& order,
                       bool answered);
     void call_policy(std::size_t number, ports::policy_request const& call);
-    void wake_watches();
-    /// By way of `store_answer` and `worker_answer`.
-    void hand_back(std::size_t number, ports::kv_reply reply);
-    void hand_back(std::size_t number, ports::order_reply reply);
+    void answer_watches();
+    /// Delivers a reply after `store_answer` or `worker_answer` was applied to
+    /// it.
+    void deliver_reply(std::size_t number, ports::kv_reply reply);
+    void deliver_reply(std::size_t number, ports::order_reply reply);
     void tick_all();
-    void check_start(std::size_t where, ports::pool_attempt const& what);
+    void check_start(std::size_t worker_number,
+                     ports::pool_attempt const& attempt);
     void check_ends();
-    std::uint64_t ask(std::size_t instance, core::pool::pool_request request);
+    std::uint64_t send_request(std::size_t instance,
+                               core::pool::pool_request request);
 
     duration store_latency_ = 2ms;
-    walks::virtual_clock timeline_;
+    walks::virtual_clock clock_;
     standins::pool::kv_state store_;
     std::vector<std::unique_ptr<standins::pool::worker_state>> workers_;
     std::vector<instance> instances_;
@@ -181,31 +196,33 @@
         time_point until{};
     };
     std::vector<waiting_watch> watches_;
-    std::set<ports::task_name> done_;                ///< Acknowledged as done.
-    std::map<ports::task_name, std::size_t> failed_; ///< Acknowledged failures.
+    std::set<ports::task_name> done_; ///< Tasks acknowledged as done.
+    std::map<ports::task_name, std::size_t>
+        failed_; ///< Number of acknowledged failures by task.
     std::map<std::string, std::size_t> attempts_of_queue_;
     std::string violation_;
     std::vector<logged_line> log_;
     bool tickets_required_ = false;
     bool policy_busy_ = false;
-    std::size_t without_ticket_ = 0;
+    std::size_t starts_without_ticket_ = 0;
 };
 
-/// Runs until an instance owns; false where none does in time.
-bool run_until_owned(pool_simulation& world);
-/// An instance that is not this one.
+/// Runs until an instance is the owner. Returns false if none is in time.
+bool run_until_owned(pool_simulation& simulation);
+/// Returns the number of an instance other than `number`.
 std::size_t other_than(std::size_t number);
-/// Hands in `name`0 to `name`(`count` - 1), all alike.
-void submit_many(pool_simulation& world,
-                 std::size_t at,
+/// Submits `count` equal jobs with the ids `name`0 to `name`(`count` - 1).
+void submit_many(pool_simulation& simulation,
+                 std::size_t instance,
                  std::string const& name,
                  std::size_t count,
-                 core::pool::job const& what);
+                 core::pool::job const& submitted_job);
+/// Whether `call` is a watch of the keys of jobs.
 bool watches_jobs(ports::kv_operation const& call);
 
-/// A job of one step of `count` tasks that take `work`.
+/// Returns a job with one step of `count` tasks, each of which takes `work`.
 core::pool::job simple_job(std::uint32_t count, duration work);
-/// A job whose second step waits for its first.
+/// Returns a job with two steps, the second of which depends on the first.
 core::pool::job chained_job(duration work);
 
 } // namespace fuchsia::tests::unit::pool
