--- a/tests/unit/pool/cancel_walk_test.cpp
+++ b/tests/unit/pool/cancel_walk_test.cpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-// Random troubles while jobs are submitted and cancelled. In the calm after
-// them nothing of a job runs whose cancelling was acknowledged, and all of the
-// others does.
+// Injects random faults while jobs are submitted and cancelled. After the
+// faults, no task of a job runs whose cancellation was acknowledged, and all
+// tasks of the other jobs run.
 using namespace fuchsia::tests::unit::pool;
 namespace ports = fuchsia::ports;
 
@@ -20,13 +20,13 @@
 
 constexpr std::size_t instances = 3;
 constexpr std::size_t workers = 4;
-constexpr std::size_t most_jobs = 10;
-constexpr std::uint32_t most_tasks = 3;
-constexpr std::uint64_t few_seeds = 300;
+constexpr std::size_t max_jobs = 10;
+constexpr std::uint32_t max_tasks_per_job = 3;
+constexpr std::uint64_t default_seeds = 300;
 
-struct job_fate
+struct job_record
 {
-    bool lasts = false; ///< Otherwise two steps, one after the other.
+    bool long_running = false; ///< Otherwise two dependent steps.
     std::uint32_t tasks = 0;
     std::vector<std::uint64_t> submits;
     std::vector<std::uint64_t> cancels;
@@ -42,27 +42,27 @@
 
     std::string run()
     {
-        for (int round = 0; round < 2 && broken_.empty(); ++round)
+        for (int round = 0; round < 2 && violation_.empty(); ++round)
         {
-            trouble();
-            calm();
+            run_with_faults();
+            run_without_faults();
             check();
         }
-        return broken_;
+        return violation_;
     }
 
 private:
-    std::uint64_t draw(std::uint64_t below)
+    std::uint64_t draw(std::uint64_t limit)
     {
-        return random_() % below;
+        return random_() % limit;
     }
 
-    duration seconds_below(std::uint64_t most)
+    duration random_duration(std::uint64_t max_seconds)
     {
-        return std::chrono::milliseconds(draw(most * 1000));
+        return std::chrono::milliseconds(draw(max_seconds * 1000));
     }
 
-    void trouble()
+    void run_with_faults()
     {
         choose_faults();
         auto const steps = 10 + draw(20);
@@ -73,7 +73,7 @@
         }
     }
 
-    fault_effect any_fate()
+    fault_effect random_fault()
     {
         constexpr fault_effect all[] = {fault_effect::answer_lost,
                                         fault_effect::refused,
@@ -83,34 +83,35 @@
         return all[draw(std::size(all))];
     }
 
-    // One store and one way to the workers in trouble, for some or for all.
+    // Chooses faults of the store for one or all instances, and faults of
+    // orders to workers.
     void choose_faults()
     {
         auto const store_share = draw(3) == 0 ? 0 : draw(100);
         auto const victim = draw(2 * instances);
-        auto const usual = any_fate();
-        bool const deaf = draw(2) == 0;
+        auto const store_effect = random_fault();
+        bool const watches_stalled = draw(2) == 0;
         simulation_.store_fault =
-            [this, store_share, victim, usual, deaf](
-                std::size_t at, ports::kv_operation const& call)
+            [this, store_share, victim, store_effect, watches_stalled](
+                std::size_t instance, ports::kv_operation const& call)
         {
-            if (deaf && watches_jobs(call))
+            if (watches_stalled && watches_jobs(call))
             {
                 return fault_effect::watch_stalled;
             }
-            bool const hit = (victim >= instances || victim == at) &&
-                             draw(100) < store_share;
-            return hit ? usual : fault_effect::carried_out;
+            bool const affected = (victim >= instances || victim == instance) &&
+                                  draw(100) < store_share;
+            return affected ? store_effect : fault_effect::carried_out;
         };
         auto const order_share = draw(2) == 0 ? 0 : draw(100);
-        simulation_.worker_fault = [this, order_share](std::size_t,
-                                                  std::size_t,
-                                                  ports::pool_operation const&)
+        simulation_.worker_fault =
+            [this, order_share](
+                std::size_t, std::size_t, ports::pool_operation const&)
         {
-            auto const how = any_fate();
-            bool const hit =
-                how != fault_effect::delayed && draw(100) < order_share;
-            return hit ? how : fault_effect::carried_out;
+            auto const effect = random_fault();
+            bool const affected =
+                effect != fault_effect::delayed && draw(100) < order_share;
+            return affected ? effect : fault_effect::carried_out;
         };
     }
 
@@ -135,7 +136,7 @@
             kill();
             return;
         case 8:
-            simulation_.freeze(draw(instances), seconds_below(4));
+            simulation_.freeze(draw(instances), random_duration(4));
             return;
         case 9:
             simulation_.restart_worker(draw(workers));
@@ -151,28 +152,31 @@
 
     void submit()
     {
-        auto const number = draw(most_jobs);
+        auto const number = draw(max_jobs);
         auto& job = jobs_["job" + std::to_string(number)];
-        job.lasts = number % 4 != 3;
+        job.long_running = number % 4 != 3;
         job.tasks =
-            job.lasts ? 1 + static_cast<std::uint32_t>(number % most_tasks) : 2;
-        auto what = chained_job(300ms);
-        if (job.lasts)
+            job.long_running
+                ? 1 + static_cast<std::uint32_t>(number % max_tasks_per_job)
+                : 2;
+        auto submitted_job = chained_job(300ms);
+        if (job.long_running)
         {
-            what = simple_job(job.tasks, 1s);
-            what.steps.front().long_running = true;
-            what.spec = "lasts";
+            submitted_job = simple_job(job.tasks, 1s);
+            submitted_job.steps.front().long_running = true;
+            submitted_job.spec = "lasts";
         }
         job.submits.push_back(simulation_.submit(
-            draw(instances), "job" + std::to_string(number), what));
+            draw(instances), "job" + std::to_string(number), submitted_job));
     }
 
     void cancel()
     {
-        auto const id = "job" + std::to_string(draw(most_jobs));
+        auto const id = "job" + std::to_string(draw(max_jobs));
         if (jobs_.contains(id))
         {
-            jobs_[id].cancels.push_back(simulation_.cancel(draw(instances), id));
+            jobs_[id].cancels.push_back(
+                simulation_.cancel(draw(instances), id));
         }
     }
 
@@ -189,23 +193,25 @@
 
     void revive()
     {
-        for (auto const each : killed_)
+        for (auto const victim : killed_)
         {
-            simulation_.start(each);
+            simulation_.start(victim);
         }
         killed_.clear();
     }
 
-    // The store is sound for 3 s before any bound counts; it may stay deaf.
-    void calm()
+    // The store works for 3 s before any time limit applies. Its watches may
+    // remain stalled.
+    void run_without_faults()
     {
         simulation_.worker_fault = nullptr;
-        bool const deaf = draw(2) == 0;
+        bool const watches_stalled = draw(2) == 0;
         simulation_.store_fault =
-            [deaf](std::size_t, ports::kv_operation const& call)
+            [watches_stalled](std::size_t, ports::kv_operation const& call)
         {
-            return deaf && watches_jobs(call) ? fault_effect::watch_stalled
-                                              : fault_effect::carried_out;
+            return watches_stalled && watches_jobs(call)
+                       ? fault_effect::watch_stalled
+                       : fault_effect::carried_out;
         };
         revive();
         simulation_.run(3s);
@@ -215,12 +221,12 @@
     }
 
     template<class Answer>
-    bool any_got(std::vector<std::uint64_t> const& requests) const
+    bool any_answer_is(std::vector<std::uint64_t> const& requests) const
     {
         for (auto const request : requests)
         {
-            auto const got = simulation_.answer(request);
-            if (got && std::holds_alternative<Answer>(*got))
+            auto const received = simulation_.answer(request);
+            if (received && std::holds_alternative<Answer>(*received))
             {
                 return true;
             }
@@ -228,7 +234,8 @@
         return false;
     }
 
-    std::size_t places(std::string const& id, job_fate const& job) const
+    std::size_t running_copies(std::string const& id,
+                               job_record const& job) const
     {
         std::size_t sum = 0;
         for (std::uint32_t index = 0; index < job.tasks; ++index)
@@ -241,32 +248,34 @@
 
     std::set<std::string> cancelled() const
     {
-        std::set<std::string> made;
+        std::set<std::string> ids;
         for (auto const& [id, job] : jobs_)
         {
-            if (any_got<ports::job_accepted>(job.cancels) ||
-                any_got<ports::job_not_found>(job.cancels))
+            if (any_answer_is<ports::job_accepted>(job.cancels) ||
+                any_answer_is<ports::job_not_found>(job.cancels))
             {
-                made.insert(id);
+                ids.insert(id);
             }
         }
-        return made;
+        return ids;
     }
 
-    std::size_t begun_of(std::set<std::string> const& ids)
+    std::size_t started_runs_of(std::set<std::string> const& ids)
     {
         std::size_t sum = 0;
-        for (std::size_t number = 0; number < simulation_.worker_count(); ++number)
+        for (std::size_t number = 0; number < simulation_.worker_count();
+             ++number)
         {
-            for (auto const& each : simulation_.worker(number).started_runs())
+            for (auto const& run : simulation_.worker(number).started_runs())
             {
-                sum += ids.contains(each.task.job) ? 1U : 0U;
+                sum += ids.contains(run.task.job) ? 1U : 0U;
             }
         }
         return sum;
     }
 
-    // An instance that takes the store for away refuses at first.
+    // Retries the query, because an instance that considers the store
+    // unavailable refuses at first.
     bool completes(std::string const& id)
     {
         return simulation_.run_until(
@@ -279,57 +288,60 @@
 
     void check()
     {
-        auto const gone = cancelled();
-        auto const begun = begun_of(gone);
-        for (auto const& id : gone)
+        auto const cancelled_ids = cancelled();
+        auto const started = started_runs_of(cancelled_ids);
+        for (auto const& id : cancelled_ids)
         {
-            if (places(id, jobs_[id]) > 0)
+            if (running_copies(id, jobs_[id]) > 0)
             {
-                broken_ = id + " runs on";
+                violation_ = id + " is still running";
             }
         }
         simulation_.run(5s);
-        if (begun_of(gone) != begun)
+        if (started_runs_of(cancelled_ids) != started)
         {
-            broken_ = "a cancelled job began again";
+            violation_ = "a cancelled job started again";
         }
         for (auto const& [id, job] : jobs_)
         {
-            bool const wanted = job.cancels.empty() &&
-                                any_got<ports::job_accepted>(job.submits);
-            bool const runs = job.lasts ? places(id, job) == job.tasks
-                                        : !wanted || completes(id);
-            if (wanted && !runs)
+            bool const must_run =
+                job.cancels.empty() &&
+                any_answer_is<ports::job_accepted>(job.submits);
+            bool const runs = job.long_running
+                                  ? running_copies(id, job) == job.tasks
+                                  : !must_run || completes(id);
+            if (must_run && !runs)
             {
-                broken_ = id + " does not run, and nobody cancelled it";
+                violation_ = id + " does not run although it was not cancelled";
             }
         }
         if (!simulation_.violation().empty())
         {
-            broken_ = simulation_.violation();
+            violation_ = simulation_.violation();
         }
     }
 
     std::mt19937_64 random_;
     pool_simulation simulation_{instances, workers};
-    std::map<std::string, job_fate> jobs_;
+    std::map<std::string, job_record> jobs_;
     std::set<std::size_t> killed_;
-    std::string broken_;
+    std::string violation_;
 };
 
-// FUCHSIA_WALKS: how many seeds, for a long run by hand.
-std::uint64_t seeds_to_walk()
+// Returns the number of seeds. The environment variable FUCHSIA_WALKS sets it
+// for long manual runs.
+std::uint64_t seed_count()
 {
-    auto const* const wanted = std::getenv("FUCHSIA_WALKS");
-    return wanted == nullptr ? few_seeds : std::stoull(wanted);
+    auto const* const requested = std::getenv("FUCHSIA_WALKS");
+    return requested == nullptr ? default_seeds : std::stoull(requested);
 }
 
 } // namespace
 
-// Failure: an acknowledged cancelling is forgotten, or hits another job.
-TEST(pool_cancel_walk, what_was_cancelled_is_gone_and_all_else_runs)
+// Failure: an acknowledged cancellation is lost, or affects another job.
+TEST(pool_cancel_walk, cancelled_jobs_are_stopped_and_all_others_run)
 {
-    for (std::uint64_t seed = 0; seed < seeds_to_walk(); ++seed)
+    for (std::uint64_t seed = 0; seed < seed_count(); ++seed)
     {
         EXPECT_EQ(cancel_walk(seed).run(), "") << "seed " << seed;
     }
--- a/tests/unit/pool/revision_times_test.cpp
+++ b/tests/unit/pool/revision_times_test.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-time_point at(std::chrono::milliseconds when)
+time_point at(std::chrono::milliseconds offset)
 {
-    return time_point{} + when;
+    return time_point{} + offset;
 }
 
 } // namespace
 
-// A record counts as newer than it is when answers come late or out of order.
-TEST(revision_times, a_record_is_as_old_as_the_call_that_proves_it)
+// Failure: a record is considered newer than it is when answers arrive late or
+// out of order.
+TEST(revision_times, the_age_of_a_record_counts_from_the_time_the_call_was_sent)
 {
     revision_times times;
     times.note(at(1000ms), 10);
@@ -32,16 +33,17 @@
     EXPECT_EQ(times.complete_until(30), at(3000ms));
 }
 
-// Answers without a revision are taken for the beginning of the store.
-TEST(revision_times, an_answer_without_a_revision_says_nothing)
+// Failure: an answer without a revision counts as an answer from an empty
+// store.
+TEST(revision_times, an_answer_without_a_revision_is_ignored)
 {
     revision_times times;
     times.note(at(1000ms), 0);
     EXPECT_FALSE(times.complete_until(100).has_value());
 }
 
-// An instance fails on a record that is no record of waiting jobs.
-TEST(backlog, a_record_that_is_none_gives_a_reason)
+// Failure: an instance fails on a malformed record of waiting jobs.
+TEST(backlog, a_malformed_record_is_rejected_with_a_reason)
 {
     for (auto const* const text : {"",
                                    "7",
@@ -57,9 +59,9 @@
         EXPECT_NE(reason.code, fuchsia::core::common::result_code::ok) << text;
     }
     fuchsia::core::common::failure reason;
-    auto const read =
+    auto const parsed =
         parse_backlog(to_json(backlog{7, {{"a", 2}, {"b", 0}}}), reason);
-    ASSERT_TRUE(read.has_value());
-    EXPECT_EQ(read->synced_revision, 7U);
-    EXPECT_EQ(read->waiting.at("a"), 2U);
+    ASSERT_TRUE(parsed.has_value());
+    EXPECT_EQ(parsed->synced_revision, 7U);
+    EXPECT_EQ(parsed->waiting.at("a"), 2U);
 }
