--- a/src/core/pool/claim.cpp
+++ b/src/core/pool/claim.cpp
@@ -14,13 +14,14 @@
 
 claim::claim(claim_settings settings, std::string self, outbox& out)
     : settings_(settings),
-      self_(to_json(claim_holder{std::move(self), settings.size})), out_(out)
+      own_record_(to_json(claim_holder{std::move(self), settings.size})),
+      out_(out)
 {
 }
 
 void claim::tick(common::time_point now)
 {
-    if (now < next_step_ || phase_ == phase::released)
+    if (now < next_step_at_ || phase_ == phase::released)
     {
         return;
     }
@@ -28,115 +29,118 @@
     {
         renew(now);
     }
-    else if (!busy_ && !retired_)
+    else if (!call_pending_ && !retired_)
     {
-        look();
+        read_claim();
     }
 }
 
-void claim::look()
+void claim::read_claim()
 {
-    busy_ = true;
-    phase_ = phase::looking;
+    call_pending_ = true;
+    phase_ = phase::reading;
     out_.store(life_,
                ports::kv_read{std::string(keys::claim)},
                settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
-                   on_look(at, reply);
+                   on_claim_read(at, reply);
                });
 }
 
-void claim::on_look(common::time_point now, kv_reply const& reply)
+void claim::on_claim_read(common::time_point now, kv_reply const& reply)
 {
-    busy_ = false;
-    if (phase_ != phase::looking)
+    call_pending_ = false;
+    if (phase_ != phase::reading)
     {
         return;
     }
     if (reply.status == kv_status::missing)
     {
-        claim_or_yield(now);
+        acquire_or_yield(now);
         return;
     }
     if (reply.status != kv_status::done || reply.items.empty())
     {
-        look_again(now);
+        retry_later(now);
         return;
     }
     auto const& item = reply.items.front();
-    // Our own claim, whose answer was lost.
-    if (item.value == self_ && lease_ != 0 && item.lease == lease_)
+    // This instance's own claim: the answer to the write was lost.
+    if (item.value == own_record_ && lease_ != 0 && item.lease == lease_)
     {
-        take(now, item.create_revision);
+        on_acquired(now, item.create_revision);
         return;
     }
-    seen_revision_ = reply.revision;
+    watched_revision_ = reply.revision;
     yielded_ = false;
-    note_holder(now, item);
-    watch();
+    observe_holder(now, item);
+    watch_claim();
 }
 
-// A small instance that schedules a large pool fills its own link and
-// processor, and its renewals come late. So whoever is clearly smaller than a
-// holder it has seen lets others try first.
-void claim::claim_or_yield(common::time_point now)
+// A small instance that schedules a large pool saturates its own link and
+// processor, so that its lease renewals are late. An instance that is clearly
+// smaller than an earlier holder therefore lets others acquire the claim first.
+void claim::acquire_or_yield(common::time_point now)
 {
-    bool const small = settings_.size * settings_.clearly_larger <= largest_;
+    bool const small =
+        settings_.size * settings_.size_ratio <= largest_holder_size_;
     if (!small || yielded_)
     {
         yielded_ = false;
-        ask_lease(now);
+        request_lease(now);
         return;
     }
     yielded_ = true;
-    phase_ = phase::looking;
-    next_step_ = now + settings_.yield;
+    phase_ = phase::reading;
+    next_step_at_ = now + settings_.yield_delay;
 }
 
 std::optional<claim_holder> claim::read_holder(ports::kv_item const& item)
 {
     common::failure reason;
-    auto read = parse_claim_holder(item.value, reason);
-    if (!read)
+    auto holder = parse_claim_holder(item.value, reason);
+    if (!holder)
     {
         out_.log(severity::warning,
                  "holder_unreadable",
                  {{"why", common::to_string(reason)}});
     }
-    return read;
+    return holder;
 }
 
-void claim::note_holder(common::time_point now, ports::kv_item const& item)
+void claim::observe_holder(common::time_point now, ports::kv_item const& item)
 {
-    auto const present = read_holder(item);
-    if (!present)
+    auto const current_holder = read_holder(item);
+    if (!current_holder)
     {
         return;
     }
-    largest_ = std::max(largest_, present->size);
-    if (settings_.size >= present->size * settings_.clearly_larger)
+    largest_holder_size_ = std::max(largest_holder_size_, current_holder->size);
+    if (settings_.size >= current_holder->size * settings_.size_ratio)
     {
-        ask_for_it(now, *present);
+        request_handover(now, *current_holder);
     }
 }
 
-// Whoever starts first claims first, large or small. Lost or unanswered, the
-// request is made again at a later look.
-void claim::ask_for_it(common::time_point now, claim_holder const& present)
+// The first instance to start acquires the claim, whatever its size, so a
+// larger one has to request a handover. A request that is lost or unanswered is
+// repeated after a later read of the claim.
+void claim::request_handover(common::time_point now,
+                             claim_holder const& current_holder)
 {
-    if (now < next_ask_ || retired_)
+    if (now < next_handover_request_ || retired_)
     {
         return;
     }
-    next_ask_ = now + settings_.ask_interval;
+    next_handover_request_ = now + settings_.handover_request_interval;
     out_.log(severity::info,
              "claim_wanted",
-             {{"holder", present.instance},
-              {"its_size", std::to_string(present.size)},
+             {{"holder", current_holder.instance},
+              {"its_size", std::to_string(current_holder.size)},
               {"our_size", std::to_string(settings_.size)}});
     ports::kv_commit commit;
-    commit.puts.push_back({std::string(keys::handover), self_, 0});
+    commit.puts.push_back({std::string(keys::handover), own_record_, 0});
     out_.store(life_,
                std::move(commit),
                settings_.call_timeout,
@@ -153,8 +157,8 @@
                });
 }
 
-// Lost, the call is needless: unrenewed, the lease ends within its time.
-void claim::end_lease(std::uint64_t lease)
+// The answer is ignored: without renewals the lease expires by itself.
+void claim::revoke_lease(std::uint64_t lease)
 {
     out_.store(life_,
                ports::kv_lease_revoke{lease},
@@ -162,25 +166,25 @@
                [](common::time_point, kv_reply const&) {});
 }
 
-void claim::hand_over(common::time_point now, std::string const& why)
+void claim::hand_over(common::time_point now, std::string const& reason)
 {
     if (phase_ != phase::held)
     {
         return;
     }
     auto const lease = lease_;
-    mark_lost(why);
-    next_step_ = now + settings_.handover_pause;
-    end_lease(lease);
+    mark_lost(reason);
+    next_step_at_ = now + settings_.handover_pause;
+    revoke_lease(lease);
 }
 
-void claim::watch()
+void claim::watch_claim()
 {
-    phase_ = phase::waiting;
-    busy_ = true;
+    phase_ = phase::watching;
+    call_pending_ = true;
     out_.store(life_,
                ports::kv_watch{std::string(keys::claim),
-                               seen_revision_,
+                               watched_revision_,
                                settings_.watch_wait},
                settings_.watch_wait + settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
@@ -191,75 +195,76 @@
 
 void claim::on_watch(common::time_point now, kv_reply const& reply)
 {
-    busy_ = false;
-    if (phase_ != phase::waiting || retired_)
+    call_pending_ = false;
+    if (phase_ != phase::watching || retired_)
     {
         return;
     }
     if (reply.status != kv_status::done)
     {
-        look_again(now);
+        retry_later(now);
         return;
     }
-    seen_revision_ = reply.revision;
+    watched_revision_ = reply.revision;
     if (!reply.items.empty() && reply.items.back().erased)
     {
-        claim_or_yield(now);
+        acquire_or_yield(now);
         return;
     }
-    // A watch may have been deaf to the one change that matters: look.
-    look();
+    // The watch may have missed the end of the claim, so the key is read.
+    read_claim();
 }
 
-void claim::ask_lease(common::time_point now)
+void claim::request_lease(common::time_point now)
 {
-    phase_ = phase::claiming;
-    busy_ = true;
-    asked_ = now;
+    phase_ = phase::acquiring;
+    call_pending_ = true;
+    lease_requested_at_ = now;
     out_.store(life_,
                ports::kv_lease_grant{settings_.ttl},
                settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
-                   busy_ = false;
+                   call_pending_ = false;
                    if (retired_ || reply.status != kv_status::done)
                    {
-                       look_again(at);
+                       retry_later(at);
                        return;
                    }
-                   ask_key(reply.lease);
+                   write_key(reply.lease);
                });
 }
 
-void claim::ask_key(std::uint64_t lease)
+void claim::write_key(std::uint64_t lease)
 {
     lease_ = lease;
-    busy_ = true;
+    call_pending_ = true;
     ports::kv_commit commit;
     commit.preconditions.push_back({std::string(keys::claim), 0});
-    commit.puts.push_back({std::string(keys::claim), self_, lease});
+    commit.puts.push_back({std::string(keys::claim), own_record_, lease});
     out_.store(life_,
                std::move(commit),
                settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
-                   on_key(at, reply);
+                   on_key_written(at, reply);
                });
 }
 
-void claim::on_key(common::time_point now, kv_reply const& reply)
+void claim::on_key_written(common::time_point now, kv_reply const& reply)
 {
-    busy_ = false;
+    call_pending_ = false;
     if (reply.status == kv_status::done)
     {
-        take(now, reply.revision);
+        on_acquired(now, reply.revision);
         return;
     }
-    // Lost to another instance, or unclear: reading tells.
-    look_again(now);
+    // Another instance was faster, or the outcome is unknown: the next read
+    // shows which.
+    retry_later(now);
 }
 
-void claim::take(common::time_point now, std::uint64_t epoch)
+void claim::on_acquired(common::time_point now, std::uint64_t epoch)
 {
     if (retired_)
     {
@@ -267,9 +272,9 @@
     }
     phase_ = phase::held;
     epoch_ = epoch;
-    confirmed_ = asked_;
-    since_ = now;
-    next_step_ = now;
+    confirmed_at_ = lease_requested_at_;
+    held_since_ = now;
+    next_step_at_ = now;
     out_.log(
         severity::info,
         "claim_taken",
@@ -278,7 +283,7 @@
 
 void claim::renew(common::time_point now)
 {
-    next_step_ = now + settings_.renew_interval;
+    next_step_at_ = now + settings_.renew_interval;
     out_.store(
         life_,
         ports::kv_lease_renew{lease_},
@@ -291,27 +296,27 @@
             }
             if (reply.status == kv_status::done)
             {
-                confirmed_ = std::max(confirmed_, now);
+                confirmed_at_ = std::max(confirmed_at_, now);
             }
             else if (reply.status == kv_status::missing)
             {
-                mark_lost("lease ended");
+                mark_lost("the lease has expired");
             }
         });
 }
 
 void claim::release()
 {
-    bool const held_now = phase_ == phase::held;
+    bool const was_held = phase_ == phase::held;
     retired_ = true;
     phase_ = phase::released;
-    if (!held_now)
+    if (!was_held)
     {
         return;
     }
     out_.log(
         severity::info, "claim_released", {{"epoch", std::to_string(epoch_)}});
-    end_lease(lease_);
+    revoke_lease(lease_);
 }
 
 void claim::retire() noexcept
@@ -319,7 +324,7 @@
     retired_ = true;
 }
 
-void claim::mark_lost(std::string const& why)
+void claim::mark_lost(std::string const& reason)
 {
     if (phase_ != phase::held)
     {
@@ -327,21 +332,21 @@
     }
     out_.log(severity::warning,
              "claim_lost",
-             {{"epoch", std::to_string(epoch_)}, {"why", why}});
-    phase_ = phase::looking;
-    busy_ = false;
+             {{"epoch", std::to_string(epoch_)}, {"why", reason}});
+    phase_ = phase::reading;
+    call_pending_ = false;
     lease_ = 0;
-    next_step_ = {};
+    next_step_at_ = {};
 }
 
-void claim::look_again(common::time_point now)
+void claim::retry_later(common::time_point now)
 {
     if (phase_ == phase::released)
     {
         return;
     }
-    phase_ = phase::looking;
-    next_step_ = now + settings_.retry;
+    phase_ = phase::reading;
+    next_step_at_ = now + settings_.retry_interval;
 }
 
 bool claim::held() const noexcept
@@ -361,15 +366,15 @@
 
 common::time_point claim::confirmed_at() const noexcept
 {
-    return confirmed_;
+    return confirmed_at_;
 }
 
 common::time_point claim::held_since() const noexcept
 {
-    return since_;
+    return held_since_;
 }
 
-// What is older than the claim concerned an earlier one.
+// An item that is older than the claim belongs to an earlier claim.
 void claim::on_item(common::time_point now, ports::kv_item const& item)
 {
     if (phase_ != phase::held || item.revision <= epoch_)
@@ -378,13 +383,14 @@
     }
     if (item.key == keys::claim)
     {
-        mark_lost(item.erased ? "key erased" : "key taken by another");
+        mark_lost(item.erased ? "the key was deleted"
+                              : "another instance wrote the key");
         return;
     }
-    auto const to = item.erased ? std::nullopt : read_holder(item);
-    if (to)
+    auto const requester = item.erased ? std::nullopt : read_holder(item);
+    if (requester)
     {
-        hand_over(now, "asked for by " + to->instance);
+        hand_over(now, "handover requested by " + requester->instance);
     }
 }
 
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -12,104 +12,114 @@
 
 struct claim_settings
 {
-    /// How long the store keeps the claim of an owner that fell silent. No
-    /// shorter than the shortest lease that the store grants.
+    /// Lease time of the claim, after which the store drops the claim of an
+    /// owner that no longer renews it. Not below the shortest lease that the
+    /// store grants.
     common::duration ttl = std::chrono::milliseconds(1000);
-    /// A renewal is sent this often, whether or not the last one was answered.
+    /// Time between two lease renewals. A renewal is sent whether or not the
+    /// previous one was answered.
     common::duration renew_interval = std::chrono::milliseconds(250);
+    /// Timeout of one call to the store.
     common::duration call_timeout = std::chrono::milliseconds(900);
-    /// Between two looks at a claim that somebody else holds.
+    /// Maximum wait of a watch on a claim that another instance holds; the claim
+    /// is read again after it.
     common::duration watch_wait = std::chrono::milliseconds(3000);
-    /// After a failed try to claim.
-    common::duration retry = std::chrono::milliseconds(100);
-    /// How much of a pool this instance can schedule; 1 is half a core and 200
+    /// Delay after a failed attempt to read or acquire the claim.
+    common::duration retry_interval = std::chrono::milliseconds(100);
+    /// Scheduling capacity of this instance, relative to half a core and 200
     /// Mbit/s.
     double size = 1;
-    /// Smaller by this factor than a holder that was seen, an instance leaves a
-    /// free claim to others first; larger by it, it asks for the claim.
-    double clearly_larger = 2;
-    /// How long it is left to them.
-    common::duration yield = std::chrono::milliseconds(500);
-    /// Between two requests for a claim that somebody smaller holds.
-    common::duration ask_interval = std::chrono::seconds(5);
-    /// Who gave the claim up leaves it to others for this long.
+    /// Ratio of two sizes from which on one instance counts as clearly larger.
+    /// An instance that is smaller than the largest known holder by this factor
+    /// lets others acquire a free claim first; one that is larger than the
+    /// current holder by this factor requests a handover.
+    double size_ratio = 2;
+    /// Time for which a smaller instance leaves a free claim to others.
+    common::duration yield_delay = std::chrono::milliseconds(500);
+    /// Minimum time between two handover requests to a smaller holder.
+    common::duration handover_request_interval = std::chrono::seconds(5);
+    /// Time for which an instance that handed the claim over does not acquire
+    /// it again.
     common::duration handover_pause = std::chrono::seconds(2);
 };
 
-/// The right to schedule: one key under a lease of the store. The revision at
-/// which the key came to be is the epoch, the fencing token of every order;
-/// whoever claims later has a higher one.
+/// The exclusive right to schedule, held as one key of the store under a lease.
+/// The revision at which the key was created is the epoch, which is the fencing
+/// token of every order; a later holder has a higher epoch.
 class claim
 {
 public:
     claim(claim_settings settings, std::string self, outbox& out);
 
     void tick(common::time_point now);
-    /// Gives the claim back, so that another instance takes it at once.
+    /// Revokes the lease, so that another instance can acquire the claim at
+    /// once, and stops this instance from acquiring it again.
     void release();
-    /// From here on it never claims again.
+    /// Stops this instance from acquiring the claim; a held claim stays held.
     void retire() noexcept;
-    /// Gives the claim to whoever takes it next, and does not take it itself
-    /// for a while.
-    void hand_over(common::time_point now, std::string const& why);
-    /// The claim is known to be lost, from elsewhere than the store.
-    void mark_lost(std::string const& why);
+    /// Revokes the lease and leaves the claim to other instances for
+    /// `handover_pause`.
+    void hand_over(common::time_point now, std::string const& reason);
+    /// Marks the claim as lost without a call to the store, for instance because
+    /// a worker has reported a higher fencing token.
+    void mark_lost(std::string const& reason);
 
     bool held() const noexcept;
     std::uint64_t epoch() const noexcept;
-    /// The claim's condition, for commits that only its holder may make.
+    /// Precondition for commits that only the holder of the claim may make.
     ports::kv_precondition condition() const;
-    /// When the last answered renewal was sent.
+    /// Time at which the last renewal that the store confirmed was sent.
     common::time_point confirmed_at() const noexcept;
     common::time_point held_since() const noexcept;
 
-    /// An event or a page of the store that concerns the claim's key, or that
-    /// of a request for it.
+    /// Processes an item of the store, from an event or a page, for the key of
+    /// the claim or of a handover request.
     void on_item(common::time_point now, ports::kv_item const& item);
 
 private:
     enum class phase : std::uint8_t
     {
-        looking,  ///< Reads whether somebody holds it.
-        waiting,  ///< Somebody does; a watch waits for the end of it.
-        claiming, ///< Asks for a lease, then for the key.
-        held,
-        released,
+        reading,   ///< Reads the key, or waits for the time of the next read.
+        watching,  ///< Another instance holds the claim; a watch is pending.
+        acquiring, ///< Requests a lease, then writes the key.
+        held,      ///< This instance holds the claim.
+        released,  ///< Given back for good.
     };
 
-    void claim_or_yield(common::time_point now);
+    void acquire_or_yield(common::time_point now);
     std::optional<claim_holder> read_holder(ports::kv_item const& item);
-    void end_lease(std::uint64_t lease);
-    void note_holder(common::time_point now, ports::kv_item const& item);
-    void ask_for_it(common::time_point now, claim_holder const& present);
-    void look();
-    void on_look(common::time_point now, ports::kv_reply const& reply);
-    void watch();
+    void revoke_lease(std::uint64_t lease);
+    void observe_holder(common::time_point now, ports::kv_item const& item);
+    void request_handover(common::time_point now,
+                          claim_holder const& current_holder);
+    void read_claim();
+    void on_claim_read(common::time_point now, ports::kv_reply const& reply);
+    void watch_claim();
     void on_watch(common::time_point now, ports::kv_reply const& reply);
-    void ask_lease(common::time_point now);
-    void ask_key(std::uint64_t lease);
-    void on_key(common::time_point now, ports::kv_reply const& reply);
-    void take(common::time_point now, std::uint64_t epoch);
+    void request_lease(common::time_point now);
+    void write_key(std::uint64_t lease);
+    void on_key_written(common::time_point now, ports::kv_reply const& reply);
+    void on_acquired(common::time_point now, std::uint64_t epoch);
     void renew(common::time_point now);
-    void look_again(common::time_point now);
+    void retry_later(common::time_point now);
 
     claim_settings settings_;
-    std::string self_;     ///< As the key's value: a `holder`.
-    double largest_ = 0;   ///< Size of the largest holder that was seen.
-    bool yielded_ = false; ///< The free claim was left to others once.
-    common::time_point next_ask_{};
+    std::string own_record_; ///< Value of the key: a `claim_holder` as JSON.
+    double largest_holder_size_ = 0; ///< Size of the largest known holder.
+    bool yielded_ = false;           ///< The free claim was left to others.
+    common::time_point next_handover_request_{};
     outbox& out_;
     lifetime_token life_ = std::make_shared<char>();
-    phase phase_ = phase::looking;
+    phase phase_ = phase::reading;
     bool retired_ = false;
-    bool busy_ = false; ///< A call of the present phase waits for its answer.
+    bool call_pending_ = false; ///< A call of the current phase is pending.
     std::uint64_t lease_ = 0;
     std::uint64_t epoch_ = 0;
-    std::uint64_t seen_revision_ = 0;
-    common::time_point next_step_{};
-    common::time_point asked_{};
-    common::time_point confirmed_{};
-    common::time_point since_{};
+    std::uint64_t watched_revision_ = 0;
+    common::time_point next_step_at_{};
+    common::time_point lease_requested_at_{};
+    common::time_point confirmed_at_{};
+    common::time_point held_since_{};
 };
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/claim_holder.cpp
+++ b/src/core/pool/claim_holder.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr double largest_size = 1e6;
+constexpr double max_holder_size = 1e6;
 
 } // namespace
 
@@ -28,22 +28,22 @@
     {
         return std::nullopt;
     }
-    common::json_reader in(*object, "holder");
-    claim_holder made;
-    made.instance = in.text("instance");
-    made.size = in.number_or("size", 0, 0, largest_size);
-    if (made.instance.empty() || made.size <= 0)
+    common::json_reader reader(*object, "holder");
+    claim_holder holder;
+    holder.instance = reader.text("instance");
+    holder.size = reader.number_or("size", 0, 0, max_holder_size);
+    if (holder.instance.empty() || holder.size <= 0)
     {
-        in.fail(common::result_code::wrong_type,
-                "size",
-                "an instance and a size above 0 are needed");
+        reader.fail(common::result_code::wrong_type,
+                    "size",
+                    "an instance name and a size above 0 are required");
     }
-    if (!in.ok())
+    if (!reader.ok())
     {
-        reason = in.reason();
+        reason = reader.reason();
         return std::nullopt;
     }
-    return made;
+    return holder;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/claim_holder.hpp
+++ b/src/core/pool/claim_holder.hpp
@@ -6,15 +6,16 @@
 #include <string>
 #include <string_view>
 
-// Who holds the claim, or asks for it, as it lies in the store.
+// The record in the store that names the holder of the claim or the sender of a
+// handover request.
 namespace fuchsia::core::pool
 {
 
 struct claim_holder
 {
     std::string instance; ///< Name and incarnation.
-    /// How much of a pool it can schedule, against the others: the scarcer of
-    /// its processor and its link (`claim_settings::size`).
+    /// Scheduling capacity relative to other instances, given by the scarcer of
+    /// the instance's processor and link; see `claim_settings::size`.
     double size = 1;
 };
 
