--- a/src/core/pool/fleet.cpp
+++ b/src/core/pool/fleet.cpp
@@ -7,8 +7,9 @@
 
 std::int64_t worker::idle_cores() const noexcept
 {
-    auto const others = reserved.millicores - serving_cores;
-    return info.capacity.millicores - others - serving_used - best_effort_cores;
+    auto const non_serving = reserved.millicores - serving_cores;
+    return info.capacity.millicores - non_serving - serving_used -
+           best_effort_cores;
 }
 
 bool worker::has_capacity_for_two(
@@ -24,35 +25,35 @@
 {
 }
 
-void fleet::take_list(worker_changes const& seen)
+void fleet::take_list(worker_changes const& changes)
 {
-    for (auto& [id, known] : workers_)
+    for (auto& [id, entry] : workers_)
     {
-        known.listed = known.listed && !seen.complete;
+        entry.listed = entry.listed && !changes.complete;
     }
-    for (auto const& id : seen.removed)
+    for (auto const& id : changes.removed)
     {
-        if (auto* const known = find(id))
+        if (auto* const entry = find(id))
         {
-            known->listed = false;
+            entry->listed = false;
         }
     }
-    for (auto const& info : seen.present)
+    for (auto const& info : changes.present)
     {
-        auto& known = workers_[info.id];
-        known.info = info;
-        known.listed = true;
+        auto& entry = workers_[info.id];
+        entry.info = info;
+        entry.listed = true;
     }
 }
 
 void fleet::add_rostered(ports::pool_worker const& info)
 {
-    auto& known = workers_[info.id];
-    if (known.info.id.empty())
+    auto& entry = workers_[info.id];
+    if (entry.info.id.empty())
     {
-        known.info = info;
+        entry.info = info;
     }
-    known.rostered = true;
+    entry.rostered = true;
 }
 
 void fleet::erase(std::string const& id)
@@ -83,48 +84,50 @@
 
 bool fleet::quorum(common::time_point oldest) const noexcept
 {
-    std::size_t asked = 0;
+    std::size_t polled = 0;
     std::size_t answered = 0;
-    for (auto const& [id, each] : workers_)
+    for (auto const& [id, w] : workers_)
     {
-        asked += each.rostered ? 1U : 0U;
-        answered += each.rostered && each.adopted && each.last_contact >= oldest
-                        ? 1U
-                        : 0U;
+        polled += w.rostered ? 1U : 0U;
+        answered +=
+            w.rostered && w.adopted && w.last_contact >= oldest ? 1U : 0U;
     }
-    return 2 * answered > asked;
+    return 2 * answered > polled;
 }
 
-std::uint64_t fleet::lease_end(worker const& of,
+std::uint64_t fleet::lease_end(worker const& target,
                                common::time_point now) const noexcept
 {
-    if (of.clock_ms == 0)
+    if (target.clock_ms == 0)
     {
         return 0;
     }
-    auto const since = common::to_milliseconds(now - of.clock_received_at);
-    auto const lease = common::to_milliseconds(settings_.lease);
-    return of.clock_ms + static_cast<std::uint64_t>(since + lease);
+    auto const elapsed_ms =
+        common::to_milliseconds(now - target.clock_received_at);
+    auto const lease_ms = common::to_milliseconds(settings_.lease);
+    return target.clock_ms + static_cast<std::uint64_t>(elapsed_ms + lease_ms);
 }
 
-common::duration fleet::lease_left(worker const& of,
+common::duration fleet::lease_left(worker const& target,
                                    common::time_point now) const noexcept
 {
-    auto const since = common::to_milliseconds(now - of.clock_received_at);
-    auto const left = static_cast<std::int64_t>(of.lease_until_ms) -
-                      static_cast<std::int64_t>(of.clock_ms) - since;
-    return std::chrono::milliseconds(std::max<std::int64_t>(left, 0));
+    auto const elapsed_ms =
+        common::to_milliseconds(now - target.clock_received_at);
+    auto const remaining_ms = static_cast<std::int64_t>(target.lease_until_ms) -
+                              static_cast<std::int64_t>(target.clock_ms) -
+                              elapsed_ms;
+    return std::chrono::milliseconds(std::max<std::int64_t>(remaining_ms, 0));
 }
 
-bool fleet::lapsed(worker const& of, common::time_point now) const noexcept
+bool fleet::lapsed(worker const& target, common::time_point now) const noexcept
 {
-    auto const slack = common::to_milliseconds(settings_.lapse_slack);
-    auto const since = static_cast<double>(
-        common::to_milliseconds(now - of.clock_received_at));
-    auto const least =
-        static_cast<double>(of.clock_ms) + since * (1 - settings_.clock_drift);
-    return least >=
-           static_cast<double>(of.lease_until_ms) + static_cast<double>(slack);
+    auto const slack_ms = common::to_milliseconds(settings_.lapse_slack);
+    auto const elapsed_ms = static_cast<double>(
+        common::to_milliseconds(now - target.clock_received_at));
+    auto const min_clock_ms = static_cast<double>(target.clock_ms) +
+                              elapsed_ms * (1 - settings_.clock_drift);
+    return min_clock_ms >= static_cast<double>(target.lease_until_ms) +
+                               static_cast<double>(slack_ms);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/fleet.hpp
+++ b/src/core/pool/fleet.hpp
@@ -19,93 +19,110 @@
 
 struct fleet_settings
 {
-    /// How long a worker goes on with what it runs without hearing from an
-    /// owner. Must outlast a failover; a worker that falls silent keeps its
-    /// tasks from running elsewhere for this time.
+    /// Lease of a worker: time for which it goes on running its tasks without
+    /// contact to an owner. Must be longer than a failover takes. The tasks of
+    /// a worker that no longer answers can't start elsewhere for this time.
     common::duration lease = std::chrono::milliseconds(3500);
-    /// A worker that has not answered for this long gets no longer lease: each
-    /// call may have reached it, so its lease would never be known to end.
+    /// A worker that has not answered for this long gets no lease extension.
+    /// Any unanswered call may have reached the worker, so with further
+    /// extensions its lease would never be known to have expired.
     common::duration renew_within = std::chrono::milliseconds(1300);
-    /// Part by which a worker's clock may run slower than ours.
+    /// Fraction by which a worker's clock may run slower than the owner's.
     double clock_drift = 0.02;
-    /// Beyond the end of a lease, for what was rounded on the way.
+    /// Margin after the end of a lease that covers rounding errors.
     common::duration lapse_slack = std::chrono::milliseconds(100);
-    /// An owner that the store does not answer goes on while more than half of
-    /// its workers have answered within this time. Whoever takes over raises
-    /// the fence on more than half of them, so one of those answers tells the
-    /// old owner that it is replaced. Longer than an idle worker is left alone.
+    /// An owner that gets no answer from the store goes on as long as more than
+    /// half of its workers have answered within this time. A successor raises
+    /// the fencing token on more than half of the workers, so at least one of
+    /// these answers shows the old owner that it has been replaced. Must be
+    /// longer than the poll interval of an idle worker.
     common::duration quorum_window = std::chrono::milliseconds(2500);
-    /// Without such answers it goes on for this long.
+    /// Maximum time for which an owner goes on without the store and without
+    /// such a quorum of workers.
     common::duration unconfirmed_limit = std::chrono::milliseconds(1500);
-    /// And in no case longer than this; a successor that never reaches half of
-    /// the workers waits as long.
+    /// Maximum time for which an owner goes on without the store in any case. A
+    /// successor that can't reach half of the workers waits for the same time.
     common::duration quorum_limit = std::chrono::seconds(60);
 };
 
-/// A worker as the owner knows it.
+/// State of a worker as known to the owner.
 struct worker
 {
     ports::pool_worker info;
-    bool listed = false;   ///< The platform's list names it now.
-    bool adopted = false;  ///< It answered this owner in this incarnation.
-    bool rostered = false; ///< Successors will ask it: tasks may start here.
-    std::uint64_t incarnation = 0; ///< Incarnation that was adopted.
-    /// When it was first heard in place of another that this owner knew.
+    bool listed = false;  ///< It is in the platform's list.
+    bool adopted = false; ///< This incarnation has answered this owner.
+    /// It is in the stored roster, so that a successor will poll it and tasks
+    /// may start here.
+    bool rostered = false;
+    std::uint64_t incarnation = 0; ///< Adopted incarnation; 0: none.
+    /// Time of the first answer of this incarnation if it has replaced another
+    /// one that this owner had adopted.
     common::time_point restarted_at{};
 
-    ports::resources reserved;      ///< By what is placed; cores not by fills.
-    std::int64_t serving_cores = 0; ///< Part of the reserved.
-    std::int64_t long_running_cores = 0; ///< Of the reserved, by lasting tasks.
-    std::int64_t serving_used = 0;       ///< Of those, what is in use now.
-    std::int64_t best_effort_cores = 0;  ///< Declared by tasks that fill.
-    std::set<ports::task_name> runs;     ///< Tasks placed here.
-    /// Serving tasks that are being moved here: their room is reserved.
+    /// Reserved by the tasks placed here, without cores of best-effort tasks.
+    ports::resources reserved;
+    std::int64_t serving_cores = 0;      ///< Reserved by serving tasks.
+    std::int64_t long_running_cores = 0; ///< Reserved by long-running tasks.
+    std::int64_t serving_used = 0; ///< Part of `serving_cores` that is in use.
+    std::int64_t best_effort_cores = 0; ///< Declared by best-effort tasks.
+    std::set<ports::task_name> runs;    ///< Tasks placed here.
+    /// Serving tasks that are being moved here, whose capacity is reserved.
     std::set<ports::task_name> reservations;
-    /// Filling images that this worker was cleared for, and until when.
+    /// Best-effort images for which this worker was cleared by rebalancing,
+    /// with the time until which it is kept clear.
     std::map<std::uint16_t, common::time_point> cleared_for;
 
-    std::uint64_t clock_ms = 0;             ///< As it last told,
-    common::time_point clock_received_at{}; ///< and when that was received.
-    std::uint64_t lease_until_ms =
-        0; ///< Latest lease that may have reached it.
-
-    std::uint64_t durable_end = 0; ///< Ends that are durable.
-    std::uint64_t highest_end = 0; ///< The highest end that was taken in.
-    std::uint64_t ends_being_written = 0; ///< Ends whose record is on its way.
-    bool poll_pending = false;            ///< A hold is on its way.
+    std::uint64_t clock_ms = 0; ///< Last reported clock of the worker; 0: none.
+    common::time_point clock_received_at{}; ///< Time of that report.
+    /// End, on the worker's clock, of the latest lease that may have reached
+    /// it.
+    std::uint64_t lease_until_ms = 0;
+
+    /// Sequence number up to which the worker's ended attempts are durable.
+    std::uint64_t durable_end = 0;
+    /// Highest sequence number of an ended attempt that was processed.
+    std::uint64_t highest_end = 0;
+    /// Number of ended attempts whose record is being written.
+    std::uint64_t ends_being_written = 0;
+    bool poll_pending = false; ///< A poll is waiting for its answer.
     common::time_point next_poll{};
-    common::time_point last_contact{}; ///< Last answer to a hold.
-    bool silent = false; ///< The last hold got no answer: nothing starts here.
-    /// Nor did one that was sent when the lease had run out.
+    common::time_point last_contact{}; ///< Time of the last answer to a poll.
+    /// The last poll was not answered, so no task starts here.
+    bool silent = false;
+    /// A poll that was sent after the lease had expired was not answered
+    /// either.
     bool silent_since_lapse = false;
 
-    common::time_point avoid_until{}; ///< Suspected of failing what it runs.
-    common::time_point full_until{};  ///< It said that it has no room.
+    common::time_point avoid_until{}; ///< Suspected of making tasks fail.
+    common::time_point full_until{};  ///< It has reported a lack of capacity.
     worker_speed speed;
-    std::vector<std::string> failed_jobs; ///< Since its last success.
-    common::time_point over_since{};      ///< A serving task there is too slow.
-    worker_view view;        ///< What stands beside each other here,
-    bool view_known = false; ///< unless something changed since.
+    /// Jobs with failed attempts here since the last successful attempt.
+    std::vector<std::string> failed_jobs;
+    /// Time since which a serving task here has been too slow.
+    common::time_point over_since{};
+    worker_view view;        ///< Cached view of the tasks that run together.
+    bool view_known = false; ///< `view` is up to date.
 
     bool serves() const noexcept
     {
         return serving_cores > 0;
     }
-    /// Whether two such tasks can have their room reserved.
+    /// Whether the capacity for two tasks of this size can be reserved.
     bool has_capacity_for_two(ports::resources const& declared) const noexcept;
-    /// Cores in thousandths that nobody uses, as far as `view` tells.
+    /// Unused cores, in thousandths of a core, as of the last update of `view`.
     std::int64_t idle_cores() const noexcept;
 };
 
-/// All workers that may run tasks of this deployment.
+/// The set of all workers that may run tasks of this deployment.
 class fleet
 {
 public:
     explicit fleet(fleet_settings settings);
 
-    /// What was read from the platform's list.
-    void take_list(worker_changes const& seen);
-    /// One that a previous owner may have used.
+    /// Applies changes that were read from the platform's list.
+    void take_list(worker_changes const& changes);
+    /// Adds a worker of the stored roster, which a previous owner may have
+    /// used.
     void add_rostered(ports::pool_worker const& info);
     void erase(std::string const& id);
 
@@ -114,20 +131,20 @@
     std::map<std::string, worker> const& all() const noexcept;
     fleet_settings const& settings() const noexcept;
 
-    /// Whether more than half of the workers that a successor would ask have
-    /// answered since `oldest`.
+    /// Whether more than half of the workers that a successor would poll have
+    /// answered at or after `oldest`.
     bool quorum(common::time_point oldest) const noexcept;
 
-    /// End of a lease that begins now, on the worker's clock; 0 while that
-    /// clock is not known.
-    std::uint64_t lease_end(worker const& of,
+    /// End, on the worker's clock, of a lease that begins now; 0 while the
+    /// clock is unknown.
+    std::uint64_t lease_end(worker const& target,
                             common::time_point now) const noexcept;
-    /// What is left of the longest lease that may have reached it.
-    common::duration lease_left(worker const& of,
+    /// Remaining time of the longest lease that may have reached the worker.
+    common::duration lease_left(worker const& target,
                                 common::time_point now) const noexcept;
-    /// Whether every lease that we gave has run out on the worker's clock, even
-    /// where that is as slow as allowed.
-    bool lapsed(worker const& of, common::time_point now) const noexcept;
+    /// Whether every lease that was granted to the worker has expired on its
+    /// clock, even if that clock is as slow as `clock_drift` allows.
+    bool lapsed(worker const& target, common::time_point now) const noexcept;
 
 private:
     fleet_settings settings_;
