--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -11,17 +11,17 @@
 using ports::severity;
 
 worker_list::worker_list(worker_list_settings settings,
-                         platform_records const& words,
+                         platform_records const& records,
                          outbox& out,
-                         handler handle)
-    : settings_(settings), platform_records_(words), out_(out),
-      handle_(std::move(handle))
+                         handler on_changes)
+    : settings_(settings), platform_records_(records), out_(out),
+      on_changes_(std::move(on_changes))
 {
 }
 
 bool worker_list::known() const noexcept
 {
-    return known_;
+    return loaded_;
 }
 
 common::time_point worker_list::current_as_of() const noexcept
@@ -29,20 +29,20 @@
     return current_as_of_;
 }
 
-void worker_list::note(common::time_point asked, std::uint64_t revision)
+void worker_list::note(common::time_point sent_at, std::uint64_t revision)
 {
-    times_.note(asked, revision);
+    times_.note(sent_at, revision);
 }
 
 void worker_list::tick(common::time_point now)
 {
-    if (busy_ || now < next_)
+    if (call_pending_ || now < next_call_at_)
     {
         return;
     }
-    asked_ = now;
-    busy_ = true;
-    if (reading_)
+    call_sent_at_ = now;
+    call_pending_ = true;
+    if (reading_pages_)
     {
         read_page();
     }
@@ -54,117 +54,121 @@
 
 void worker_list::read_page()
 {
-    if (after_.empty())
+    if (next_page_after_.empty())
     {
-        pages_ = {true, {}, {}};
-        pages_asked_ = asked_;
+        loaded_pages_ = {true, {}, {}};
+        pages_requested_at_ = call_sent_at_;
     }
-    out_.store(life_,
-               ports::kv_range{platform_records_.workers_prefix, after_},
-               settings_.call_timeout,
-               [this](common::time_point at, kv_reply const& reply)
-               {
-                   busy_ = false;
-                   on_page(at, reply);
-               });
+    out_.store(
+        life_,
+        ports::kv_range{platform_records_.workers_prefix, next_page_after_},
+        settings_.call_timeout,
+        [this](common::time_point at, kv_reply const& reply)
+        {
+            call_pending_ = false;
+            on_page(at, reply);
+        });
 }
 
-// Pages are no snapshot: events since the first one are taken again.
+// The pages are not a snapshot, so the watch continues from the revision of the
+// first one.
 void worker_list::on_page(common::time_point now, kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
     {
-        next_ = now + settings_.retry;
+        next_call_at_ = now + settings_.retry_interval;
         return;
     }
-    page_revision_ = after_.empty() ? reply.revision : page_revision_;
+    page_revision_ = next_page_after_.empty() ? reply.revision : page_revision_;
     for (auto const& item : reply.items)
     {
-        take(item, pages_);
+        apply_item(item, loaded_pages_);
     }
     if (reply.more && !reply.items.empty())
     {
-        after_ = reply.items.back().key;
+        next_page_after_ = reply.items.back().key;
         tick(now);
         return;
     }
-    after_.clear();
-    reading_ = false;
-    known_ = true;
-    watched_ = page_revision_;
-    current_as_of_ = pages_asked_;
-    next_ = pages_asked_ + settings_.interval;
-    handle_(now, std::exchange(pages_, {}));
+    next_page_after_.clear();
+    reading_pages_ = false;
+    loaded_ = true;
+    watched_revision_ = page_revision_;
+    current_as_of_ = pages_requested_at_;
+    next_call_at_ = pages_requested_at_ + settings_.interval;
+    on_changes_(now, std::exchange(loaded_pages_, {}));
 }
 
 void worker_list::watch()
 {
     out_.store(life_,
                ports::kv_watch{platform_records_.workers_prefix,
-                               watched_,
+                               watched_revision_,
                                settings_.interval},
                settings_.interval + settings_.call_timeout,
                [this](common::time_point at, kv_reply const& reply)
                {
-                   busy_ = false;
+                   call_pending_ = false;
                    on_watch(at, reply);
                });
 }
 
-// An answer without events vouches for nothing, nor does it move the place from
-// which the next watch goes on: a deaf watch looks just like it.
+// An answer without events looks the same as one of a stalled watch. It neither
+// makes the list more current nor advances the revision of the next watch.
 void worker_list::on_watch(common::time_point now, kv_reply const& reply)
 {
-    next_ = std::max(now, asked_ + settings_.interval);
+    next_call_at_ = std::max(now, call_sent_at_ + settings_.interval);
     if (reply.status == kv_status::compacted)
     {
-        reading_ = true;
-        next_ = now;
+        reading_pages_ = true;
+        next_call_at_ = now;
         return;
     }
     if (reply.status != kv_status::done)
     {
-        next_ = now + settings_.retry;
+        next_call_at_ = now + settings_.retry_interval;
         return;
     }
     if (reply.items.empty())
     {
-        reading_ = now - current_as_of_ > settings_.stalled_after;
+        reading_pages_ = now - current_as_of_ > settings_.stalled_after;
         return;
     }
-    worker_changes seen;
+    worker_changes answer_changes;
     for (auto const& item : reply.items)
     {
-        watched_ = std::max(watched_, item.revision);
-        take(item, seen);
+        watched_revision_ = std::max(watched_revision_, item.revision);
+        apply_item(item, answer_changes);
     }
-    if (reply.items.size() < settings_.full_answer)
+    if (reply.items.size() < settings_.full_answer_items)
     {
-        current_as_of_ = asked_;
+        current_as_of_ = call_sent_at_;
     }
     else
     {
-        // Cut short or not, it holds all that was written up to its last
-        // revision.
-        current_as_of_ =
-            std::max(current_as_of_,
-                     times_.complete_until(watched_).value_or(current_as_of_));
-        next_ = now;
+        // Even if it was cut short, the answer contains every change up to its
+        // last revision.
+        current_as_of_ = std::max(
+            current_as_of_,
+            times_.complete_until(watched_revision_).value_or(current_as_of_));
+        next_call_at_ = now;
     }
-    handle_(now, seen);
+    on_changes_(now, answer_changes);
 }
 
-// What can't be read names no worker to use, whatever stood there before.
-void worker_list::take(ports::kv_item const& item, worker_changes& into)
+// An entry that can't be parsed removes its worker, even if the previous entry
+// could be parsed.
+void worker_list::apply_item(ports::kv_item const& item,
+                             worker_changes& changes)
 {
     auto const id = item.key.substr(platform_records_.workers_prefix.size());
     common::failure reason;
-    auto each = item.erased ? std::nullopt
-                            : platform_records_.read_worker(item, reason);
-    if (each)
+    auto parsed = item.erased ? std::nullopt
+                              : platform_records_.read_worker(item, reason);
+    if (parsed)
     {
-        std::erase(into.removed, id);
-        into.present.push_back(std::move(*each));
+        std::erase(changes.removed, id);
+        changes.present.push_back(std::move(*parsed));
         return;
     }
     if (!item.erased)
@@ -173,12 +177,12 @@
                  "worker_entry_ignored",
                  {{"key", item.key}, {"why", common::to_string(reason)}});
     }
-    std::erase_if(into.present,
+    std::erase_if(changes.present,
                   [&id](ports::pool_worker const& other)
                   {
                       return other.id == id;
                   });
-    into.removed.push_back(id);
+    changes.removed.push_back(id);
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -15,28 +15,28 @@
 
 struct worker_list_settings
 {
-    /// Between two looks. A leaving worker may get no new task 2 s after it
-    /// said so.
+    /// Time between two watches. A worker must get no new task from 2 s after
+    /// it has announced that it is leaving.
     common::duration interval = std::chrono::milliseconds(500);
-    /// Workers write into their entries all the time. A watch that brings
-    /// nothing for this long may be deaf, and the whole list is read.
+    /// Time without events after which a watch may have stalled, since workers
+    /// update their entries all the time; the whole list is then read again.
     common::duration stalled_after = std::chrono::milliseconds(900);
     common::duration call_timeout = std::chrono::milliseconds(900);
-    /// An answer with so many changes may have left others out.
-    std::size_t full_answer = 500;
-    common::duration retry = std::chrono::milliseconds(100);
+    /// Number of events from which on an answer may have been cut short.
+    std::size_t full_answer_items = 500;
+    common::duration retry_interval = std::chrono::milliseconds(100);
 };
 
-/// Workers that were read from the platform's list.
+/// Changes read from the platform's list of workers.
 struct worker_changes
 {
-    bool complete = false; ///< Nobody but `present` is in the list.
+    bool complete = false; ///< `present` is the whole list.
     std::vector<ports::pool_worker> present;
-    std::vector<std::string> removed; ///< Ids.
+    std::vector<std::string> removed; ///< Ids of the workers.
 };
 
-/// Follows the platform's list of workers: read whole at first, then by what
-/// changed since the last look.
+/// Follows the platform's list of workers: reads it completely once, then
+/// watches it for changes.
 class worker_list
 {
 public:
@@ -44,16 +44,16 @@
         std::function<void(common::time_point, worker_changes const&)>;
 
     worker_list(worker_list_settings settings,
-                platform_records const& words,
+                platform_records const& records,
                 outbox& out,
-                handler handle);
+                handler on_changes);
 
     void tick(common::time_point now);
-    /// At `asked` the store had not reached more than `revision`.
-    void note(common::time_point asked, std::uint64_t revision);
-    /// It was read whole once.
+    /// Records that the store had reached at most `revision` at `sent_at`.
+    void note(common::time_point sent_at, std::uint64_t revision);
+    /// Whether the list has been read completely.
     bool known() const noexcept;
-    /// Every change that was written before then is known.
+    /// Time before which every written change is known.
     common::time_point current_as_of() const noexcept;
 
 private:
@@ -61,25 +61,26 @@
     void on_page(common::time_point now, ports::kv_reply const& reply);
     void watch();
     void on_watch(common::time_point now, ports::kv_reply const& reply);
-    void take(ports::kv_item const& item, worker_changes& into);
+    void apply_item(ports::kv_item const& item, worker_changes& changes);
 
     worker_list_settings settings_;
     platform_records const& platform_records_;
     outbox& out_;
-    handler handle_;
+    handler on_changes_;
     lifetime_token life_ = std::make_shared<char>();
-    worker_changes pages_; ///< Read so far.
-    std::string after_;    ///< Key behind which the next page begins.
-    bool reading_ = true;  ///< Pages are still to come.
-    bool busy_ = false;    ///< A call is on its way.
-    bool known_ = false;
-    std::uint64_t watched_ = 0;       ///< Of the last event that was taken.
-    std::uint64_t page_revision_ = 0; ///< Of the first page.
-    common::time_point pages_asked_{};
-    common::time_point asked_{};
+    worker_changes loaded_pages_; ///< Content of the pages read so far.
+    std::string next_page_after_; ///< Last key of the previous page.
+    bool reading_pages_ = true;   ///< Pages are still to be read.
+    bool call_pending_ = false;   ///< A call is waiting for its answer.
+    bool loaded_ = false;
+    /// Revision of the last applied event, from which the next watch continues.
+    std::uint64_t watched_revision_ = 0;
+    std::uint64_t page_revision_ = 0; ///< Revision of the first page.
+    common::time_point pages_requested_at_{};
+    common::time_point call_sent_at_{};
     common::time_point current_as_of_{};
     revision_times times_;
-    common::time_point next_{};
+    common::time_point next_call_at_{};
 };
 
 } // namespace fuchsia::core::pool
