--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -15,9 +15,9 @@
 } // namespace
 
 engine::engine(pool_settings const& settings,
-               platform_records words,
+               platform_records records,
                std::string self)
-    : settings_(settings), platform_records_(std::move(words)),
+    : settings_(settings), platform_records_(std::move(records)),
       operators_(settings.operators, platform_records_, out_, times_),
       claim_(settings.claim, std::move(self), out_),
       request_handler_(settings.request_handler, operators_, out_, times_)
@@ -26,10 +26,10 @@
 
 void engine::start(common::time_point now)
 {
-    started_ = now;
+    started_at_ = now;
     operators_.start(now);
     claim_.tick(now);
-    tell_readiness(now);
+    report_readiness(now);
 }
 
 void engine::tick(common::time_point now)
@@ -40,42 +40,42 @@
     {
         owner_->tick(now);
     }
-    follow(now);
+    update(now);
 }
 
 void engine::on_request(common::time_point now, pool_request const& request)
 {
     request_handler_.on_request(now, request, owner_.get());
-    follow(now);
+    update(now);
 }
 
 void engine::on_kv_reply(common::time_point now, ports::kv_reply const& reply)
 {
     out_.on_kv_reply(now, reply);
-    follow(now);
+    update(now);
 }
 
 void engine::on_order_reply(common::time_point now,
                             ports::order_reply const& reply)
 {
     out_.on_order_reply(now, reply);
-    follow(now);
+    update(now);
 }
 
 void engine::on_policy_reply(common::time_point now,
                              ports::policy_reply const& reply)
 {
     out_.on_policy_reply(now, reply);
-    follow(now);
+    update(now);
 }
 
 void engine::begin_stop(common::time_point now)
 {
-    if (stopping_)
+    if (stopping_since_)
     {
         return;
     }
-    stopping_ = now;
+    stopping_since_ = now;
     out_.log(ports::severity::info,
              "stopping",
              {{"owner", owns() ? "true" : "false"},
@@ -85,7 +85,7 @@
         owner_->stop();
     }
     claim_.release();
-    follow(now);
+    update(now);
 }
 
 void engine::set_unix_offset(std::int64_t offset_ms) noexcept
@@ -120,17 +120,17 @@
 
 instance_status engine::status(common::time_point now) const
 {
-    instance_status made;
-    made.owner = owns();
-    made.loaded = owns() && owner_->loaded();
-    made.epoch = claim_.held() ? claim_.epoch() : 0;
-    made.owned_for =
+    instance_status result;
+    result.owner = owns();
+    result.loaded = owns() && owner_->loaded();
+    result.epoch = claim_.held() ? claim_.epoch() : 0;
+    result.owned_for =
         claim_.held() ? now - claim_.held_since() : common::duration{};
-    made.configuration_version = operators_.state().config.version;
-    made.store_silence = store_silence(now);
+    result.configuration_version = operators_.state().config.version;
+    result.store_silence = store_silence(now);
     auto const& out = operators_.state().data_centres_out;
-    made.data_centres_out.assign(out.begin(), out.end());
-    return made;
+    result.data_centres_out.assign(out.begin(), out.end());
+    return result;
 }
 
 claim const& engine::claimed() const noexcept
@@ -138,9 +138,9 @@
     return claim_;
 }
 
-// The owner is made and unmade here, between events, never by a handler that
-// runs within it.
-void engine::follow(common::time_point now)
+// Creates and destroys the owner. This happens between events only, never
+// within a handler that the owner runs.
+void engine::update(common::time_point now)
 {
     if (owner_ && !claim_.held())
     {
@@ -150,10 +150,12 @@
         owner_.reset();
         claim_.tick(now);
     }
-    bool const waits = !owner_ && claim_.held() && !operators_.loaded();
-    if (waits && now - claim_.held_since() > settings_.owner.load_timeout)
+    bool const lacks_configuration =
+        !owner_ && claim_.held() && !operators_.loaded();
+    if (lacks_configuration &&
+        now - claim_.held_since() > settings_.owner.load_timeout)
     {
-        claim_.hand_over(now, "no configuration was read");
+        claim_.hand_over(now, "no configuration could be read");
     }
     if (!owner_ && claim_.held() && operators_.loaded())
     {
@@ -164,31 +166,32 @@
                                          out_,
                                          now);
     }
-    if (owner_ && operators_.changes() != told_changes_)
+    if (owner_ && operators_.change_count() != reported_change_count_)
     {
-        told_changes_ = operators_.changes();
+        reported_change_count_ = operators_.change_count();
         owner_->on_operators(now);
     }
-    tell_readiness(now);
-    follow_stop(now);
+    report_readiness(now);
+    update_stop(now);
 }
 
-// Since the start where the store has not answered at all yet.
+// Time since the last answer of the store, or since the start if the store has
+// not answered at all.
 common::duration engine::store_silence(common::time_point now) const
 {
-    return now - std::max(started_, out_.store_answered());
+    return now - std::max(started_at_, out_.store_answered());
 }
 
-void engine::tell_readiness(common::time_point now)
+void engine::report_readiness(common::time_point now)
 {
-    bool const ready = operators_.loaded() && !stopping_ &&
+    bool const ready = operators_.loaded() && !stopping_since_ &&
                        !request_handler_.store_unavailable(now) &&
                        !request_handler_.configuration_is_old(now);
-    if (told_ready_ == ready)
+    if (reported_ready_ == ready)
     {
         return;
     }
-    told_ready_ = ready;
+    reported_ready_ = ready;
     out_.log(ports::severity::info,
              "readiness",
              {{"ready", ready ? "true" : "false"},
@@ -199,17 +202,18 @@
     out_.push(ports::readiness{ready});
 }
 
-void engine::follow_stop(common::time_point now)
+void engine::update_stop(common::time_point now)
 {
-    if (!stopping_ || stop_told_)
+    if (!stopping_since_ || stop_reported_)
     {
         return;
     }
-    auto const since = now - *stopping_;
-    bool const done = since >= settings_.linger && request_handler_.open() == 0;
-    if (done || since >= settings_.stop_limit)
+    auto const elapsed = now - *stopping_since_;
+    bool const done =
+        elapsed >= settings_.linger && request_handler_.open() == 0;
+    if (done || elapsed >= settings_.stop_limit)
     {
-        stop_told_ = true;
+        stop_reported_ = true;
         out_.push(ports::stop_complete{});
     }
 }
--- a/src/core/pool/operator_follower.cpp
+++ b/src/core/pool/operator_follower.cpp
@@ -12,24 +12,24 @@
 using ports::severity;
 
 operator_follower::operator_follower(operator_follower_settings settings,
-                                     platform_records const& words,
+                                     platform_records const& records,
                                      outbox& out,
                                      revision_times& times)
-    : settings_(settings), platform_records_(words), out_(out), times_(times)
+    : settings_(settings), platform_records_(records), out_(out), times_(times)
 {
 }
 
 void operator_follower::start(common::time_point now)
 {
-    read(now, "");
+    read_page(now, "");
 }
 
 void operator_follower::tick(common::time_point now)
 {
-    if (waiting_to_read_ && now >= read_at_)
+    if (read_pending_ && now >= next_read_at_)
     {
-        waiting_to_read_ = false;
-        read(now, "");
+        read_pending_ = false;
+        read_page(now, "");
     }
 }
 
@@ -40,157 +40,168 @@
 
 bool operator_follower::loaded() const noexcept
 {
-    return known_;
+    return loaded_;
 }
 
-std::uint64_t operator_follower::changes() const noexcept
+std::uint64_t operator_follower::change_count() const noexcept
 {
-    return changes_;
+    return change_count_;
 }
 
-void operator_follower::read(common::time_point now, std::string const& after)
+void operator_follower::read_page(common::time_point now,
+                                  std::string const& after_key)
 {
-    if (after.empty())
+    if (after_key.empty())
     {
-        out_in_pages_.clear();
+        pending_data_centres_out_.clear();
     }
     out_.store(life_,
-               ports::kv_range{platform_records_.operators_prefix, after},
+               ports::kv_range{platform_records_.operators_prefix, after_key},
                settings_.call_timeout,
-               [this, after, now](common::time_point at, kv_reply const& reply)
+               [this, after_key, now](common::time_point received_at,
+                                      kv_reply const& reply)
                {
                    times_.note(now, reply.revision);
-                   on_page(at, now, after, reply);
+                   on_page(received_at, now, after_key, reply);
                });
 }
 
 void operator_follower::on_page(common::time_point now,
-                                common::time_point asked,
-                                std::string const& after,
+                                common::time_point sent_at,
+                                std::string const& after_key,
                                 kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
     {
-        note_failure(now, asked, "page", reply.status);
-        read_again(now);
+        note_failure(now, sent_at, "page", reply.status);
+        retry_read(now);
         return;
     }
-    failures_ = 0;
-    if (after.empty())
+    failed_calls_ = 0;
+    if (after_key.empty())
     {
-        watched_ = std::max(watched_, reply.revision);
-        pages_asked_ = asked;
+        watched_revision_ = std::max(watched_revision_, reply.revision);
+        pages_requested_at_ = sent_at;
     }
     for (auto const& item : reply.items)
     {
-        take(item);
+        apply_item(item);
     }
     if (reply.more && !reply.items.empty())
     {
-        read(now, reply.items.back().key);
+        read_page(now, reply.items.back().key);
         return;
     }
-    // What was taken back while no watch heard it.
-    if (state_.data_centres_out != out_in_pages_)
+    // The pages also show data centres that returned to service while no watch
+    // was running.
+    if (state_.data_centres_out != pending_data_centres_out_)
     {
-        state_.data_centres_out = out_in_pages_;
-        ++changes_;
+        state_.data_centres_out = pending_data_centres_out_;
+        ++change_count_;
     }
-    state_.current_as_of = pages_asked_;
-    known_ = known_ || state_.config.version > 0;
-    if (known_)
+    state_.current_as_of = pages_requested_at_;
+    loaded_ = loaded_ || state_.config.version > 0;
+    if (loaded_)
     {
-        // Pages over a thin link are old when the last of them arrives.
-        bool const old = now - pages_asked_ > settings_.watch_wait_after_change;
+        // Over a slow link the first page is outdated when the last one
+        // arrives.
+        bool const outdated =
+            now - pages_requested_at_ > settings_.watch_wait_after_change;
         watch(now,
-              old ? settings_.watch_wait_after_change : settings_.watch_wait);
+              outdated ? settings_.watch_wait_after_change
+                       : settings_.watch_wait);
     }
     else
     {
-        read_again(now);
+        retry_read(now);
     }
 }
 
 void operator_follower::watch(common::time_point now, common::duration wait)
 {
-    out_.store(
-        life_,
-        ports::kv_watch{platform_records_.operators_prefix, watched_, wait},
-        wait + settings_.call_timeout,
-        [this, asked = now, wait](common::time_point at, kv_reply const& reply)
-        {
-            on_watch(at, asked, wait, reply);
-        });
+    out_.store(life_,
+               ports::kv_watch{
+                   platform_records_.operators_prefix, watched_revision_, wait},
+               wait + settings_.call_timeout,
+               [this, sent_at = now, wait](common::time_point received_at,
+                                           kv_reply const& reply)
+               {
+                   on_watch(received_at, sent_at, wait, reply);
+               });
 }
 
-// What a later item of the same answer replaces need not be read: a document of
-// a thousand queues takes a small instance most of a second.
+// An item that a later item of the same answer replaces is not parsed, because
+// a small instance needs most of a second to parse a document of a thousand
+// queues.
 bool operator_follower::is_replaced(std::vector<ports::kv_item> const& items,
-                                    std::size_t number)
+                                    std::size_t index)
 {
-    return std::any_of(items.begin() + static_cast<std::ptrdiff_t>(number + 1),
+    return std::any_of(items.begin() + static_cast<std::ptrdiff_t>(index + 1),
                        items.end(),
-                       [&key = items[number].key](ports::kv_item const& later)
+                       [&key = items[index].key](ports::kv_item const& later)
                        {
                            return later.key == key;
                        });
 }
 
-// An answer without events moves the place from which watches go on, but only
-// after a while: a watch that was deaf may have missed a change. Left where it
-// is, the place would fall out of the store's history, and all that operators
-// set would be read again whenever they are quiet for that long.
-void operator_follower::move_on(common::time_point now, std::uint64_t revision)
+// An answer without events advances the revision from which watches continue,
+// but only after `watch_overlap`, because a stalled watch may have missed a
+// change. If the revision never advanced, it would drop out of the store's
+// history, and all records would be read again whenever operators write nothing
+// for that long.
+void operator_follower::advance_watch(common::time_point now,
+                                      std::uint64_t revision)
 {
-    quiet_.push_back({now, revision});
-    while (now - quiet_.front().at >= settings_.watch_overlap)
+    idle_answers_.push_back({now, revision});
+    while (now - idle_answers_.front().received_at >= settings_.watch_overlap)
     {
-        watched_ = std::max(watched_, quiet_.front().revision);
-        quiet_.pop_front();
+        watched_revision_ =
+            std::max(watched_revision_, idle_answers_.front().revision);
+        idle_answers_.pop_front();
     }
 }
 
 void operator_follower::on_watch(common::time_point now,
-                                 common::time_point asked,
+                                 common::time_point sent_at,
                                  common::duration wait,
                                  kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
     {
-        note_failure(now, asked, "watch", reply.status);
-        read_again(now);
+        note_failure(now, sent_at, "watch", reply.status);
+        retry_read(now);
         return;
     }
-    failures_ = 0;
-    times_.note(asked, reply.revision);
+    failed_calls_ = 0;
+    times_.note(sent_at, reply.revision);
     if (reply.items.empty())
     {
-        // It was given when the wait was over.
-        state_.current_as_of = std::min(now, asked + wait);
-        move_on(now, reply.revision);
+        // The store gives an answer without events at the end of the wait.
+        state_.current_as_of = std::min(now, sent_at + wait);
+        advance_watch(now, reply.revision);
         watch(now, settings_.watch_wait);
         return;
     }
-    state_.current_as_of = std::max(state_.current_as_of, asked);
-    for (std::size_t number = 0; number < reply.items.size(); ++number)
+    state_.current_as_of = std::max(state_.current_as_of, sent_at);
+    for (std::size_t index = 0; index < reply.items.size(); ++index)
     {
-        auto const& item = reply.items[number];
-        watched_ = std::max(watched_, item.revision);
-        if (is_replaced(reply.items, number))
+        auto const& item = reply.items[index];
+        watched_revision_ = std::max(watched_revision_, item.revision);
+        if (is_replaced(reply.items, index))
         {
             continue;
         }
-        out_in_pages_ = state_.data_centres_out;
-        take(item);
-        state_.data_centres_out = out_in_pages_;
+        pending_data_centres_out_ = state_.data_centres_out;
+        apply_item(item);
+        state_.data_centres_out = pending_data_centres_out_;
     }
-    ++changes_;
+    ++change_count_;
     watch(now, settings_.watch_wait_after_change);
 }
 
-void operator_follower::take(ports::kv_item const& item)
+void operator_follower::apply_item(ports::kv_item const& item)
 {
-    // To parse a document of thousands of queues takes a small instance long.
+    // Parsing a document of thousands of queues takes a small instance long.
     if (item.key == config_key_ && item.revision == config_revision_)
     {
         return;
@@ -208,27 +219,29 @@
     {
         config_key_ = item.key;
         config_revision_ = item.revision;
-        take_config(std::move(*config));
+        apply_config(std::move(*config));
     }
-    else if (auto const* const moved =
+    else if (auto const* const data_centre =
                  std::get_if<data_centre_change>(&*change))
     {
-        bool const changed = moved->out
-                                 ? out_in_pages_.insert(moved->name).second
-                                 : out_in_pages_.erase(moved->name) > 0;
-        bool const before = state_.data_centres_out.contains(moved->name);
-        if (changed && before != moved->out)
+        bool const changed =
+            data_centre->out
+                ? pending_data_centres_out_.insert(data_centre->name).second
+                : pending_data_centres_out_.erase(data_centre->name) > 0;
+        bool const was_out =
+            state_.data_centres_out.contains(data_centre->name);
+        if (changed && was_out != data_centre->out)
         {
             out_.log(severity::info,
                      "data_centre_changed",
-                     {{"data_centre", moved->name},
-                      {"out", moved->out ? "true" : "false"},
+                     {{"data_centre", data_centre->name},
+                      {"out", data_centre->out ? "true" : "false"},
                       {"revision", std::to_string(item.revision)}});
         }
     }
 }
 
-void operator_follower::take_config(configuration config)
+void operator_follower::apply_config(configuration config)
 {
     if (config.version <= state_.config.version)
     {
@@ -240,16 +253,16 @@
               {"before", std::to_string(state_.config.version)},
               {"queues", std::to_string(config.queues.size())}});
     state_.config = std::move(config);
-    ++changes_;
+    ++change_count_;
 }
 
-// The first failure in a row and then ever fewer of them.
+// Logs the first, second, fourth, eighth and so on of the failures in a row.
 void operator_follower::note_failure(common::time_point now,
-                                     common::time_point asked,
+                                     common::time_point sent_at,
                                      char const* call,
                                      kv_status status)
 {
-    if (!std::has_single_bit(++failures_))
+    if (!std::has_single_bit(++failed_calls_))
     {
         return;
     }
@@ -259,17 +272,17 @@
         "configuration_not_heard",
         {{"call", call},
          {"status", std::to_string(static_cast<unsigned>(status))},
-         {"took_ms", std::to_string(common::to_milliseconds(now - asked))},
-         {"in_a_row", std::to_string(failures_)},
+         {"took_ms", std::to_string(common::to_milliseconds(now - sent_at))},
+         {"in_a_row", std::to_string(failed_calls_)},
          {"version", std::to_string(state_.config.version)},
          {"age_ms",
-          known_ ? std::to_string(common::to_milliseconds(age)) : "unknown"}});
+          loaded_ ? std::to_string(common::to_milliseconds(age)) : "unknown"}});
 }
 
-void operator_follower::read_again(common::time_point now)
+void operator_follower::retry_read(common::time_point now)
 {
-    waiting_to_read_ = true;
-    read_at_ = now + settings_.retry;
+    read_pending_ = true;
+    next_read_at_ = now + settings_.retry_interval;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/operator_follower.hpp
+++ b/src/core/pool/operator_follower.hpp
@@ -15,27 +15,29 @@
 
 struct operator_follower_settings
 {
-    /// How long a watch waits. A connection that went silent is noticed after
-    /// this and `call_timeout` together, within the 2 s that a change may take
-    /// to be in force.
+    /// Maximum wait of a watch. A dead connection is detected after this time
+    /// plus `call_timeout`, within the 2 s after which a change must be in
+    /// force.
     common::duration watch_wait = std::chrono::milliseconds(1000);
-    /// The same behind an answer that brought a change: it does not say when
-    /// it was given.
+    /// Maximum wait of the watch after an answer with a change. Such an answer
+    /// does not show when the store gave it, so the state is known to be
+    /// current only as of the time at which the watch was sent.
     common::duration watch_wait_after_change = std::chrono::milliseconds(300);
-    /// A watch goes on from where the store was this long ago: one that is deaf
-    /// for less misses nothing. Less than the store keeps of its history.
+    /// A watch continues from the revision that the store had this long ago, so
+    /// that a watch which stalled for a shorter time misses nothing. Must be
+    /// shorter than the history that the store keeps.
     common::duration watch_overlap = std::chrono::seconds(12);
     common::duration call_timeout = std::chrono::milliseconds(500);
-    common::duration retry = std::chrono::milliseconds(100);
+    common::duration retry_interval = std::chrono::milliseconds(100);
 };
 
-/// Follows what operators write. A version once seen is never left for an
-/// older one, whatever a late answer says.
+/// Follows the records that operators write. A late answer never replaces the
+/// configuration by an older version.
 class operator_follower
 {
 public:
     operator_follower(operator_follower_settings settings,
-                      platform_records const& words,
+                      platform_records const& records,
                       outbox& out,
                       revision_times& times);
 
@@ -43,30 +45,30 @@
     void tick(common::time_point now);
 
     operator_state const& state() const noexcept;
-    /// Everything was read once.
+    /// Whether all records have been read once.
     bool loaded() const noexcept;
-    /// Rises with each change.
-    std::uint64_t changes() const noexcept;
+    /// Counter that increases with each change of the state.
+    std::uint64_t change_count() const noexcept;
 
 private:
-    void read(common::time_point now, std::string const& after);
+    void read_page(common::time_point now, std::string const& after_key);
     void on_page(common::time_point now,
-                 common::time_point asked,
-                 std::string const& after,
+                 common::time_point sent_at,
+                 std::string const& after_key,
                  ports::kv_reply const& reply);
     void watch(common::time_point now, common::duration wait);
     void on_watch(common::time_point now,
-                  common::time_point asked,
+                  common::time_point sent_at,
                   common::duration wait,
                   ports::kv_reply const& reply);
     static bool is_replaced(std::vector<ports::kv_item> const& items,
-                            std::size_t number);
-    void take(ports::kv_item const& item);
-    void take_config(configuration config);
-    void read_again(common::time_point now);
-    void move_on(common::time_point now, std::uint64_t revision);
+                            std::size_t index);
+    void apply_item(ports::kv_item const& item);
+    void apply_config(configuration config);
+    void retry_read(common::time_point now);
+    void advance_watch(common::time_point now, std::uint64_t revision);
     void note_failure(common::time_point now,
-                      common::time_point asked,
+                      common::time_point sent_at,
                       char const* call,
                       ports::kv_status status);
 
@@ -76,23 +78,25 @@
     revision_times& times_;
     lifetime_token life_ = std::make_shared<char>();
     operator_state state_;
-    std::set<std::string> out_in_pages_; ///< Of the range being read.
-    std::string config_key_;             ///< Of the last that could be read.
-    std::uint64_t config_revision_ = 0;  ///< The same.
-    std::uint64_t watched_ = 0;
-    /// Where the store was at answers without events, the oldest first.
-    struct quiet_answer
+    /// Data centres out of service, by the records being processed.
+    std::set<std::string> pending_data_centres_out_;
+    std::string config_key_; ///< Key of the last parsed configuration.
+    std::uint64_t config_revision_ = 0; ///< Revision of the last parsed one.
+    std::uint64_t watched_revision_ = 0;
+    /// Revision of the store in an answer without events.
+    struct idle_answer
     {
-        common::time_point at{};
+        common::time_point received_at{};
         std::uint64_t revision = 0;
     };
-    std::deque<quiet_answer> quiet_;
-    std::uint64_t changes_ = 0;
-    bool known_ = false;
-    bool waiting_to_read_ = false;
-    std::uint64_t failures_ = 0;       ///< Calls in a row that brought nothing.
-    common::time_point pages_asked_{}; ///< The first of them.
-    common::time_point read_at_{};
+    std::deque<idle_answer> idle_answers_; ///< Oldest first.
+    std::uint64_t change_count_ = 0;
+    bool loaded_ = false;
+    bool read_pending_ = false;
+    std::uint64_t failed_calls_ = 0; ///< Failed calls in a row.
+    common::time_point
+        pages_requested_at_{}; ///< Time of the request for the first page.
+    common::time_point next_read_at_{};
 };
 
 } // namespace fuchsia::core::pool
