--- a/src/core/pool/roster.cpp
+++ b/src/core/pool/roster.cpp
@@ -13,12 +13,12 @@
 std::string to_json(fleet& workers)
 {
     json::array rows;
-    for (auto const& [id, each] : workers.all())
+    for (auto const& [id, entry] : workers.all())
     {
         rows.push_back(json::array{id,
-                                   each.info.service,
-                                   each.info.remote_endpoint.address,
-                                   each.info.remote_endpoint.port});
+                                   entry.info.service,
+                                   entry.info.remote_endpoint.address,
+                                   entry.info.remote_endpoint.port});
     }
     return json::serialize(json::object{{"workers", std::move(rows)}});
 }
@@ -26,67 +26,69 @@
 namespace
 {
 
-constexpr std::size_t row_cells = 4;
+constexpr std::size_t cells_per_row = 4;
 
-std::string text_in(json::value const& cell)
+std::string text_of(json::value const& cell)
 {
     auto const* const text = cell.if_string();
     return text == nullptr ? std::string() : std::string(*text);
 }
 
-std::optional<ports::pool_worker> worker_from(json::value const& row)
+std::optional<ports::pool_worker> parse_worker(json::value const& row)
 {
     auto const* const cells = row.if_array();
-    if (cells == nullptr || cells->size() != row_cells)
+    if (cells == nullptr || cells->size() != cells_per_row)
     {
         return std::nullopt;
     }
-    ports::pool_worker made;
-    made.id = text_in((*cells)[0]);
-    made.service = text_in((*cells)[1]);
-    made.remote_endpoint.address = text_in((*cells)[2]);
+    ports::pool_worker result;
+    result.id = text_of((*cells)[0]);
+    result.service = text_of((*cells)[1]);
+    result.remote_endpoint.address = text_of((*cells)[2]);
     auto const* const port = (*cells)[3].if_int64();
-    bool const good = port != nullptr && *port > 0 &&
-                      *port <= std::numeric_limits<std::uint16_t>::max();
-    if (!good || made.id.empty() || made.remote_endpoint.address.empty())
+    bool const port_valid = port != nullptr && *port > 0 &&
+                            *port <= std::numeric_limits<std::uint16_t>::max();
+    if (!port_valid || result.id.empty() ||
+        result.remote_endpoint.address.empty())
     {
         return std::nullopt;
     }
-    made.remote_endpoint.port = static_cast<std::uint16_t>(*port);
-    return made;
+    result.remote_endpoint.port = static_cast<std::uint16_t>(*port);
+    return result;
 }
 
 } // namespace
 
-// Rows that can't be read are passed over: they name no worker to ask.
+// Rows that can't be parsed are skipped, because they name no worker to poll.
 std::vector<ports::pool_worker> parse_roster(std::string_view text,
                                              common::failure& reason)
 {
-    std::vector<ports::pool_worker> made;
+    std::vector<ports::pool_worker> result;
     auto const object = common::parse_json_object(text, "roster", reason);
     if (!object)
     {
-        return made;
+        return result;
     }
-    common::json_reader in(*object, "roster");
-    auto const* rows = in.array("workers");
-    for (std::size_t number = 0; rows != nullptr && number < rows->size();
-         ++number)
+    common::json_reader reader(*object, "roster");
+    auto const* rows = reader.array("workers");
+    for (std::size_t index = 0; rows != nullptr && index < rows->size();
+         ++index)
     {
-        if (auto each = worker_from((*rows)[number]))
+        if (auto parsed = parse_worker((*rows)[index]))
         {
-            made.push_back(std::move(*each));
+            result.push_back(std::move(*parsed));
             continue;
         }
-        in.fail(common::result_code::wrong_type,
-                "workers",
-                "row " + std::to_string(number) + " names no worker");
+        reader.fail(common::result_code::wrong_type,
+                    "workers",
+                    "row " + std::to_string(index) +
+                        " does not describe a worker");
     }
-    if (!in.ok())
+    if (!reader.ok())
     {
-        reason = in.reason();
+        reason = reader.reason();
     }
-    return made;
+    return result;
 }
 
 } // namespace fuchsia::core::pool
--- a/src/core/pool/roster.hpp
+++ b/src/core/pool/roster.hpp
@@ -10,9 +10,11 @@
 namespace fuchsia::core::pool
 {
 
-/// The workers that may hold tasks, as they lie in the store: who takes over
-/// asks each of them, listed by the platform or not.
+/// Serialises the roster: the workers that may run tasks. An owner that takes
+/// over polls each of them, even if the platform no longer lists it.
 std::string to_json(fleet& workers);
+/// Parses the roster. Rows that can't be parsed are skipped; `reason` names the
+/// first failure.
 std::vector<ports::pool_worker> parse_roster(std::string_view text,
                                              common::failure& reason);
 
