--- a/src/core/pool/claim.cpp
+++ b/src/core/pool/claim.cpp
@@ -300,7 +300,7 @@
             }
             else if (reply.status == kv_status::missing)
             {
-                mark_lost("the lease has expired");
+                mark_lost("the lease has ended");
             }
         });
 }
@@ -384,7 +384,7 @@
     if (item.key == keys::claim)
     {
         mark_lost(item.erased ? "the key was deleted"
-                              : "another instance wrote the key");
+                              : "the key was taken by another instance");
         return;
     }
     auto const requester = item.erased ? std::nullopt : read_holder(item);
