--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -11,45 +11,46 @@
 
 constexpr std::uint64_t revision = 7;
 
-class pool_operators : public testing::Test
+class pool_operator_follower : public testing::Test
 {
 protected:
-    pool_operators()
+    pool_operator_follower()
     {
-        words_.operators_prefix = "operators/";
-        words_.read_operator =
+        records_.operators_prefix = "operators/";
+        records_.read_operator =
             [this](ports::kv_item const&, core::common::failure&)
         {
-            ++parsed;
-            core::pool::configuration made;
-            made.version = revision;
-            return core::pool::operator_change(made);
+            ++parse_count;
+            core::pool::configuration result;
+            result.version = revision;
+            return core::pool::operator_change(result);
         };
     }
 
-    // The only call that waits for an answer.
+    // Returns the pending call; there is never more than one.
     ports::kv_call call()
     {
-        ports::kv_call found;
-        for (auto const& each : out_.take_actions())
+        ports::kv_call last_call;
+        for (auto const& action : out_.take_actions())
         {
-            if (auto const* const made = std::get_if<ports::kv_call>(&each))
+            if (auto const* const pending =
+                    std::get_if<ports::kv_call>(&action))
             {
-                found = *made;
+                last_call = *pending;
             }
         }
-        return found;
+        return last_call;
     }
 
-    void answer(ports::kv_call const& to,
-                ports::kv_status status,
-                std::uint64_t store_revision = revision)
+    void answer_call(ports::kv_call const& request,
+                     ports::kv_status status,
+                     std::uint64_t reported_revision = revision)
     {
         ports::kv_reply reply;
-        reply.id = to.id;
+        reply.id = request.id;
         reply.status = status;
-        reply.revision = store_revision;
-        if (std::holds_alternative<ports::kv_range>(to.operation))
+        reply.revision = reported_revision;
+        if (std::holds_alternative<ports::kv_range>(request.operation))
         {
             reply.items.push_back(
                 {"operators/config", "text", revision, revision, 0, false});
@@ -57,48 +58,49 @@
         out_.on_kv_reply(now, reply);
     }
 
-    void pass(core::common::duration by)
+    void advance(core::common::duration elapsed)
     {
-        now += by;
-        rules.tick(now);
+        now += elapsed;
+        follower.tick(now);
     }
 
     time_point now{1h};
-    std::size_t parsed = 0;
+    std::size_t parse_count = 0;
 
 private:
-    core::pool::platform_records words_;
+    core::pool::platform_records records_;
     core::pool::outbox out_;
     core::pool::revision_times times_;
 
 protected:
-    core::pool::operator_follower rules{{}, words_, out_, times_};
+    core::pool::operator_follower follower{{}, records_, out_, times_};
 };
 
 } // namespace
 
-// A document of thousands of queues was parsed at each read of all keys, which
-// takes a small instance most of a second.
-TEST_F(pool_operators, an_unchanged_document_is_not_parsed_again)
+// Guards against parsing an unchanged configuration document each time all keys
+// are read, which takes a small instance most of a second for thousands of
+// queues.
+TEST_F(pool_operator_follower, unchanged_document_is_parsed_once)
 {
-    rules.start(now);
-    answer(call(), ports::kv_status::done);
-    ASSERT_TRUE(rules.loaded());
-    ASSERT_EQ(parsed, 1U);
-    answer(call(), ports::kv_status::compacted);
-    pass(1s);
-    answer(call(), ports::kv_status::done);
-    EXPECT_EQ(rules.state().current_as_of, now);
-    EXPECT_EQ(parsed, 1U);
+    follower.start(now);
+    answer_call(call(), ports::kv_status::done);
+    ASSERT_TRUE(follower.loaded());
+    ASSERT_EQ(parse_count, 1U);
+    answer_call(call(), ports::kv_status::compacted);
+    advance(1s);
+    answer_call(call(), ports::kv_status::done);
+    EXPECT_EQ(follower.state().current_as_of, now);
+    EXPECT_EQ(parse_count, 1U);
 }
 
-// Over a thin link the pages are old on arrival; with a long watch behind them
-// the instance refused jobs until that was answered.
-TEST_F(pool_operators, the_watch_behind_pages_that_took_long_is_short)
+// Over a slow link the pages are already outdated when they arrive. If a long
+// watch followed, the instance would refuse jobs until that watch is answered.
+TEST_F(pool_operator_follower, watch_after_slow_pages_is_short)
 {
-    rules.start(now);
+    follower.start(now);
     now += 1200ms;
-    answer(call(), ports::kv_status::done);
+    answer_call(call(), ports::kv_status::done);
     auto const next = call();
     auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
     ASSERT_NE(watch, nullptr);
@@ -106,17 +108,18 @@
               core::pool::operator_follower_settings{}.watch_wait_after_change);
 }
 
-// Every instance read all that operators set, each time that nothing of it had
-// changed for as long as the store keeps its history.
-TEST_F(pool_operators, watches_of_a_calm_pool_keep_within_the_history)
+// If watches did not advance while operators write nothing, their revision
+// would drop out of the store's history, and every instance would read all keys
+// again.
+TEST_F(pool_operator_follower, watches_without_changes_stay_within_the_history)
 {
     constexpr auto history = 20s;
-    rules.start(now);
-    answer(call(), ports::kv_status::done);
-    auto const began = now;
-    auto const revision_at = [began](time_point when)
+    follower.start(now);
+    answer_call(call(), ports::kv_status::done);
+    auto const started_at = now;
+    auto const revision_at = [started_at](time_point time)
     {
-        return revision + static_cast<std::uint64_t>((when - began) / 1s);
+        return revision + static_cast<std::uint64_t>((time - started_at) / 1s);
     };
     for (int answers = 0; answers < 100; ++answers)
     {
@@ -126,24 +129,25 @@
         EXPECT_LE(watch->after, revision_at(now));
         EXPECT_GE(watch->after + history / 1s, revision_at(now));
         now += watch->wait;
-        answer(next, ports::kv_status::done, revision_at(now));
+        answer_call(next, ports::kv_status::done, revision_at(now));
     }
 }
 
-// A watch that was deaf while a change was made must not move on past it.
-TEST_F(pool_operators, a_watch_moves_on_only_behind_a_while)
+// A stalled watch may have missed a change, so its answers without events must
+// not advance the revision of the next watch at once.
+TEST_F(pool_operator_follower, stalled_watch_does_not_skip_changes)
 {
-    constexpr auto deaf = 8s;
-    rules.start(now);
-    answer(call(), ports::kv_status::done);
-    auto const began = now;
-    while (now - began < deaf)
+    constexpr auto stalled_for = 8s;
+    follower.start(now);
+    answer_call(call(), ports::kv_status::done);
+    auto const started_at = now;
+    while (now - started_at < stalled_for)
     {
         auto const next = call();
         auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
         ASSERT_NE(watch, nullptr);
         EXPECT_EQ(watch->after, revision);
         now += watch->wait;
-        answer(next, ports::kv_status::done, 2 * revision);
+        answer_call(next, ports::kv_status::done, 2 * revision);
     }
 }
--- a/tests/unit/pool/operators_unsynced_test.cpp
+++ b/tests/unit/pool/operators_unsynced_test.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <gtest/gtest.h>
 
-// An instance that can't read what operators set, while the store answers its
-// other calls.
+// Tests of an instance that can't read the records of operators while the store
+// answers its other calls.
 using namespace fuchsia::tests::unit::pool;
 namespace ports = fuchsia::ports;
 
@@ -12,177 +12,189 @@
 {
 
 constexpr std::string_view operators_prefix = "operators/";
-// Of the 3 s that callers wait, a new connection may take 0.7 s.
-constexpr auto answers_by = 2300ms;
+// Callers wait for 3 s, of which a new connection may take 0.7 s.
+constexpr auto answer_limit = 2300ms;
 
-bool hears_operators(ports::kv_operation const& call)
+bool concerns_operators(ports::kv_operation const& call)
 {
-    auto const* const pages = std::get_if<ports::kv_range>(&call);
+    auto const* const range = std::get_if<ports::kv_range>(&call);
     auto const* const watch = std::get_if<ports::kv_watch>(&call);
-    return (pages != nullptr && pages->prefix == operators_prefix) ||
+    return (range != nullptr && range->prefix == operators_prefix) ||
            (watch != nullptr && watch->prefix == operators_prefix);
 }
 
-// From now on the instance gets no answer about operators' keys.
-void deafen(pool_simulation& world, std::size_t victim)
+// Makes the store drop all requests of the instance for operators' keys.
+void cut_off_operators(pool_simulation& simulation, std::size_t affected)
 {
-    world.store_fault =
-        [victim](std::size_t instance, ports::kv_operation const& call)
+    simulation.store_fault =
+        [affected](std::size_t instance, ports::kv_operation const& call)
     {
-        return instance == victim && hears_operators(call)
+        return instance == affected && concerns_operators(call)
                    ? fault_effect::request_lost
                    : fault_effect::carried_out;
     };
 }
 
-std::vector<logged_line> lines_of(pool_simulation const& world,
-                                  std::size_t instance,
-                                  std::string_view event)
+std::vector<logged_line> log_lines(pool_simulation const& simulation,
+                                   std::size_t instance,
+                                   std::string_view event)
 {
-    std::vector<logged_line> found;
-    std::copy_if(world.log().begin(),
-                 world.log().end(),
-                 std::back_inserter(found),
+    std::vector<logged_line> matching;
+    std::copy_if(simulation.log().begin(),
+                 simulation.log().end(),
+                 std::back_inserter(matching),
                  [instance, event](logged_line const& line)
                  {
                      return line.instance == instance &&
                             line.what.event == event;
                  });
-    return found;
+    return matching;
 }
 
 template<class Answer>
-bool told(pool_simulation const& world, std::uint64_t request)
+bool was_answered_with(pool_simulation const& simulation, std::uint64_t request)
 {
-    auto const answer = world.answer(request);
+    auto const answer = simulation.answer(request);
     return answer && std::holds_alternative<Answer>(*answer);
 }
 
 } // namespace
 
-// A read that fails again and again for a minute left no line in the log.
-TEST(pool_unheard, reads_that_fail_leave_few_lines)
+// Reads that fail for a minute must show in the log, but with few lines. They
+// used to leave none.
+TEST(pool_operators_unsynced, repeated_read_failures_are_logged_rarely)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const deaf = other_than(*world.owner());
-    world.run(1s);
-    deafen(world, deaf);
-    world.run(60s);
-    auto const lines = lines_of(world, deaf, "configuration_not_heard");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const cut_off = other_than(*simulation.owner());
+    simulation.run(1s);
+    cut_off_operators(simulation, cut_off);
+    simulation.run(60s);
+    auto const lines =
+        log_lines(simulation, cut_off, "configuration_not_heard");
     ASSERT_FALSE(lines.empty());
     EXPECT_LE(lines.size(), 10U);
     EXPECT_NE(text_of(lines.back()).find("call=page status=5"),
               std::string::npos)
         << text_of(lines.back());
     EXPECT_TRUE(
-        lines_of(world, *world.owner(), "configuration_not_heard").empty());
+        log_lines(simulation, *simulation.owner(), "configuration_not_heard")
+            .empty());
 }
 
-// An instance that couldn't read the configuration took the store for away, and
-// told no caller the state of a job.
-TEST(pool_unheard, states_of_jobs_are_told_without_a_fresh_configuration)
+// An instance that can't read the configuration must not treat the whole store
+// as unavailable, or callers would not get the state of their jobs.
+TEST(pool_operators_unsynced,
+     job_states_are_answered_with_an_outdated_configuration)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    auto const deaf = other_than(owner);
-    world.submit(owner, "a", simple_job(1, 60s));
-    world.run(1s);
-    deafen(world, deaf);
-    world.run(10s);
-    auto const request = world.query(deaf, "a");
-    world.run(1s);
-    EXPECT_TRUE(told<ports::job_status>(world, request));
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    auto const cut_off = other_than(owner);
+    simulation.submit(owner, "a", simple_job(1, 60s));
+    simulation.run(1s);
+    cut_off_operators(simulation, cut_off);
+    simulation.run(10s);
+    auto const request = simulation.query(cut_off, "a");
+    simulation.run(1s);
+    EXPECT_TRUE(was_answered_with<ports::job_status>(simulation, request));
 }
 
-// The same instance must take no job, for its queue may be gone, and the
-// balancer has to send callers elsewhere.
-TEST(pool_unheard, no_job_is_taken_and_no_caller_invited_meanwhile)
+// With an outdated configuration the queue of a job may have been deleted, so
+// the instance must refuse new jobs, and the load balancer must send callers
+// elsewhere.
+TEST(pool_operators_unsynced, jobs_are_refused_and_the_instance_is_not_ready)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const deaf = other_than(*world.owner());
-    world.run(1s);
-    deafen(world, deaf);
-    world.run(10s);
-    auto const request = world.submit(deaf, "a", simple_job(1, 1s));
-    world.run(1s);
-    EXPECT_TRUE(told<ports::job_refused>(world, request));
-    EXPECT_FALSE(world.store().find("pool/job/a").has_value());
-    auto const readiness = lines_of(world, deaf, "readiness");
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const cut_off = other_than(*simulation.owner());
+    simulation.run(1s);
+    cut_off_operators(simulation, cut_off);
+    simulation.run(10s);
+    auto const request = simulation.submit(cut_off, "a", simple_job(1, 1s));
+    simulation.run(1s);
+    EXPECT_TRUE(was_answered_with<ports::job_refused>(simulation, request));
+    EXPECT_FALSE(simulation.store().find("pool/job/a").has_value());
+    auto const readiness = log_lines(simulation, cut_off, "readiness");
     ASSERT_FALSE(readiness.empty());
     EXPECT_NE(text_of(readiness.back()).find("ready=false"), std::string::npos);
 }
 
-// Such an instance must tell no count either: the queue may have been dropped.
-TEST(pool_unheard, no_count_is_told_by_an_old_configuration)
+// With an outdated configuration the queue may have been deleted, so its count
+// of waiting jobs must not be reported.
+TEST(pool_operators_unsynced, no_waiting_count_with_an_outdated_configuration)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const owner = *world.owner();
-    auto const deaf = other_than(owner);
-    world.run(1s);
-    deafen(world, deaf);
-    world.run(10s);
-    for (int round = 0; round < 10; ++round)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const owner = *simulation.owner();
+    auto const cut_off = other_than(owner);
+    simulation.run(1s);
+    cut_off_operators(simulation, cut_off);
+    simulation.run(10s);
+    for (int attempt = 0; attempt < 10; ++attempt)
     {
-        // The store goes on, so that the age of a count can be told.
-        world.submit(owner, std::to_string(round), simple_job(1, 100ms));
-        EXPECT_EQ(world.reported_waiting_jobs(deaf), std::nullopt);
-        world.run(700ms);
+        // The store's revision advances, so that the age of a count is known.
+        simulation.submit(owner, std::to_string(attempt), simple_job(1, 100ms));
+        EXPECT_EQ(simulation.reported_waiting_jobs(cut_off), std::nullopt);
+        simulation.run(700ms);
     }
 }
 
-// Calls to a silent store, one behind the other, took longer than callers wait:
-// they heard nothing instead of a refusal.
-TEST(pool_unheard, a_question_ends_while_its_caller_still_waits)
+// Consecutive calls to a store that does not answer must not take longer than
+// the caller waits, or it gets no answer instead of a refusal.
+TEST(pool_operators_unsynced, query_is_answered_within_the_caller_timeout)
 {
-    std::vector<std::set<std::size_t>> const lost_calls{{1, 2}, {1, 3}};
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const asked = other_than(*world.owner());
-    world.run(1s);
-    for (auto const& lost : lost_calls)
+    std::vector<std::set<std::size_t>> const lost_read_sets{{1, 2}, {1, 3}};
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const answering = other_than(*simulation.owner());
+    simulation.run(1s);
+    for (auto const& lost_reads : lost_read_sets)
     {
-        std::size_t reads = 0;
-        auto const id = "never" + std::to_string(*lost.rbegin());
-        world.store_fault =
+        std::size_t read_count = 0;
+        auto const id = "never" + std::to_string(*lost_reads.rbegin());
+        simulation.store_fault =
             [&](std::size_t instance, ports::kv_operation const& call)
         {
             auto const* const read = std::get_if<ports::kv_read>(&call);
-            bool const counts = instance == asked && read != nullptr &&
-                                read->key.find(id) != std::string::npos;
-            return counts && lost.contains(++reads) ? fault_effect::request_lost
-                                                    : fault_effect::carried_out;
+            bool const matches = instance == answering && read != nullptr &&
+                                 read->key.find(id) != std::string::npos;
+            return matches && lost_reads.contains(++read_count)
+                       ? fault_effect::request_lost
+                       : fault_effect::carried_out;
         };
-        auto const request = world.query(asked, id);
-        world.run(answers_by);
-        EXPECT_TRUE(world.answer(request).has_value()) << id;
-        world.run(2s);
+        auto const request = simulation.query(answering, id);
+        simulation.run(answer_limit);
+        EXPECT_TRUE(simulation.answer(request).has_value()) << id;
+        simulation.run(2s);
     }
 }
 
-// The same for a job's cancelling, whose read took almost its whole limit.
-TEST(pool_unheard, a_cancelling_ends_while_its_caller_still_waits)
+// A cancellation must be answered in time even if its read from the store takes
+// almost the whole time limit of that call and its commit is lost.
+TEST(pool_operators_unsynced,
+     cancellation_is_answered_within_the_caller_timeout)
 {
-    pool_simulation world;
-    ASSERT_TRUE(run_until_owned(world));
-    auto const asked = other_than(*world.owner());
-    world.submit(asked, "a", simple_job(1, 60s));
-    world.run(1s);
-    bool commits = false;
-    world.store_fault =
-        [asked, &commits](std::size_t instance, ports::kv_operation const& call)
+    pool_simulation simulation;
+    ASSERT_TRUE(run_until_owned(simulation));
+    auto const answering = other_than(*simulation.owner());
+    simulation.submit(answering, "a", simple_job(1, 60s));
+    simulation.run(1s);
+    bool commit_seen = false;
+    simulation.store_fault =
+        [answering, &commit_seen](std::size_t instance,
+                                  ports::kv_operation const& call)
     {
-        bool const hit =
-            instance == asked && std::holds_alternative<ports::kv_commit>(call);
-        commits = commits || hit;
-        return hit ? fault_effect::request_lost : fault_effect::carried_out;
+        bool const is_commit = instance == answering &&
+                               std::holds_alternative<ports::kv_commit>(call);
+        commit_seen = commit_seen || is_commit;
+        return is_commit ? fault_effect::request_lost
+                         : fault_effect::carried_out;
     };
-    world.set_store_latency(490ms);
-    auto const request = world.cancel(asked, "a");
-    world.run(answers_by);
-    EXPECT_TRUE(commits);
-    EXPECT_TRUE(told<ports::job_outcome_unknown>(world, request));
+    simulation.set_store_latency(490ms);
+    auto const request = simulation.cancel(answering, "a");
+    simulation.run(answer_limit);
+    EXPECT_TRUE(commit_seen);
+    EXPECT_TRUE(
+        was_answered_with<ports::job_outcome_unknown>(simulation, request));
 }
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-platform_records make_words()
+platform_records make_records()
 {
-    platform_records made;
-    made.workers_prefix = "workers/";
-    made.read_worker =
+    platform_records result;
+    result.workers_prefix = "workers/";
+    result.read_worker =
         [](ports::kv_item const& item,
            common::failure& reason) -> std::optional<ports::pool_worker>
     {
@@ -25,45 +25,45 @@
             reason = {common::result_code::wrong_type, "worker", "no worker"};
             return std::nullopt;
         }
-        ports::pool_worker made;
-        made.id = item.key.substr(std::string("workers/").size());
-        made.draining = item.value == "draining";
-        return made;
+        ports::pool_worker result;
+        result.id = item.key.substr(std::string("workers/").size());
+        result.draining = item.value == "draining";
+        return result;
     };
-    return made;
+    return result;
 }
 
-ports::kv_item entry(std::string const& id,
-                     std::uint64_t revision,
-                     std::string const& value = "ready")
+ports::kv_item worker_entry(std::string const& id,
+                            std::uint64_t revision,
+                            std::string const& value = "ready")
 {
-    ports::kv_item made;
-    made.key = "workers/" + id;
-    made.value = value;
-    made.revision = revision;
-    return made;
+    ports::kv_item result;
+    result.key = "workers/" + id;
+    result.value = value;
+    result.revision = revision;
+    return result;
 }
 
-/// The list with a store that the test answers for.
-class followed_list
+/// A worker list with a store whose answers the test gives.
+class list_follower
 {
 public:
-    followed_list()
-        : words_(make_words()),
+    list_follower()
+        : records_(make_records()),
           list_({},
-                words_,
+                records_,
                 out_,
-                [this](common::time_point, worker_changes const& seen)
+                [this](common::time_point, worker_changes const& changes)
                 {
-                    take(seen);
+                    apply_changes(changes);
                 })
     {
         list_.tick(now_);
     }
 
-    void note(common::time_point asked, std::uint64_t revision)
+    void note(common::time_point sent_at, std::uint64_t revision)
     {
-        list_.note(asked, revision);
+        list_.note(sent_at, revision);
     }
 
     worker_list const& list() const
@@ -76,31 +76,31 @@
         return now_;
     }
 
-    /// Drains, by id, of what is listed.
+    /// Whether each listed worker is draining, by its id.
     std::map<std::string, bool> const& listed() const
     {
         return listed_;
     }
 
-    /// The call that waits for its answer; empty: none.
+    /// The pending call, if any.
     std::optional<ports::kv_call> const& call() const
     {
         return call_;
     }
 
-    bool watches() const
+    bool is_watching() const
     {
         return call_ &&
                std::holds_alternative<ports::kv_watch>(call_->operation);
     }
 
-    void run(common::duration how_long)
+    void run(common::duration period)
     {
-        for (auto const until = now_ + how_long; now_ < until;)
+        for (auto const end = now_ + period; now_ < end;)
         {
             now_ += 10ms;
             list_.tick(now_);
-            look_for_call();
+            poll_calls();
         }
     }
 
@@ -118,43 +118,43 @@
 
     void answer(ports::kv_reply reply)
     {
-        look_for_call();
+        poll_calls();
         ASSERT_TRUE(call_.has_value());
         reply.id = call_->id;
         call_.reset();
         out_.on_kv_reply(now_, reply);
-        look_for_call();
+        poll_calls();
     }
 
 private:
-    void look_for_call()
+    void poll_calls()
     {
         for (auto& action : out_.take_actions())
         {
-            if (auto* const made = std::get_if<ports::kv_call>(&action))
+            if (auto* const pending = std::get_if<ports::kv_call>(&action))
             {
-                call_ = std::move(*made);
+                call_ = std::move(*pending);
             }
         }
     }
 
-    void take(worker_changes const& seen)
+    void apply_changes(worker_changes const& changes)
     {
-        if (seen.complete)
+        if (changes.complete)
         {
             listed_.clear();
         }
-        for (auto const& id : seen.removed)
+        for (auto const& id : changes.removed)
         {
             listed_.erase(id);
         }
-        for (auto const& each : seen.present)
+        for (auto const& w : changes.present)
         {
-            listed_[each.id] = each.draining;
+            listed_[w.id] = w.draining;
         }
     }
 
-    platform_records words_;
+    platform_records records_;
     outbox out_;
     common::time_point now_{1h};
     worker_list list_;
@@ -166,145 +166,152 @@
 
 } // namespace
 
-// The whole list, read at each look, took an owner of a large pool seconds, in
-// which nothing started.
-TEST(pool_worker_list, is_read_whole_once_and_then_by_what_changed)
+// Reading the whole list each time took the owner of a large pool seconds, in
+// which no task started.
+TEST(pool_worker_list, reads_the_whole_list_once_and_then_only_changes)
 {
-    followed_list it;
-    it.answer({entry("a", 3), entry("b", 4)}, 7, true);
-    it.answer({entry("c", 5)}, 9);
-    EXPECT_TRUE(it.list().known());
-    EXPECT_EQ(it.listed(), (listing{{"a", false}, {"b", false}, {"c", false}}));
+    list_follower follower;
+    follower.answer({worker_entry("a", 3), worker_entry("b", 4)}, 7, true);
+    follower.answer({worker_entry("c", 5)}, 9);
+    EXPECT_TRUE(follower.list().known());
+    EXPECT_EQ(follower.listed(),
+              (listing{{"a", false}, {"b", false}, {"c", false}}));
     for (std::uint64_t revision = 10; revision < 30; ++revision)
     {
-        it.run(500ms);
-        ASSERT_TRUE(it.watches());
-        it.run(10ms);
-        it.answer({entry("a", revision)}, revision);
-        EXPECT_GE(it.list().current_as_of(), it.now() - 500ms);
+        follower.run(500ms);
+        ASSERT_TRUE(follower.is_watching());
+        follower.run(10ms);
+        follower.answer({worker_entry("a", revision)}, revision);
+        EXPECT_GE(follower.list().current_as_of(), follower.now() - 500ms);
     }
-    it.run(500ms);
-    it.answer({entry("b", 30, "draining")}, 30);
-    EXPECT_EQ(it.listed(), (listing{{"a", false}, {"b", true}, {"c", false}}));
+    follower.run(500ms);
+    follower.answer({worker_entry("b", 30, "draining")}, 30);
+    EXPECT_EQ(follower.listed(),
+              (listing{{"a", false}, {"b", true}, {"c", false}}));
 }
 
-// A store that tells part of what changed leaves the rest for the next answer;
-// vouched for, a worker that left would get tasks until then.
-TEST(pool_worker_list, an_answer_that_may_be_cut_short_vouches_for_nothing)
+// The store may leave some of the changes for the next answer. If the list
+// counted as current before that, a worker that has left would still get tasks.
+TEST(pool_worker_list,
+     list_is_not_current_after_an_answer_that_may_be_cut_short)
 {
-    followed_list it;
-    it.answer({entry("a", 3)}, 7);
-    auto const read = it.now();
-    it.run(500ms);
-    std::vector<ports::kv_item> many;
-    for (std::uint64_t number = 0; number < 500; ++number)
+    list_follower follower;
+    follower.answer({worker_entry("a", 3)}, 7);
+    auto const read_at = follower.now();
+    follower.run(500ms);
+    std::vector<ports::kv_item> events;
+    for (std::uint64_t i = 0; i < 500; ++i)
     {
-        many.push_back(entry("b" + std::to_string(number), 10 + number));
+        events.push_back(worker_entry("b" + std::to_string(i), 10 + i));
     }
-    it.answer(many, 600);
-    EXPECT_LE(it.list().current_as_of(), read);
-    it.run(10ms);
-    ASSERT_TRUE(it.watches());
-    EXPECT_EQ(std::get<ports::kv_watch>(it.call()->operation).after, 509U);
-    it.answer({entry("a", 510, "draining")}, 600);
-    EXPECT_GT(it.list().current_as_of(), read);
-    EXPECT_TRUE(it.listed().at("a"));
+    follower.answer(events, 600);
+    EXPECT_LE(follower.list().current_as_of(), read_at);
+    follower.run(10ms);
+    ASSERT_TRUE(follower.is_watching());
+    EXPECT_EQ(std::get<ports::kv_watch>(follower.call()->operation).after,
+              509U);
+    follower.answer({worker_entry("a", 510, "draining")}, 600);
+    EXPECT_GT(follower.list().current_as_of(), read_at);
+    EXPECT_TRUE(follower.listed().at("a"));
 }
 
-// Where a thousand workers write between two answers each answer is full; never
-// vouched for, it stopped all starts on a pool of 3,000.
-TEST(pool_worker_list, a_full_answer_vouches_for_what_was_written_before_it)
+// When a thousand workers write between two answers, every answer is full. If a
+// full answer never made the list more current, no task would start any more,
+// as was seen on a pool of 3,000 workers.
+TEST(pool_worker_list, list_is_current_up_to_the_last_event_of_a_full_answer)
 {
-    followed_list it;
-    it.answer({entry("a", 3)}, 7);
-    it.run(500ms);
-    ASSERT_TRUE(it.watches());
-    auto const reached = it.now();
-    it.note(reached, 300);
-    it.run(200ms);
-    it.note(it.now(), 700);
-    std::vector<ports::kv_item> many;
-    for (std::uint64_t number = 0; number < 500; ++number)
+    list_follower follower;
+    follower.answer({worker_entry("a", 3)}, 7);
+    follower.run(500ms);
+    ASSERT_TRUE(follower.is_watching());
+    auto const revision_time = follower.now();
+    follower.note(revision_time, 300);
+    follower.run(200ms);
+    follower.note(follower.now(), 700);
+    std::vector<ports::kv_item> events;
+    for (std::uint64_t i = 0; i < 500; ++i)
     {
-        many.push_back(entry("b" + std::to_string(number), 10 + number));
+        events.push_back(worker_entry("b" + std::to_string(i), 10 + i));
     }
-    it.answer(many, 600);
-    EXPECT_EQ(it.list().current_as_of(), reached);
+    follower.answer(events, 600);
+    EXPECT_EQ(follower.list().current_as_of(), revision_time);
 }
 
-// What changed while the pages were read would be missed for good.
-TEST(pool_worker_list, goes_on_from_the_first_page)
+// Changes made while the pages are read must not be missed.
+TEST(pool_worker_list, watch_continues_from_the_revision_of_the_first_page)
 {
-    followed_list it;
-    it.answer({entry("a", 3)}, 7, true);
-    it.answer({entry("b", 4)}, 12);
-    it.run(500ms);
-    ASSERT_TRUE(it.watches());
-    EXPECT_EQ(std::get<ports::kv_watch>(it.call()->operation).after, 7U);
+    list_follower follower;
+    follower.answer({worker_entry("a", 3)}, 7, true);
+    follower.answer({worker_entry("b", 4)}, 12);
+    follower.run(500ms);
+    ASSERT_TRUE(follower.is_watching());
+    EXPECT_EQ(std::get<ports::kv_watch>(follower.call()->operation).after, 7U);
 }
 
-// A watch that hears nothing looks like one that is deaf; believed, workers
-// that leave would be given tasks.
-TEST(pool_worker_list, an_answer_without_changes_vouches_for_nothing)
+// A watch without events can't be told from a stalled one. If its answers made
+// the list current, workers that are leaving would get tasks.
+TEST(pool_worker_list, list_is_not_current_after_an_answer_without_changes)
 {
-    followed_list it;
-    it.answer({entry("a", 3)}, 7);
-    auto const read = it.now();
-    it.run(500ms);
-    ASSERT_TRUE(it.watches());
-    it.run(490ms);
-    it.answer({}, 20);
-    EXPECT_LE(it.list().current_as_of(), read);
-    it.run(20ms);
-    ASSERT_TRUE(it.call().has_value());
-    ASSERT_FALSE(it.watches());
-    it.answer({entry("a", 15, "draining")}, 21);
-    EXPECT_EQ(it.listed(), (listing{{"a", true}}));
-    EXPECT_GT(it.list().current_as_of(), read);
+    list_follower follower;
+    follower.answer({worker_entry("a", 3)}, 7);
+    auto const read_at = follower.now();
+    follower.run(500ms);
+    ASSERT_TRUE(follower.is_watching());
+    follower.run(490ms);
+    follower.answer({}, 20);
+    EXPECT_LE(follower.list().current_as_of(), read_at);
+    follower.run(20ms);
+    ASSERT_TRUE(follower.call().has_value());
+    ASSERT_FALSE(follower.is_watching());
+    follower.answer({worker_entry("a", 15, "draining")}, 21);
+    EXPECT_EQ(follower.listed(), (listing{{"a", true}}));
+    EXPECT_GT(follower.list().current_as_of(), read_at);
 }
 
-// A worker that left while the history was lost would stay listed.
-TEST(pool_worker_list, is_read_whole_where_the_history_is_gone)
+// A worker that left in the compacted part of the history must not stay listed.
+TEST(pool_worker_list, reads_the_whole_list_when_the_history_is_compacted)
 {
-    followed_list it;
-    it.answer({entry("a", 3), entry("b", 4)}, 7);
-    it.run(500ms);
-    ports::kv_reply gone;
-    gone.status = ports::kv_status::compacted;
-    it.answer(gone);
-    it.run(10ms);
-    ASSERT_TRUE(it.call().has_value());
-    ASSERT_FALSE(it.watches());
-    it.answer({entry("b", 4)}, 40);
-    EXPECT_EQ(it.listed(), (listing{{"b", false}}));
+    list_follower follower;
+    follower.answer({worker_entry("a", 3), worker_entry("b", 4)}, 7);
+    follower.run(500ms);
+    ports::kv_reply compacted_reply;
+    compacted_reply.status = ports::kv_status::compacted;
+    follower.answer(compacted_reply);
+    follower.run(10ms);
+    ASSERT_TRUE(follower.call().has_value());
+    ASSERT_FALSE(follower.is_watching());
+    follower.answer({worker_entry("b", 4)}, 40);
+    EXPECT_EQ(follower.listed(), (listing{{"b", false}}));
 }
 
-// One lost page had all pages read anew, so a slow store never told the list.
-TEST(pool_worker_list, a_lost_page_alone_is_asked_for_again)
+// If one lost page restarted the whole read, the list would never be complete
+// with a slow store.
+TEST(pool_worker_list, only_a_lost_page_is_requested_again)
 {
-    followed_list it;
-    it.answer({entry("a", 3)}, 7, true);
-    it.answer(ports::kv_reply{});
-    it.run(200ms);
-    ASSERT_TRUE(it.call().has_value());
-    ASSERT_FALSE(it.watches());
-    EXPECT_EQ(std::get<ports::kv_range>(it.call()->operation).after,
+    list_follower follower;
+    follower.answer({worker_entry("a", 3)}, 7, true);
+    follower.answer(ports::kv_reply{});
+    follower.run(200ms);
+    ASSERT_TRUE(follower.call().has_value());
+    ASSERT_FALSE(follower.is_watching());
+    EXPECT_EQ(std::get<ports::kv_range>(follower.call()->operation).after,
               "workers/a");
-    it.answer({entry("b", 4)}, 9);
-    EXPECT_EQ(it.listed(), (listing{{"a", false}, {"b", false}}));
+    follower.answer({worker_entry("b", 4)}, 9);
+    EXPECT_EQ(follower.listed(), (listing{{"a", false}, {"b", false}}));
 }
 
-// A worker whose entry is overwritten or erased would get tasks still.
-TEST(pool_worker_list, an_erased_or_unreadable_entry_takes_its_worker_out)
+// A worker whose entry is erased or overwritten must not get tasks any more.
+TEST(pool_worker_list, erased_or_malformed_entry_removes_its_worker)
 {
-    followed_list it;
-    it.answer({entry("a", 3), entry("b", 4), entry("c", 5)}, 7);
-    it.run(500ms);
-    auto erased = entry("a", 8);
+    list_follower follower;
+    follower.answer(
+        {worker_entry("a", 3), worker_entry("b", 4), worker_entry("c", 5)}, 7);
+    follower.run(500ms);
+    auto erased = worker_entry("a", 8);
     erased.erased = true;
-    it.answer({erased, entry("b", 9, "unreadable")}, 9);
-    EXPECT_EQ(it.listed(), (listing{{"c", false}}));
-    it.run(500ms);
-    it.answer({entry("b", 10)}, 10);
-    EXPECT_EQ(it.listed(), (listing{{"b", false}, {"c", false}}));
+    follower.answer({erased, worker_entry("b", 9, "unreadable")}, 9);
+    EXPECT_EQ(follower.listed(), (listing{{"c", false}}));
+    follower.run(500ms);
+    follower.answer({worker_entry("b", 10)}, 10);
+    EXPECT_EQ(follower.listed(), (listing{{"b", false}, {"c", false}}));
 }
