--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -17,8 +17,8 @@
 #include <cmath>
 #include <gtest/gtest.h>
 
-// What comes from outside is taken within its bounds or refused with a reason,
-// whatever it holds.
+// Tests that the pool's parsers accept any input only within its bounds, or
+// refuse it with a reason.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -29,96 +29,105 @@
 using core::common::failure;
 using core::common::result_code;
 
-// Bounds that the formats give, wide enough for every sum that is made of them.
-constexpr std::int64_t largest_integer = std::int64_t{1} << 52;
-constexpr std::int64_t largest_size = 1'000'000'000;
-constexpr std::uint64_t largest_job = 20'000; // Tasks.
-constexpr std::uint32_t largest_attempt = 1'000'000'000;
-constexpr std::uint64_t largest_revision = std::uint64_t{1} << 62;
-constexpr core::common::duration longest = std::chrono::hours(24 * 366);
+// Bounds of the formats. Sums of values within them can't overflow.
+constexpr std::int64_t max_integer = std::int64_t{1} << 52;
+constexpr std::int64_t max_size = 1'000'000'000;
+constexpr std::uint64_t max_job_tasks = 20'000;
+constexpr std::uint32_t max_attempt = 1'000'000'000;
+constexpr std::uint64_t max_revision = std::uint64_t{1} << 62;
+constexpr core::common::duration max_duration = std::chrono::hours(24 * 366);
 
-// A refusal that doesn't say what was wrong and where.
-std::string told(failure const& reason)
+// Returns a fault if a refusal doesn't say what is wrong and where.
+std::string check_refusal(failure const& reason)
 {
-    bool const good = reason.code != result_code::ok && !reason.where.empty();
-    return good ? "" : "refused without a reason: " + to_string(reason);
+    bool const complete =
+        reason.code != result_code::ok && !reason.where.empty();
+    return complete ? "" : "refused without a reason: " + to_string(reason);
 }
 
-std::string if_not(bool holds, char const* what)
+std::string fault_unless(bool condition, char const* fault_text)
 {
-    return holds ? "" : what;
+    return condition ? "" : fault_text;
 }
 
-bool within(std::int64_t value, std::int64_t least, std::int64_t most)
+bool in_range(std::int64_t value, std::int64_t low, std::int64_t high)
 {
-    return least <= value && value <= most;
+    return low <= value && value <= high;
 }
 
-bool sound(ports::resources const& value)
+bool in_bounds(ports::resources const& value)
 {
-    return within(value.millicores, 0, largest_size) &&
-           within(value.memory_mb, 0, largest_size) &&
-           within(value.accelerators, 0, largest_size);
+    return in_range(value.millicores, 0, max_size) &&
+           in_range(value.memory_mb, 0, max_size) &&
+           in_range(value.accelerators, 0, max_size);
 }
 
-bool sound(core::common::duration value)
+bool in_bounds(core::common::duration value)
 {
-    return value.count() >= 0 && value <= longest;
+    return value.count() >= 0 && value <= max_duration;
 }
 
-bool sound(ports::pool_attempt const& value)
+bool in_bounds(ports::pool_attempt const& value)
 {
-    return value.attempt >= 1 && value.attempt <= largest_attempt &&
+    return value.attempt >= 1 && value.attempt <= max_attempt &&
            platform::decode_task_name(platform::encode(value.task)) ==
                value.task;
 }
 
 ports::kv_item item(std::string key, std::string value)
 {
-    ports::kv_item made;
-    made.key = std::move(key);
-    made.value = std::move(value);
-    made.revision = 1;
-    return made;
+    ports::kv_item result;
+    result.key = std::move(key);
+    result.value = std::move(value);
+    result.revision = 1;
+    return result;
 }
 
 std::string check_worker(std::string const& input)
 {
     failure reason;
-    auto const made = platform::make_platform_records().read_worker(
+    auto const parsed = platform::make_platform_records().read_worker(
         item("servers/i-1", input), reason);
-    if (!made)
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    bool const named = !made->service.empty() && !made->data_centre.empty();
-    return if_not(named, "no service or zone") +
-           if_not(made->remote_endpoint.port > 0, "no port") +
-           if_not(sound(made->capacity), "capacity out of bounds") +
-           if_not(made->incarnation <= largest_integer, "born out of bounds");
+    bool const has_names =
+        !parsed->service.empty() && !parsed->data_centre.empty();
+    return fault_unless(has_names, "the service or zone is missing") +
+           fault_unless(parsed->remote_endpoint.port > 0,
+                        "the port is missing") +
+           fault_unless(in_bounds(parsed->capacity),
+                        "the capacity is out of bounds") +
+           fault_unless(parsed->incarnation <= max_integer,
+                        "the incarnation is out of bounds");
 }
 
 std::string check_operator(std::string const& input)
 {
     failure reason;
-    auto const made = platform::make_platform_records().read_operator(
+    auto const parsed = platform::make_platform_records().read_operator(
         item("op/config", input), reason);
-    if (!made)
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    auto const& config = std::get<pool::configuration>(*made);
-    std::string fault = if_not(config.version > 0, "no version");
-    for (auto const& each : config.queues)
+    auto const& config = std::get<pool::configuration>(*parsed);
+    std::string fault =
+        fault_unless(config.version > 0, "the version is missing");
+    for (auto const& queue : config.queues)
     {
-        fault += if_not(each.attempts > 0, "no attempts");
-        fault += if_not(sound(each.deadline_slack), "target out of bounds");
+        fault += fault_unless(queue.attempts > 0,
+                              "the number of attempts is missing");
+        fault += fault_unless(in_bounds(queue.deadline_slack),
+                              "the deadline slack is out of bounds");
+        fault += fault_unless(
+            in_range(std::lround(queue.deadline_stretch), 0, 1'000'000),
+            "the deadline stretch is out of bounds");
         fault +=
-            if_not(within(std::lround(each.deadline_stretch), 0, 1'000'000),
-                   "stretch out of bounds");
-        fault += if_not(!each.policy || (sound(each.policy->decision) &&
-                                         sound(each.policy->per_worker)),
-                        "times of advice out of bounds");
+            fault_unless(!queue.policy || (in_bounds(queue.policy->decision) &&
+                                           in_bounds(queue.policy->per_worker)),
+                         "the policy times are out of bounds");
     }
     return fault;
 }
@@ -126,163 +135,185 @@
 std::string check_times(pool::job_run const& run)
 {
     std::string fault =
-        if_not(run.due_unix_ms >= 0, "due before 1970") +
-        if_not(run.late_unix_ms >= run.due_unix_ms, "late before it is due");
-    std::int64_t before = 0;
-    for (auto const& each : run.occurrences)
+        fault_unless(run.due_unix_ms >= 0, "the due time is before 1970") +
+        fault_unless(run.late_unix_ms >= run.due_unix_ms,
+                     "the late time is before the due time");
+    std::int64_t previous_due_unix_ms = 0;
+    for (auto const& occurrence : run.occurrences)
     {
-        fault += if_not(each.due_unix_ms >= before, "occurrences out of order");
-        before = each.due_unix_ms;
+        fault += fault_unless(occurrence.due_unix_ms >= previous_due_unix_ms,
+                              "the occurrences are out of order");
+        previous_due_unix_ms = occurrence.due_unix_ms;
     }
     return fault;
 }
 
-std::string check_job_values(pool::job const& made)
+std::string check_job_values(pool::job const& job)
 {
     std::uint64_t tasks = 0;
-    for (auto const& each : made.steps)
+    for (auto const& step : job.steps)
     {
-        tasks += std::uint64_t{each.count} * made.occurrences;
-        if (!sound(each.declared) || !sound(each.estimate) ||
-            !sound(each.tail_target))
+        tasks += std::uint64_t{step.count} * job.occurrences;
+        if (!in_bounds(step.declared) || !in_bounds(step.estimate) ||
+            !in_bounds(step.tail_target))
         {
-            return "a step's size or time is out of bounds";
+            return "the size or time of a step is out of bounds";
         }
     }
-    if (auto const problem = pool::validate_job(made))
+    if (auto const problem = pool::validate_job(job))
     {
-        return "taken against its own check: " + to_string(*problem);
+        return "an accepted job fails its validation: " + to_string(*problem);
     }
-    if (tasks > largest_job)
+    if (tasks > max_job_tasks)
     {
         return "too many tasks: " + std::to_string(tasks);
     }
-    if (made.longest_chain() < core::common::duration{})
+    if (job.longest_chain() < core::common::duration{})
     {
-        return "a chain of negative length";
+        return "the longest chain has a negative length";
     }
     pool::queue rules;
     rules.deadline_stretch = 1e6;
-    rules.deadline_slack = longest;
-    return check_times(pool::make_job_run(made, 1, rules));
+    rules.deadline_slack = max_duration;
+    return check_times(pool::make_job_run(job, 1, rules));
 }
 
 std::string check_submission(std::string const& input)
 {
     failure reason;
-    auto made = platform::decode_job(input, reason);
-    if (!made)
+    auto parsed = platform::decode_job(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    // What is accepted is what its owner reads.
-    made->id = "5c0e7a21d94b36f8";
-    made->queue = "q";
-    made->accepted_unix_ms = 1'791'417'529'292;
-    auto const stored = to_json(*made);
-    auto const back = pool::parse_job(stored, reason);
-    if (!back)
+    // The owner must read the same job that was accepted.
+    parsed->id = "5c0e7a21d94b36f8";
+    parsed->queue = "q";
+    parsed->accepted_unix_ms = 1'791'417'529'292;
+    auto const written = to_json(*parsed);
+    auto const reparsed = pool::parse_job(written, reason);
+    if (!reparsed)
     {
-        return "accepted, but its owner can't read it: " + to_string(reason);
+        return "accepted, but the owner can't parse it: " + to_string(reason);
     }
-    return if_not(to_json(*back) == stored, "the owner reads another job") +
-           check_job_values(*made);
+    return fault_unless(to_json(*reparsed) == written,
+                        "the owner reads a different job") +
+           check_job_values(*parsed);
 }
 
 std::string check_stored_job(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_job(input, reason);
-    if (!made)
+    auto const parsed = pool::parse_job(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    auto const stored = to_json(*made);
-    auto const back = pool::parse_job(stored, reason);
-    return if_not(back && to_json(*back) == stored,
-                  "written and read again it differs") +
-           check_job_values(*made);
+    auto const written = to_json(*parsed);
+    auto const reparsed = pool::parse_job(written, reason);
+    return fault_unless(reparsed && to_json(*reparsed) == written,
+                        "the value differs after a round trip") +
+           check_job_values(*parsed);
 }
 
 std::string check_order_reply(std::string const& input)
 {
     failure reason;
-    auto const made =
+    auto const parsed =
         platform::decode_order_reply(ports::poll_order{}, 200, input, reason);
-    if (made.status != ports::order_status::done)
+    if (parsed.status != ports::order_status::done)
     {
-        return told(reason) + if_not(made.running.empty() && made.ended.empty(),
-                                     "rows of an answer that is not used");
+        return check_refusal(reason) +
+               fault_unless(parsed.running.empty() && parsed.ended.empty(),
+                            "a failed reply has rows");
     }
     std::string fault;
-    for (auto const& row : made.running)
+    for (auto const& row : parsed.running)
     {
-        fault += if_not(sound(row.attempt_id), "a run out of bounds") +
-                 if_not(row.progress_percent <= 100, "over 100 percent") +
-                 if_not(within(row.measurement, 0, largest_size),
-                        "a level out of bounds");
+        fault += fault_unless(in_bounds(row.attempt_id),
+                              "the id of a running attempt is out of bounds") +
+                 fault_unless(row.progress_percent <= 100,
+                              "the progress is over 100 percent") +
+                 fault_unless(in_range(row.measurement, 0, max_size),
+                              "a measurement is out of bounds");
     }
-    for (auto const& row : made.ended)
+    for (auto const& row : parsed.ended)
     {
-        fault += if_not(sound(row.attempt_id), "an end out of bounds") +
-                 if_not(row.sequence >= 1 && row.sequence <= largest_integer,
-                        "the number of an end is out of bounds");
+        fault +=
+            fault_unless(in_bounds(row.attempt_id),
+                         "the id of an ended attempt is out of bounds") +
+            fault_unless(
+                row.sequence >= 1 && row.sequence <= max_integer,
+                "the sequence number of an ended attempt is out of bounds");
     }
     return fault +
-           if_not(made.clock_ms <= largest_integer, "clock out of bounds") +
-           if_not(made.incarnation <= largest_integer, "born out of bounds") +
-           if_not(made.running.size() + made.ended.size() <= input.size(),
-                  "more rows than bytes");
+           fault_unless(parsed.clock_ms <= max_integer,
+                        "the clock is out of bounds") +
+           fault_unless(parsed.incarnation <= max_integer,
+                        "the incarnation is out of bounds") +
+           fault_unless(parsed.running.size() + parsed.ended.size() <=
+                            input.size(),
+                        "there are more rows than bytes");
 }
 
-std::string check_store_reply(ports::kv_operation const& asked,
+std::string check_store_reply(ports::kv_operation const& operation,
                               std::string const& prefix,
                               std::uint16_t status,
                               std::string const& input)
 {
     failure reason;
-    auto const made =
-        platform::decode_kv_reply(asked, {status, {}, input}, reason);
-    if (made.status == ports::kv_status::unclear)
+    auto const parsed =
+        platform::decode_kv_reply(operation, {status, {}, input}, reason);
+    if (parsed.status == ports::kv_status::unclear)
     {
-        return told(reason) + if_not(made.items.empty(),
-                                     "items of an answer "
-                                     "that is not used");
+        return check_refusal(reason) + fault_unless(parsed.items.empty(),
+                                                    "a reply with an unknown "
+                                                    "outcome has items");
     }
     std::string fault =
-        if_not(made.revision <= largest_revision, "revision out of bounds") +
-        if_not(made.lease <= largest_revision, "lease out of bounds") +
-        if_not(!made.more || !made.items.empty(), "more to come after nothing");
-    bool const done = made.status == ports::kv_status::done;
-    for (auto const& each : made.items)
+        fault_unless(parsed.revision <= max_revision,
+                     "the revision is out of bounds") +
+        fault_unless(parsed.lease <= max_revision,
+                     "the lease is out of bounds") +
+        fault_unless(!parsed.more || !parsed.items.empty(),
+                     "more items are announced after an empty page");
+    bool const done = parsed.status == ports::kv_status::done;
+    for (auto const& item : parsed.items)
     {
-        fault += if_not(!each.key.empty(), "an item without a key") +
-                 if_not(each.key.starts_with(prefix),
-                        "an item that was not asked for") +
-                 if_not(each.revision <= largest_revision &&
-                            (each.revision > 0 || !done),
-                        "an item's revision is out of bounds");
+        fault +=
+            fault_unless(!item.key.empty(), "the key of an item is missing") +
+            fault_unless(item.key.starts_with(prefix),
+                         "an item is outside the requested prefix") +
+            fault_unless(item.revision <= max_revision &&
+                             (item.revision > 0 || !done),
+                         "the revision of an item is out of bounds");
     }
-    bool const commits = std::holds_alternative<ports::kv_commit>(asked);
-    bool const grants = std::holds_alternative<ports::kv_lease_grant>(asked);
-    return fault + if_not(!done || grants || made.revision > 0, "no revision") +
-           if_not(!done || !grants || made.lease > 0, "no lease") +
-           if_not(!done || commits || made.items.size() <= input.size(),
-                  "more items than bytes");
+    bool const commits = std::holds_alternative<ports::kv_commit>(operation);
+    bool const grants =
+        std::holds_alternative<ports::kv_lease_grant>(operation);
+    return fault +
+           fault_unless(!done || grants || parsed.revision > 0,
+                        "the revision is missing") +
+           fault_unless(!done || !grants || parsed.lease > 0,
+                        "the lease is missing") +
+           fault_unless(!done || commits || parsed.items.size() <= input.size(),
+                        "there are more items than bytes");
 }
 
-std::string check_advice(std::string const& input)
+std::string check_policy_reply(std::string const& input)
 {
     failure reason;
-    auto const made = platform::decode_policy_reply({200, {}, input}, reason);
-    if (!made.answered)
+    auto const parsed = platform::decode_policy_reply({200, {}, input}, reason);
+    if (!parsed.answered)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    std::string fault = if_not(sound(made.valid), "validity out of bounds");
-    for (auto const& each : made.allowed)
+    std::string fault = fault_unless(in_bounds(parsed.valid),
+                                     "the validity time is out of bounds");
+    for (auto const& ticket : parsed.allowed)
     {
-        fault += if_not(!each.worker.empty(), "a ticket for no worker");
+        fault += fault_unless(!ticket.worker.empty(),
+                              "the worker of a ticket is missing");
     }
     return fault;
 }
@@ -290,93 +321,96 @@
 std::string check_progress(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_progress(input, reason);
-    if (!made)
+    auto const parsed = pool::parse_progress(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
     std::string fault;
-    for (auto const& each : made->tasks)
+    for (auto const& task : parsed->tasks)
     {
-        for (auto const attempt : each.failures)
+        for (auto const attempt : task.failures)
         {
-            fault += if_not(attempt <= largest_attempt,
-                            "a failed attempt out of bounds");
+            fault +=
+                fault_unless(attempt <= max_attempt,
+                             "the number of a failed attempt is out of bounds");
         }
     }
-    auto const stored = to_json(*made);
-    auto const back = pool::parse_progress(stored, reason);
-    return fault + if_not(back && to_json(*back) == stored,
-                          "written and read again it differs");
+    auto const written = to_json(*parsed);
+    auto const reparsed = pool::parse_progress(written, reason);
+    return fault + fault_unless(reparsed && to_json(*reparsed) == written,
+                                "the value differs after a round trip");
 }
 
 std::string check_roster(std::string const& input)
 {
     failure reason;
     std::string fault;
-    for (auto const& each : pool::parse_roster(input, reason))
+    for (auto const& worker : pool::parse_roster(input, reason))
     {
-        fault +=
-            if_not(!each.id.empty() && !each.remote_endpoint.address.empty() &&
-                       each.remote_endpoint.port > 0,
-                   "a worker that can't be asked");
+        fault += fault_unless(!worker.id.empty() &&
+                                  !worker.remote_endpoint.address.empty() &&
+                                  worker.remote_endpoint.port > 0,
+                              "a worker has no id or endpoint");
     }
-    return fault +
-           (reason.code == result_code::ok ? std::string() : told(reason));
+    return fault + (reason.code == result_code::ok ? std::string()
+                                                   : check_refusal(reason));
 }
 
 std::string check_backlog(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_backlog(input, reason);
-    if (!made)
+    auto const parsed = pool::parse_backlog(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    auto const stored = to_json(*made);
-    auto const back = pool::parse_backlog(stored, reason);
-    return if_not(back && to_json(*back) == stored,
-                  "written and read again it differs");
+    auto const written = to_json(*parsed);
+    auto const reparsed = pool::parse_backlog(written, reason);
+    return fault_unless(reparsed && to_json(*reparsed) == written,
+                        "the value differs after a round trip");
 }
 
-std::string check_learned(std::string const& input)
+std::string check_interference_estimates(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_interference_estimates(input, reason);
-    if (!made)
+    auto const parsed = pool::parse_interference_estimates(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
     std::string fault;
-    for (auto const& each : made->headrooms)
+    for (auto const& estimate : parsed->headrooms)
     {
-        fault += if_not(each.mean >= 0 && each.readings >= 0 &&
-                            each.mean <= 1e7 && each.readings <= 1e7,
-                        "a headroom out of bounds");
+        fault +=
+            fault_unless(estimate.mean >= 0 && estimate.readings >= 0 &&
+                             estimate.mean <= 1e7 && estimate.readings <= 1e7,
+                         "a headroom is out of bounds");
     }
-    auto const stored = to_json(*made);
-    auto const back = pool::parse_interference_estimates(stored, reason);
-    return fault + if_not(back && to_json(*back) == stored,
-                          "written and read again it differs");
+    auto const written = to_json(*parsed);
+    auto const reparsed = pool::parse_interference_estimates(written, reason);
+    return fault + fault_unless(reparsed && to_json(*reparsed) == written,
+                                "the value differs after a round trip");
 }
 
-std::string check_holder(std::string const& input)
+std::string check_claim_holder(std::string const& input)
 {
     failure reason;
-    auto const made = pool::parse_claim_holder(input, reason);
-    if (!made)
+    auto const parsed = pool::parse_claim_holder(input, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    return if_not(!made->instance.empty(), "nobody holds it") +
-           if_not(made->size > 0 && made->size <= 1e6, "size out of bounds");
+    return fault_unless(!parsed->instance.empty(), "the instance is missing") +
+           fault_unless(parsed->size > 0 && parsed->size <= 1e6,
+                        "the size is out of bounds");
 }
 
 std::string check_task_name(std::string const& input)
 {
-    auto const made = platform::decode_task_name(input);
-    return if_not(!made || platform::encode(*made) == input,
-                  "two spellings of one task");
+    auto const parsed = platform::decode_task_name(input);
+    return fault_unless(!parsed || platform::encode(*parsed) == input,
+                        "a task name has two spellings");
 }
 
 std::string check_request(std::string const& input)
@@ -386,11 +420,11 @@
     request.target = "/q/5c0e7a21d94b36f8";
     request.body = input;
     adapters::http::response answer;
-    auto const made = platform::decode_submission(request, answer);
-    return if_not(made.has_value() ||
-                      (answer.status >= 400 && answer.status < 500 &&
-                       !answer.body.empty()),
-                  "refused without telling the client why");
+    auto const parsed = platform::decode_submission(request, answer);
+    return fault_unless(parsed.has_value() ||
+                            (answer.status >= 400 && answer.status < 500 &&
+                             !answer.body.empty()),
+                        "refused without a reason for the client");
 }
 
 std::vector<std::string> worker_samples()
@@ -419,21 +453,21 @@
         R"("mayMiss":1},{"count":9,"fills":true,"image":"j","gpu":1}]})"};
 }
 
-std::vector<std::string> stored_jobs()
+std::vector<std::string> stored_job_samples()
 {
-    std::vector<std::string> made;
-    for (auto const& each : job_samples())
+    std::vector<std::string> result;
+    for (auto const& sample : job_samples())
     {
         failure reason;
-        auto job = platform::decode_job(each, reason);
+        auto job = platform::decode_job(sample, reason);
         job->id = "5c0e7a21d94b36f8";
         job->queue = "q";
-        made.push_back(to_json(*job));
+        result.push_back(to_json(*job));
     }
-    return made;
+    return result;
 }
 
-std::vector<std::string> hold_samples()
+std::vector<std::string> poll_reply_samples()
 {
     return {R"({"clockMs":482113,"born":1791417529292,"running":)"
             R"([["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41,77],)"
@@ -462,12 +496,12 @@
 
 } // namespace
 
-TEST(pool_inputs, entries_of_workers)
+TEST(pool_parsers, worker_entries)
 {
     expect_robust_parser(worker_samples(), check_worker);
 }
 
-TEST(pool_inputs, configurations)
+TEST(pool_parsers, configurations)
 {
     expect_robust_parser(
         {R"({"version":7,"routes":[{"name":"r","host":"h.example","prefix":)"
@@ -478,23 +512,23 @@
         check_operator);
 }
 
-TEST(pool_inputs, submissions)
+TEST(pool_parsers, submissions)
 {
     expect_robust_parser(job_samples(), check_submission);
     expect_robust_parser(job_samples(), check_request);
 }
 
-TEST(pool_inputs, stored_jobs)
+TEST(pool_parsers, stored_jobs)
 {
-    expect_robust_parser(stored_jobs(), check_stored_job);
+    expect_robust_parser(stored_job_samples(), check_stored_job);
 }
 
-TEST(pool_inputs, answers_to_holds)
+TEST(pool_parsers, poll_replies)
 {
-    expect_robust_parser(hold_samples(), check_order_reply);
+    expect_robust_parser(poll_reply_samples(), check_order_reply);
 }
 
-TEST(pool_inputs, pages_of_the_store)
+TEST(pool_parsers, kv_range_replies)
 {
     expect_robust_parser(
         range_samples(),
@@ -505,7 +539,7 @@
         });
 }
 
-TEST(pool_inputs, watches_of_the_store)
+TEST(pool_parsers, kv_watch_replies)
 {
     expect_robust_parser(
         watch_samples(),
@@ -516,7 +550,7 @@
         });
 }
 
-TEST(pool_inputs, reads_of_the_store)
+TEST(pool_parsers, kv_read_replies)
 {
     expect_robust_parser(
         {R"({"key":"roster","value":"e30=","revision":7,"created":5,)"
@@ -528,7 +562,7 @@
         });
 }
 
-TEST(pool_inputs, commits_of_the_store)
+TEST(pool_parsers, kv_commit_replies)
 {
     expect_robust_parser({R"({"revision":12})"},
                          [](std::string const& input)
@@ -544,7 +578,7 @@
                          });
 }
 
-TEST(pool_inputs, leases_of_the_store)
+TEST(pool_parsers, kv_lease_replies)
 {
     expect_robust_parser({R"({"leaseId":12,"ttlMs":1000})"},
                          [](std::string const& input)
@@ -554,47 +588,48 @@
                          });
 }
 
-TEST(pool_inputs, advice)
+TEST(pool_parsers, policy_replies)
 {
     expect_robust_parser(
         {R"({"allowed":[["i-1","t1"],["i-2","t2"]],"validMs":3000})"},
-        check_advice);
+        check_policy_reply);
 }
 
-TEST(pool_inputs, progress)
+TEST(pool_parsers, progress)
 {
     expect_robust_parser(
         {R"({"job":"a","tasks":[[0,1,2,1,[],""],[0,1,3,0,[1,2],"c"]]})"},
         check_progress);
 }
 
-TEST(pool_inputs, rosters)
+TEST(pool_parsers, rosters)
 {
     expect_robust_parser(
         {R"({"workers":[["w1","s","10.0.0.9",80],["w2","s","10.0.0.8",81]]})"},
         check_roster);
 }
 
-TEST(pool_inputs, backlogs)
+TEST(pool_parsers, backlogs)
 {
     expect_robust_parser({R"({"heard":12,"waiting":{"q":3,"r":0}})"},
                          check_backlog);
 }
 
-TEST(pool_inputs, what_was_learned)
+TEST(pool_parsers, interference_estimate_records)
 {
     expect_robust_parser(
         {R"({"images":["a","b"],"headrooms":[[0,93,10000]],"pairs":)"
          R"([[0,1,50,20],[1,1,7,3]]})"},
-        check_learned);
+        check_interference_estimates);
 }
 
-TEST(pool_inputs, holders)
+TEST(pool_parsers, claim_holders)
 {
-    expect_robust_parser({R"({"instance":"n 5","size":1.5})"}, check_holder);
+    expect_robust_parser({R"({"instance":"n 5","size":1.5})"},
+                         check_claim_holder);
 }
 
-TEST(pool_inputs, names_of_tasks)
+TEST(pool_parsers, task_names)
 {
     expect_robust_parser({"5c0e7a21d94b36f8.0.1.17", "a.4294967295.10.0"},
                          check_task_name);
--- a/tests/contract/inputs/record_parsers_test.cpp
+++ b/tests/contract/inputs/record_parsers_test.cpp
@@ -20,8 +20,9 @@
 #include <gtest/gtest.h>
 #include <span>
 
-// Records and documents of the other programs, settings, and the adapters' own
-// formats.
+// Tests that the parsers of planner and entry records, of settings and of the
+// adapters' formats accept any input only within its bounds, or refuse it with
+// a reason.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -31,28 +32,32 @@
 using core::common::failure;
 using core::common::result_code;
 
-std::string told(failure const& reason)
+// Returns a fault if a refusal doesn't say what is wrong and where.
+std::string check_refusal(failure const& reason)
 {
-    bool const good = reason.code != result_code::ok && !reason.where.empty();
-    return good ? "" : "refused without a reason: " + to_string(reason);
+    bool const complete =
+        reason.code != result_code::ok && !reason.where.empty();
+    return complete ? "" : "refused without a reason: " + to_string(reason);
 }
 
-// What was read is written and read again without a difference.
+// Returns a check that a parsed value is the same after it was serialised and
+// parsed again.
 template<class Parse>
 input_check round_trip(Parse parse)
 {
     return [parse](std::string const& input) -> std::string
     {
         failure reason;
-        auto const made = parse(input, reason);
-        if (!made)
+        auto const parsed = parse(input, reason);
+        if (!parsed)
         {
-            return told(reason);
+            return check_refusal(reason);
         }
-        auto const written = to_json(*made);
-        auto const back = parse(written, reason);
-        bool const same = back && to_json(*back) == written;
-        return same ? "" : "written and read again it differs: " + written;
+        auto const written = to_json(*parsed);
+        auto const reparsed = parse(written, reason);
+        bool const unchanged = reparsed && to_json(*reparsed) == written;
+        return unchanged ? ""
+                         : "the value differs after a round trip: " + written;
     };
 }
 
@@ -80,75 +85,75 @@
 
 core::tasks::log_record log_record_sample()
 {
-    core::tasks::inbox_message parcel;
-    parcel.name = "p";
-    parcel.definition = task_job();
-    parcel.tasks = {{0, 1, "c", {"w1"}}, {1, 0, "", {}}};
-    core::tasks::log_record made;
-    made.number = 3;
-    made.epoch = 2;
-    made.writer = "w";
-    made.changes = {core::tasks::message_accepted{parcel},
-                    core::tasks::transfer_started{"p2", "b", "j", {1}, 2},
-                    core::tasks::transfer_completed{"p2"},
-                    core::tasks::job_removed{"j"}};
-    return made;
+    core::tasks::inbox_message message;
+    message.name = "p";
+    message.definition = task_job();
+    message.tasks = {{0, 1, "c", {"w1"}}, {1, 0, "", {}}};
+    core::tasks::log_record result;
+    result.number = 3;
+    result.epoch = 2;
+    result.writer = "w";
+    result.changes = {core::tasks::message_accepted{message},
+                      core::tasks::transfer_started{"p2", "b", "j", {1}, 2},
+                      core::tasks::transfer_completed{"p2"},
+                      core::tasks::job_removed{"j"}};
+    return result;
 }
 
 core::tasks::cell_state cell_sample()
 {
-    core::tasks::cell_state made;
-    made.last_record = 2;
-    for (auto const& each : log_record_sample().changes)
+    core::tasks::cell_state result;
+    result.last_record = 2;
+    for (auto const& change : log_record_sample().changes)
     {
-        core::tasks::apply_change(made, each);
+        core::tasks::apply_change(result, change);
     }
-    return made;
+    return result;
 }
 
 std::string configuration_sample()
 {
-    core::config::configuration made;
-    made.revision = 9;
+    core::config::configuration result;
+    result.revision = 9;
     failure reason;
-    made.contracts["c"] =
+    result.contracts["c"] =
         core::contracts::parse_contract(contract_sample(), reason).value();
-    made.withdrawn = {"d"};
-    made.contract_revisions = {{"c", 3}, {"d", 9}};
-    made.data_centre_revisions = {{"a", 0}, {"b", 4}};
-    made.data_centres_out_of_service = {"b"};
-    return to_json(made);
+    result.withdrawn = {"d"};
+    result.contract_revisions = {{"c", 3}, {"d", 9}};
+    result.data_centre_revisions = {{"a", 0}, {"b", 4}};
+    result.data_centres_out_of_service = {"b"};
+    return to_json(result);
 }
 
 std::string index_sample()
 {
-    core::config::index_document made;
-    made.revision = 9;
-    made.contracts["c"] = {3, false, "3-x"};
-    made.contracts["d"] = {9, true, ""};
-    made.data_centres["b"] = {4, true};
-    made.recent_writes = {{8, "x"}, {9, "y"}};
-    return to_json(made);
+    core::config::index_document result;
+    result.revision = 9;
+    result.contracts["c"] = {3, false, "3-x"};
+    result.contracts["d"] = {9, true, ""};
+    result.data_centres["b"] = {4, true};
+    result.recent_writes = {{8, "x"}, {9, "y"}};
+    return to_json(result);
 }
 
 std::string member_sample()
 {
-    core::membership::record made;
-    made.info.id = {"m", 0x9f};
-    made.info.data_centre = "a";
-    made.info.peer_address = {"10.0.0.1", 80};
-    made.info.http_address = {"10.0.0.1", 81};
-    made.witnesses = {{"n", 5}};
-    made.successor = 3;
-    return to_json(made);
+    core::membership::record result;
+    result.info.id = {"m", 0x9f};
+    result.info.data_centre = "a";
+    result.info.peer_address = {"10.0.0.1", 80};
+    result.info.http_address = {"10.0.0.1", 81};
+    result.witnesses = {{"n", 5}};
+    result.successor = 3;
+    return to_json(result);
 }
 
 std::string quota_sample()
 {
-    core::tasks::quota_document made;
-    made.writer = "w";
-    made.cells["a"] = {3, {{5000, 100, 1}, {500, 10, 0}}};
-    return to_json(made);
+    core::tasks::quota_document result;
+    result.writer = "w";
+    result.cells["a"] = {3, {{5000, 100, 1}, {500, 10, 0}}};
+    return to_json(result);
 }
 
 std::string settings_sample()
@@ -164,19 +169,19 @@
 std::string check_settings(std::string const& input)
 {
     failure reason;
-    auto const made =
+    auto const parsed =
         adapters::settings::parse_pool_settings(input, "file", reason);
-    if (!made)
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    auto const& pool = made->pool;
-    bool const sane = pool.claim.ttl.count() > 0 && pool.claim.size > 0 &&
-                      pool.owner.workers.lease.count() > 0 &&
-                      pool.stop_limit.count() > 0 &&
-                      pool.owner.final_state_retention.count() > 0 &&
-                      pool.owner.jobs_age_limit.count() > 0;
-    return sane ? "" : "a time or a size is not above 0";
+    auto const& pool = parsed->pool;
+    bool const in_bounds = pool.claim.ttl.count() > 0 && pool.claim.size > 0 &&
+                           pool.owner.workers.lease.count() > 0 &&
+                           pool.stop_limit.count() > 0 &&
+                           pool.owner.final_state_retention.count() > 0 &&
+                           pool.owner.jobs_age_limit.count() > 0;
+    return in_bounds ? "" : "a time or size is not above 0";
 }
 
 std::string check_base64(std::string const& input)
@@ -185,23 +190,25 @@
     using adapters::platform::to_base64;
     if (from_base64(to_base64(input)) != input)
     {
-        return "written and read again it differs";
+        return "the value differs after a round trip";
     }
     auto const bytes = from_base64(input);
-    return !bytes || bytes->size() <= input.size() ? "" : "more than there was";
+    return !bytes || bytes->size() <= input.size()
+               ? ""
+               : "the decoded text is longer than the input";
 }
 
 std::string check_upstreams(std::string const& input)
 {
     adapters::platform::parse_names(input);
-    auto const made = adapters::platform::parse_upstreams(input);
-    for (std::size_t index = 0; made && index < made->size(); ++index)
+    auto const parsed = adapters::platform::parse_upstreams(input);
+    for (std::size_t index = 0; parsed && index < parsed->size(); ++index)
     {
-        auto const& each = (*made)[index];
-        if (each.id.empty() || each.remote_endpoint.port == 0 ||
-            each.report_age.count() < 0)
+        auto const& upstream = (*parsed)[index];
+        if (upstream.id.empty() || upstream.remote_endpoint.port == 0 ||
+            upstream.report_age.count() < 0)
         {
-            return "an upstream that can't be called";
+            return "an upstream has no id, port or valid report age";
         }
     }
     return "";
@@ -210,12 +217,12 @@
 std::string check_workers(std::string const& input)
 {
     adapters::platform::parse_reports(input);
-    auto const made = adapters::platform::parse_workers(input);
-    for (std::size_t index = 0; made && index < made->size(); ++index)
+    auto const parsed = adapters::platform::parse_workers(input);
+    for (std::size_t index = 0; parsed && index < parsed->size(); ++index)
     {
-        if ((*made)[index].capacity.millicores < 0)
+        if ((*parsed)[index].capacity.millicores < 0)
         {
-            return "less than no cores";
+            return "the number of cores is negative";
         }
     }
     return "";
@@ -225,21 +232,22 @@
 {
     std::vector<std::uint8_t> const bytes(input.begin(), input.end());
     failure reason;
-    auto const made = adapters::peer::decode(bytes, reason);
-    if (!made)
+    auto const parsed = adapters::peer::decode(bytes, reason);
+    if (!parsed)
     {
-        return told(reason);
+        return check_refusal(reason);
     }
-    auto const written = adapters::peer::encode(*made);
-    auto const back = adapters::peer::decode(
+    auto const written = adapters::peer::encode(*parsed);
+    auto const reparsed = adapters::peer::decode(
         std::span(written).subspan(adapters::peer::length_size), reason);
-    bool const same = back && adapters::peer::encode(*back) == written;
-    return same ? "" : "written and read again it differs";
+    bool const unchanged =
+        reparsed && adapters::peer::encode(*reparsed) == written;
+    return unchanged ? "" : "the value differs after a round trip";
 }
 
 std::vector<std::string> frame_samples()
 {
-    std::vector<std::string> made;
+    std::vector<std::string> result;
     for (auto const& message : std::vector<ports::peer_message>{
              ports::promise_request{1, 2, 3},
              ports::consent_request{{"m", 7}, 6},
@@ -254,21 +262,23 @@
     {
         auto const bytes =
             adapters::peer::encode({{"a", 1}, {"b", 2}, "", message});
-        made.emplace_back(bytes.begin() + adapters::peer::length_size,
-                          bytes.end());
+        result.emplace_back(bytes.begin() + adapters::peer::length_size,
+                            bytes.end());
     }
-    return made;
+    return result;
 }
 
 std::string check_endpoint(std::string const& input)
 {
-    auto const made = adapters::http::parse_endpoint(input);
-    auto const back =
-        made ? adapters::http::parse_endpoint(adapters::http::to_string(*made))
-             : made;
-    bool const same = !made || (back && back->address == made->address &&
-                                back->port == made->port);
-    return same ? "" : "written and read again it differs";
+    auto const parsed = adapters::http::parse_endpoint(input);
+    auto const reparsed =
+        parsed
+            ? adapters::http::parse_endpoint(adapters::http::to_string(*parsed))
+            : parsed;
+    bool const unchanged =
+        !parsed || (reparsed && reparsed->address == parsed->address &&
+                    reparsed->port == parsed->port);
+    return unchanged ? "" : "the value differs after a round trip";
 }
 
 } // namespace
@@ -287,7 +297,7 @@
                          round_trip(core::config::parse_index));
 }
 
-TEST(record_parsers, jobs_of_planners)
+TEST(record_parsers, planner_jobs)
 {
     expect_robust_parser({task_job_sample()},
                          round_trip(core::tasks::parse_job));
@@ -310,7 +320,7 @@
                          round_trip(core::tasks::parse_quota));
 }
 
-TEST(record_parsers, claims_and_members)
+TEST(record_parsers, claim_and_membership_records)
 {
     core::claims::claim_record claim;
     claim.owner = {"m", 7};
@@ -327,7 +337,7 @@
                              }));
 }
 
-TEST(record_parsers, settings_of_the_pool)
+TEST(record_parsers, pool_settings_files)
 {
     expect_robust_parser({settings_sample()}, check_settings);
 }
@@ -337,9 +347,9 @@
     expect_robust_parser({"e30=", "", "QUJD", "QQ=="}, check_base64);
 }
 
-// A text whose last group is not whole was written beyond the buffer's end,
-// which a run with the address sanitizer shows.
-TEST(record_parsers, base64_of_a_wrong_length)
+// Decoding a text with an incomplete last group must not write beyond the end
+// of the buffer, which a run with the address sanitizer would show.
+TEST(record_parsers, base64_of_incomplete_length)
 {
     for (std::size_t length = 0; length < 100; ++length)
     {
@@ -352,7 +362,7 @@
     }
 }
 
-TEST(record_parsers, lists_of_the_catalog)
+TEST(record_parsers, catalog_lists)
 {
     expect_robust_parser(
         {R"([{"ServiceID":"u","Datacenter":"a","ServiceAddress":"10.0.0.1",)"
@@ -361,7 +371,7 @@
         check_upstreams);
 }
 
-TEST(record_parsers, lists_and_reports_of_workers)
+TEST(record_parsers, worker_lists_and_reports)
 {
     expect_robust_parser(
         {R"([{"id":"w","rack":"r","data_centre":"a","millicores":8000,)"
@@ -371,12 +381,12 @@
         check_workers);
 }
 
-TEST(record_parsers, frames_of_peers)
+TEST(record_parsers, peer_frames)
 {
     expect_robust_parser(frame_samples(), check_frame);
 }
 
-TEST(record_parsers, addresses)
+TEST(record_parsers, endpoints)
 {
     expect_robust_parser({"127.0.0.1:8080", "[::1]:80"}, check_endpoint);
 }
