--- a/tests/contract/inputs/pool_parsers_test.cpp
+++ b/tests/contract/inputs/pool_parsers_test.cpp
@@ -162,7 +162,8 @@
     }
     if (auto const problem = pool::validate_job(job))
     {
-        return "an accepted job fails its validation: " + to_string(*problem);
+        return "an accepted job fails the check of jobs: " +
+               to_string(*problem);
     }
     if (tasks > max_job_tasks)
     {
@@ -235,7 +236,7 @@
                  fault_unless(row.progress_percent <= 100,
                               "the progress is over 100 percent") +
                  fault_unless(in_range(row.measurement, 0, max_size),
-                              "a measurement is out of bounds");
+                              "the level of a measurement is out of bounds");
     }
     for (auto const& row : parsed.ended)
     {
@@ -401,7 +402,8 @@
     {
         return check_refusal(reason);
     }
-    return fault_unless(!parsed->instance.empty(), "the instance is missing") +
+    return fault_unless(!parsed->instance.empty(),
+                        "no instance holds the claim") +
            fault_unless(parsed->size > 0 && parsed->size <= 1e6,
                         "the size is out of bounds");
 }
