--- a/src/ports/actions.hpp
+++ b/src/ports/actions.hpp
@@ -10,12 +10,12 @@
 #include <variant>
 #include <vector>
 
-// What the core asks of its surroundings. Every decision appends to a list of
-// actions; the program hands each to its adapter, in order.
+// Actions that the core requests from its environment. Each decision appends to
+// a list of actions; the program passes each one to its adapter, in order.
 namespace fuchsia::ports
 {
 
-/// The answer to the caller request that came in under `caller`.
+/// The answer to the caller request received under the number `caller`.
 struct caller_reply
 {
     std::uint64_t caller = 0;
@@ -30,7 +30,7 @@
     error,
 };
 
-/// One structured log line: an event's name and its key=value fields.
+/// One structured log line: the name of the event and its key=value fields.
 struct log_event
 {
     severity level = severity::info;
@@ -38,19 +38,21 @@
     std::vector<header> fields;
 };
 
-/// All proofs are void: close every peer connection and drop what waits in
-/// its buffers before anything else is sent or read.
+/// All proofs of membership are invalid. The program closes every peer
+/// connection and drops its buffered messages before it sends or reads anything
+/// else.
 struct reset_peers
 {
 };
 
-/// This incarnation may not go on: drop what is left and join as a new one.
+/// This incarnation must stop acting: the program drops its remaining work and
+/// joins again as a new incarnation.
 struct rejoin
 {
     std::string reason;
 };
 
-/// A planned stop is complete: the process may exit with status 0.
+/// A planned stop is complete; the process may exit with status 0.
 struct stop_complete
 {
 };
--- a/src/ports/identity.hpp
+++ b/src/ports/identity.hpp
@@ -6,17 +6,17 @@
 namespace fuchsia::ports
 {
 
-/// One run of one process of the system. A process that restarts, or that was
-/// buried and comes back, is a new incarnation and nobody's witness.
+/// One run of one process of the system. A process that restarts, or rejoins
+/// after it was fenced, is a new incarnation and not a witness of any member.
 struct member_identity
 {
-    std::string name; ///< From the settings, such as "entry-kochi-a-1".
-    std::uint64_t incarnation = 0; ///< Drawn at random at each start.
+    std::string name; ///< Name from the settings, such as "entry-kochi-a-1".
+    std::uint64_t incarnation = 0; ///< Random number drawn at each start.
 
     auto operator<=>(member_identity const&) const = default;
 };
 
-/// IP number and TCP port.
+/// IP address and TCP port.
 struct endpoint
 {
     std::string address;
--- a/src/ports/instances.hpp
+++ b/src/ports/instances.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-// The platform's lagging list of instances.
+// The platform's list of instances, which lags behind their actual state.
 namespace fuchsia::ports
 {
 
@@ -17,7 +17,7 @@
     leaving,
 };
 
-/// One upstream as the platform lists it.
+/// One upstream, as listed by the platform.
 struct upstream_instance
 {
     std::string id;
@@ -26,18 +26,18 @@
     instance_state state = instance_state::live;
     std::uint32_t slots = 0;
     std::uint32_t connections = 0;
-    /// Requests it was running when it last reported its use.
+    /// Number of requests that the upstream was running at its last report.
     std::uint32_t slots_in_use = 0;
-    /// Age of that report when the platform answered.
+    /// Age of the upstream's last report when the platform answered.
     core::common::duration report_age{};
 };
 
-/// The whole list, as old as the platform makes it. An instance of our own
-/// that ended is absent from `members`.
+/// The complete list, as stale as the platform delivers it. `members` does not
+/// contain instances of this system that have ended.
 struct instance_list
 {
     std::vector<upstream_instance> upstreams;
-    std::vector<std::string> members; ///< Names of our own instances.
+    std::vector<std::string> members; ///< Names of this system's instances.
     core::common::time_point received;
 };
 
--- a/src/ports/kv.hpp
+++ b/src/ports/kv.hpp
@@ -7,8 +7,8 @@
 #include <variant>
 #include <vector>
 
-// A revisioned key-value store with transactions, leases and watches, as the
-// scheduler of a pool sees it. One revision counter covers all keys; a key
+// Interface of the pool scheduler to a revisioned key-value store with
+// transactions, leases and watches. One revision counter covers all keys; a key
 // that does not exist has revision 0.
 namespace fuchsia::ports
 {
@@ -17,29 +17,29 @@
 {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0;        ///< Of its last change.
-    std::uint64_t create_revision = 0; ///< Revision at which it came to be.
-    std::uint64_t lease = 0;           ///< 0: the key outlives every lease.
-    bool erased = false;               ///< In the answer to a watch.
+    std::uint64_t revision = 0;        ///< Revision of the key's last change.
+    std::uint64_t create_revision = 0; ///< Revision of its creation.
+    std::uint64_t lease = 0;           ///< 0: bound to no lease.
+    bool erased = false;               ///< Only set in watch replies.
 };
 
-/// One key; `missing` where it does not exist.
+/// Reads one key; the reply is `missing` if the key does not exist.
 struct kv_read
 {
     std::string key;
-    bool allow_stale = false; ///< A tenth of the price; may be seconds behind.
+    bool allow_stale = false; ///< A tenth of the price; may lag by seconds.
 };
 
-/// One page of the keys that begin with `prefix` and come behind `after`.
-/// Pages are no snapshot of one moment.
+/// Reads one page of the keys that begin with `prefix` and sort after `after`.
+/// The pages together are not a consistent snapshot.
 struct kv_range
 {
     std::string prefix;
     std::string after;
 };
 
-/// Answers as soon as a key below `prefix` is newer than `after`, or with
-/// nothing once `wait` is over.
+/// Long poll: replies as soon as a key below `prefix` has a revision newer than
+/// `after`, or without items once `wait` has elapsed.
 struct kv_watch
 {
     std::string prefix;
@@ -60,7 +60,8 @@
     std::uint64_t lease = 0;
 };
 
-/// All or nothing, where every key of `expected` has just that revision.
+/// Atomic transaction: applies all changes if every key of `preconditions` has
+/// exactly the given revision, and none otherwise.
 struct kv_commit
 {
     std::vector<kv_precondition> preconditions;
@@ -101,11 +102,11 @@
 enum class kv_status : std::uint8_t
 {
     done,
-    conflict,  ///< A commit's condition did not hold; nothing was changed.
-    missing,   ///< No such key or lease.
-    compacted, ///< A watch is to read anew: its history is gone, or too long.
-    refused,   ///< The store, or the way to it, did nothing.
-    unclear,   ///< No answer: it may have taken effect, or may yet.
+    conflict,  ///< A precondition of a commit failed; nothing was changed.
+    missing,   ///< The key or lease does not exist.
+    compacted, ///< The history of a watch is gone or too long; read again.
+    refused,   ///< Rejected, or never reached the store; no effect.
+    unclear,   ///< No answer: the call may have taken effect, or still may.
 };
 
 struct kv_reply
@@ -113,10 +114,10 @@
     std::uint64_t id = 0;
     kv_status status = kv_status::unclear;
     std::vector<kv_item> items;
-    bool more = false; ///< A range has another page.
-    /// The store's revision when it answered; of a commit, the new one.
+    bool more = false; ///< Whether a range has another page.
+    /// Revision of the store when it answered; for a commit, the new revision.
     std::uint64_t revision = 0;
-    std::uint64_t lease = 0; ///< Of a grant.
+    std::uint64_t lease = 0; ///< Lease that was granted.
 };
 
 } // namespace fuchsia::ports
--- a/src/ports/peer.hpp
+++ b/src/ports/peer.hpp
@@ -8,17 +8,18 @@
 #include <variant>
 #include <vector>
 
-// Messages between the system's own processes. adapters/peer turns them into
-// FlatBuffers frames (schema/peer.fbs); the core never sees a frame.
+// Messages between the processes of this system. adapters/peer encodes them as
+// FlatBuffers frames (schema/peer.fbs); the core never handles a frame.
 namespace fuchsia::ports
 {
 
-/// "Promise that for `bury` you give no consent to bury me." Doubles as the
-/// carrier of the configuration revision.
+/// Asks a witness to promise that, for the fencing delay, it gives no consent
+/// to fence the sender. Also carries the configuration revision.
 struct promise_request
 {
     std::uint64_t round = 0;
-    std::uint64_t record_version = 0; ///< Newest known version of its record.
+    /// Newest known version of the sender's record.
+    std::uint64_t record_version = 0;
     std::uint64_t config_revision = 0;
 };
 
@@ -29,7 +30,8 @@
     std::uint64_t config_revision = 0;
 };
 
-/// "May `subject`, whose record I read twice at this version, be buried?"
+/// Asks a witness for consent to fence `subject`, whose record the sender has
+/// read twice at the same version.
 struct consent_request
 {
     member_identity subject;
@@ -43,7 +45,7 @@
     bool granted = false;
 };
 
-/// The whole configuration, sent to a peer whose revision is older.
+/// The complete configuration, sent to a peer that has an older revision.
 struct config_offer
 {
     std::uint64_t revision = 0;
@@ -52,25 +54,26 @@
 
 struct config_request
 {
-    std::uint64_t revision = 0; ///< What the asker has.
+    std::uint64_t revision = 0; ///< Revision that the sender has.
 };
 
-/// Sent to every peer a few times a second.
+/// Load of the sender, sent to every peer a few times per second.
 struct load_report
 {
     std::uint32_t free_slots = 0;
     std::uint32_t queued = 0;
 };
 
-/// One request run by another entry: the owner of its key, or a spill to free
-/// slots. Never forwarded again.
+/// One request that another entry runs: the owner of its idempotency key, or an
+/// entry with free slots (a spill). The receiver never forwards it again.
 struct forwarded_request
 {
     std::uint64_t id = 0;
-    bool spill = false;     ///< No key: any free slot of the receiver will do.
-    caller_request request; ///< `deadline` is the time left when sent.
-    /// Where the sender vouches that the caller sent this after the receiver's
-    /// claim of the key's partition began: the claim's epoch. Else 0.
+    bool spill = false;     ///< No key: any free slot may run the request.
+    caller_request request; ///< `deadline` is the time left on sending.
+    /// Epoch of the receiver's claim of the key's partition, if the sender
+    /// confirms that the caller sent the request after that claim began;
+    /// otherwise 0.
     std::uint64_t epoch = 0;
 };
 
@@ -78,25 +81,27 @@
 {
     std::uint64_t id = 0;
     caller_answer answer;
-    /// The answerer's load, as in `load_report`: who forwards much to a peer
-    /// learns of its free slots as fast as they change.
+    /// Load of the answering entry, as in `load_report`. An entry that forwards
+    /// many requests to a peer thus sees changes of its free slots at once.
     std::uint32_t free_slots = 0;
     std::uint32_t queued = 0;
 };
 
-/// Asks the owner of hash(customer) for a slice of the contract.
+/// Asks the owner of hash(customer) for a slice of the customer's contract.
 struct slice_request
 {
     std::uint64_t round = 0;
     std::string customer;
-    /// Requests that may be in flight here until the answer comes: those in
-    /// flight now, or the slice still held where that is more.
+    /// Maximum number of requests that may be in flight at the sender until the
+    /// reply arrives: the number in flight now, or the slice still valid if
+    /// that is larger.
     std::uint32_t in_use = 0;
-    std::uint32_t wanted = 0;      ///< Requests in flight hoped for.
-    std::uint32_t wanted_rate = 0; ///< Requests a second hoped for.
+    std::uint32_t wanted = 0;      ///< Requested limit of requests in flight.
+    std::uint32_t wanted_rate = 0; ///< Requested rate limit, in requests/s.
 };
 
-/// Valid for `valid_us` from when the request was SENT, on its sender's clock.
+/// A slice that is valid for `valid_us` counted from the time at which the
+/// request was SENT, on the clock of the requesting entry.
 struct slice_grant
 {
     std::uint64_t round = 0;
@@ -104,19 +109,20 @@
     std::uint32_t in_flight = 0;
     std::uint32_t rate = 0;
     std::uint64_t valid_us = 0;
-    std::uint64_t config_revision = 0; ///< The contract it was cut from.
+    std::uint64_t config_revision = 0; ///< Revision of the contract.
 };
 
-/// One remembered key of a partition that changes its owner in a planned stop.
+/// One recorded idempotency key of a partition that changes its owner in a
+/// planned stop.
 struct remembered_key
 {
     std::string customer;
     std::string key;
-    bool finished = false; ///< False: it was running when handed over.
+    bool finished = false; ///< False: still running at the handover.
     caller_answer answer;
     std::uint64_t age_us = 0;
-    /// Hash of method, target and body: another request under the same key
-    /// must not get this answer. 0 where it is not known.
+    /// Hash of method, target and body, or 0 if unknown. A different request
+    /// with the same key must not get this answer.
     std::uint64_t fingerprint = 0;
 };
 
@@ -124,13 +130,15 @@
 {
     std::uint32_t partition = 0;
     std::uint64_t epoch = 0;
-    /// How far back the sender's memory reaches.
+    /// Period for which the sender has retained keys.
     std::uint64_t retention_us = 0;
     std::vector<remembered_key> keys;
     bool last = true;
-    /// Nothing of the sender runs on the partition's upstreams any more.
+    /// Whether the sender has no more requests running on the upstreams of the
+    /// partition.
     bool slots_idle = false;
-    /// Keys in all messages of this handover: it is whole when so many came.
+    /// Number of keys in all messages of this handover, which is complete once
+    /// the receiver has this many.
     std::uint32_t total_keys = 0;
 };
 
@@ -154,8 +162,8 @@
                                   key_handover,
                                   key_handover_ack>;
 
-/// A message to a peer. The frame names both incarnations: a receiver that is
-/// another incarnation drops it.
+/// A message to a peer. Its frame names the incarnations of both sides; a
+/// receiver that is another incarnation drops the message.
 struct peer_send
 {
     member_identity to;
--- a/src/ports/pool_actions.hpp
+++ b/src/ports/pool_actions.hpp
@@ -11,49 +11,51 @@
 #include <variant>
 #include <vector>
 
-// What the scheduler of a pool asks of its surroundings.
+// Actions that the scheduler of a pool requests from its environment, and its
+// answers to clients.
 namespace fuchsia::ports
 {
 
 enum class job_state : std::uint8_t
 {
-    queued, ///< No task has started.
+    queued, ///< No task has started yet.
     active,
     completed,
     failed,
     cancelled,
 };
 
-/// The job lies in the store: it will run, once.
+/// The job is stored durably and will run exactly once.
 struct job_accepted
 {
 };
 
-/// Nothing was done and nothing will be; worth another try after `retry`.
+/// The request had no effect and will have none; the client may retry after
+/// `retry`.
 struct job_refused
 {
     core::common::failure reason;
     core::common::duration retry{};
 };
 
-/// It may have been done: the same request again finds out.
+/// The request may have taken effect; repeating it gives the outcome.
 struct job_outcome_unknown
 {
     core::common::failure reason;
 };
 
-/// It can't be a job; the same again won't be one either.
+/// The job specification is invalid; a retry fails in the same way.
 struct job_invalid
 {
     core::common::failure reason;
 };
 
-/// No job of this name was ever accepted, as far back as states are kept.
+/// No job of this name was accepted within the retention period of job states.
 struct job_not_found
 {
 };
 
-/// No queue belongs to this host and path.
+/// No queue matches this host and path.
 struct queue_not_found
 {
 };
@@ -65,7 +67,7 @@
 
 struct queue_status
 {
-    std::uint64_t pending = 0; ///< Jobs of which no task has started.
+    std::uint64_t pending = 0; ///< Number of jobs of which no task has started.
 };
 
 using job_answer = std::variant<job_accepted,
@@ -83,7 +85,7 @@
     job_answer answer;
 };
 
-/// Whether the balancer should send new connections here.
+/// Whether the load balancer should send new connections to this instance.
 struct readiness
 {
     bool ready = false;
@@ -91,14 +93,14 @@
 
 enum class duration_metric : std::uint8_t
 {
-    accept,         ///< From a submission to its answer.
-    wait_to_start,  ///< From the acceptance of a job to its first start.
-    job,            ///< From the acceptance of a job to its recorded end.
-    end_to_durable, ///< From hearing of an end to having written it.
-    takeover,       ///< From the claim to knowing what runs.
+    accept,         ///< Time from a submission to its answer.
+    wait_to_start,  ///< Time from acceptance of a job to its first start.
+    job,            ///< Time from acceptance of a job to its recorded end.
+    end_to_durable, ///< Time from receipt of a task's end to its durable write.
+    takeover,       ///< Time from the claim until all running tasks are known.
 };
 
-/// One length of time for the histograms.
+/// One sample for the duration histograms.
 struct duration_sample
 {
     duration_metric metric = duration_metric::accept;
--- a/src/ports/pool_policy.hpp
+++ b/src/ports/pool_policy.hpp
@@ -7,15 +7,15 @@
 #include <string>
 #include <vector>
 
-// A policy service that knows which workers may run a step. It takes one call
-// at a time from each instance.
+// Interface to the policy service, which decides which workers may run a step.
+// It accepts one concurrent call from each instance.
 namespace fuchsia::ports
 {
 
 struct policy_request
 {
     std::uint64_t id = 0;
-    task_name step; ///< Its index means nothing.
+    task_name step; ///< Step to be placed; `index` is unused.
     std::vector<std::string> workers;
     core::common::duration timeout{};
 };
--- a/src/ports/pool_workers.hpp
+++ b/src/ports/pool_workers.hpp
@@ -9,13 +9,13 @@
 #include <variant>
 #include <vector>
 
-// The workers of a pool and the orders that run tasks there. A worker holds
-// everything it runs under one lease, and obeys no order with a lower fencing
-// token than the highest it has seen.
+// The workers of a pool and the orders that run tasks on them. All tasks of a
+// worker share one lease. A worker rejects an order with a lower fencing token
+// than the highest it has received.
 namespace fuchsia::ports
 {
 
-/// One task of a job; the same in every attempt.
+/// Name of one task of a job, the same for every attempt.
 struct task_name
 {
     std::string job;
@@ -34,7 +34,7 @@
     auto operator<=>(pool_attempt const&) const = default;
 };
 
-/// What a worker says of itself in the platform's list.
+/// A worker's own entry in the platform's list.
 struct pool_worker
 {
     std::string id;
@@ -45,19 +45,20 @@
     std::vector<std::string> labels;
     resources capacity;
     bool draining = false;
-    /// Unix millisecond of its start: names the incarnation of `id`.
+    /// Unix time of the worker's start in milliseconds; identifies the
+    /// incarnation of `id`.
     std::uint64_t incarnation = 0;
 };
 
-/// Asks what runs and what ended, and renews the lease of all that runs.
+/// Requests the running and ended attempts of a worker, and renews the lease of
+/// the running ones.
 struct poll_order
 {
     std::uint64_t fencing_token = 0;
     std::uint64_t acknowledged_end =
-        0; ///< Ends up to here are durable elsewhere.
-    std::uint64_t lease_until_ms =
-        0;                         ///< On the worker's clock; 0: renew nothing.
-    core::common::duration wait{}; ///< For an end, before it answers.
+        0; ///< Ends up to this sequence number are stored durably.
+    std::uint64_t lease_until_ms = 0; ///< On the worker's clock; 0: no renewal.
+    core::common::duration wait{};    ///< Maximum wait for an end (long poll).
 };
 
 struct start_order
@@ -67,7 +68,7 @@
     std::string spec;
     std::uint64_t lease_until_ms = 0;
     std::string checkpoint; ///< Where to resume; empty: from the start.
-    std::string ticket;     ///< Of a policy; empty where none applies.
+    std::string ticket;     ///< Ticket of the policy; empty if none applies.
 };
 
 struct stop_order
@@ -76,7 +77,7 @@
     pool_attempt attempt_id;
 };
 
-/// Lets a task work at this share of its speed.
+/// Limits the speed of a task to this share of its full speed.
 struct speed_limit_order
 {
     std::uint64_t fencing_token = 0;
@@ -92,7 +93,7 @@
     std::uint64_t id = 0;
     std::string worker;
     endpoint remote_endpoint;
-    std::uint64_t incarnation = 0; ///< For this incarnation only; 0: for any.
+    std::uint64_t incarnation = 0; ///< Incarnation addressed; 0: any.
     pool_operation operation;
     core::common::duration timeout{};
 };
@@ -100,28 +101,28 @@
 enum class order_status : std::uint8_t
 {
     done,
-    stale_fencing_token, ///< It has seen a higher token.
-    superseded,    ///< A later attempt, or the end of this one, is known there.
-    lease_expired, ///< The lease would have been over on arrival.
-    no_capacity,   ///< It does not fit now.
-    no_ticket,     ///< The policy's permission is missing or too old.
-    invalid,       ///< The worker can't read the order.
-    unhealthy,     ///< It does nothing for now.
-    wrong_incarnation, ///< Another incarnation lives at the address.
-    not_sent,          ///< No connection; no byte went out.
-    not_attempted,     ///< Nor was one tried: this instance was too busy.
-    unclear,           ///< No answer: carried out, or still to be.
+    stale_fencing_token, ///< The worker has received a higher fencing token.
+    superseded,    ///< The worker knows a later attempt or the end of this one.
+    lease_expired, ///< The lease had already expired on arrival.
+    no_capacity,   ///< The task does not fit at present.
+    no_ticket,     ///< The policy ticket is missing or too old.
+    invalid,       ///< The worker can't parse the order.
+    unhealthy,     ///< The worker accepts no orders at present.
+    wrong_incarnation, ///< Another incarnation runs at the address.
+    not_sent,          ///< No connection was made; no byte was sent.
+    not_attempted,     ///< No connection was tried: this instance was too busy.
+    unclear,           ///< No answer: it may have taken effect, or still may.
 };
 
-/// One run at work. `level` is a rough reading over the last half second: of
-/// a serving task the tail of its latency in milliseconds, of any other the
-/// millicores in use.
+/// One running attempt. `measurement` is a rough measurement over the last half
+/// second: the tail latency in milliseconds for a serving task, the millicores
+/// in use for any other task.
 struct running_attempt
 {
     pool_attempt attempt_id;
     std::string checkpoint;
     std::uint32_t progress_percent =
-        0; ///< Of a serving task: 100 once it serves.
+        0; ///< For a serving task: 100 once it serves.
     std::int64_t measurement = 0;
 };
 
@@ -130,14 +131,14 @@
     done,
     failed,
     stopped,
-    lease_expired,     ///< Its lease ran out.
-    gang_member_ended, ///< Another member of its gang ended.
-    gang_timeout,      ///< It waited in vain for the rest of its gang.
+    lease_expired,     ///< The lease of the attempt expired.
+    gang_member_ended, ///< Another member of the gang ended.
+    gang_timeout,      ///< The rest of the gang did not start in time.
 };
 
 struct ended_attempt
 {
-    std::uint64_t sequence = 0; ///< Rises from 1 within an incarnation.
+    std::uint64_t sequence = 0; ///< Increases from 1 within an incarnation.
     pool_attempt attempt_id;
     end_kind kind = end_kind::failed;
     std::string checkpoint;
@@ -147,8 +148,9 @@
 {
     std::uint64_t id = 0;
     order_status status = order_status::unclear;
-    std::uint64_t clock_ms = 0;    ///< The worker's clock; 0: not said.
-    std::uint64_t incarnation = 0; ///< Of who answered; 0: not said.
+    std::uint64_t clock_ms = 0; ///< The worker's clock; 0: not reported.
+    /// Incarnation of the worker that answered; 0: not reported.
+    std::uint64_t incarnation = 0;
     std::vector<running_attempt> running;
     std::vector<ended_attempt> ended;
 };
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-// Callers' requests, upstream exchanges and their answers.
+// Requests of callers, exchanges with upstreams, and their answers.
 namespace fuchsia::ports
 {
 
@@ -31,22 +31,24 @@
     bool operator==(header const&) const = default;
 };
 
-/// A caller's request, headers already checked by the HTTP adapter.
+/// A caller's request, whose headers the HTTP adapter has already validated.
 struct caller_request
 {
     std::string customer;
     request_class kind = request_class::latency_critical;
     std::string method;          ///< GET, POST, PUT or DELETE.
     std::string target;          ///< Path and query.
-    std::vector<header> headers; ///< Those that are passed on.
+    std::vector<header> headers; ///< Headers passed on to the upstream.
     std::string body;
-    std::string idempotency_key; ///< Empty where the caller sent none.
-    std::uint32_t attempt = 0;   ///< 1 tells a first sending; 0: not said.
-    /// Time left when the request came in, the caller's Fuchsia-Deadline-Ms.
+    std::string idempotency_key; ///< Empty if the caller sent none.
+    std::uint32_t attempt = 0;   ///< 1: first sending; 0: not stated.
+    /// Time left when the request was received, from the caller's
+    /// Fuchsia-Deadline-Ms header.
     core::common::duration deadline{};
 };
 
-/// What the caller gets: an upstream's whole answer, or our own refusal.
+/// The answer to a caller: the complete answer of an upstream, or a refusal by
+/// this system.
 struct caller_answer
 {
     std::uint16_t status = 0;
@@ -54,34 +56,34 @@
     std::string body;
     core::common::result_code code = core::common::result_code::ok;
     core::common::outcome outcome = core::common::outcome::ran;
-    /// When to come back; only on refusals.
+    /// Time after which the caller may retry; only set on refusals.
     core::common::duration retry_after{};
 };
 
-/// One request sent to one upstream. `exchange` comes back with its end.
+/// One request to one upstream. `exchange` is returned in `upstream_end`.
 struct upstream_send
 {
     std::uint64_t exchange = 0;
     std::string upstream;
     endpoint remote_endpoint;
     caller_request request;
-    /// How long the adapter waits before it says `timed_out`; it then keeps
-    /// the connection and drains the late answer.
+    /// Time after which the adapter reports `timed_out`. It then keeps the
+    /// connection open and drains the late answer.
     core::common::duration timeout{};
 };
 
 enum class exchange_status : std::uint8_t
 {
-    answered,  ///< The whole answer came.
-    not_sent,  ///< No connection; no byte went out.
-    timed_out, ///< Given up; the upstream may still be running it.
-    drained,   ///< After `timed_out`: the late answer came in whole.
-    lost,      ///< The connection ended before the answer was whole.
-    too_large, ///< The answer exceeded its bound; the connection was closed.
+    answered,  ///< The complete answer was received.
+    not_sent,  ///< No connection was made; no byte was sent.
+    timed_out, ///< The time-out passed; the request may still be running.
+    drained,   ///< After `timed_out`: the late answer is complete.
+    lost,      ///< The connection ended before the answer was complete.
+    too_large, ///< The answer exceeded its size limit; connection closed.
 };
 
-/// The end of an exchange; after `timed_out` a second one follows: `drained`
-/// or `lost`.
+/// The end of an exchange. After `timed_out` a second end follows, either
+/// `drained` or `lost`.
 struct upstream_end
 {
     std::uint64_t exchange = 0;
--- a/src/ports/store.hpp
+++ b/src/ports/store.hpp
@@ -7,12 +7,12 @@
 #include <variant>
 #include <vector>
 
-// The platform's key-value service as the core sees it. Versions are the
-// store's modification indexes: a key that does not exist has version 0.
+// Interface of the core to the platform's key-value service. A version is the
+// store's modification index; a key that does not exist has version 0.
 namespace fuchsia::ports
 {
 
-/// Which part of the core asked; answers are handed back to that part.
+/// Part of the core that made a call; the reply is returned to that part.
 enum class store_requester : std::uint8_t
 {
     membership,
@@ -23,7 +23,7 @@
     administration,
 };
 
-/// Names one call; unique within one process.
+/// Identifies one call; unique within a process.
 struct call_id
 {
     store_requester requester = store_requester::membership;
@@ -37,13 +37,14 @@
     std::string key;
 };
 
-/// All keys that begin with `prefix`.
+/// Lists all keys that begin with `prefix`.
 struct store_list
 {
     std::string prefix;
 };
 
-/// Writes only where the key's version is `expected` (0: it must not exist).
+/// Compare-and-swap: writes only if the key's version is `expected_version` (0:
+/// the key must not exist).
 struct store_write
 {
     std::string key;
@@ -51,15 +52,16 @@
     std::uint64_t expected_version = 0;
 };
 
-/// Deletes only where the key's version is `expected`.
+/// Deletes the key only if its version is `expected_version`.
 struct store_erase
 {
     std::string key;
     std::uint64_t expected_version = 0;
 };
 
-/// Waits until a key below `prefix` is newer than `index`, or `wait` is over;
-/// answers like a list. Counts as one call of the store.
+/// Long poll: waits until a key below `prefix` is newer than `index` or `wait`
+/// has elapsed. The reply has the form of a list. Counts as one call to the
+/// store.
 struct store_watch
 {
     std::string prefix;
@@ -78,10 +80,10 @@
 
 enum class store_status : std::uint8_t
 {
-    done,        ///< The store said so.
-    conflict,    ///< The version was another; nothing was changed.
-    unavailable, ///< The call was never sent; it had no effect.
-    unclear,     ///< No answer came: it may have taken effect, or may yet.
+    done,        ///< The store confirmed the call.
+    conflict,    ///< The version differed; nothing was changed.
+    unavailable, ///< The call was never sent and had no effect.
+    unclear,     ///< No answer: the call may have taken effect, or still may.
 };
 
 struct store_entry
@@ -91,9 +93,9 @@
     std::uint64_t version = 0;
 };
 
-/// The answer to `store_call`. A read of an absent key is `done` with no
-/// entry. After a write that is `done`, `index` is the key's new version.
-/// Adapters answer each call exactly once, within their time-out.
+/// The reply to `store_call`. A read of a key that does not exist is `done`
+/// without entries. After a successful write, `index` is the new version of the
+/// key. An adapter replies to each call exactly once, within its time-out.
 struct store_reply
 {
     call_id id;
--- a/src/ports/workers.hpp
+++ b/src/ports/workers.hpp
@@ -9,11 +9,13 @@
 #include <variant>
 #include <vector>
 
-// The platform's workers: what they hold, and the calls that run tasks there.
+// The platform's workers: their capacity, the calls that run tasks on them, and
+// their reports.
 namespace fuchsia::ports
 {
 
-/// Cores in thousandths, so that sums are exact.
+/// Amounts of resources. Cores are counted in thousandths so that sums are
+/// exact.
 struct resources
 {
     std::int64_t millicores = 0;
@@ -23,11 +25,11 @@
     bool operator==(resources const&) const = default;
     resources& operator+=(resources const& other) noexcept;
     resources& operator-=(resources const& other) noexcept;
-    /// True where no part of `wanted` exceeds the same part of this.
+    /// Whether no amount in `wanted` exceeds the same amount in this.
     bool covers(resources const& wanted) const noexcept;
 };
 
-/// One worker as the platform lists it.
+/// One worker, as listed by the platform.
 struct worker_instance
 {
     std::string id;
@@ -43,7 +45,7 @@
     core::common::time_point received;
 };
 
-/// One try to run a task; attempts of a task are numbered from 1.
+/// One attempt to run a task. The attempts of a task are numbered from 1.
 struct task_attempt
 {
     std::string task;
@@ -53,47 +55,50 @@
 };
 
 /// Starts an attempt under a lease. Idempotent on (task, attempt): a repeated
-/// start of an attempt that is there, or that ended, changes nothing.
+/// start of an attempt that is running or has ended changes nothing.
 ///
-/// Both times are read on the WORKER's clock, which its reports carry. A lease
-/// counted from the moment of receipt would be too long whenever the call is
-/// late: it waits in a buffer, the sender believes the lease over and starts
-/// the next attempt elsewhere, and the task runs in two places. A call that
-/// comes in after `start_before_ms` is refused for the same reason.
+/// Both times are on the WORKER's clock, which its reports carry. A lease that
+/// counts from receipt would be too long for a delayed call: while the call
+/// waits in a buffer, the sender considers the lease expired and starts the
+/// next attempt on another worker, and the task runs in two places. For the
+/// same reason a worker refuses a call that it receives after
+/// `start_before_ms`.
 struct worker_start
 {
     task_attempt attempt_id;
     resources declared;
-    std::string task_class; ///< Name of its interference class.
-    bool service = false; ///< Runs until stopped; else until its work is done.
-    std::uint64_t work_ms = 0; ///< Work a batch task has, at full speed.
+    std::string task_class; ///< Name of the task's interference class.
+    bool service = false;   ///< Runs until stopped; otherwise until complete.
+    std::uint64_t work_ms = 0; ///< Work of a batch task, at full speed.
     std::string checkpoint;    ///< Where to resume; empty: from the start.
     std::uint64_t start_before_ms = 0;
     std::uint64_t lease_until_ms = 0;
 };
 
-/// Renews the leases of attempts on one worker; those it does not know come
-/// back as `gone`.
+/// Renews the leases of attempts on one worker. The reply lists those that the
+/// worker does not know in `unknown_attempts`.
 struct worker_renew
 {
     std::vector<task_attempt> attempts;
     std::uint64_t lease_until_ms = 0; ///< On the worker's clock.
 };
 
-/// Sets the share of its declared cores an attempt may use, 1 to 1000.
+/// Sets the share of its declared cores that an attempt may use, 1 to 1000
+/// permille.
 struct worker_throttle
 {
     task_attempt attempt_id;
     std::uint32_t permille = 1000;
 };
 
-/// Asks for a checkpoint; the reply names it.
+/// Requests a checkpoint of an attempt; the reply names it.
 struct worker_checkpoint
 {
     task_attempt attempt_id;
 };
 
-/// Ends an attempt; done when the worker says that it does not run.
+/// Stops an attempt. `done` means that the worker confirmed that the attempt
+/// does not run.
 struct worker_stop
 {
     task_attempt attempt_id;
@@ -115,18 +120,18 @@
 enum class worker_status : std::uint8_t
 {
     done,
-    refused,     ///< It does not run there and this call changed nothing.
-    unreachable, ///< Never sent.
-    unclear,     ///< No answer: it may have taken effect.
+    refused,     ///< The attempt does not run there; the call changed nothing.
+    unreachable, ///< The call was never sent.
+    unclear,     ///< No answer: the call may have taken effect.
 };
 
 struct worker_reply
 {
     std::uint64_t id = 0;
     worker_status status = worker_status::unclear;
-    std::string checkpoint;                     ///< Of `worker_checkpoint`.
-    std::vector<task_attempt> unknown_attempts; ///< Of `worker_renew`.
-    std::string reason;                         ///< Of a refusal.
+    std::string checkpoint;                     ///< For `worker_checkpoint`.
+    std::vector<task_attempt> unknown_attempts; ///< For `worker_renew`.
+    std::string reason;                         ///< Reason of a refusal.
 };
 
 enum class attempt_state : std::uint8_t
@@ -138,17 +143,17 @@
     lease_expired,
 };
 
-/// What a worker said of one attempt, some seconds ago.
+/// A worker's report about one attempt, some seconds old.
 struct attempt_report
 {
     task_attempt attempt_id;
     attempt_state state = attempt_state::running;
     resources used;
-    /// Services: the 99th percentile of its latency, in microseconds.
+    /// For a service: 99th percentile of its latency, in microseconds.
     std::uint64_t latency_p99_us = 0;
-    /// Batch: work done so far, in milliseconds at full speed.
+    /// For a batch task: work done so far, in milliseconds at full speed.
     std::uint64_t work_done_ms = 0;
-    std::string reason; ///< Of a failure.
+    std::string reason; ///< Reason of a failure.
 };
 
 /// All attempts that run on one worker, and those that ended there within the
@@ -156,8 +161,8 @@
 struct worker_report
 {
     std::string worker;
-    std::uint64_t sequence = 0; ///< Rises with every report of the worker.
-    /// The worker's own monotonic clock when it made the report.
+    std::uint64_t sequence = 0; ///< Increases with each report of the worker.
+    /// The worker's monotonic clock when it made the report.
     std::uint64_t clock_ms = 0;
     std::vector<attempt_report> attempts;
 };
