--- a/tests/contract/platform/codec_test.cpp
+++ b/tests/contract/platform/codec_test.cpp
@@ -14,10 +14,10 @@
 
 ports::kv_item item(std::string key, std::string value)
 {
-    ports::kv_item made;
-    made.key = std::move(key);
-    made.value = std::move(value);
-    return made;
+    ports::kv_item result;
+    result.key = std::move(key);
+    result.value = std::move(value);
+    return result;
 }
 
 constexpr char const* good_worker =
@@ -28,12 +28,13 @@
 
 } // namespace
 
-TEST(platform_codec, reads_a_worker)
+// Guards the decoding of a worker's entry, with optional amounts absent.
+TEST(platform_codec, decodes_a_worker)
 {
     failure reason;
-    auto const words = platform::make_platform_records();
+    auto const records = platform::make_platform_records();
     auto const worker =
-        words.read_worker(item("servers/i-1", good_worker), reason);
+        records.read_worker(item("servers/i-1", good_worker), reason);
     ASSERT_TRUE(worker) << to_string(reason);
     EXPECT_EQ(worker->id, "i-1");
     EXPECT_EQ(worker->remote_endpoint.port, 8080);
@@ -44,11 +45,12 @@
     EXPECT_FALSE(worker->draining);
 }
 
-// Another writer left an entry that is no worker. Taken for one, tasks would be
-// sent nowhere; taken for the end of the list, the good ones would be lost.
-TEST(platform_codec, refuses_entries_that_name_no_worker)
+// Another writer may leave an entry that is not a worker. If it were accepted,
+// tasks would be sent to no valid address; if it ended the list, the valid
+// workers would be lost.
+TEST(platform_codec, rejects_entries_that_are_not_workers)
 {
-    auto const words = platform::make_platform_records();
+    auto const records = platform::make_platform_records();
     for (auto const* bad :
          {"",
           "not json",
@@ -59,17 +61,19 @@
           R"({"service":"s","address":"10.0.0.9:1","zone":"a","state":"odd"})"})
     {
         failure reason;
-        EXPECT_FALSE(words.read_worker(item("servers/i-1", bad), reason))
+        EXPECT_FALSE(records.read_worker(item("servers/i-1", bad), reason))
             << bad;
         EXPECT_NE(reason.code, result_code::ok) << bad;
     }
 }
 
-TEST(platform_codec, reads_the_configuration)
+// Guards the decoding of the configuration: a queue is found by host and path
+// prefix only.
+TEST(platform_codec, decodes_the_configuration)
 {
     failure reason;
-    auto const words = platform::make_platform_records();
-    auto const change = words.read_operator(
+    auto const records = platform::make_platform_records();
+    auto const change = records.read_operator(
         item("op/config",
              R"({"version":7,"routes":[{"name":"r","host":"h.example",)"
              R"("prefix":"/p/","targetDurationMs":250,"priority":2,)"
@@ -86,21 +90,25 @@
     EXPECT_EQ(config.find("other.example", "/p/123"), nullptr);
 }
 
-TEST(platform_codec, reads_a_data_centre_taken_out_and_back)
+// An evacuation key takes a data centre out of service; its erasure puts the
+// data centre back into service.
+TEST(platform_codec, decodes_evacuation_and_return_of_a_data_centre)
 {
     failure reason;
-    auto const words = platform::make_platform_records();
-    auto gone = item("op/evacuate/a", "e30=");
-    auto const out = words.read_operator(gone, reason);
+    auto const records = platform::make_platform_records();
+    auto evacuation = item("op/evacuate/a", "e30=");
+    auto const out = records.read_operator(evacuation, reason);
     ASSERT_TRUE(out);
     EXPECT_TRUE(std::get<core::pool::data_centre_change>(*out).out);
-    gone.erased = true;
-    auto const back = words.read_operator(gone, reason);
+    evacuation.erased = true;
+    auto const back = records.read_operator(evacuation, reason);
     ASSERT_TRUE(back);
     EXPECT_FALSE(std::get<core::pool::data_centre_change>(*back).out);
 }
 
-TEST(platform_codec, reads_a_submission)
+// Guards the decoding of a job: steps, dependencies, serving tasks and
+// defaults.
+TEST(platform_codec, decodes_a_submission)
 {
     failure reason;
     auto const job = platform::decode_job(
@@ -117,7 +125,8 @@
     EXPECT_EQ(job->occurrences, 1U);
 }
 
-TEST(platform_codec, task_names_survive_the_way_there_and_back)
+// Task names must survive encoding and decoding; a malformed name is rejected.
+TEST(platform_codec, task_names_round_trip_and_malformed_ones_are_rejected)
 {
     ports::task_name const name{"5c0e7a21d94b36f8", 2, 1, 17};
     EXPECT_EQ(platform::encode(name), "5c0e7a21d94b36f8.2.1.17");
@@ -128,16 +137,18 @@
     }
 }
 
-TEST(platform_codec, reads_the_answers_of_a_worker)
+// Guards the order status for each HTTP status and refusal of a worker, and the
+// decoding of its running and ended attempts.
+TEST(platform_codec, decodes_the_answers_of_a_worker)
 {
     using ports::order_status;
     struct answer_case
     {
         std::uint16_t status;
         char const* body;
-        order_status wanted;
+        order_status expected;
     };
-    for (auto const& each : {
+    for (auto const& c : {
              answer_case{200, R"({"clockMs":5})", order_status::done},
              answer_case{409,
                          R"({"reason":"fence"})",
@@ -157,28 +168,30 @@
     {
         failure reason;
         EXPECT_EQ(platform::decode_order_reply(
-                      ports::stop_order{}, each.status, each.body, reason)
+                      ports::stop_order{}, c.status, c.body, reason)
                       .status,
-                  each.wanted)
-            << each.status << each.body;
+                  c.expected)
+            << c.status << c.body;
     }
     failure reason;
-    auto const held = platform::decode_order_reply(
+    auto const poll_reply = platform::decode_order_reply(
         ports::poll_order{},
         200,
         R"({"clockMs":482113,"born":9,"running":[["a.0.1.17",2,"c",41,77]],)"
         R"("ended":[[58,"a.0.1.9",1,"done",""],[59,"?",1,"done",""]]})",
         reason);
-    ASSERT_EQ(held.running.size(), 1U);
-    EXPECT_EQ(held.running.front().measurement, 77);
-    EXPECT_EQ(held.running.front().progress_percent, 41U);
-    ASSERT_EQ(held.ended.size(), 1U);
-    EXPECT_EQ(held.ended.front().kind, ports::end_kind::done);
-    // The row that can't be read is told, not swallowed.
+    ASSERT_EQ(poll_reply.running.size(), 1U);
+    EXPECT_EQ(poll_reply.running.front().measurement, 77);
+    EXPECT_EQ(poll_reply.running.front().progress_percent, 41U);
+    ASSERT_EQ(poll_reply.ended.size(), 1U);
+    EXPECT_EQ(poll_reply.ended.front().kind, ports::end_kind::done);
+    // The invalid row is reported, not silently skipped.
     EXPECT_EQ(reason.code, result_code::wrong_type);
 }
 
-TEST(platform_codec, answers_say_what_a_client_may_conclude)
+// Guards the HTTP status by which a client tells an accepted job from a refused
+// one and from one with an unknown outcome.
+TEST(platform_codec, answers_have_the_http_status_of_their_outcome)
 {
     EXPECT_EQ(platform::encode(ports::job_accepted{}).status, 200);
     auto const refused = platform::encode(
--- a/tests/contract/platform/settings_test.cpp
+++ b/tests/contract/platform/settings_test.cpp
@@ -39,10 +39,10 @@
         {"{{limits.linkMbps}}", "10"}};
     for (auto const& [name, value] : values)
     {
-        for (auto at = filled.find(name); at != std::string::npos;
-             at = filled.find(name))
+        for (auto position = filled.find(name); position != std::string::npos;
+             position = filled.find(name))
         {
-            filled.replace(at, name.size(), value);
+            filled.replace(position, name.size(), value);
         }
     }
     return filled;
@@ -50,7 +50,9 @@
 
 } // namespace
 
-TEST(pool_settings, the_template_gives_settings_that_keep_to_the_bounds)
+// Guards the settings derived from the bounds that the platform fills into the
+// template.
+TEST(pool_settings, the_template_gives_settings_within_the_platform_bounds)
 {
     core::common::failure reason;
     auto const file = adapters::settings::parse_pool_settings(
@@ -67,11 +69,13 @@
     EXPECT_EQ(file->pool.request_handler.configuration_age_limit, 1950ms);
     EXPECT_EQ(file->pool.owner.jobs_age_limit, 2600ms);
     EXPECT_LE(file->pool.stop_limit, 4500ms);
-    // The scarcer of 0.069 of 0.5 cores and 10 of 200 Mbit/s.
+    // The smaller share of 0.069 of 0.5 cores and 10 of 200 Mbit/s.
     EXPECT_NEAR(file->pool.claim.size, 0.05, 1e-9);
 }
 
-TEST(pool_settings, room_for_short_work_can_be_set)
+// Guards the settings of the short-job reserve; a window out of range is
+// rejected by name.
+TEST(pool_settings, the_short_job_reserve_can_be_configured)
 {
     core::common::failure reason;
     auto const text = filled_template() +
@@ -89,8 +93,8 @@
     EXPECT_NE(to_string(reason).find("window_ms"), std::string::npos);
 }
 
-// A wrong key would leave a default in force that nobody asked for.
-TEST(pool_settings, a_wrong_key_is_named_with_its_line)
+// If a misspelt key were ignored, the default would stay in force unnoticed.
+TEST(pool_settings, an_unknown_key_is_rejected_with_its_name_and_line)
 {
     core::common::failure reason;
     auto const text = filled_template() + "\n[sharing]\nkep = 1.0\n";
--- a/tests/contract/platform/store_test.cpp
+++ b/tests/contract/platform/store_test.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
-constexpr std::size_t too_much = 5 * 1024 * 1024;
+// Much longer than any test needs; only a hang reaches this limit.
+constexpr auto test_timeout = 20s;
+constexpr std::size_t oversized_bytes = 5 * 1024 * 1024;
 
-// What the store is said to have answered to `operation` where its answer has
-// this body.
+// Returns the status that the client reports for `operation` if the store
+// answers with this body.
 ports::kv_status status_of(ports::kv_operation operation, std::string body)
 {
     boost::asio::io_context io;
-    adapters::http::server served(
+    adapters::http::server store_server(
         io,
         {},
         [&body](adapters::http::request const&, auto respond)
@@ -29,32 +29,33 @@
             respond(adapters::http::json_response(200, body));
         });
     core::common::failure reason;
-    auto const where = served.listen({"127.0.0.1", 0}, reason);
-    EXPECT_TRUE(where) << to_string(reason);
-    std::optional<ports::kv_status> told;
-    platform::kv_client asked(io,
-                              where.value_or(ports::endpoint{}),
-                              [&told](ports::kv_reply const& reply)
-                              {
-                                  told = reply.status;
-                              });
-    asked.send({1, std::move(operation), 10s});
-    auto const end = std::chrono::steady_clock::now() + patience;
-    while (!told && std::chrono::steady_clock::now() < end)
+    auto const store_endpoint = store_server.listen({"127.0.0.1", 0}, reason);
+    EXPECT_TRUE(store_endpoint) << to_string(reason);
+    std::optional<ports::kv_status> status;
+    platform::kv_client client(io,
+                               store_endpoint.value_or(ports::endpoint{}),
+                               [&status](ports::kv_reply const& reply)
+                               {
+                                   status = reply.status;
+                               });
+    client.send({1, std::move(operation), 10s});
+    auto const end = std::chrono::steady_clock::now() + test_timeout;
+    while (!status && std::chrono::steady_clock::now() < end)
     {
         io.run_one_for(50ms);
     }
-    return told.value_or(ports::kv_status::unclear);
+    return status.value_or(ports::kv_status::unclear);
 }
 
 } // namespace
 
-// A watch with too large an answer was sent again from the same place for ever.
-TEST(platform_store, more_events_than_fit_are_history_that_is_gone)
+// Guards against an endless loop: a watch whose answer exceeds the size limit
+// was repeated from the same revision forever.
+TEST(platform_store, a_watch_answer_over_the_size_limit_is_compacted)
 {
     auto const events = R"({"atRevision":9,"events":[{"key":"pool/job/a",)"
                         R"("revision":9,"value":")" +
-                        std::string(too_much, 'A') + R"("}]})";
+                        std::string(oversized_bytes, 'A') + R"("}]})";
     EXPECT_EQ(status_of(ports::kv_watch{"pool/", 1, 1s}, events),
               ports::kv_status::compacted);
 }
