--- a/src/core/requests/entry_lifecycle.cpp
+++ b/src/core/requests/entry_lifecycle.cpp
@@ -13,24 +13,24 @@
 
 namespace front = boost::msm::front;
 
-// Events and states are types here, as Boost.MSM wants them.
+// Boost.MSM represents events and states as types.
 struct on_joined
 {
 };
-struct on_stop
+struct on_stop_requested
 {
 };
-struct on_balancer
+struct on_balancer_lag_elapsed
 {
 };
-struct on_finished
+struct on_drained
 {
 };
 struct on_removed
 {
 };
 
-struct definition : front::state_machine_def<definition>
+struct lifecycle_definition : front::state_machine_def<lifecycle_definition>
 {
     struct joining : front::state<>
     {
@@ -38,10 +38,10 @@
     struct serving : front::state<>
     {
     };
-    struct announced : front::state<>
+    struct stop_announced : front::state<>
     {
     };
-    struct finishing : front::state<>
+    struct draining : front::state<>
     {
     };
     struct leaving : front::state<>
@@ -52,17 +52,19 @@
     };
     using initial_state = joining;
 
-    template<class From, class Event, class To>
-    using row = front::Row<From, Event, To, front::none, front::none>;
+    template<class Source, class Event, class Target>
+    using row = front::Row<Source, Event, Target, front::none, front::none>;
 
-    // One that never joined has told no balancer that it is ready.
+    // An entry that never joined was never ready, so no balancer sends to it:
+    // a stop skips `stop_announced`.
     struct transition_table
-        : boost::mpl::vector<row<joining, on_joined, serving>,
-                             row<joining, on_stop, finishing>,
-                             row<serving, on_stop, announced>,
-                             row<announced, on_balancer, finishing>,
-                             row<finishing, on_finished, leaving>,
-                             row<leaving, on_removed, stopped>>
+        : boost::mpl::vector<
+              row<joining, on_joined, serving>,
+              row<joining, on_stop_requested, draining>,
+              row<serving, on_stop_requested, stop_announced>,
+              row<stop_announced, on_balancer_lag_elapsed, draining>,
+              row<draining, on_drained, leaving>,
+              row<leaving, on_removed, stopped>>
     {
     };
 
@@ -76,7 +78,7 @@
 
 struct entry_lifecycle::machine
 {
-    boost::msm::back::state_machine<definition> states;
+    boost::msm::back::state_machine<lifecycle_definition> states;
 };
 
 std::string_view name_of(entry_phase value) noexcept
@@ -111,13 +113,13 @@
         machine_->states.process_event(on_joined{});
         break;
     case entry_event::stop_requested:
-        machine_->states.process_event(on_stop{});
+        machine_->states.process_event(on_stop_requested{});
         break;
     case entry_event::balancer_lag_elapsed:
-        machine_->states.process_event(on_balancer{});
+        machine_->states.process_event(on_balancer_lag_elapsed{});
         break;
     case entry_event::drained:
-        machine_->states.process_event(on_finished{});
+        machine_->states.process_event(on_drained{});
         break;
     case entry_event::removed:
         machine_->states.process_event(on_removed{});
--- a/src/core/requests/entry_lifecycle.hpp
+++ b/src/core/requests/entry_lifecycle.hpp
@@ -9,11 +9,13 @@
 
 enum class entry_phase : std::uint8_t
 {
-    joining,        ///< No proof yet: refuses everything.
-    serving,        ///< Ready.
-    stop_announced, ///< Not ready any more, but the balancer may not know yet.
-    draining,       ///< Takes nothing new; ends what runs, hands over claims.
-    leaving,        ///< Nothing left; its member record is being removed.
+    joining, ///< Has no proof of membership yet and refuses all requests.
+    serving, ///< Accepts requests.
+    stop_announced, ///< No longer ready, but the balancer may still send
+                    ///< requests.
+    draining,       ///< Refuses new requests, completes the others, hands over
+                    ///< claims.
+    leaving,        ///< All work is done; its member record is being removed.
     stopped,        ///< The process may exit.
 };
 
@@ -28,7 +30,7 @@
     removed,
 };
 
-/// The phases of an entry from its start to its planned stop.
+/// Phases of an entry from its start to its planned stop.
 class entry_lifecycle
 {
 public:
@@ -38,7 +40,8 @@
     ~entry_lifecycle();
 
     entry_phase phase() const noexcept;
-    /// Takes the step that `event` means in this phase; false where none.
+    /// Makes the transition for `event`. Returns false if the current phase has
+    /// none.
     bool handle(entry_event event);
 
 private:
--- a/src/core/requests/entry_settings.hpp
+++ b/src/core/requests/entry_settings.hpp
@@ -11,7 +11,7 @@
 namespace fuchsia::core::requests
 {
 
-/// All that the decisions of one entry depend on besides its input.
+/// Settings of one entry. Its decisions depend only on these and on its input.
 struct entry_settings
 {
     membership::settings membership;
@@ -22,49 +22,63 @@
     admission_policy admission = deadline_admission{};
     retry_policy retries = retry_budget{};
 
-    std::size_t max_open_requests = 20'000;  ///< Requests known at once.
-    std::size_t max_open_bytes = 64U << 20U; ///< Their bodies.
+    std::size_t max_open_requests =
+        20'000; ///< Maximum number of requests held at once.
+    std::size_t max_open_bytes =
+        64U << 20U; ///< Maximum total size of their bodies.
+    /// Maximum number of requests that wait for a slot.
     std::size_t max_queued = 2'000;
-    std::size_t max_awaiting_slice =
-        64; ///< Of one customer, waiting for a slice.
+    /// Maximum number of requests of one customer that wait for a slice.
+    std::size_t max_awaiting_slice = 64;
 
-    /// A sending reaches an entry within this time of being sent, or never.
-    /// The promise that a key runs once across a takeover rests on it.
+    /// Upper bound of the delivery time of a sending: one that has not reached
+    /// an entry by then never will. At-most-once execution of a key across a
+    /// takeover relies on this bound.
     common::duration max_delivery_time = std::chrono::seconds(5);
-    /// How long a request waits for the first slice of its customer.
+    /// Maximum time that a request waits for the first slice of its customer.
     common::duration slice_timeout = std::chrono::milliseconds(150);
-    /// How long a request waits for its key's partition to change hands, and
-    /// how many may.
+    /// Maximum time that a request waits for a change of its partition's owner.
     common::duration owner_change_timeout = std::chrono::seconds(1);
+    /// Maximum number of requests of one partition that wait for that change.
     std::size_t max_awaiting_owner = 1'000;
-    /// A peer that was not heard from for this long gets no forwarded key.
+    /// No request with a key is forwarded to a peer from which no message came
+    /// for this long.
     common::duration peer_silence_timeout = std::chrono::milliseconds(1500);
-    /// A forwarded request's deadline is earlier by this, for the way back.
+    /// The deadline of a forwarded request is shortened by this margin, which
+    /// allows for the transfer of the answer.
     common::duration hop_margin = std::chrono::milliseconds(2);
-    /// How long a peer may tell of a newer configuration, which we can't get,
-    /// before new work stops.
+    /// An entry that knows from a peer of a newer configuration, but cannot
+    /// load it, stops taking new work after this time.
     common::duration newer_configuration_grace = std::chrono::seconds(2);
-    /// How long ago the store, or witnesses in its place, must have shown that
-    /// our configuration is the newest.
+    /// Maximum time since the store, or the witnesses in its place, last
+    /// confirmed that this entry's configuration is the newest.
     common::duration max_configuration_age = std::chrono::seconds(5);
+    /// Time between load reports to peers.
     common::duration load_interval = std::chrono::milliseconds(500);
-    /// Peers that hear of our load in one interval. All of them would make a
-    /// node's bytes grow with the members: 19 KB/s at 33.
+    /// Number of peers that get a load report in one interval. With reports to
+    /// all peers the traffic of a node would grow with the number of members:
+    /// 19 KB/s with 33 members.
     std::size_t load_fanout = 3;
-    /// A peer's load counts for so long: with 33 members it is heard of every
-    /// 6 s. One that is out of date costs a refusal and a second choice.
+    /// Time for which a peer's load report is used. With 33 members a report of
+    /// each peer arrives every 6 s. A request that is forwarded on a stale
+    /// report is refused and needs a second choice.
     common::duration load_lifetime = std::chrono::seconds(10);
-    /// How long a balancer may go on sending after /readyz turned to 503.
+    /// Maximum time for which a load balancer goes on sending requests after
+    /// /readyz has changed to 503.
     common::duration balancer_lag = std::chrono::seconds(5);
-    /// How long a handover waits for each of: slots, keys, acknowledgement.
+    /// Maximum duration of each handover stage: draining the slots, draining
+    /// the keys, waiting for the acknowledgement.
     common::duration handover_stage_timeout = std::chrono::seconds(5);
+    /// Time between repeated transmissions of the keys to the successor.
     common::duration handover_retry_interval = std::chrono::milliseconds(300);
-    std::size_t max_handovers = 8; ///< At once.
-    /// Others learn within this time that a partition was given up. A member
-    /// that leaves goes on refusing what they still forward to it.
+    std::size_t max_handovers = 8; ///< Maximum number of concurrent handovers.
+    /// Maximum time until the other members know that a partition was released.
+    /// A leaving member goes on refusing requests that are forwarded to it
+    /// during this time.
     common::duration release_propagation_time = std::chrono::seconds(1);
-    /// With nothing left to answer, a stop waits no longer than this for the
-    /// store; the others then bury what is left of this member.
+    /// Maximum time that a stop waits for the store once every request is
+    /// answered. After it the other members fence this member and remove its
+    /// records.
     common::duration stop_timeout = std::chrono::seconds(30);
 };
 
