--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -3,62 +3,65 @@
 
 #include <algorithm>
 
-// How requests end: each caller gets one answer, each key one end, and each
-// charge against a contract is taken back once the request runs nowhere.
+// Answers and the removal of requests. Each caller gets one answer and each key
+// one outcome. A request uses capacity of its customer's slice until it no
+// longer runs anywhere.
 namespace fuchsia::core::requests
 {
 
 using namespace std::chrono_literals;
 
 void entry_engine::refuse(common::time_point now,
-                          open_request& one,
+                          open_request& req,
                           result_code code,
                           ports::actions& out)
 {
     finish(now,
-           one.id,
-           make_refusal_answer(code, has_no_earlier_run(now, one)),
+           req.id,
+           make_refusal_answer(code, has_no_earlier_run(now, req)),
            out);
 }
 
-// "Not run" is about the caller's request, which all sendings of its key are
-// part of. True where no other sending of the key can have run: the owner asks
-// its memory at the moment it refuses, since another sending may have run
-// while this one waited; any other entry knows it only of a first sending.
+// Whether no other sending of the key can have run. "Not run" refers to the
+// caller's request, which comprises all sendings of its key. The owner looks up
+// its key memory at the time of the refusal, because another sending may have
+// run while this one waited. Any other entry can be sure only of a first
+// sending.
 bool entry_engine::has_no_earlier_run(common::time_point now,
-                                      open_request const& one) const
+                                      open_request const& req) const
 {
-    if (!one.has_key || one.key_begun)
+    if (!req.has_key || req.key_begun)
     {
         return true;
     }
-    if (!owns(now, one.partition))
+    if (!owns(now, req.partition))
     {
-        return one.request.attempt == 1;
+        return req.request.attempt == 1;
     }
     auto const verdict = keys_
                              .look_up(now,
-                                      one.partition,
-                                      one.key,
-                                      one.fingerprint,
-                                      is_first_sending_confirmed(one))
+                                      req.partition,
+                                      req.key,
+                                      req.fingerprint,
+                                      is_first_sending_confirmed(req))
                              .verdict;
     return verdict == key_verdict::first_run ||
            verdict == key_verdict::memory_full ||
            verdict == key_verdict::mismatch;
 }
 
-// The same for a request that is refused unseen.
+// Whether no sending of the key can have run before a request that is refused
+// without a key lookup.
 bool entry_engine::has_no_earlier_sending(
     ports::caller_request const& request) noexcept
 {
-    bool const keyed =
+    bool const has_key =
         request.method == "POST" && !request.idempotency_key.empty();
-    return !keyed || request.attempt == 1;
+    return !has_key || request.attempt == 1;
 }
 
 ports::caller_answer entry_engine::make_refusal_answer(result_code code,
-                                                       bool unheard)
+                                                       bool no_earlier_run)
 {
     common::duration wait = default_retry_after(code);
     if (code == result_code::deadline_unreachable ||
@@ -67,7 +70,7 @@
         wait = std::clamp<common::duration>(predicted_queue_wait(), 50ms, 5s);
     }
     auto answer = make_refusal(code, wait, random_);
-    if (answer.outcome == common::outcome::not_run && !unheard)
+    if (answer.outcome == common::outcome::not_run && !no_earlier_run)
     {
         answer.outcome = common::outcome::unknown;
     }
@@ -87,27 +90,29 @@
                           ports::caller_answer const& answer,
                           ports::actions& out)
 {
-    auto& one = requests_.at(id);
-    send_answer(one, answer, out);
-    record_key_outcome(now, one, answer, out);
+    auto& req = requests_.at(id);
+    send_answer(req, answer, out);
+    record_key_outcome(now, req, answer, out);
     erase(id);
 }
 
-// The outcome is unknown and it may still run: its charge stays until it can't.
+// Ends a request whose outcome is unknown. It may still run, so it uses
+// capacity of the slice until the maximum execution time has passed.
 void entry_engine::finish_with_unknown_outcome(common::time_point now,
                                                std::uint64_t id,
                                                result_code code,
                                                ports::actions& out)
 {
-    auto& one = requests_.at(id);
+    auto& req = requests_.at(id);
     auto const answer = make_refusal_answer(code, true);
-    send_answer(one, answer, out);
-    record_key_outcome(now, one, answer, out);
-    auto const until = one.attempt_sent_at + settings_.upstreams.max_execution;
-    if (one.counted_in_slice && one.stage != request_stage::awaiting_same_key &&
-        until > now)
+    send_answer(req, answer, out);
+    record_key_outcome(now, req, answer, out);
+    auto const end_time =
+        req.attempt_sent_at + settings_.upstreams.max_execution;
+    if (req.counted_in_slice && req.stage != request_stage::awaiting_same_key &&
+        end_time > now)
     {
-        keep_until_ended(one, until);
+        keep_until_ended(req, end_time);
     }
     else
     {
@@ -115,48 +120,50 @@
     }
 }
 
-// A later try that was refused, here or by a peer, does not undo an earlier one
-// whose answer was lost.
-void entry_engine::send_answer(open_request& one,
+// Sends the only answer of a request. If the answer to an earlier attempt was
+// lost, that attempt may have run: a refusal of a later attempt, here or by a
+// peer, must then not say "not run".
+void entry_engine::send_answer(open_request& req,
                                ports::caller_answer answer,
                                ports::actions& out)
 {
-    if (one.answered)
+    if (req.answered)
     {
         return;
     }
-    one.answered = true;
+    req.answered = true;
     --unanswered_;
-    if (one.may_have_run && answer.outcome == common::outcome::not_run)
+    if (req.may_have_run && answer.outcome == common::outcome::not_run)
     {
         answer.outcome = common::outcome::unknown;
     }
-    if (one.is_local())
+    if (req.is_local())
     {
-        by_caller_.erase(one.caller);
-        out.emplace_back(ports::caller_reply{one.caller, std::move(answer)});
+        by_caller_.erase(req.caller);
+        out.emplace_back(ports::caller_reply{req.caller, std::move(answer)});
     }
     else
     {
-        answer_peer(one.forwarded_by, one.forwarded_id, std::move(answer), out);
+        answer_peer(req.forwarded_by, req.forwarded_id, std::move(answer), out);
     }
 }
 
-// A key whose run was refused before anything was sent is fresh again; any
-// other end is remembered, an unknown one too.
+// Records how the run of a key ended. A key that was refused before anything
+// was sent is forgotten, so that it may run later. Any other outcome is
+// remembered, including an unknown one.
 void entry_engine::record_key_outcome(common::time_point now,
-                                      open_request& one,
+                                      open_request& req,
                                       ports::caller_answer const& answer,
                                       ports::actions& out)
 {
-    if (!one.key_begun)
+    if (!req.key_begun)
     {
         return;
     }
-    one.key_begun = false;
+    req.key_begun = false;
     auto const waiters = answer.outcome == common::outcome::not_run
-                             ? keys_.forget(one.key)
-                             : keys_.finish(now, one.key, answer);
+                             ? keys_.forget(req.key)
+                             : keys_.finish(now, req.key, answer);
     for (std::uint64_t const waiter : waiters)
     {
         if (requests_.contains(waiter))
@@ -166,66 +173,67 @@
     }
 }
 
-void entry_engine::keep_until_ended(open_request& one, common::time_point until)
+void entry_engine::keep_until_ended(open_request& req,
+                                    common::time_point end_time)
 {
-    by_attempt_.erase(one.attempt_id);
-    open_bytes_ -= one.request.body.size();
-    one.request.body.clear();
-    one.request.headers.clear();
-    one.stage = request_stage::awaiting_unseen_end;
-    set_timer(one, until);
+    by_attempt_.erase(req.attempt_id);
+    open_bytes_ -= req.request.body.size();
+    req.request.body.clear();
+    req.request.headers.clear();
+    req.stage = request_stage::awaiting_unseen_end;
+    set_timer(req, end_time);
 }
 
 void entry_engine::erase(std::uint64_t id)
 {
     auto const found = requests_.find(id);
-    auto& one = found->second;
-    if (one.stage == request_stage::queued)
+    auto& req = found->second;
+    if (req.stage == request_stage::queued)
     {
         queue_.erase(
-            {one.id, one.request.customer, one.request.kind, one.expires});
+            {req.id, req.request.customer, req.request.kind, req.expires});
     }
-    auto const customer = customers_.find(one.request.customer);
+    auto const customer = customers_.find(req.request.customer);
     if (customer != customers_.end())
     {
-        if (one.counted_in_slice)
+        if (req.counted_in_slice)
         {
-            customer->second.slice.on_request_end(one.request.kind);
+            customer->second.slice.on_request_end(req.request.kind);
         }
         if (!customer->second.awaiting_slice.empty())
         {
-            customers_to_resume_.insert(one.request.customer);
+            customers_to_resume_.insert(req.request.customer);
         }
     }
-    set_timer(one, std::nullopt);
-    by_attempt_.erase(one.attempt_id);
-    open_bytes_ -= one.request.body.size();
+    set_timer(req, std::nullopt);
+    by_attempt_.erase(req.attempt_id);
+    open_bytes_ -= req.request.body.size();
     requests_.erase(found);
 }
 
-void entry_engine::set_timer(open_request& one,
+void entry_engine::set_timer(open_request& req,
                              std::optional<common::time_point> when)
 {
-    if (one.timer_due)
+    if (req.timer_due)
     {
-        timers_.erase({*one.timer_due, one.id});
+        timers_.erase({*req.timer_due, req.id});
     }
-    one.timer_due = when;
+    req.timer_due = when;
     if (when)
     {
-        timers_.insert({*when, one.id});
+        timers_.insert({*when, req.id});
     }
 }
 
-open_request* entry_engine::find_attempt(std::uint64_t sending) noexcept
+open_request* entry_engine::find_attempt(std::uint64_t attempt_id) noexcept
 {
-    auto const found = by_attempt_.find(sending);
+    auto const found = by_attempt_.find(attempt_id);
     if (found == by_attempt_.end())
     {
         return nullptr;
     }
-    auto const one = requests_.find(found->second);
-    return one == requests_.end() ? nullptr : &one->second;
+    auto const it = requests_.find(found->second);
+    return it == requests_.end() ? nullptr : &it->second;
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -1,7 +1,7 @@
 #include "core/requests/entry_engine.hpp"
 
-// Slices of contracts: asking for them, and cutting them for customers whose
-// partition is ours.
+// Slices of contracts: requests for slices, and grants for the customers whose
+// partition this entry owns.
 namespace fuchsia::core::requests
 {
 
@@ -19,8 +19,8 @@
         .first->second;
 }
 
-// Why a request that its customer's slice does not admit need not wait for a
-// larger one; empty where it may.
+// Returns why a request that the slice does not admit is refused, or nothing if
+// it may wait for a larger slice.
 std::optional<common::result_code>
 entry_engine::slice_refusal(common::time_point now,
                             customer_state const& customer,
@@ -32,11 +32,11 @@
                    ? std::optional(result_code::over_contract_rate)
                    : std::nullopt;
     }
-    bool const in_vain =
+    bool const must_refuse =
         customer.slice.is_limited(now) ||
         customer.awaiting_slice.size() >= settings_.max_awaiting_slice;
-    return in_vain ? std::optional(result_code::over_contract_in_flight)
-                   : std::nullopt;
+    return must_refuse ? std::optional(result_code::over_contract_in_flight)
+                       : std::nullopt;
 }
 
 contracts::slice_ledger& entry_engine::ledger_of(common::time_point now,
@@ -47,15 +47,16 @@
     {
         return found->second;
     }
-    auto& added =
+    auto& ledger =
         ledgers_.emplace(name, contracts::slice_ledger(settings_.slices))
             .first->second;
-    auto const& taken = takeovers_[common::partition_of(name)];
-    if (taken && now - taken->started_at < settings_.upstreams.max_execution)
+    auto const& last_takeover = takeovers_[common::partition_of(name)];
+    if (last_takeover &&
+        now - last_takeover->started_at < settings_.upstreams.max_execution)
     {
-        added.take_over(now, taken->possible_holders);
+        ledger.take_over(now, last_takeover->possible_holders);
     }
-    return added;
+    return ledger;
 }
 
 void entry_engine::request_slices(common::time_point now, ports::actions& out)
@@ -64,24 +65,24 @@
     {
         return;
     }
-    for (auto at = customers_.begin(); at != customers_.end();)
+    for (auto it = customers_.begin(); it != customers_.end();)
     {
-        auto const next = std::next(at);
-        bool const gone = contract_of(at->first) == nullptr;
-        if (gone && at->second.slice.in_flight() == 0 &&
-            at->second.awaiting_slice.empty())
+        auto const next = std::next(it);
+        bool const withdrawn = contract_of(it->first) == nullptr;
+        if (withdrawn && it->second.slice.in_flight() == 0 &&
+            it->second.awaiting_slice.empty())
         {
-            customers_.erase(at);
+            customers_.erase(it);
         }
-        else if (!gone)
+        else if (!withdrawn)
         {
-            request_slice(now, at->first, out);
-            if (!at->second.awaiting_slice.empty())
+            request_slice(now, it->first, out);
+            if (!it->second.awaiting_slice.empty())
             {
-                customers_to_resume_.insert(at->first);
+                customers_to_resume_.insert(it->first);
             }
         }
-        at = next;
+        it = next;
     }
 }
 
@@ -114,9 +115,10 @@
     }
 }
 
-// A new owner knows nothing of its predecessor's grants. It counts everybody
-// with the most one may hold until they report, and so they do at once, those
-// that hold nothing too.
+// Requests slices at once from the new owner of a partition. The new owner does
+// not know its predecessor's grants: until a member reports, the owner assumes
+// that it holds the maximum slice. Members without a slice therefore report
+// too.
 void entry_engine::request_slices_from_new_owner(std::uint32_t partition)
 {
     for (auto const& [name, limits] : follower_.current().contracts)
@@ -130,18 +132,18 @@
 
 std::optional<ports::slice_grant>
 entry_engine::grant_slice(common::time_point now,
-                          ports::member_identity const& to,
+                          ports::member_identity const& requester,
                           ports::slice_request const& request)
 {
     auto const* limits = contract_of(request.customer);
-    bool const ours = owns(now, common::partition_of(request.customer));
-    if (limits == nullptr || !ours || !is_live(to))
+    bool const is_owner = owns(now, common::partition_of(request.customer));
+    if (limits == nullptr || !is_owner || !is_live(requester))
     {
         return std::nullopt;
     }
     return ledger_of(now, request.customer)
         .grant(now,
-               to,
+               requester,
                request,
                *limits,
                static_cast<std::uint32_t>(members_.live().size()),
@@ -175,30 +177,30 @@
     while (!customer.awaiting_slice.empty())
     {
         std::uint64_t const id = customer.awaiting_slice.front();
-        auto const at = requests_.find(id);
-        if (at == requests_.end() ||
-            at->second.stage != request_stage::awaiting_slice)
+        auto const it = requests_.find(id);
+        if (it == requests_.end() ||
+            it->second.stage != request_stage::awaiting_slice)
         {
             customer.awaiting_slice.pop_front();
             continue;
         }
-        auto& one = at->second;
+        auto& req = it->second;
         auto const* limits = contract_of(name);
         if (limits == nullptr)
         {
             customer.awaiting_slice.pop_front();
-            refuse(now, one, result_code::contract_withdrawn, out);
+            refuse(now, req, result_code::contract_withdrawn, out);
             continue;
         }
         auto const verdict =
-            customer.slice.admit(now, one.request.kind, *limits);
+            customer.slice.admit(now, req.request.kind, *limits);
         if (verdict == contracts::slice_verdict::admitted)
         {
             customer.awaiting_slice.pop_front();
-            one.counted_in_slice = true;
-            one.stage = request_stage::arrived;
-            set_timer(one, std::nullopt);
-            route(now, one, out);
+            req.counted_in_slice = true;
+            req.stage = request_stage::arrived;
+            set_timer(req, std::nullopt);
+            route(now, req, out);
             continue;
         }
         auto const code = slice_refusal(now, customer, verdict);
@@ -207,7 +209,7 @@
             return;
         }
         customer.awaiting_slice.pop_front();
-        refuse(now, one, *code, out);
+        refuse(now, req, *code, out);
     }
 }
 
--- a/src/core/requests/entry_engine.cpp
+++ b/src/core/requests/entry_engine.cpp
@@ -6,16 +6,17 @@
 namespace
 {
 
-/// Where the numbers of requests, exchanges and forwarded requests begin: the
-/// exchanges of two incarnations in one process must not share a number. The
-/// top bits stay free, the slot table counts from there.
+/// Returns the first id of requests, exchanges and forwarded requests. It
+/// depends on the incarnation because the exchanges of two incarnations in one
+/// process must not share an id. The top bits stay clear: the slot table uses
+/// them for its own ids.
 std::uint64_t first_id(ports::member_identity const& self) noexcept
 {
     constexpr std::uint64_t mask = (std::uint64_t{1} << 30U) - 1;
     return ((self.incarnation & mask) << 32U) + 1;
 }
 
-entry_settings consistent(entry_settings settings)
+entry_settings make_consistent(entry_settings settings)
 {
     settings.slices.max_execution = settings.upstreams.max_execution;
     return settings;
@@ -26,7 +27,7 @@
 entry_engine::entry_engine(entry_settings const& settings,
                            membership::member_info const& self,
                            std::uint64_t seed)
-    : settings_(consistent(settings)), random_(seed),
+    : settings_(make_consistent(settings)), random_(seed),
       members_(settings_.membership, self, seed ^ 1U),
       claims_("entry", partition_names()), follower_(settings_.configuration),
       slots_(settings_.upstreams, seed ^ 2U), keys_(settings_.keys),
@@ -124,20 +125,20 @@
 
 entry_status entry_engine::status(common::time_point now) const
 {
-    entry_status shown;
-    shown.phase = lifecycle_.phase();
-    shown.may_act = members_.may_act(now);
-    shown.proof_age = members_.proof_age(now);
-    shown.revision = follower_.current().revision;
-    shown.members = members_.live().size();
-    shown.owned_partitions = claims_.owned(members_).size();
-    shown.free_slots = slots_.free_slots();
-    shown.usable_slots = slots_.usable_slots();
-    shown.queued = queue_.size();
-    shown.open = requests_.size();
-    shown.keys = keys_.size();
-    shown.key_bytes = keys_.bytes();
-    return shown;
+    entry_status result;
+    result.phase = lifecycle_.phase();
+    result.may_act = members_.may_act(now);
+    result.proof_age = members_.proof_age(now);
+    result.revision = follower_.current().revision;
+    result.members = members_.live().size();
+    result.owned_partitions = claims_.owned(members_).size();
+    result.free_slots = slots_.free_slots();
+    result.usable_slots = slots_.usable_slots();
+    result.queued = queue_.size();
+    result.open = requests_.size();
+    result.keys = keys_.size();
+    result.key_bytes = keys_.bytes();
+    return result;
 }
 
 entry_counts const& entry_engine::counts() const noexcept
@@ -172,9 +173,10 @@
     return slots_;
 }
 
-// A first sending may have waited in a socket buffer through the pause, while
-// a later one ran elsewhere. What is read soon after a pause is therefore not
-// vouched for (see `key_memory`).
+// Detects that the process was paused. A first sending may have waited in a
+// socket buffer during the pause while a later sending of its key ran
+// elsewhere. Requests that are read soon after a pause are therefore not
+// confirmed as first sendings (see `key_memory`).
 void entry_engine::detect_pause(common::time_point now, ports::actions& out)
 {
     if (last_event_at_ &&
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -33,7 +33,7 @@
 namespace fuchsia::core::requests
 {
 
-/// What an entry shows of itself in its metrics and to tests.
+/// State of an entry, as shown in its metrics and to tests.
 struct entry_status
 {
     entry_phase phase = entry_phase::joining;
@@ -50,7 +50,7 @@
     std::size_t key_bytes = 0;
 };
 
-/// Counts since the start.
+/// Number of events since the start of the entry.
 struct entry_counts
 {
     std::uint64_t upstream_sends = 0;
@@ -63,22 +63,23 @@
     std::uint64_t handovers = 0;
 };
 
-/// All decisions of one entry: who its members are and what it owns, whether
-/// and where each caller's request runs, and what its caller is told.
+/// Makes all decisions of one entry: which members exist and which partitions
+/// it owns, whether and where each caller's request runs, and which answer the
+/// caller gets.
 ///
-/// Events come in with the present time; what is to be done is appended to
-/// `out`, in order. Every request that comes in under a caller's number gets
-/// exactly one `caller_reply`, by its deadline at the latest.
+/// Each event is passed with the current time. The resulting actions are
+/// appended to `out`, in order. Every request that arrives under a caller id
+/// gets exactly one `caller_reply`, by its deadline at the latest.
 ///
-/// Of the rules that hold here:
+/// The engine keeps these invariants, among others:
 /// - Nothing is sent to an upstream without a proof of membership.
-/// - A request that must run at most once is sent to an upstream once. It is
-///   sent elsewhere only where no byte of it went out.
-/// - With an Idempotency-Key it is run by the owner of the key's partition
-///   alone, which first looks the key up in its memory (see `key_memory`).
-/// - A refusal says "not run" only where this sending reached no upstream; of
-///   a key's second or later sending, only where the owner's memory holds no
-///   earlier one either.
+/// - A request that must run at most once is sent to one upstream only. It is
+///   sent to another one only if no byte of it was sent to the first.
+/// - A request with an Idempotency-Key runs only through the owner of the key's
+///   partition, which first looks up the key in its memory (see `key_memory`).
+/// - A refusal says "not run" only if this sending reached no upstream. For the
+///   second or a later sending of a key, it says so only if the owner's memory
+///   holds no earlier run either.
 class entry_engine
 {
 public:
@@ -87,13 +88,15 @@
                  std::uint64_t seed);
 
     void start(common::time_point now, ports::actions& out);
-    /// To be called at least every 100 ms, and when `next_timer` is due.
+    /// Does periodic work. Must be called at least every 100 ms and when
+    /// `next_timer` is due.
     void tick(common::time_point now, ports::actions& out);
     void on_caller_request(common::time_point now,
                            std::uint64_t caller,
                            ports::caller_request request,
                            ports::actions& out);
-    /// Its connection closed: what has not been sent need not run.
+    /// The caller's connection closed: a request that has not been sent to an
+    /// upstream or peer need not run.
     void on_caller_disconnected(common::time_point now,
                                 std::uint64_t caller,
                                 ports::actions& out);
@@ -109,25 +112,24 @@
     void on_instances(common::time_point now,
                       ports::instance_list const& list,
                       ports::actions& out);
-    /// Planned stop; ends with `stop_complete`.
+    /// Begins a planned stop, which ends with `stop_complete`.
     void begin_stop(common::time_point now, ports::actions& out);
-    /// This incarnation was buried: answers what it can't finish. What runs on
-    /// upstreams still gets its answer from this object; everything new goes
-    /// to the engine of the next incarnation.
+    /// Called after this incarnation was fenced. Answers the requests that it
+    /// can't complete. Requests that run on upstreams still get their answers
+    /// from this object; new events go to the engine of the next incarnation.
     void retire(common::time_point now, ports::actions& out);
 
-    /// When the next deadline or time-out of a request is due: `tick` wants to
-    /// be called then, beside its regular calls.
+    /// Time of the next deadline or time-out of a request. `tick` must be
+    /// called then, in addition to its regular calls.
     std::optional<common::time_point> next_timer() const noexcept;
-    /// Whether new requests are welcome (/readyz).
+    /// Whether the entry accepts new requests (/readyz).
     bool ready(common::time_point now) const noexcept;
     entry_status status(common::time_point now) const;
     entry_counts const& counts() const noexcept;
     membership::member const& members() const noexcept;
     claims::claim_table const& claims() const noexcept;
     config::configuration const& configuration() const noexcept;
-    /// For tests: requests of a customer in flight here, and the most there
-    /// may be.
+    /// Number of a customer's requests in flight at this entry, for tests.
     std::uint32_t in_flight(std::string const& customer) const noexcept;
     upstreams::slot_table const& slots() const noexcept;
 
@@ -135,24 +137,26 @@
     using result_code = common::result_code;
     using request_table = std::unordered_map<std::uint64_t, open_request>;
 
-    /// One customer's requests that wait for its slice, and the slice.
+    /// Slice of one customer and the requests that wait for it.
     struct customer_state
     {
         contracts::slice_holder slice;
         std::deque<std::uint64_t> awaiting_slice;
-        ports::member_identity
-            last_requested_owner; ///< Owner the last request went to.
+        /// Owner that got the last slice request.
+        ports::member_identity last_requested_owner;
     };
-    /// A takeover whose predecessor's grants may still be used.
+    /// Takeover of a partition. Slices that the predecessor granted may still
+    /// be in use.
     struct takeover
     {
         common::time_point started_at;
         std::vector<ports::member_identity> possible_holders;
     };
 
-    // entry_engine.cpp: composition and time.
+    // entry_engine.cpp: components and time.
     void detect_pause(common::time_point now, ports::actions& out);
-    /// Does what an event made possible: sends what waits for a slot or slice.
+    /// Sends the waiting requests for which the last event freed a slot or made
+    /// capacity in a slice.
     void process_waiting_work(common::time_point now, ports::actions& out);
     void sync_platform_state(common::time_point now, ports::actions& out);
     bool owns(common::time_point now, std::uint32_t partition) const noexcept;
@@ -161,7 +165,7 @@
              std::string event,
              std::vector<ports::header> fields) const;
 
-    // entry_members.cpp: what members and the configuration mean here.
+    // entry_members.cpp: changes of the members and of the configuration.
     void sync_members(common::time_point now, ports::actions& out);
     void sync_configuration(common::time_point now, ports::actions& out);
     bool is_live(ports::member_identity const& id) const noexcept;
@@ -169,7 +173,7 @@
                         ports::member_identity const& id) const noexcept;
     bool may_send(common::time_point now) const noexcept;
 
-    // entry_partitions.cpp: partitions that come and go.
+    // entry_partitions.cpp: acquired and lost partitions.
     void sync_claims(common::time_point now, ports::actions& out);
     void on_claim_change(common::time_point now,
                          claims::claim_change const& change,
@@ -182,71 +186,72 @@
                            std::uint32_t partition,
                            ports::actions& out);
 
-    // entry_life.cpp: from joining to the end.
+    // entry_phases.cpp: phases from joining to the stop.
     void advance_lifecycle(common::time_point now, ports::actions& out);
 
-    // entry_requests.cpp: the way of one request.
+    // entry_requests.cpp: admission and routing of requests, and their timers.
     std::optional<result_code>
     arrival_refusal(common::time_point now,
                     ports::caller_request const& request) const;
     open_request& add_request(open_request request);
-    void set_key_and_idempotency(open_request& one,
+    void set_key_and_idempotency(open_request& req,
                                  contracts::contract const* limits) const;
-    bool is_first_sending_confirmed(open_request const& one) const noexcept;
+    bool is_first_sending_confirmed(open_request const& req) const noexcept;
     common::duration predicted_queue_wait() const noexcept;
     contracts::contract const* contract_of(std::string const& customer) const;
-    void admit(common::time_point now, open_request& one, ports::actions& out);
+    void admit(common::time_point now, open_request& req, ports::actions& out);
     bool resolve_remembered_key(common::time_point now,
-                                open_request& one,
+                                open_request& req,
                                 ports::actions& out);
     void take_from_slice(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::actions& out);
-    void route(common::time_point now, open_request& one, ports::actions& out);
+    void route(common::time_point now, open_request& req, ports::actions& out);
     void
-    await_owner(common::time_point now, open_request& one, ports::actions& out);
+    await_owner(common::time_point now, open_request& req, ports::actions& out);
     void route_awaiting_owner(common::time_point now,
                               std::uint32_t partition,
                               ports::actions& out);
     void fire_timers(common::time_point now, ports::actions& out);
     void
-    on_timer(common::time_point now, open_request& one, ports::actions& out);
+    on_timer(common::time_point now, open_request& req, ports::actions& out);
     void refuse_if_waiting(common::time_point now,
                            std::uint64_t id,
                            ports::actions& out);
     void refuse_all_waiting(common::time_point now, ports::actions& out);
 
-    // entry_slots.cpp: its part at the slots.
+    // entry_slots.cpp: queue, upstream slots and retries.
     void
-    dispatch(common::time_point now, open_request& one, ports::actions& out);
+    dispatch(common::time_point now, open_request& req, ports::actions& out);
     bool send_upstream(common::time_point now,
-                       open_request& one,
+                       open_request& req,
                        ports::actions& out);
     void
-    enqueue(common::time_point now, open_request& one, ports::actions& out);
+    enqueue(common::time_point now, open_request& req, ports::actions& out);
     void send_queued(common::time_point now, ports::actions& out);
     std::optional<result_code> deadline_refusal(common::time_point now,
-                                                open_request const& one) const;
-    bool retry(common::time_point now, open_request& one, ports::actions& out);
+                                                open_request const& req) const;
+    bool retry(common::time_point now, open_request& req, ports::actions& out);
     void on_complete_answer(common::time_point now,
-                            open_request& one,
+                            open_request& req,
                             ports::upstream_end const& end,
                             ports::actions& out);
     void on_attempt_lost(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::upstream_end const& end,
                          ports::actions& out);
 
-    // entry_answers.cpp: how requests end.
+    // entry_answers.cpp: answers and the removal of requests.
     void refuse(common::time_point now,
-                open_request& one,
+                open_request& req,
                 result_code code,
                 ports::actions& out);
-    ports::caller_answer make_refusal_answer(result_code code, bool unheard);
+    ports::caller_answer make_refusal_answer(result_code code,
+                                             bool no_earlier_run);
     static bool
     has_no_earlier_sending(ports::caller_request const& request) noexcept;
     bool has_no_earlier_run(common::time_point now,
-                            open_request const& one) const;
+                            open_request const& req) const;
     void finish(common::time_point now,
                 std::uint64_t id,
                 ports::caller_answer const& answer,
@@ -255,26 +260,26 @@
                                      std::uint64_t id,
                                      result_code code,
                                      ports::actions& out);
-    void send_answer(open_request& one,
+    void send_answer(open_request& req,
                      ports::caller_answer answer,
                      ports::actions& out);
     void record_key_outcome(common::time_point now,
-                            open_request& one,
+                            open_request& req,
                             ports::caller_answer const& answer,
                             ports::actions& out);
-    void keep_until_ended(open_request& one, common::time_point until);
+    void keep_until_ended(open_request& req, common::time_point end_time);
     void erase(std::uint64_t id);
-    void set_timer(open_request& one, std::optional<common::time_point> when);
-    open_request* find_attempt(std::uint64_t sending) noexcept;
+    void set_timer(open_request& req, std::optional<common::time_point> when);
+    open_request* find_attempt(std::uint64_t attempt_id) noexcept;
 
-    // entry_peers.cpp: what goes between entries.
+    // entry_peers.cpp: messages between entries.
     void forward_to_owner(common::time_point now,
-                          open_request& one,
+                          open_request& req,
                           ports::actions& out);
-    bool spill(common::time_point now, open_request& one, ports::actions& out);
+    bool spill(common::time_point now, open_request& req, ports::actions& out);
     bool send_to_peer(common::time_point now,
-                      open_request& one,
-                      ports::member_identity const& to,
+                      open_request& req,
+                      ports::member_identity const& target,
                       bool is_spill,
                       ports::actions& out);
     void on_forwarded(common::time_point now,
@@ -285,7 +290,7 @@
                              ports::member_identity const& from,
                              ports::forwarded_answer const& message,
                              ports::actions& out);
-    void answer_peer(ports::member_identity const& to,
+    void answer_peer(ports::member_identity const& target,
                      std::uint64_t id,
                      ports::caller_answer answer,
                      ports::actions& out) const;
@@ -296,7 +301,7 @@
                           ports::actions& out);
     void send_loads(common::time_point now, ports::actions& out);
     ports::load_report own_load() const noexcept;
-    void send_peer(ports::member_identity const& to,
+    void send_peer(ports::member_identity const& target,
                    ports::peer_message message,
                    ports::actions& out) const;
 
@@ -315,7 +320,7 @@
     void request_slices_from_new_owner(std::uint32_t partition);
     std::optional<ports::slice_grant>
     grant_slice(common::time_point now,
-                ports::member_identity const& to,
+                ports::member_identity const& requester,
                 ports::slice_request const& request);
     void on_slice_grant(common::time_point now,
                         ports::member_identity const& from,
@@ -325,21 +330,21 @@
                                std::string const& name,
                                ports::actions& out);
 
-    // entry_handovers.cpp: partitions that change hands as planned.
+    // entry_handovers.cpp: planned handovers of partitions.
     void start_handover(common::time_point now,
                         std::uint32_t partition,
                         claims::claim_change const& change);
     void advance_handovers(common::time_point now, ports::actions& out);
     void advance_handover(common::time_point now,
                           std::uint32_t partition,
-                          partition_handover& one,
+                          partition_handover& handover,
                           ports::actions& out);
     void enter_stage(common::time_point now,
-                     partition_handover& one,
+                     partition_handover& handover,
                      handover_stage stage);
     void send_keys(common::time_point now,
                    std::uint32_t partition,
-                   partition_handover& one,
+                   partition_handover& handover,
                    ports::actions& out);
     void on_key_handover(common::time_point now,
                          ports::member_identity const& from,
@@ -349,11 +354,11 @@
                          ports::member_identity const& from,
                          ports::key_handover_ack const& ack,
                          ports::actions& out);
-    /// No new key of the partition may begin to run.
+    /// Whether no new key of the partition may begin to run.
     bool key_is_frozen(std::uint32_t partition) const noexcept;
-    /// Whether a key that has begun may still be sent to an upstream.
+    /// Whether a request whose key has begun may still be sent to an upstream.
     bool key_may_run(common::time_point now,
-                     open_request const& one) const noexcept;
+                     open_request const& req) const noexcept;
 
     entry_settings settings_;
     std::mt19937_64 random_;
@@ -378,28 +383,29 @@
     std::map<std::string, contracts::slice_ledger> ledgers_;
     std::array<std::optional<takeover>, common::partition_count> takeovers_;
     std::map<std::uint32_t, partition_handover> handovers_;
-    /// Requests that wait for another owner, by their key's partition.
+    /// Ids of requests that wait for a change of owner, by partition.
     std::map<std::uint32_t, std::vector<std::uint64_t>> awaiting_owner_;
-    /// When each live member was last heard from.
+    /// Time of the last message from each live member.
     std::map<ports::member_identity, common::time_point> last_received_;
-    common::time_point last_work_at_{}; ///< Of a stop: last sign of work.
-    /// Live members, and since when those that are not any more are gone.
+    /// Time at which a draining entry last had work.
+    common::time_point last_work_at_{};
+    /// Live members, and former members with the time at which they were gone.
     std::map<ports::member_identity, std::optional<common::time_point>>
         known_members_;
 
     std::uint64_t next_id_ = 0;
     std::size_t open_bytes_ = 0;
     std::size_t unanswered_ = 0;
-    std::set<std::string> customers_to_resume_; ///< Customers with room again.
+    std::set<std::string> customers_to_resume_; ///< Slices to check again.
     std::optional<common::time_point> last_event_at_;
     common::time_point resumed_at_{}; ///< End of the last pause, or the start.
     common::time_point next_load_report_at_{};
     std::size_t next_load_peer_ = 0;
     common::time_point stop_announced_at_{};
     std::uint64_t applied_revision_ = 0;
-    std::uint64_t newest_reported_revision_ = 0; ///< That anybody told of.
+    std::uint64_t newest_reported_revision_ = 0; ///< By any member.
     std::optional<common::time_point> behind_since_;
-    /// When the configuration was last known to be the newest.
+    /// Time at which the configuration was last confirmed to be the newest.
     common::time_point configuration_current_as_of_{};
     bool may_act_ = false;
     bool retired_ = false;
--- a/src/core/requests/entry_handovers.cpp
+++ b/src/core/requests/entry_handovers.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-// Partitions that change hands as planned, in a stop or because a member
-// joined: what runs ends first, the successor gets the keys, then the claim is
-// given up.
+// Planned handovers of partitions, in a stop or after a member joined: running
+// requests complete first, then the successor gets the keys, then the claim is
+// released.
 namespace fuchsia::core::requests
 {
 
@@ -12,50 +12,53 @@
                                   std::uint32_t partition,
                                   claims::claim_change const& change)
 {
-    auto& one = handovers_[partition];
-    bool const sent = one.stage == handover_stage::awaiting_acknowledgement;
-    if (sent && one.successor != change.assigned_to)
+    auto& handover = handovers_[partition];
+    bool const keys_sent =
+        handover.stage == handover_stage::awaiting_acknowledgement;
+    if (keys_sent && handover.successor != change.assigned_to)
     {
-        // The successor changed after the keys were sent: send them again.
-        one.stage_began = now;
-        one.last_sent = {};
+        // The successor changed after the keys were sent, so they are sent
+        // again to the new one.
+        handover.stage_began = now;
+        handover.last_sent = {};
     }
-    one.successor = change.assigned_to;
-    one.epoch = change.current.epoch;
+    handover.successor = change.assigned_to;
+    handover.epoch = change.current.epoch;
 }
 
 void entry_engine::advance_handovers(common::time_point now,
                                      ports::actions& out)
 {
     std::size_t active = 0;
-    for (auto const& [partition, one] : handovers_)
+    for (auto const& [partition, handover] : handovers_)
     {
-        active += one.stage != handover_stage::waiting ? 1 : 0;
+        active += handover.stage != handover_stage::waiting ? 1 : 0;
     }
     std::vector<std::uint32_t> cancelled;
-    for (auto& [partition, one] : handovers_)
+    for (auto& [partition, handover] : handovers_)
     {
-        if (one.stage == handover_stage::waiting)
+        if (handover.stage == handover_stage::waiting)
         {
-            // While the store is silent no claim can move: the partition would
-            // be served by nobody until it answers again.
+            // While the store does not answer, no claim can change its owner:
+            // nobody would serve the partition until the store answers again.
             if (active >= settings_.max_handovers ||
                 !members_.proved_by_store())
             {
                 continue;
             }
             ++active;
-            enter_stage(now, one, handover_stage::draining_slots);
+            enter_stage(now, handover, handover_stage::draining_slots);
             slots_.release(partition);
         }
-        bool const unsent = one.stage == handover_stage::draining_slots ||
-                            one.stage == handover_stage::draining_keys;
-        if (unsent && one.successor == members_.self().id)
+        bool const keys_unsent =
+            handover.stage == handover_stage::draining_slots ||
+            handover.stage == handover_stage::draining_keys;
+        if (keys_unsent && handover.successor == members_.self().id)
         {
             cancelled.push_back(partition);
             continue;
         }
-        advance_handover(now, partition, one, out);
+        advance_handover(now, partition, handover, out);
     }
     for (std::uint32_t const partition : cancelled)
     {
@@ -66,38 +69,39 @@
 
 void entry_engine::advance_handover(common::time_point now,
                                     std::uint32_t partition,
-                                    partition_handover& one,
+                                    partition_handover& handover,
                                     ports::actions& out)
 {
-    bool const patient =
-        now - one.stage_began < settings_.handover_stage_timeout;
-    switch (one.stage)
+    bool const within_timeout =
+        now - handover.stage_began < settings_.handover_stage_timeout;
+    switch (handover.stage)
     {
     case handover_stage::waiting:
         break;
     case handover_stage::draining_slots:
-        if (slots_.is_idle(partition) || !patient)
+        if (slots_.is_idle(partition) || !within_timeout)
         {
-            enter_stage(now, one, handover_stage::draining_keys);
+            enter_stage(now, handover, handover_stage::draining_keys);
         }
         break;
     case handover_stage::draining_keys:
-        if (keys_.running(partition) == 0 || !patient)
+        if (keys_.running(partition) == 0 || !within_timeout)
         {
-            one.slots_idle = slots_.is_idle(partition);
-            enter_stage(now, one, handover_stage::awaiting_acknowledgement);
-            send_keys(now, partition, one, out);
+            handover.slots_idle = slots_.is_idle(partition);
+            enter_stage(
+                now, handover, handover_stage::awaiting_acknowledgement);
+            send_keys(now, partition, handover, out);
         }
         break;
     case handover_stage::awaiting_acknowledgement:
-        if (one.successor.name.empty() || !patient)
+        if (handover.successor.name.empty() || !within_timeout)
         {
-            enter_stage(now, one, handover_stage::releasing);
+            enter_stage(now, handover, handover_stage::releasing);
             claims_.release(now, partition_name(partition), out);
         }
-        else if (now - one.last_sent >= settings_.handover_retry_interval)
+        else if (now - handover.last_sent >= settings_.handover_retry_interval)
         {
-            send_keys(now, partition, one, out);
+            send_keys(now, partition, handover, out);
         }
         break;
     case handover_stage::releasing:
@@ -106,26 +110,26 @@
 }
 
 void entry_engine::enter_stage(common::time_point now,
-                               partition_handover& one,
+                               partition_handover& handover,
                                handover_stage stage)
 {
-    one.stage = stage;
-    one.stage_began = now;
+    handover.stage = stage;
+    handover.stage_began = now;
 }
 
 void entry_engine::send_keys(common::time_point now,
                              std::uint32_t partition,
-                             partition_handover& one,
+                             partition_handover& handover,
                              ports::actions& out)
 {
-    one.last_sent = now;
+    handover.last_sent = now;
     auto messages = split_key_handover(partition,
-                                       one,
+                                       handover,
                                        keys_.history_length(now, partition),
                                        keys_.export_keys(now, partition));
     for (auto& message : messages)
     {
-        send_peer(one.successor, std::move(message), out);
+        send_peer(handover.successor, std::move(message), out);
     }
 }
 
@@ -152,14 +156,14 @@
     {
         return;
     }
-    auto& one = found->second;
-    if (one.stage != handover_stage::awaiting_acknowledgement ||
-        one.successor != from || one.epoch != ack.epoch)
+    auto& handover = found->second;
+    if (handover.stage != handover_stage::awaiting_acknowledgement ||
+        handover.successor != from || handover.epoch != ack.epoch)
     {
         return;
     }
     ++counts_.handovers;
-    enter_stage(now, one, handover_stage::releasing);
+    enter_stage(now, handover, handover_stage::releasing);
     claims_.release(now, partition_name(ack.partition), out);
     log(out,
         ports::severity::info,
@@ -175,17 +179,17 @@
 }
 
 bool entry_engine::key_may_run(common::time_point now,
-                               open_request const& one) const noexcept
+                               open_request const& req) const noexcept
 {
-    if (!one.key_begun)
+    if (!req.key_begun)
     {
         return true;
     }
-    auto const found = handovers_.find(one.partition);
-    bool const sent =
+    auto const found = handovers_.find(req.partition);
+    bool const keys_sent =
         found != handovers_.end() &&
         found->second.stage >= handover_stage::awaiting_acknowledgement;
-    return !sent && owns(now, one.partition);
+    return !keys_sent && owns(now, req.partition);
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/entry_members.cpp
+++ b/src/core/requests/entry_members.cpp
@@ -3,47 +3,47 @@
 #include <algorithm>
 #include <iterator>
 
-// What other members and the configuration mean for this entry.
+// Changes of the members and of the configuration.
 namespace fuchsia::core::requests
 {
 
 void entry_engine::sync_members(common::time_point now, ports::actions& out)
 {
-    bool lost = false;
+    bool member_lost = false;
     for (auto const& info : members_.live())
     {
         known_members_[info.id].reset();
         last_received_.emplace(info.id, now);
     }
-    for (auto at = known_members_.begin(); at != known_members_.end();)
+    for (auto it = known_members_.begin(); it != known_members_.end();)
     {
-        auto& [id, gone_since] = *at;
+        auto& [id, gone_since] = *it;
         if (!gone_since && !is_live(id))
         {
             gone_since = now;
-            lost = true;
+            member_lost = true;
             for (auto& [customer, ledger] : ledgers_)
             {
                 ledger.on_member_fenced(now, id);
             }
         }
-        bool const over =
+        bool const expired =
             gone_since && now - *gone_since > settings_.upstreams.max_execution;
-        at = over ? known_members_.erase(at) : std::next(at);
+        it = expired ? known_members_.erase(it) : std::next(it);
     }
-    if (lost)
+    if (member_lost)
     {
-        auto const live = [this](ports::member_identity const& id)
+        auto const is_live_member = [this](ports::member_identity const& id)
         {
             return is_live(id);
         };
         std::erase_if(last_received_,
-                      [&live](auto const& heard)
+                      [&is_live_member](auto const& received)
                       {
-                          return !live(heard.first);
+                          return !is_live_member(received.first);
                       });
-        replays_.keep_only(live);
-        peer_loads_.keep_only(live);
+        replays_.keep_only(is_live_member);
+        peer_loads_.keep_only(is_live_member);
         on_peer_lost(now, out);
     }
 }
@@ -54,7 +54,8 @@
     auto const& current = follower_.current();
     configuration_current_as_of_ =
         std::max(configuration_current_as_of_, follower_.confirmed_at());
-    // While the store is silent the witnesses' promises tell their revisions.
+    // While the store does not answer, the promises of the witnesses carry
+    // their revisions and so confirm the configuration.
     if (!members_.proved_by_store() && members_.may_act(now))
     {
         configuration_current_as_of_ = now;
@@ -94,16 +95,17 @@
            now - found->second > settings_.peer_silence_timeout;
 }
 
-// A member whose proof stands but whose configuration is known to be old could
-// give work to an upstream that operators took out of service.
+// Whether this entry may send requests to upstreams. A proof of membership is
+// not enough: with an outdated configuration the entry could send work to an
+// upstream that operators took out of service.
 bool entry_engine::may_send(common::time_point now) const noexcept
 {
-    bool const behind =
+    bool const is_behind =
         behind_since_ &&
         now - *behind_since_ > settings_.newer_configuration_grace;
-    bool const seen =
+    bool const is_current =
         now - configuration_current_as_of_ <= settings_.max_configuration_age;
-    return !retired_ && !behind && seen && members_.may_act(now);
+    return !retired_ && !is_behind && is_current && members_.may_act(now);
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-// Partitions that come to this entry, and those that it loses.
+// Partitions that this entry acquires and loses.
 namespace fuchsia::core::requests
 {
 
@@ -49,8 +49,9 @@
     }
 }
 
-// Only a partition that nobody ever owned, or one whose keys a predecessor
-// handed over whole, comes without a past.
+// Opens the key memory and the slots of a new partition. The key history is
+// complete only if no member owned the partition before or if the predecessor
+// handed over all its keys.
 void entry_engine::on_partition_acquired(common::time_point now,
                                          std::uint32_t partition,
                                          claims::claim_change const& change,
@@ -82,16 +83,16 @@
     }
     else
     {
-        takeover taken{now, {}};
+        takeover new_takeover{now, {}};
         for (auto const& [id, gone_since] : known_members_)
         {
-            taken.possible_holders.push_back(id);
+            new_takeover.possible_holders.push_back(id);
         }
         if (!change.previous_owner.name.empty())
         {
-            taken.possible_holders.push_back(change.previous_owner);
+            new_takeover.possible_holders.push_back(change.previous_owner);
         }
-        takeovers_[partition] = std::move(taken);
+        takeovers_[partition] = std::move(new_takeover);
     }
     log(out,
         ports::severity::info,
@@ -110,9 +111,9 @@
     handovers_.erase(partition);
     takeovers_[partition].reset();
     std::erase_if(ledgers_,
-                  [partition](auto const& one)
+                  [partition](auto const& ledger)
                   {
-                      return common::partition_of(one.first) == partition;
+                      return common::partition_of(ledger.first) == partition;
                   });
     for (std::uint64_t const waiter : keys_.close(partition))
     {
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-// What goes between entries: forwarded requests and their answers, free slots
+// Messages between entries: forwarded requests and their answers, load reports
 // and configuration revisions.
 namespace fuchsia::core::requests
 {
@@ -35,12 +35,12 @@
     {
         last_received_[from] = now;
     }
-    auto const to_members = [&]
+    auto const pass_to_members = [&]
     {
         members_.on_peer(now, message, out);
         sync_platform_state(now, out);
     };
-    auto const to_follower = [&]
+    auto const pass_to_follower = [&]
     {
         auto const* info = members_.find(from);
         if (info != nullptr)
@@ -54,28 +54,28 @@
             [&](ports::promise_request const& request)
             {
                 on_peer_revision(now, request.config_revision, from, out);
-                to_members();
+                pass_to_members();
             },
             [&](ports::promise_reply const& reply)
             {
                 on_peer_revision(now, reply.config_revision, from, out);
-                to_members();
+                pass_to_members();
             },
             [&](ports::consent_request const&)
             {
-                to_members();
+                pass_to_members();
             },
             [&](ports::consent_reply const&)
             {
-                to_members();
+                pass_to_members();
             },
             [&](ports::config_offer const&)
             {
-                to_follower();
+                pass_to_follower();
             },
             [&](ports::config_request const&)
             {
-                to_follower();
+                pass_to_follower();
             },
             [&](ports::load_report const& report)
             {
@@ -118,85 +118,86 @@
 }
 
 void entry_engine::forward_to_owner(common::time_point now,
-                                    open_request& one,
+                                    open_request& req,
                                     ports::actions& out)
 {
     if (!may_send(now))
     {
-        refuse(now, one, result_code::no_proof, out);
+        refuse(now, req, result_code::no_proof, out);
         return;
     }
-    if (one.expires - now <= settings_.hop_margin)
+    if (req.expires - now <= settings_.hop_margin)
     {
-        refuse(now, one, result_code::deadline_passed, out);
+        refuse(now, req, result_code::deadline_passed, out);
         return;
     }
-    auto const owner = owners_.owner_of(one.partition).member;
+    auto const owner = owners_.owner_of(req.partition).member;
     if (!is_live(owner))
     {
-        await_owner(now, one, out);
+        await_owner(now, req, out);
         return;
     }
-    // A dead owner is buried some seconds after its death. What is forwarded
-    // to it until then ends as unknown at the deadline; not sent, it ends as
-    // not run at once.
+    // A crashed owner is fenced some seconds after its crash. A request that is
+    // forwarded to it before that ends as "unknown" at its deadline. A refusal
+    // instead ends it as "not run" at once.
     if (is_peer_silent(now, owner) ||
-        !send_to_peer(now, one, owner, false, out))
+        !send_to_peer(now, req, owner, false, out))
     {
-        refuse(now, one, result_code::owner_unreachable, out);
+        refuse(now, req, result_code::owner_unreachable, out);
         return;
     }
     ++counts_.forwarded;
 }
 
-// One hop at most: only requests of our own callers, and each only once.
+// Forwards a request to a free slot of a peer. A request takes at most one such
+// hop: one that arrived as a spill, or was spilled before, is not spilled.
 bool entry_engine::spill(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::actions& out)
 {
-    if (one.received_as_spill || one.spilled)
+    if (req.received_as_spill || req.spilled)
     {
         return false;
     }
     auto const peer = peer_loads_.take_most_free(now);
-    if (!peer || !send_to_peer(now, one, *peer, true, out))
+    if (!peer || !send_to_peer(now, req, *peer, true, out))
     {
         return false;
     }
-    one.spilled = true;
+    req.spilled = true;
     ++counts_.spilled;
     return true;
 }
 
 bool entry_engine::send_to_peer(common::time_point now,
-                                open_request& one,
-                                ports::member_identity const& to,
+                                open_request& req,
+                                ports::member_identity const& target,
                                 bool is_spill,
                                 ports::actions& out)
 {
-    auto const left = one.expires - now - settings_.hop_margin;
-    if (left <= common::duration::zero() || !is_live(to))
+    auto const remaining = req.expires - now - settings_.hop_margin;
+    if (remaining <= common::duration::zero() || !is_live(target))
     {
         return false;
     }
     ports::forwarded_request message;
     message.id = next_id_++;
     message.spill = is_spill;
-    message.request = one.request;
-    message.request.deadline = left;
+    message.request = req.request;
+    message.request.deadline = remaining;
     if (!is_spill)
     {
-        message.epoch = is_first_sending_confirmed(one)
-                            ? owners_.owner_of(one.partition).epoch
+        message.epoch = is_first_sending_confirmed(req)
+                            ? owners_.owner_of(req.partition).epoch
                             : 0;
     }
-    one.stage = request_stage::at_peer;
-    one.attempt_id = message.id;
-    one.peer = to;
-    one.attempt_sent_at = now;
-    by_attempt_.emplace(message.id, one.id);
-    set_timer(one, one.expires);
-    send_peer(to, std::move(message), out);
+    req.stage = request_stage::at_peer;
+    req.attempt_id = message.id;
+    req.peer = target;
+    req.attempt_sent_at = now;
+    by_attempt_.emplace(message.id, req.id);
+    set_timer(req, req.expires);
+    send_peer(target, std::move(message), out);
     return true;
 }
 
@@ -229,50 +230,51 @@
         refuse_now(result_code::queue_full);
         return;
     }
-    open_request fresh;
-    fresh.forwarded_by = from;
-    fresh.forwarded_id = message.id;
-    fresh.received_as_spill = message.spill;
-    fresh.request = message.request;
-    fresh.received = now;
-    fresh.expires = now + message.request.deadline;
-    set_key_and_idempotency(fresh, contract_of(message.request.customer));
-    // A spilled key was looked up by its owner, who sent it here.
-    fresh.has_key = fresh.has_key && !message.spill;
-    auto const& known = owners_.owner_of(fresh.partition);
-    fresh.first_sending_confirmed = message.request.attempt == 1 &&
-                                    message.epoch == known.epoch &&
-                                    known.member == members_.self().id;
-    auto& one = add_request(std::move(fresh));
+    open_request new_request;
+    new_request.forwarded_by = from;
+    new_request.forwarded_id = message.id;
+    new_request.received_as_spill = message.spill;
+    new_request.request = message.request;
+    new_request.received = now;
+    new_request.expires = now + message.request.deadline;
+    set_key_and_idempotency(new_request, contract_of(message.request.customer));
+    // A spilled request with a key comes from the owner of that key, which has
+    // already looked it up.
+    new_request.has_key = new_request.has_key && !message.spill;
+    auto const& owner_info = owners_.owner_of(new_request.partition);
+    new_request.first_sending_confirmed =
+        message.request.attempt == 1 && message.epoch == owner_info.epoch &&
+        owner_info.member == members_.self().id;
+    auto& req = add_request(std::move(new_request));
     if (!message.spill)
     {
-        // Only the owner may run it; it is never forwarded again.
-        bool const ours = one.has_key && owns(now, one.partition);
-        if (ours)
+        // Only the owner may run the request. It is never forwarded again.
+        bool const is_owner = req.has_key && owns(now, req.partition);
+        if (is_owner)
         {
-            route(now, one, out);
+            route(now, req, out);
         }
         else
         {
-            refuse(now, one, result_code::owner_unreachable, out);
+            refuse(now, req, result_code::owner_unreachable, out);
         }
         return;
     }
     bool const stopping = lifecycle_.phase() != entry_phase::serving;
-    if (stopping || queue_.size() > 0 || !send_upstream(now, one, out))
+    if (stopping || queue_.size() > 0 || !send_upstream(now, req, out))
     {
-        refuse(now, one, result_code::no_free_slot, out);
+        refuse(now, req, result_code::no_free_slot, out);
     }
 }
 
 namespace
 {
 
-// Whether this sending may be running at the peer's upstream. "Unknown" alone
-// does not say so: of a key that the peer's memory does not hold, or of a retry
-// that it refuses, an earlier sending may have run, and this one has not.
-// Charged as running, 30 such answers a second use up a contract of 900
-// requests.
+// Whether this sending may still run on an upstream of the peer. The outcome
+// "unknown" alone does not imply that: if the peer's key memory does not hold
+// the key, or if the peer refuses a retry, an earlier sending may have run but
+// this one has not. If such answers counted as running requests, 30 of them a
+// second would use up a contract of 900 requests.
 bool may_still_run(ports::caller_answer const& answer) noexcept
 {
     using enum common::result_code;
@@ -296,77 +298,79 @@
                                        ports::forwarded_answer const& message,
                                        ports::actions& out)
 {
-    auto* one = find_attempt(message.id);
-    if (one == nullptr || one->stage != request_stage::at_peer ||
-        one->peer != from)
+    auto* req = find_attempt(message.id);
+    if (req == nullptr || req->stage != request_stage::at_peer ||
+        req->peer != from)
     {
         return;
     }
     by_attempt_.erase(message.id);
     peer_loads_.on_report(now, from, {message.free_slots, message.queued});
     bool const not_run = message.answer.outcome == common::outcome::not_run;
-    bool const handed_over =
+    bool const owner_changed =
         message.answer.code == result_code::owner_unreachable;
-    if (not_run && handed_over && one->has_key && !one->spilled &&
-        !one->answered && now < one->expires)
+    if (not_run && owner_changed && req->has_key && !req->spilled &&
+        !req->answered && now < req->expires)
     {
-        one->stage = request_stage::arrived;
-        await_owner(now, *one, out);
+        req->stage = request_stage::arrived;
+        await_owner(now, *req, out);
         return;
     }
-    if (not_run && one->spilled && !one->answered && now < one->expires)
+    if (not_run && req->spilled && !req->answered && now < req->expires)
     {
-        one->stage = request_stage::arrived;
-        set_timer(*one, std::nullopt);
-        dispatch(now, *one, out);
+        req->stage = request_stage::arrived;
+        set_timer(*req, std::nullopt);
+        dispatch(now, *req, out);
         return;
     }
     if (may_still_run(message.answer))
     {
-        // It may run on there; the charge stays as long.
-        send_answer(*one, message.answer, out);
-        record_key_outcome(now, *one, message.answer, out);
+        // The request may still run on the peer's upstream, and uses capacity
+        // of the slice until the maximum execution time has passed.
+        send_answer(*req, message.answer, out);
+        record_key_outcome(now, *req, message.answer, out);
         keep_until_ended(
-            *one, one->attempt_sent_at + settings_.upstreams.max_execution);
+            *req, req->attempt_sent_at + settings_.upstreams.max_execution);
         return;
     }
-    finish(now, one->id, message.answer, out);
+    finish(now, req->id, message.answer, out);
 }
 
-void entry_engine::answer_peer(ports::member_identity const& to,
+void entry_engine::answer_peer(ports::member_identity const& target,
                                std::uint64_t id,
                                ports::caller_answer answer,
                                ports::actions& out) const
 {
     auto const load = own_load();
-    send_peer(to,
+    send_peer(target,
               ports::forwarded_answer{
                   id, std::move(answer), load.free_slots, load.queued},
               out);
 }
 
-// The peer was buried or has left: its answers will not come any more.
+// Ends or retries the requests at peers that were fenced or have left: their
+// answers will not arrive.
 void entry_engine::on_peer_lost(common::time_point now, ports::actions& out)
 {
-    std::vector<std::uint64_t> lost;
-    for (auto const& [id, one] : requests_)
+    std::vector<std::uint64_t> lost_ids;
+    for (auto const& [id, req] : requests_)
     {
-        if (one.stage == request_stage::at_peer && !is_live(one.peer))
+        if (req.stage == request_stage::at_peer && !is_live(req.peer))
         {
-            lost.push_back(id);
+            lost_ids.push_back(id);
         }
     }
-    for (std::uint64_t const id : lost)
+    for (std::uint64_t const id : lost_ids)
     {
         auto const found = requests_.find(id);
         if (found == requests_.end())
         {
             continue;
         }
-        auto& one = found->second;
-        by_attempt_.erase(one.attempt_id);
-        one.may_have_run = true;
-        if (!one.idempotent || !retry(now, one, out))
+        auto& req = found->second;
+        by_attempt_.erase(req.attempt_id);
+        req.may_have_run = true;
+        if (!req.idempotent || !retry(now, req, out))
         {
             finish_with_unknown_outcome(now, id, result_code::owner_lost, out);
         }
@@ -404,7 +408,8 @@
     auto const report = own_load();
     auto const& live = members_.live();
     auto const count = std::min(live.size(), settings_.load_fanout);
-    // The next few in turn, so that every peer hears of every other.
+    // Round robin over the members, so that every peer gets the load of every
+    // other.
     for (std::size_t turn = 0; turn < count; ++turn)
     {
         auto const& info = live[next_load_peer_++ % live.size()];
@@ -417,20 +422,20 @@
 
 ports::load_report entry_engine::own_load() const noexcept
 {
-    bool const welcome = lifecycle_.phase() == entry_phase::serving;
-    return {welcome ? slots_.free_slots() : 0,
+    bool const accepts_work = lifecycle_.phase() == entry_phase::serving;
+    return {accepts_work ? slots_.free_slots() : 0,
             static_cast<std::uint32_t>(queue_.size())};
 }
 
-void entry_engine::send_peer(ports::member_identity const& to,
+void entry_engine::send_peer(ports::member_identity const& target,
                              ports::peer_message message,
                              ports::actions& out) const
 {
-    auto const* info = members_.find(to);
+    auto const* info = members_.find(target);
     if (info != nullptr)
     {
         out.emplace_back(
-            ports::peer_send{to, info->peer_address, std::move(message)});
+            ports::peer_send{target, info->peer_address, std::move(message)});
     }
 }
 
--- a/src/core/requests/entry_phases.cpp
+++ b/src/core/requests/entry_phases.cpp
@@ -1,6 +1,7 @@
 #include "core/requests/entry_engine.hpp"
 
-// From joining to a planned stop, or to its burial.
+// Phases of an entry from joining to a planned stop, and its retirement after
+// it was fenced.
 namespace fuchsia::core::requests
 {
 
@@ -23,16 +24,16 @@
 {
     retired_ = true;
     refuse_all_waiting(now, out);
-    std::vector<std::uint64_t> elsewhere;
-    for (auto const& [id, one] : requests_)
+    std::vector<std::uint64_t> remote_ids;
+    for (auto const& [id, req] : requests_)
     {
-        if (one.stage == request_stage::awaiting_same_key ||
-            one.stage == request_stage::at_peer)
+        if (req.stage == request_stage::awaiting_same_key ||
+            req.stage == request_stage::at_peer)
         {
-            elsewhere.push_back(id);
+            remote_ids.push_back(id);
         }
     }
-    for (std::uint64_t const id : elsewhere)
+    for (std::uint64_t const id : remote_ids)
     {
         if (requests_.contains(id))
         {
@@ -49,8 +50,8 @@
 void entry_engine::advance_lifecycle(common::time_point now,
                                      ports::actions& out)
 {
-    bool const waited_long = now - stop_announced_at_ >
-                             settings_.balancer_lag + settings_.stop_timeout;
+    bool const stop_timed_out = now - stop_announced_at_ >
+                                settings_.balancer_lag + settings_.stop_timeout;
     switch (lifecycle_.phase())
     {
     case entry_phase::joining:
@@ -75,14 +76,14 @@
         }
         if (unanswered_ == 0 &&
             (now - last_work_at_ >= settings_.release_propagation_time ||
-             waited_long))
+             stop_timed_out))
         {
             lifecycle_.handle(entry_event::drained);
             members_.remove(now, out);
         }
         break;
     case entry_phase::leaving:
-        if (members_.is_removed() || waited_long)
+        if (members_.is_removed() || stop_timed_out)
         {
             lifecycle_.handle(entry_event::removed);
             out.emplace_back(ports::stop_complete{});
--- a/src/core/requests/entry_requests.cpp
+++ b/src/core/requests/entry_requests.cpp
@@ -3,8 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-// The way of one request: from the door over its key and its customer's slice;
-// from there entry_slots.cpp takes it to an upstream.
+// Admission and routing of requests: arrival checks, key lookup, the customer's
+// slice and the choice of the entry. entry_slots.cpp then sends them to
+// upstreams.
 namespace fuchsia::core::requests
 {
 
@@ -26,21 +27,22 @@
         return;
     }
     auto const* limits = contract_of(request.customer);
-    open_request fresh;
-    fresh.caller = caller;
-    fresh.received = now;
-    fresh.request = std::move(request);
-    if (fresh.request.deadline <= common::duration::zero())
-    {
-        bool const batch = fresh.request.kind == ports::request_class::batch;
-        fresh.request.deadline =
+    open_request new_request;
+    new_request.caller = caller;
+    new_request.received = now;
+    new_request.request = std::move(request);
+    if (new_request.request.deadline <= common::duration::zero())
+    {
+        bool const batch =
+            new_request.request.kind == ports::request_class::batch;
+        new_request.request.deadline =
             batch ? limits->batch_latency_target : limits->latency_target;
     }
-    fresh.expires = now + fresh.request.deadline;
-    set_key_and_idempotency(fresh, limits);
-    auto& one = add_request(std::move(fresh));
-    by_caller_.emplace(caller, one.id);
-    admit(now, one, out);
+    new_request.expires = now + new_request.request.deadline;
+    set_key_and_idempotency(new_request, limits);
+    auto& req = add_request(std::move(new_request));
+    by_caller_.emplace(caller, req.id);
+    admit(now, req, out);
     process_waiting_work(now, out);
 }
 
@@ -54,12 +56,12 @@
     {
         return;
     }
-    auto& one = requests_.at(found->second);
-    if (one.stage == request_stage::queued ||
-        one.stage == request_stage::awaiting_slice ||
-        one.stage == request_stage::awaiting_owner)
+    auto& req = requests_.at(found->second);
+    if (req.stage == request_stage::queued ||
+        req.stage == request_stage::awaiting_slice ||
+        req.stage == request_stage::awaiting_owner)
     {
-        refuse(now, one, result_code::deadline_passed, out);
+        refuse(now, req, result_code::deadline_passed, out);
     }
     process_waiting_work(now, out);
 }
@@ -103,35 +105,36 @@
 }
 
 void entry_engine::set_key_and_idempotency(
-    open_request& one, contracts::contract const* limits) const
+    open_request& req, contracts::contract const* limits) const
 {
-    auto const& request = one.request;
-    one.idempotent =
+    auto const& request = req.request;
+    req.idempotent =
         limits == nullptr
             ? request.method != "POST"
             : contracts::is_idempotent(*limits, request.method, request.target);
-    one.has_key = !one.idempotent && !request.idempotency_key.empty();
-    if (one.has_key)
+    req.has_key = !req.idempotent && !request.idempotency_key.empty();
+    if (req.has_key)
     {
-        one.key = customer_key(request.customer, request.idempotency_key);
-        one.partition = common::partition_of(one.key);
-        one.fingerprint = fingerprint_of(request);
+        req.key = customer_key(request.customer, request.idempotency_key);
+        req.partition = common::partition_of(req.key);
+        req.fingerprint = fingerprint_of(request);
     }
 }
 
 bool entry_engine::is_first_sending_confirmed(
-    open_request const& one) const noexcept
+    open_request const& req) const noexcept
 {
-    if (!one.is_local())
+    if (!req.is_local())
     {
-        return one.first_sending_confirmed;
+        return req.first_sending_confirmed;
     }
-    // A pause shorter than the limit is not noticed, so it counts as delay.
-    auto const began =
-        std::max(owners_.owner_of(one.partition).learned_at, resumed_at_);
-    auto const late =
+    // A pause shorter than the limit is not detected, so the limit is added to
+    // the delivery time.
+    auto const window_start =
+        std::max(owners_.owner_of(req.partition).learned_at, resumed_at_);
+    auto const max_delay =
         settings_.max_delivery_time + settings_.membership.pause_limit;
-    return one.request.attempt == 1 && one.received - began >= late;
+    return req.request.attempt == 1 && req.received - window_start >= max_delay;
 }
 
 contracts::contract const*
@@ -143,28 +146,28 @@
 }
 
 void entry_engine::admit(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::actions& out)
 {
-    bool const own_key = one.has_key && owns(now, one.partition);
-    if (own_key && resolve_remembered_key(now, one, out))
+    bool const is_owner = req.has_key && owns(now, req.partition);
+    if (is_owner && resolve_remembered_key(now, req, out))
     {
         return;
     }
-    take_from_slice(now, one, out);
+    take_from_slice(now, req, out);
 }
 
-// True where the key's memory answers, or has the request wait for another
-// sending's answer.
+// Returns true if the key memory decides on the request: it is answered, or it
+// waits for the answer to another sending of its key.
 bool entry_engine::resolve_remembered_key(common::time_point now,
-                                          open_request& one,
+                                          open_request& req,
                                           ports::actions& out)
 {
     auto const found = keys_.look_up(now,
-                                     one.partition,
-                                     one.key,
-                                     one.fingerprint,
-                                     is_first_sending_confirmed(one));
+                                     req.partition,
+                                     req.key,
+                                     req.fingerprint,
+                                     is_first_sending_confirmed(req));
     switch (found.verdict)
     {
     case key_verdict::first_run:
@@ -173,129 +176,130 @@
     {
         ++counts_.replayed_keys;
         ports::caller_answer const answer = *found.answer;
-        finish(now, one.id, answer, out);
+        finish(now, req.id, answer, out);
         return true;
     }
     case key_verdict::running:
-        if (keys_.add_waiter(one.key, one.id))
+        if (keys_.add_waiter(req.key, req.id))
         {
             ++counts_.joined_keys;
-            one.stage = request_stage::awaiting_same_key;
-            set_timer(one, one.expires);
+            req.stage = request_stage::awaiting_same_key;
+            set_timer(req, req.expires);
             return true;
         }
-        refuse(now, one, result_code::queue_full, out);
+        refuse(now, req, result_code::queue_full, out);
         return true;
     case key_verdict::mismatch:
-        refuse(now, one, result_code::bad_header, out);
+        refuse(now, req, result_code::bad_header, out);
         return true;
     case key_verdict::history_incomplete:
-        refuse(now, one, result_code::key_memory_lost, out);
+        refuse(now, req, result_code::key_memory_lost, out);
         return true;
     case key_verdict::memory_full:
-        refuse(now, one, result_code::queue_full, out);
+        refuse(now, req, result_code::queue_full, out);
         return true;
     }
     return true;
 }
 
 void entry_engine::take_from_slice(common::time_point now,
-                                   open_request& one,
+                                   open_request& req,
                                    ports::actions& out)
 {
-    auto const* limits = contract_of(one.request.customer);
+    auto const* limits = contract_of(req.request.customer);
     if (limits == nullptr)
     {
-        refuse(now, one, result_code::contract_withdrawn, out);
+        refuse(now, req, result_code::contract_withdrawn, out);
         return;
     }
-    auto& customer = customer_of(one.request.customer);
+    auto& customer = customer_of(req.request.customer);
     auto const verdict =
         customer.awaiting_slice.empty()
-            ? customer.slice.admit(now, one.request.kind, *limits)
+            ? customer.slice.admit(now, req.request.kind, *limits)
             : contracts::slice_verdict::no_slice;
     if (verdict == contracts::slice_verdict::admitted)
     {
-        one.counted_in_slice = true;
-        route(now, one, out);
+        req.counted_in_slice = true;
+        route(now, req, out);
         return;
     }
     customer.slice.count_unmet_demand();
-    // Waiting is of use only where the customer's owner may lend more.
+    // Waiting helps only if the owner of the customer's partition may grant a
+    // larger slice.
     if (auto const code = slice_refusal(now, customer, verdict))
     {
-        refuse(now, one, *code, out);
+        refuse(now, req, *code, out);
         return;
     }
-    one.stage = request_stage::awaiting_slice;
-    customer.awaiting_slice.push_back(one.id);
-    set_timer(one, std::min(one.expires, now + settings_.slice_timeout));
-    request_slice(now, one.request.customer, out);
+    req.stage = request_stage::awaiting_slice;
+    customer.awaiting_slice.push_back(req.id);
+    set_timer(req, std::min(req.expires, now + settings_.slice_timeout));
+    request_slice(now, req.request.customer, out);
 }
 
 void entry_engine::route(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::actions& out)
 {
-    if (!one.has_key)
+    if (!req.has_key)
     {
-        dispatch(now, one, out);
+        dispatch(now, req, out);
         return;
     }
-    if (owners_.owner_of(one.partition).member != members_.self().id)
+    if (owners_.owner_of(req.partition).member != members_.self().id)
     {
-        forward_to_owner(now, one, out);
+        forward_to_owner(now, req, out);
         return;
     }
-    if (!owns(now, one.partition))
+    if (!owns(now, req.partition))
     {
-        await_owner(now, one, out);
+        await_owner(now, req, out);
         return;
     }
-    if (resolve_remembered_key(now, one, out))
+    if (resolve_remembered_key(now, req, out))
     {
         return;
     }
-    if (key_is_frozen(one.partition))
+    if (key_is_frozen(req.partition))
     {
-        await_owner(now, one, out);
+        await_owner(now, req, out);
         return;
     }
-    keys_.begin(one.partition, one.key, one.fingerprint);
-    one.key_begun = true;
-    dispatch(now, one, out);
+    keys_.begin(req.partition, req.key, req.fingerprint);
+    req.key_begun = true;
+    dispatch(now, req, out);
 }
 
-// The key's partition is on its way to another owner: waits a moment for that.
-// A request that was forwarded here goes back to where it came from instead.
+// Lets a request wait while its partition changes its owner. A request that a
+// peer forwarded is refused instead, and that peer waits for the new owner.
 void entry_engine::await_owner(common::time_point now,
-                               open_request& one,
+                               open_request& req,
                                ports::actions& out)
 {
-    if (!one.await_owner_until)
+    if (!req.await_owner_until)
     {
-        one.await_owner_until =
-            std::min(one.expires, now + settings_.owner_change_timeout);
+        req.await_owner_until =
+            std::min(req.expires, now + settings_.owner_change_timeout);
     }
-    auto& waiting = awaiting_owner_[one.partition];
-    bool const in_vain = !one.is_local() || now >= *one.await_owner_until ||
-                         waiting.size() >= settings_.max_awaiting_owner;
-    if (in_vain)
+    auto& waiting_ids = awaiting_owner_[req.partition];
+    bool const must_refuse = !req.is_local() || now >= *req.await_owner_until ||
+                             waiting_ids.size() >= settings_.max_awaiting_owner;
+    if (must_refuse)
     {
-        refuse(now, one, result_code::owner_unreachable, out);
+        refuse(now, req, result_code::owner_unreachable, out);
         return;
     }
-    one.stage = request_stage::awaiting_owner;
-    waiting.push_back(one.id);
-    set_timer(one, one.await_owner_until);
+    req.stage = request_stage::awaiting_owner;
+    waiting_ids.push_back(req.id);
+    set_timer(req, req.await_owner_until);
 }
 
 void entry_engine::route_awaiting_owner(common::time_point now,
                                         std::uint32_t partition,
                                         ports::actions& out)
 {
-    auto const waiting = std::exchange(awaiting_owner_[partition], {});
-    for (std::uint64_t const id : waiting)
+    auto const waiting_ids = std::exchange(awaiting_owner_[partition], {});
+    for (std::uint64_t const id : waiting_ids)
     {
         auto const found = requests_.find(id);
         if (found != requests_.end() &&
@@ -312,7 +316,7 @@
 {
     while (!timers_.empty() && timers_.begin()->first <= now)
     {
-        auto const [when, id] = *timers_.begin();
+        auto const [due, id] = *timers_.begin();
         timers_.erase(timers_.begin());
         auto const found = requests_.find(id);
         if (found != requests_.end())
@@ -324,61 +328,62 @@
 }
 
 void entry_engine::on_timer(common::time_point now,
-                            open_request& one,
+                            open_request& req,
                             ports::actions& out)
 {
-    bool const expired = one.expires <= now;
-    switch (one.stage)
+    bool const expired = req.expires <= now;
+    switch (req.stage)
     {
     case request_stage::arrived:
     case request_stage::awaiting_slice:
         refuse(now,
-               one,
+               req,
                expired ? result_code::deadline_passed
                        : result_code::over_contract_in_flight,
                out);
         break;
     case request_stage::awaiting_owner:
         refuse(now,
-               one,
+               req,
                expired ? result_code::deadline_passed
                        : result_code::owner_unreachable,
                out);
         break;
     case request_stage::queued:
-        refuse(now, one, result_code::deadline_passed, out);
+        refuse(now, req, result_code::deadline_passed, out);
         break;
     case request_stage::awaiting_same_key:
-        refuse(now, one, result_code::deadline_after_send, out);
+        refuse(now, req, result_code::deadline_after_send, out);
         break;
     case request_stage::at_upstream:
-        // Its slot stays taken until its end is known. A peer that forwarded
-        // it watches the deadline itself and needs to know the end.
-        slots_.on_caller_timeout(now, one.attempt_id);
-        if (one.is_local())
+        // The slot stays taken until the end of the exchange is known. A peer
+        // that forwarded the request checks the deadline itself and waits for
+        // the final result.
+        slots_.on_caller_timeout(now, req.attempt_id);
+        if (req.is_local())
         {
             send_answer(
-                one,
+                req,
                 make_refusal_answer(result_code::deadline_after_send, true),
                 out);
         }
         break;
     case request_stage::at_peer:
-        if (one.answered)
+        if (req.answered)
         {
-            erase(one.id);
+            erase(req.id);
             break;
         }
-        send_answer(one,
+        send_answer(req,
                     make_refusal_answer(result_code::deadline_after_send, true),
                     out);
         set_timer(
-            one,
+            req,
             std::max(now,
-                     one.attempt_sent_at + settings_.upstreams.max_execution));
+                     req.attempt_sent_at + settings_.upstreams.max_execution));
         break;
     case request_stage::awaiting_unseen_end:
-        erase(one.id);
+        erase(req.id);
         break;
     }
 }
@@ -392,11 +397,11 @@
     {
         return;
     }
-    auto& one = found->second;
-    if (one.stage == request_stage::awaiting_slice ||
-        one.stage == request_stage::awaiting_owner)
+    auto& req = found->second;
+    if (req.stage == request_stage::awaiting_slice ||
+        req.stage == request_stage::awaiting_owner)
     {
-        refuse(now, one, result_code::no_proof, out);
+        refuse(now, req, result_code::no_proof, out);
     }
 }
 
@@ -420,9 +425,10 @@
             refuse_if_waiting(now, id, out);
         }
     }
-    for (auto const& [partition, waiting] : std::exchange(awaiting_owner_, {}))
+    for (auto const& [partition, waiting_ids] :
+         std::exchange(awaiting_owner_, {}))
     {
-        for (std::uint64_t const id : waiting)
+        for (std::uint64_t const id : waiting_ids)
         {
             refuse_if_waiting(now, id, out);
         }
--- a/src/core/requests/entry_slots.cpp
+++ b/src/core/requests/entry_slots.cpp
@@ -4,8 +4,8 @@
 #include <boost/algorithm/string/predicate.hpp>
 #include <utility>
 
-// The part of a request's way at the slots: sending it to an upstream, waiting
-// for one, and what came back.
+// Slots of upstreams: sending of requests, the queue for free slots, and the
+// results of exchanges.
 namespace fuchsia::core::requests
 {
 
@@ -15,86 +15,86 @@
 }
 
 void entry_engine::dispatch(common::time_point now,
-                            open_request& one,
+                            open_request& req,
                             ports::actions& out)
 {
     if (!may_send(now))
     {
-        refuse(now, one, result_code::no_proof, out);
+        refuse(now, req, result_code::no_proof, out);
         return;
     }
-    if (!key_may_run(now, one))
+    if (!key_may_run(now, req))
     {
-        refuse(now, one, result_code::owner_unreachable, out);
+        refuse(now, req, result_code::owner_unreachable, out);
         return;
     }
-    if (queue_.size() == 0 && send_upstream(now, one, out))
+    if (queue_.size() == 0 && send_upstream(now, req, out))
     {
         return;
     }
-    if (one.received_as_spill)
+    if (req.received_as_spill)
     {
-        refuse(now, one, result_code::no_free_slot, out);
+        refuse(now, req, result_code::no_free_slot, out);
         return;
     }
-    if (!spill(now, one, out))
+    if (!spill(now, req, out))
     {
-        enqueue(now, one, out);
+        enqueue(now, req, out);
     }
 }
 
 bool entry_engine::send_upstream(common::time_point now,
-                                 open_request& one,
+                                 open_request& req,
                                  ports::actions& out)
 {
     std::uint64_t const exchange = next_id_++;
-    auto const place = slots_.take_slot(now, exchange, one.last_upstream);
-    if (!place)
+    auto const slot = slots_.take_slot(now, exchange, req.last_upstream);
+    if (!slot)
     {
         return false;
     }
-    if (one.attempts++ == 0)
+    if (req.attempts++ == 0)
     {
         count_first_attempt(retries_);
     }
-    one.stage = request_stage::at_upstream;
-    one.last_upstream = place->upstream_index;
-    one.attempt_id = exchange;
-    one.attempt_sent_at = now;
-    by_attempt_.emplace(exchange, one.id);
-    set_timer(one, one.expires);
+    req.stage = request_stage::at_upstream;
+    req.last_upstream = slot->upstream_index;
+    req.attempt_id = exchange;
+    req.attempt_sent_at = now;
+    by_attempt_.emplace(exchange, req.id);
+    set_timer(req, req.expires);
     ++counts_.upstream_sends;
     out.emplace_back(ports::upstream_send{exchange,
-                                          place->upstream,
-                                          place->address,
-                                          one.request,
+                                          slot->upstream,
+                                          slot->address,
+                                          req.request,
                                           settings_.upstreams.max_execution});
     return true;
 }
 
 void entry_engine::enqueue(common::time_point now,
-                           open_request& one,
+                           open_request& req,
                            ports::actions& out)
 {
-    queue_state const view{queue_.ahead_of(one.request.kind),
-                           queue_.size(),
-                           slots_.usable_slots(),
-                           slots_.service_time()};
+    queue_state const state{queue_.ahead_of(req.request.kind),
+                            queue_.size(),
+                            slots_.usable_slots(),
+                            slots_.service_time()};
     if (auto const code = requests::admission_refusal(
-            settings_.admission, view, one.expires - now))
+            settings_.admission, state, req.expires - now))
     {
-        refuse(now, one, *code, out);
+        refuse(now, req, *code, out);
         return;
     }
-    bool const queued = queue_.push(
-        {one.id, one.request.customer, one.request.kind, one.expires});
-    if (!queued)
+    bool const added = queue_.push(
+        {req.id, req.request.customer, req.request.kind, req.expires});
+    if (!added)
     {
-        refuse(now, one, result_code::queue_full, out);
+        refuse(now, req, result_code::queue_full, out);
         return;
     }
-    one.stage = request_stage::queued;
-    set_timer(one, one.expires);
+    req.stage = request_stage::queued;
+    set_timer(req, req.expires);
 }
 
 void entry_engine::send_queued(common::time_point now, ports::actions& out)
@@ -107,70 +107,74 @@
         {
             continue;
         }
-        auto& one = found->second;
-        one.stage = request_stage::arrived;
-        if (one.expires <= now)
+        auto& req = found->second;
+        req.stage = request_stage::arrived;
+        if (req.expires <= now)
         {
-            refuse(now, one, result_code::deadline_passed, out);
+            refuse(now, req, result_code::deadline_passed, out);
         }
-        else if (!key_may_run(now, one))
+        else if (!key_may_run(now, req))
         {
-            refuse(now, one, result_code::owner_unreachable, out);
+            refuse(now, req, result_code::owner_unreachable, out);
         }
-        else if (auto const late = deadline_refusal(now, one))
+        else if (auto const code = deadline_refusal(now, req))
         {
-            refuse(now, one, *late, out);
+            refuse(now, req, *code, out);
         }
-        else if (!send_upstream(now, one, out))
+        else if (!send_upstream(now, req, out))
         {
-            refuse(now, one, result_code::no_free_slot, out);
+            refuse(now, req, result_code::no_free_slot, out);
         }
     }
 }
 
-// By deadline, a long queue serves first what is about to expire. Such a
-// request would take a slot and be answered too late, and so would all after
-// it: goodput falls the more the higher the load. Refused now, its caller knows
-// at once that it did not run.
+// Returns a refusal for a queued request that can no longer be answered by its
+// deadline. A long queue in deadline order starts with requests that are about
+// to expire. Each of them would use a slot and be answered too late, and so
+// would all requests behind it: goodput would fall as load rises. A refusal
+// tells the caller at once that the request did not run.
 std::optional<common::result_code>
 entry_engine::deadline_refusal(common::time_point now,
-                               open_request const& one) const
+                               open_request const& req) const
 {
-    queue_state const next{0, 0, slots_.usable_slots(), slots_.service_time()};
+    queue_state const head_of_queue{
+        0, 0, slots_.usable_slots(), slots_.service_time()};
     return requests::admission_refusal(
-        settings_.admission, next, one.expires - now);
+        settings_.admission, head_of_queue, req.expires - now);
 }
 
 bool entry_engine::retry(common::time_point now,
-                         open_request& one,
+                         open_request& req,
                          ports::actions& out)
 {
-    bool const in_time = !one.answered && now < one.expires && may_send(now);
-    if (!in_time || !take_retry(retries_, one.attempts))
+    bool const can_retry = !req.answered && now < req.expires && may_send(now);
+    if (!can_retry || !take_retry(retries_, req.attempts))
     {
         return false;
     }
     ++counts_.retries;
-    one.stage = request_stage::arrived;
-    set_timer(one, std::nullopt);
-    dispatch(now, one, out);
+    req.stage = request_stage::arrived;
+    set_timer(req, std::nullopt);
+    dispatch(now, req, out);
     return true;
 }
 
 namespace
 {
 
-// The upstream vouches that it did not run the request: it may go elsewhere,
-// whatever it is, and its caller may be told so.
+// Whether the upstream states that it did not run the request. Such a request,
+// idempotent or not, may be sent to another upstream, and a refusal may say
+// "not run".
 bool is_upstream_refusal(ports::upstream_end const& end)
 {
-    auto const says_so = [](ports::header const& header)
+    auto const is_not_run_header = [](ports::header const& header)
     {
         return boost::algorithm::iequals(header.name, "Upstream-Outcome") &&
                header.value == "not-run";
     };
     return end.http_status == http_unavailable &&
-           std::any_of(end.headers.begin(), end.headers.end(), says_so);
+           std::any_of(
+               end.headers.begin(), end.headers.end(), is_not_run_header);
 }
 
 } // namespace
@@ -181,8 +185,8 @@
 {
     detect_pause(now, out);
     slots_.on_exchange_end(now, end);
-    auto* one = find_attempt(end.exchange);
-    if (one == nullptr)
+    auto* req = find_attempt(end.exchange);
+    if (req == nullptr)
     {
         process_waiting_work(now, out);
         return;
@@ -190,8 +194,8 @@
     using enum ports::exchange_status;
     if (end.status == timed_out)
     {
-        // The other end, once it is known, follows.
-        on_timer(now, *one, out);
+        // Another end of this exchange follows when its result is known.
+        on_timer(now, *req, out);
         process_waiting_work(now, out);
         return;
     }
@@ -200,77 +204,80 @@
     {
     case answered:
     case drained:
-        if (is_upstream_refusal(end) && !one->answered)
+        if (is_upstream_refusal(end) && !req->answered)
         {
-            if (!retry(now, *one, out))
+            if (!retry(now, *req, out))
             {
-                refuse(now, *one, result_code::upstream_refused, out);
+                refuse(now, *req, result_code::upstream_refused, out);
             }
             break;
         }
-        on_complete_answer(now, *one, end, out);
+        on_complete_answer(now, *req, end, out);
         break;
     case not_sent:
-        if (!retry(now, *one, out))
+        if (!retry(now, *req, out))
         {
-            refuse(now, *one, result_code::retry_budget_spent, out);
+            refuse(now, *req, result_code::retry_budget_spent, out);
         }
         break;
     case timed_out:
     case lost:
     case too_large:
-        on_attempt_lost(now, *one, end, out);
+        on_attempt_lost(now, *req, end, out);
         break;
     }
     process_waiting_work(now, out);
 }
 
 void entry_engine::on_complete_answer(common::time_point now,
-                                      open_request& one,
+                                      open_request& req,
                                       ports::upstream_end const& end,
                                       ports::actions& out)
 {
     if (end.http_status == 0)
     {
-        // A late answer that was read to its end but not kept.
+        // A late answer was read completely but not stored.
         finish(now,
-               one.id,
+               req.id,
                make_refusal_answer(result_code::deadline_after_send, true),
                out);
         return;
     }
-    if (one.idempotent && end.http_status == http_unavailable)
+    if (req.idempotent && end.http_status == http_unavailable)
     {
-        bool const ran_before = one.may_have_run;
-        one.may_have_run = true;
-        if (retry(now, one, out))
+        bool const ran_before = req.may_have_run;
+        req.may_have_run = true;
+        if (retry(now, req, out))
         {
             return;
         }
-        one.may_have_run = ran_before;
+        req.may_have_run = ran_before;
     }
     ports::caller_answer answer;
     answer.status = end.http_status;
     answer.headers = end.headers;
     answer.body = end.body;
-    finish(now, one.id, answer, out);
+    finish(now, req.id, answer, out);
 }
 
 void entry_engine::on_attempt_lost(common::time_point now,
-                                   open_request& one,
+                                   open_request& req,
                                    ports::upstream_end const& end,
                                    ports::actions& out)
 {
-    one.may_have_run = true;
-    bool const large = end.status == ports::exchange_status::too_large;
-    if (!large && one.idempotent && retry(now, one, out))
+    req.may_have_run = true;
+    bool const is_too_large = end.status == ports::exchange_status::too_large;
+    if (!is_too_large && req.idempotent && retry(now, req, out))
     {
         return;
     }
-    auto const partial = end.http_status != 0 ? result_code::upstream_partial
-                                              : result_code::upstream_lost;
-    finish_with_unknown_outcome(
-        now, one.id, large ? result_code::answer_too_large : partial, out);
+    auto const loss_code = end.http_status != 0 ? result_code::upstream_partial
+                                                : result_code::upstream_lost;
+    finish_with_unknown_outcome(now,
+                                req.id,
+                                is_too_large ? result_code::answer_too_large
+                                             : loss_code,
+                                out);
 }
 
 } // namespace fuchsia::core::requests
