--- a/tests/unit/requests/entry_simulation.cpp
+++ b/tests/unit/requests/entry_simulation.cpp
@@ -16,28 +16,29 @@
 
 constexpr duration tick_interval = 50ms;
 constexpr duration list_interval = 500ms;
-/// An answer may be late by a tick and the check's own grain.
+/// Tolerance of the check for late answers: one tick and the resolution of the
+/// check.
 constexpr duration answer_grace = 150ms;
-/// A lowered contract holds everywhere this long after the last entry learned
-/// of it: its slice runs out (2 s), and what was admitted last waits for at
-/// most 2.5 s and runs for at most 10 s.
+/// Maximum time until a lowered contract is enforced after the last entry
+/// applied it: the old slice expires within 2 s, and requests admitted until
+/// then wait for at most 2.5 s and run for at most 10 s.
 constexpr duration contract_grace = 15s;
 constexpr char const* customer = "estate-owners";
 constexpr char const* sending_header = "X-Sending";
 
 std::string sending_of(ports::caller_request const& request)
 {
-    for (auto const& one : request.headers)
+    for (auto const& header : request.headers)
     {
-        if (one.name == sending_header)
+        if (header.name == sending_header)
         {
-            return one.value;
+            return header.value;
         }
     }
     return "";
 }
 
-ports::caller_request make(std::string method, std::string const& body)
+ports::caller_request make_request(std::string method, std::string const& body)
 {
     ports::caller_request request;
     request.customer = customer;
@@ -64,7 +65,7 @@
 
 ports::caller_request bid_request(std::string const& key, std::uint32_t attempt)
 {
-    auto request = make("POST", "body of " + key);
+    auto request = make_request("POST", "body of " + key);
     request.idempotency_key = key;
     request.attempt = attempt;
     return request;
@@ -72,12 +73,12 @@
 
 ports::caller_request unkeyed_request(std::string const& body)
 {
-    return make("POST", body);
+    return make_request("POST", body);
 }
 
 ports::caller_request get_request(std::string const& body)
 {
-    return make("GET", body);
+    return make_request("GET", body);
 }
 
 entry_simulation::entry_simulation(entry_simulation_options const& options)
@@ -88,11 +89,11 @@
                   ports::member_identity const& to,
                   ports::peer_receive const& message)
            {
-               for (auto const& who : nodes_)
+               for (auto const& entry : entries_)
                {
-                   if (who && who->address == address && who->id == to)
+                   if (entry && entry->address == address && entry->id == to)
                    {
-                       deliver(who,
+                       deliver(entry,
                                [message](entry_engine& engine,
                                          time_point now,
                                          ports::actions& out)
@@ -102,120 +103,121 @@
                    }
                }
            }),
-      options_(options), random_(options_.seed), nodes_(options_.entries)
+      options_(options), random_(options_.seed), entries_(options_.entries)
 {
-    for (std::size_t at = 0; at < options_.upstreams; ++at)
+    for (std::size_t i = 0; i < options_.upstreams; ++i)
     {
-        upstreams_["upstream-" + std::to_string(at)];
+        upstreams_["upstream-" + std::to_string(i)];
     }
     put_contract(options_.in_flight);
     publish_list();
 }
 
-void entry_simulation::start(std::size_t entry)
+void entry_simulation::start(std::size_t index)
 {
-    kill(entry);
-    begin(entry);
+    kill(index);
+    begin(index);
 }
 
-void entry_simulation::begin(std::size_t entry)
+void entry_simulation::begin(std::size_t index)
 {
-    auto const who = std::make_shared<simulated_entry>();
-    who->id = {"entry-" + std::to_string(entry), random_() | 1U};
-    who->address = "10.0.0." + std::to_string(entry);
+    auto const entry = std::make_shared<simulated_entry>();
+    entry->id = {"entry-" + std::to_string(index), random_() | 1U};
+    entry->address = "10.0.0." + std::to_string(index);
     core::membership::member_info info;
-    info.id = who->id;
+    info.id = entry->id;
     info.role = "entry";
-    info.data_centre = "dc-" + std::to_string(entry % 3);
-    info.peer_address = {who->address, 7000};
-    info.http_address = {who->address, 8000};
-    who->engine =
+    info.data_centre = "dc-" + std::to_string(index % 3);
+    info.peer_address = {entry->address, 7000};
+    info.http_address = {entry->address, 8000};
+    entry->engine =
         std::make_unique<entry_engine>(options_.settings, info, random_());
-    nodes_[entry] = who;
-    run_in(who,
+    entries_[index] = entry;
+    run_in(entry,
            [](entry_engine& engine, time_point now, ports::actions& out)
            {
                engine.start(now, out);
            });
-    tick(who);
+    tick(entry);
 }
 
 void entry_simulation::start_all()
 {
-    for (std::size_t entry = 0; entry < options_.entries; ++entry)
+    for (std::size_t index = 0; index < options_.entries; ++index)
     {
-        start(entry);
+        start(index);
     }
 }
 
-void entry_simulation::kill(std::size_t entry)
+void entry_simulation::kill(std::size_t index)
 {
-    if (!nodes_[entry])
+    if (!entries_[index])
     {
         return;
     }
-    nodes_[entry]->ended = true;
-    for (auto const& old : retired_)
+    entries_[index]->ended = true;
+    for (auto const& retired : retired_)
     {
-        old->ended = old->ended || old->id.name == nodes_[entry]->id.name;
+        retired->ended =
+            retired->ended || retired->id.name == entries_[index]->id.name;
     }
 }
 
-void entry_simulation::freeze(std::size_t entry)
+void entry_simulation::freeze(std::size_t index)
 {
-    if (nodes_[entry])
+    if (entries_[index])
     {
-        nodes_[entry]->frozen = true;
-        nodes_[entry]->frozen_at = time.now();
+        entries_[index]->frozen = true;
+        entries_[index]->frozen_at = time.now();
     }
 }
 
-void entry_simulation::unfreeze(std::size_t entry)
+void entry_simulation::unfreeze(std::size_t index)
 {
-    auto const who = nodes_[entry];
-    if (!who || !std::exchange(who->frozen, false))
+    auto const entry = entries_[index];
+    if (!entry || !std::exchange(entry->frozen, false))
     {
         return;
     }
-    who->processing_backlog = true;
-    auto waiting = std::exchange(who->inbox, {});
-    for (auto const& what : waiting)
+    entry->processing_backlog = true;
+    auto backlog = std::exchange(entry->inbox, {});
+    for (auto const& handler : backlog)
     {
-        what();
+        handler();
     }
-    // The engine must hold its promises though the tick comes last here; a
-    // daemon ticks first of all.
-    deliver(who,
+    // The engine must keep its invariants although the tick comes last here. A
+    // daemon ticks before it handles other events.
+    deliver(entry,
             [](entry_engine& engine, time_point now, ports::actions& out)
             {
                 engine.tick(now, out);
             });
-    who->processing_backlog = false;
+    entry->processing_backlog = false;
 }
 
-void entry_simulation::stop(std::size_t entry)
+void entry_simulation::stop(std::size_t index)
 {
-    deliver(nodes_[entry],
+    deliver(entries_[index],
             [](entry_engine& engine, time_point now, ports::actions& out)
             {
                 engine.begin_stop(now, out);
             });
 }
 
-bool entry_simulation::is_running(std::size_t entry) const
+bool entry_simulation::is_running(std::size_t index) const
 {
-    auto const& who = nodes_[entry];
-    return who && !who->ended && !who->frozen;
+    auto const& entry = entries_[index];
+    return entry && !entry->ended && !entry->frozen;
 }
 
-bool entry_simulation::has_stopped(std::size_t entry) const
+bool entry_simulation::has_stopped(std::size_t index) const
 {
-    return nodes_[entry] && nodes_[entry]->stopped;
+    return entries_[index] && entries_[index]->stopped;
 }
 
-entry_engine& entry_simulation::engine(std::size_t entry)
+entry_engine& entry_simulation::engine(std::size_t index)
 {
-    return *nodes_[entry]->engine;
+    return *entries_[index]->engine;
 }
 
 void entry_simulation::run(duration length)
@@ -223,15 +225,15 @@
     time.run(length);
 }
 
-bool entry_simulation::run_until(std::function<bool()> const& wanted,
+bool entry_simulation::run_until(std::function<bool()> const& condition,
                                  duration limit)
 {
     time_point const until = time.now() + limit;
-    while (!wanted())
+    while (!condition())
     {
         if (!time.step(until))
         {
-            return wanted();
+            return condition();
         }
     }
     return true;
@@ -239,27 +241,27 @@
 
 bool entry_simulation::run_until_stable()
 {
-    bool const served = run_until(
+    bool const stable = run_until(
         [this]
         {
             std::size_t owned = 0;
-            for (std::size_t at = 0; at < options_.entries; ++at)
+            for (std::size_t i = 0; i < options_.entries; ++i)
             {
-                if (!is_running(at) || !engine(at).ready(time.now()))
+                if (!is_running(i) || !engine(i).ready(time.now()))
                 {
                     return false;
                 }
-                owned += engine(at).status(time.now()).owned_partitions;
+                owned += engine(i).status(time.now()).owned_partitions;
             }
             return owned == core::common::partition_count;
         },
         30s);
-    // Slices, usage reports and the window for first sendings.
+    // Waits for slices, usage reports and the window for first sendings.
     run(10s);
-    return served;
+    return stable;
 }
 
-std::uint64_t entry_simulation::send(std::size_t entry,
+std::uint64_t entry_simulation::send(std::size_t index,
                                      ports::caller_request request,
                                      duration delay)
 {
@@ -267,29 +269,30 @@
     request.headers.push_back({sending_header, std::to_string(id)});
     sendings_[id] = {id, nullptr, {}, std::move(request), 0, {}};
     time.after(delay,
-               [this, id, entry]
+               [this, id, index]
                {
-                   read(id, nodes_[entry]);
+                   read(id, entries_[index]);
                });
     return id;
 }
 
 void entry_simulation::read(std::uint64_t id,
-                            simulated_entry_pointer const& who)
+                            simulated_entry_pointer const& entry)
 {
-    deliver(who,
-            [this, id, who](
+    deliver(entry,
+            [this, id, entry](
                 entry_engine& engine, time_point now, ports::actions& out)
             {
-                auto& one = sendings_.at(id);
-                one.receiving_entry = who;
-                one.read_at = now;
-                engine.on_caller_request(now, id, one.request, out);
-                time.after(one.request.deadline + answer_grace,
-                           [this, id, who]
+                auto& sending = sendings_.at(id);
+                sending.receiving_entry = entry;
+                sending.read_at = now;
+                engine.on_caller_request(now, id, sending.request, out);
+                time.after(sending.request.deadline + answer_grace,
+                           [this, id, entry]
                            {
-                               bool const there = !who->ended && !who->frozen;
-                               if (there && !answered(id))
+                               bool const reachable =
+                                   !entry->ended && !entry->frozen;
+                               if (reachable && !answered(id))
                                {
                                    fail("sending " + std::to_string(id) +
                                         " was not answered in time");
@@ -298,7 +301,7 @@
             });
 }
 
-sent_request const& entry_simulation::at(std::uint64_t id) const
+sent_request const& entry_simulation::sending(std::uint64_t id) const
 {
     return sendings_.at(id);
 }
@@ -317,9 +320,9 @@
 std::uint32_t entry_simulation::running() const
 {
     std::uint32_t sum = 0;
-    for (auto const& [id, one] : upstreams_)
+    for (auto const& [id, state] : upstreams_)
     {
-        sum += one.running;
+        sum += state.running;
     }
     return sum;
 }
@@ -328,24 +331,24 @@
 {
     auto const partition =
         core::common::partition_of(core::requests::customer_key(customer, key));
-    for (std::size_t at = 0; at < nodes_.size(); ++at)
+    for (std::size_t i = 0; i < entries_.size(); ++i)
     {
-        auto const& who = nodes_[at];
-        if (who && !who->ended && !who->frozen &&
-            who->engine->claims().owns(
+        auto const& entry = entries_[i];
+        if (entry && !entry->ended && !entry->frozen &&
+            entry->engine->claims().owns(
                 time.now(),
                 core::requests::partition_name(partition),
-                who->engine->members()))
+                entry->engine->members()))
         {
-            return at;
+            return i;
         }
     }
-    return nodes_.size();
+    return entries_.size();
 }
 
-std::size_t entry_simulation::other_than(std::size_t entry) const
+std::size_t entry_simulation::other_than(std::size_t index) const
 {
-    return entry == 0 ? 1 : 0;
+    return index == 0 ? 1 : 0;
 }
 
 void entry_simulation::put_contract(std::uint32_t in_flight)
@@ -367,101 +370,102 @@
                            core::contracts::to_json(limits),
                            0});
     std::string const key(core::config::index_key);
-    auto const* known = store.contents.find(key);
+    auto const* stored = store.contents.find(key);
     store.contents.apply(ports::store_write{
-        key, core::config::to_json(index), known ? known->version : 0});
+        key, core::config::to_json(index), stored ? stored->version : 0});
 }
 
 void entry_simulation::cut(std::size_t from, std::size_t to, bool is_cut)
 {
-    auto const way = std::pair("10.0.0." + std::to_string(from),
-                               "10.0.0." + std::to_string(to));
+    auto const direction = std::pair("10.0.0." + std::to_string(from),
+                                     "10.0.0." + std::to_string(to));
     if (is_cut)
     {
-        link.faults.cut.insert(way);
+        link.faults.cut.insert(direction);
     }
     else
     {
-        link.faults.cut.erase(way);
+        link.faults.cut.erase(direction);
     }
 }
 
 std::uint32_t entry_simulation::in_flight() const
 {
     std::uint32_t sum = 0;
-    for (auto const& who : nodes_)
+    for (auto const& entry : entries_)
     {
-        bool const counts = who && !who->ended && !counts_stand_still(*who);
-        sum += counts ? who->engine->in_flight(customer) : 0;
+        bool const counted =
+            entry && !entry->ended && !has_stale_counts(*entry);
+        sum += counted ? entry->engine->in_flight(customer) : 0;
     }
     return sum;
 }
 
-void entry_simulation::tick(simulated_entry_pointer const& who)
+void entry_simulation::tick(simulated_entry_pointer const& entry)
 {
-    if (who->ended)
+    if (entry->ended)
     {
         return;
     }
-    if (!who->frozen)
+    if (!entry->frozen)
     {
-        run_in(who,
+        run_in(entry,
                [](entry_engine& engine, time_point now, ports::actions& out)
                {
                    engine.tick(now, out);
                });
     }
     time.after(tick_interval + duration(random_() % 5000),
-               [this, who]
+               [this, entry]
                {
-                   tick(who);
+                   tick(entry);
                });
 }
 
-void entry_simulation::deliver(simulated_entry_pointer const& who,
-                               event const& what)
+void entry_simulation::deliver(simulated_entry_pointer const& entry,
+                               event const& handler)
 {
-    if (!who || who->ended)
+    if (!entry || entry->ended)
     {
         return;
     }
-    if (who->frozen)
+    if (entry->frozen)
     {
-        who->inbox.push_back(
-            [this, who, what]
+        entry->inbox.push_back(
+            [this, entry, handler]
             {
-                run_in(who, what);
+                run_in(entry, handler);
             });
         return;
     }
-    run_in(who, what);
+    run_in(entry, handler);
 }
 
-void entry_simulation::run_in(simulated_entry_pointer const& who,
-                              event const& what)
+void entry_simulation::run_in(simulated_entry_pointer const& entry,
+                              event const& handler)
 {
-    if (who->ended)
+    if (entry->ended)
     {
         return;
     }
     ports::actions out;
-    what(*who->engine, time.now(), out);
-    perform(who, out);
+    handler(*entry->engine, time.now(), out);
+    perform(entry, out);
     check_contract();
 }
 
-void entry_simulation::perform(simulated_entry_pointer const& who,
+void entry_simulation::perform(simulated_entry_pointer const& entry,
                                ports::actions const& actions)
 {
     for (auto const& action : actions)
     {
         if (auto const* call = std::get_if<ports::store_call>(&action))
         {
-            store.call(who->address,
+            store.call(entry->address,
                        *call,
-                       [this, who](ports::store_reply const& reply)
+                       [this, entry](ports::store_reply const& reply)
                        {
-                           deliver(who,
+                           deliver(entry,
                                    [reply](entry_engine& engine,
                                            time_point now,
                                            ports::actions& out)
@@ -472,12 +476,12 @@
         }
         else if (auto const* message = std::get_if<ports::peer_send>(&action))
         {
-            link.send(who->address, who->id, *message);
+            link.send(entry->address, entry->id, *message);
         }
         else if (auto const* request =
                      std::get_if<ports::upstream_send>(&action))
         {
-            run_on_upstream(who, *request);
+            run_on_upstream(entry, *request);
         }
         else if (auto const* reply = std::get_if<ports::caller_reply>(&action))
         {
@@ -485,69 +489,71 @@
         }
         else if (std::holds_alternative<ports::stop_complete>(action))
         {
-            who->stopped = true;
-            who->ended = true;
+            entry->stopped = true;
+            entry->ended = true;
         }
         else if (std::holds_alternative<ports::rejoin>(action))
         {
-            // Its callers are answered before it goes on as a new incarnation.
-            auto const slot = static_cast<std::size_t>(
-                std::find(nodes_.begin(), nodes_.end(), who) - nodes_.begin());
+            // Callers of the old incarnation are answered before the new one
+            // starts.
+            auto const index = static_cast<std::size_t>(
+                std::find(entries_.begin(), entries_.end(), entry) -
+                entries_.begin());
             time.after(0ms,
-                       [this, who, slot]
+                       [this, entry, index]
                        {
-                           ports::actions last;
-                           who->engine->retire(time.now(), last);
-                           perform(who, last);
-                           if (slot < nodes_.size() && !who->ended)
+                           ports::actions final_actions;
+                           entry->engine->retire(time.now(), final_actions);
+                           perform(entry, final_actions);
+                           if (index < entries_.size() && !entry->ended)
                            {
-                               retired_.push_back(who);
-                               begin(slot);
+                               retired_.push_back(entry);
+                               begin(index);
                            }
                        });
         }
     }
 }
 
-void entry_simulation::run_on_upstream(simulated_entry_pointer const& who,
-                                       ports::upstream_send const& what)
+void entry_simulation::run_on_upstream(simulated_entry_pointer const& entry,
+                                       ports::upstream_send const& action)
 {
     using enum ports::exchange_status;
     if (chance(faults.not_sent_permille))
     {
-        end_later(who, what.exchange, not_sent, what.request, 1ms);
+        end_later(entry, action.exchange, not_sent, action.request, 1ms);
         return;
     }
-    duration const way = 1ms;
+    duration const transit_time = 1ms;
     if (chance(faults.refused_permille))
     {
-        refuse_later(who, what.exchange, 2 * way);
+        refuse_later(entry, action.exchange, 2 * transit_time);
         return;
     }
-    duration const spread = faults.slowest - faults.fastest;
+    duration const spread = faults.max_service_time - faults.min_service_time;
     duration const service =
-        faults.fastest +
+        faults.min_service_time +
         duration(static_cast<std::int64_t>(
             random_() % static_cast<std::uint64_t>(spread.count() + 1)));
-    bool const loses = chance(faults.lost_permille);
-    time.after(way,
-               [this, what]
+    bool const answer_lost = chance(faults.lost_permille);
+    time.after(transit_time,
+               [this, action]
                {
-                   begin_on_upstream(what);
+                   begin_on_upstream(action);
                });
-    time.after(way + service,
-               [this, id = what.upstream]
+    time.after(transit_time + service,
+               [this, id = action.upstream]
                {
                    --upstreams_.at(id).running;
                });
-    end_later(who,
-              what.exchange,
-              loses ? lost : answered,
-              what.request,
-              loses ? 2 * way : 2 * way + service);
+    end_later(entry,
+              action.exchange,
+              answer_lost ? lost : answered,
+              action.request,
+              answer_lost ? 2 * transit_time : 2 * transit_time + service);
 }
 
-void entry_simulation::refuse_later(simulated_entry_pointer const& who,
+void entry_simulation::refuse_later(simulated_entry_pointer const& entry,
                                     std::uint64_t exchange,
                                     duration after)
 {
@@ -557,9 +563,9 @@
     end.http_status = 503;
     end.headers.push_back({"upstream-outcome", "not-run"});
     time.after(after,
-               [this, who, end]
+               [this, entry, end]
                {
-                   deliver(who,
+                   deliver(entry,
                            [end](entry_engine& engine,
                                  time_point now,
                                  ports::actions& out)
@@ -569,14 +575,14 @@
                });
 }
 
-void entry_simulation::begin_on_upstream(ports::upstream_send const& what)
+void entry_simulation::begin_on_upstream(ports::upstream_send const& action)
 {
-    auto& one = upstreams_.at(what.upstream);
-    if (++one.running > options_.slots)
+    auto& target = upstreams_.at(action.upstream);
+    if (++target.running > options_.slots)
     {
-        fail(what.upstream + " got more work than it holds");
+        fail(action.upstream + " runs more requests than it has slots");
     }
-    auto const& request = what.request;
+    auto const& request = action.request;
     ran_sendings_.insert(sending_of(request));
     std::uint32_t const runs = ++runs_[request.body];
     first_runs_.emplace(request.body, time.now());
@@ -585,14 +591,15 @@
         fail(request.body + " ran twice");
     }
     std::uint64_t const id = std::stoull(sending_of(request));
-    auto const& from = sendings_.at(id);
-    if (from.answers > 0 && from.answer.outcome == outcome::not_run)
+    auto const& sending = sendings_.at(id);
+    if (sending.answers > 0 && sending.answer.outcome == outcome::not_run)
     {
-        fail("sending " + std::to_string(id) + " ran after it was refused");
+        fail("sending " + std::to_string(id) +
+             " ran after it was answered \"not run\"");
     }
 }
 
-void entry_simulation::end_later(simulated_entry_pointer const& who,
+void entry_simulation::end_later(simulated_entry_pointer const& entry,
                                  std::uint64_t exchange,
                                  ports::exchange_status status,
                                  ports::caller_request const& request,
@@ -607,9 +614,9 @@
         end.body = request.body;
     }
     time.after(wait,
-               [this, who, end]
+               [this, entry, end]
                {
-                   deliver(who,
+                   deliver(entry,
                            [end](entry_engine& engine,
                                  time_point now,
                                  ports::actions& out)
@@ -621,52 +628,53 @@
 
 void entry_simulation::on_reply(ports::caller_reply const& reply)
 {
-    auto& one = sendings_.at(reply.caller);
-    std::string const name = "sending " + std::to_string(one.id);
-    if (++one.answers > 1)
+    auto& sending = sendings_.at(reply.caller);
+    std::string const name = "sending " + std::to_string(sending.id);
+    if (++sending.answers > 1)
     {
         fail(name + " was answered twice");
     }
-    one.answer = reply.answer;
+    sending.answer = reply.answer;
     if (reply.answer.outcome == outcome::ran &&
-        reply.answer.body != one.request.body)
+        reply.answer.body != sending.request.body)
     {
-        fail(name + " got another's answer");
+        fail(name + " got the answer to another request");
     }
     if (reply.answer.outcome == outcome::not_run)
     {
-        check_not_run(one);
+        check_not_run(sending);
     }
 }
 
-// The sending itself must not have run. Of a later sending no other one may
-// have run before it was read, or, where the entry that read it owns the key,
-// before it was refused. Another one that is still on its way may yet run.
-void entry_simulation::check_not_run(sent_request const& one)
+// Checks an answer "not run". The sending itself must not have run. For a
+// second or later sending, no other sending of the key may have run before this
+// one was read or, if the entry that read it owns the key, before it was
+// refused. A sending that is still in transit may run later.
+void entry_simulation::check_not_run(sent_request const& sending)
 {
-    std::string const name = "sending " + std::to_string(one.id);
-    if (ran_sendings_.contains(std::to_string(one.id)))
+    std::string const name = "sending " + std::to_string(sending.id);
+    if (ran_sendings_.contains(std::to_string(sending.id)))
     {
-        fail(name + " was told it did not run, but it did");
+        fail(name + " was answered \"not run\", but it ran");
     }
-    auto const first = first_runs_.find(one.request.body);
-    if (one.request.attempt < 2 || first == first_runs_.end())
+    auto const first_run = first_runs_.find(sending.request.body);
+    if (sending.request.attempt < 2 || first_run == first_runs_.end())
     {
         return;
     }
-    auto const owner = owner_of(one.request.idempotency_key);
-    bool const own =
-        owner < nodes_.size() && nodes_[owner] == one.receiving_entry;
-    if (own || first->second < one.read_at)
+    auto const owner = owner_of(sending.request.idempotency_key);
+    bool const reader_is_owner =
+        owner < entries_.size() && entries_[owner] == sending.receiving_entry;
+    if (reader_is_owner || first_run->second < sending.read_at)
     {
-        fail(name + " was told its key did not run, but it did");
+        fail(name + " was answered \"not run\", but its key ran");
     }
 }
 
 void entry_simulation::publish_list()
 {
     ports::instance_list list;
-    for (auto const& [id, one] : upstreams_)
+    for (auto const& [id, state] : upstreams_)
     {
         ports::upstream_instance listed;
         listed.id = id;
@@ -674,14 +682,14 @@
         listed.data_centre = "dc-0";
         listed.slots = options_.slots;
         listed.connections = 60;
-        listed.slots_in_use = one.running;
+        listed.slots_in_use = state.running;
         list.upstreams.push_back(std::move(listed));
     }
-    for (auto const& who : nodes_)
+    for (auto const& entry : entries_)
     {
-        if (who && !who->ended)
+        if (entry && !entry->ended)
         {
-            list.members.push_back(who->id.name);
+            list.members.push_back(entry->id.name);
         }
     }
     static constexpr duration lag = 400ms;
@@ -689,13 +697,13 @@
                [this, list]() mutable
                {
                    list.received = time.now();
-                   for (auto& one : list.upstreams)
+                   for (auto& listed : list.upstreams)
                    {
-                       one.report_age = lag;
+                       listed.report_age = lag;
                    }
-                   for (auto const& who : nodes_)
+                   for (auto const& entry : entries_)
                    {
-                       deliver(who,
+                       deliver(entry,
                                [list](entry_engine& engine,
                                       time_point now,
                                       ports::actions& out)
@@ -711,56 +719,58 @@
                });
 }
 
-// What an entry had running when it was frozen has ended once the longest
-// execution has passed; the entry itself learns of it when it wakes.
-bool entry_simulation::counts_stand_still(simulated_entry const& who) const
+// Whether the counts of an entry are out of date because it was frozen.
+// Requests that ran when it was frozen have ended after the maximum execution
+// time, but the entry processes their ends only when it continues.
+bool entry_simulation::has_stale_counts(simulated_entry const& entry) const
 {
-    return (who.frozen || who.processing_backlog) &&
-           time.now() - who.frozen_at >
+    return (entry.frozen || entry.processing_backlog) &&
+           time.now() - entry.frozen_at >
                options_.settings.upstreams.max_execution;
 }
 
-// The counts of a frozen entry stand still, so the time of a lowered contract
-// does too.
+// Checks that no more requests are in flight than the highest limit that was in
+// force within `contract_grace`. A frozen entry does not update its counts, so
+// the grace period does not elapse meanwhile.
 void entry_simulation::check_contract()
 {
-    for (auto const& who : nodes_)
+    for (auto const& entry : entries_)
     {
-        if (who && !who->ended)
+        if (entry && !entry->ended)
         {
-            if (who->frozen)
+            if (entry->frozen)
             {
-                for (auto& [limit, seen] : limits_seen_)
+                for (auto& [limit, last_in_force] : limits_in_force_)
                 {
-                    seen = time.now();
+                    last_in_force = time.now();
                 }
             }
-            auto const& known = who->engine->configuration().contracts;
-            auto const found = known.find(customer);
-            if (found != known.end())
+            auto const& contracts = entry->engine->configuration().contracts;
+            auto const found = contracts.find(customer);
+            if (found != contracts.end())
             {
-                limits_seen_[found->second.requests_in_flight] = time.now();
+                limits_in_force_[found->second.requests_in_flight] = time.now();
             }
         }
     }
-    std::erase_if(limits_seen_,
-                  [this](auto const& seen)
+    std::erase_if(limits_in_force_,
+                  [this](auto const& limit)
                   {
-                      return time.now() - seen.second > contract_grace;
+                      return time.now() - limit.second > contract_grace;
                   });
-    bool const over =
-        !limits_seen_.empty() && in_flight() > limits_seen_.rbegin()->first;
-    if (over)
+    bool const exceeded = !limits_in_force_.empty() &&
+                          in_flight() > limits_in_force_.rbegin()->first;
+    if (exceeded)
     {
         fail("more requests in flight than the contract allows");
     }
 }
 
-void entry_simulation::fail(std::string what)
+void entry_simulation::fail(std::string message)
 {
     if (violation.empty())
     {
-        violation = std::move(what) + " at " +
+        violation = std::move(message) + " at " +
                     std::to_string(core::common::to_milliseconds(
                         time.now().time_since_epoch())) +
                     " ms";
