--- a/tests/unit/requests/entry_walk_test.cpp
+++ b/tests/unit/requests/entry_walk_test.cpp
@@ -100,8 +100,7 @@
         }
     }
 
-    // Sends the request again. All delays are below the maximum delivery time
-    // less the longest pause that is not detected.
+    // Sendings reach an entry within the bound less what is no noticed pause.
     void resend(fuchsia::ports::caller_request request)
     {
         while (chance(400))
