--- a/src/core/requests/admission.cpp
+++ b/src/core/requests/admission.cpp
@@ -8,16 +8,16 @@
 
 using common::result_code;
 
-struct verdict
+struct policy_check
 {
-    queue_state const& view;
-    common::duration left;
+    queue_state const& queue;
+    common::duration time_left;
 
     std::optional<result_code>
     operator()(deadline_admission const& policy) const noexcept
     {
-        auto const answer = predicted_wait(view) + view.service_time;
-        if (answer * policy.safety_factor_permille / 1000 > left)
+        auto const time_to_answer = predicted_wait(queue) + queue.service_time;
+        if (time_to_answer * policy.safety_factor_permille / 1000 > time_left)
         {
             return result_code::deadline_unreachable;
         }
@@ -27,7 +27,7 @@
     std::optional<result_code>
     operator()(fixed_bound_admission const& policy) const noexcept
     {
-        if (view.requests_waiting >= policy.max_waiting)
+        if (queue.requests_waiting >= policy.max_waiting)
         {
             return result_code::queue_full;
         }
@@ -37,26 +37,26 @@
 
 } // namespace
 
-common::duration predicted_wait(queue_state const& view) noexcept
+common::duration predicted_wait(queue_state const& queue) noexcept
 {
-    if (view.slots == 0)
+    if (queue.slots == 0)
     {
         return common::duration::max() / 1'000'000;
     }
-    auto const turns = static_cast<std::int64_t>(view.requests_ahead + 1);
-    return view.service_time * turns / view.slots;
+    auto const position = static_cast<std::int64_t>(queue.requests_ahead + 1);
+    return queue.service_time * position / queue.slots;
 }
 
 std::optional<common::result_code>
 admission_refusal(admission_policy const& policy,
-                  queue_state const& view,
-                  common::duration left) noexcept
+                  queue_state const& queue,
+                  common::duration time_left) noexcept
 {
-    if (view.slots == 0)
+    if (queue.slots == 0)
     {
         return result_code::no_free_slot;
     }
-    return std::visit(verdict{view, left}, policy);
+    return std::visit(policy_check{queue, time_left}, policy);
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/admission.hpp
+++ b/src/core/requests/admission.hpp
@@ -10,25 +10,27 @@
 namespace fuchsia::core::requests
 {
 
-/// What admission goes by when no slot is free.
+/// State of the queue that a new request would join.
 struct queue_state
 {
     std::size_t requests_ahead =
-        0; ///< Requests that would be served before it.
-    std::size_t requests_waiting = 0; ///< All that wait.
+        0; ///< Requests that would be served before the new one.
+    std::size_t requests_waiting = 0; ///< All requests in the queue.
     std::uint32_t slots = 0;          ///< Slots that serve the queue.
-    common::duration service_time{};  ///< Average seen; 0: none yet.
+    common::duration service_time{};  ///< Measured average; 0: no sample yet.
 };
 
-/// Refuses what would not be answered before its deadline. Waiting in vain
-/// costs the caller its time and the upstream a slot that another could use.
+/// Refuses a request that is not expected to be answered before its deadline.
+/// Queueing it would cost the caller time and the upstream a slot that another
+/// request could use.
 struct deadline_admission
 {
-    /// The prediction is taken times this, in thousandths.
+    /// Factor applied to the predicted answer time, in thousandths.
     std::uint32_t safety_factor_permille = 1000;
 };
 
-/// The plain baseline: a fixed number may wait, whatever their deadlines.
+/// Baseline for comparison: a fixed number of requests may wait, regardless of
+/// their deadlines.
 struct fixed_bound_admission
 {
     std::size_t max_waiting = 100;
@@ -37,14 +39,14 @@
 using admission_policy =
     std::variant<deadline_admission, fixed_bound_admission>;
 
-/// Time until a newcomer gets a slot.
-common::duration predicted_wait(queue_state const& view) noexcept;
+/// Predicted time until a new request gets a slot.
+common::duration predicted_wait(queue_state const& queue) noexcept;
 
-/// Why a request with `left` until its deadline may not join the queue; empty
-/// where it may.
+/// Reason to refuse a request whose deadline is `time_left` away; empty if it
+/// may join the queue.
 std::optional<common::result_code>
 admission_refusal(admission_policy const& policy,
-                  queue_state const& view,
-                  common::duration left) noexcept;
+                  queue_state const& queue,
+                  common::duration time_left) noexcept;
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/fair_queue.cpp
+++ b/src/core/requests/fair_queue.cpp
@@ -15,45 +15,47 @@
     {
         return false;
     }
-    auto& line = line_of(request.kind);
-    auto& customer = line.customers[request.customer];
-    if (customer.waiting.empty())
+    auto& queue = queue_of(request.kind);
+    auto& customer = queue.customers[request.customer];
+    if (customer.by_deadline.empty())
     {
-        // Turns that were not used while nothing waited are not saved up.
-        customer.turns = std::max(customer.turns, line.newest_turn);
-        line.order.insert({customer.turns, request.customer});
+        // A customer does not save up turns while it has no requests.
+        customer.virtual_time =
+            std::max(customer.virtual_time, queue.current_virtual_time);
+        queue.by_virtual_time.insert({customer.virtual_time, request.customer});
     }
-    customer.waiting.insert({request.expires, request.id});
-    ++line.size;
+    customer.by_deadline.insert({request.expires, request.id});
+    ++queue.size;
     return true;
 }
 
 std::optional<std::uint64_t> fair_queue::pop()
 {
-    auto& urgent = line_of(ports::request_class::latency_critical);
-    auto& batch = line_of(ports::request_class::batch);
-    if (urgent.size == 0 || batch.size == 0)
+    auto& critical = queue_of(ports::request_class::latency_critical);
+    auto& batch = queue_of(ports::request_class::batch);
+    if (critical.size == 0 || batch.size == 0)
     {
-        return pop_from(urgent.size == 0 ? batch : urgent);
+        return pop_from(critical.size == 0 ? batch : critical);
     }
-    turn_ = (turn_ + 1) % batch_turn_interval;
-    return pop_from(turn_ == 0 ? batch : urgent);
+    batch_turn_counter_ = (batch_turn_counter_ + 1) % batch_turn_interval;
+    return pop_from(batch_turn_counter_ == 0 ? batch : critical);
 }
 
 bool fair_queue::erase(queued_request const& request)
 {
-    auto& line = line_of(request.kind);
-    auto const found = line.customers.find(request.customer);
-    if (found == line.customers.end() ||
-        found->second.waiting.erase({request.expires, request.id}) == 0)
+    auto& queue = queue_of(request.kind);
+    auto const it = queue.customers.find(request.customer);
+    if (it == queue.customers.end() ||
+        it->second.by_deadline.erase({request.expires, request.id}) == 0)
     {
         return false;
     }
-    --line.size;
-    if (found->second.waiting.empty())
+    --queue.size;
+    if (it->second.by_deadline.empty())
     {
-        line.order.erase({found->second.turns, request.customer});
-        line.customers.erase(found);
+        queue.by_virtual_time.erase(
+            {it->second.virtual_time, request.customer});
+        queue.customers.erase(it);
     }
     return true;
 }
@@ -65,41 +67,43 @@
 
 std::size_t fair_queue::ahead_of(ports::request_class kind) const noexcept
 {
-    std::size_t const urgent = classes_[0].size;
+    std::size_t const critical = classes_[0].size;
     std::size_t const batch = classes_[1].size;
     return kind == ports::request_class::latency_critical
-               ? urgent + std::min(batch, urgent / batch_turn_interval)
-               : batch + std::min(urgent, batch * batch_turn_interval);
+               ? critical + std::min(batch, critical / batch_turn_interval)
+               : batch + std::min(critical, batch * batch_turn_interval);
 }
 
-fair_queue::class_line& fair_queue::line_of(ports::request_class kind) noexcept
+fair_queue::class_queue&
+fair_queue::queue_of(ports::request_class kind) noexcept
 {
     return classes_[static_cast<std::size_t>(kind)];
 }
 
-std::optional<std::uint64_t> fair_queue::pop_from(class_line& line)
+std::optional<std::uint64_t> fair_queue::pop_from(class_queue& queue)
 {
-    if (line.order.empty())
+    if (queue.by_virtual_time.empty())
     {
         return std::nullopt;
     }
-    auto const name = line.order.begin()->second;
-    line.order.erase(line.order.begin());
-    auto const found = line.customers.find(name);
-    auto& customer = found->second;
-    line.newest_turn = customer.turns;
-    std::uint64_t const id = customer.waiting.begin()->second;
-    customer.waiting.erase(customer.waiting.begin());
-    --line.size;
-    ++customer.turns;
-    if (customer.waiting.empty())
+    auto const customer_name = queue.by_virtual_time.begin()->second;
+    queue.by_virtual_time.erase(queue.by_virtual_time.begin());
+    auto const it = queue.customers.find(customer_name);
+    auto& customer = it->second;
+    queue.current_virtual_time = customer.virtual_time;
+    std::uint64_t const id = customer.by_deadline.begin()->second;
+    customer.by_deadline.erase(customer.by_deadline.begin());
+    --queue.size;
+    ++customer.virtual_time;
+    if (customer.by_deadline.empty())
     {
-        // The next push starts it at the newest turn, as it does newcomers.
-        line.customers.erase(found);
+        // The next push gives the customer the current virtual time, as it does
+        // for a new customer.
+        queue.customers.erase(it);
     }
     else
     {
-        line.order.insert({customer.turns, name});
+        queue.by_virtual_time.insert({customer.virtual_time, customer_name});
     }
     return id;
 }
--- a/src/core/requests/handover.cpp
+++ b/src/core/requests/handover.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/// A frame holds 4 MiB; one answer that is larger than the rest goes alone.
+/// Limits of one message. A frame holds 4 MiB, so an answer larger than
+/// `max_message_bytes` gets a message of its own.
 constexpr std::size_t max_message_keys = 512;
 constexpr std::size_t max_message_bytes = std::size_t{1} << 20U;
 
@@ -25,19 +26,19 @@
 
 std::vector<ports::key_handover>
 split_key_handover(std::uint32_t partition,
-                   partition_handover const& from,
-                   common::duration reach,
+                   partition_handover const& handover,
+                   common::duration history_length,
                    std::vector<ports::remembered_key> keys)
 {
-    ports::key_handover empty;
-    empty.partition = partition;
-    empty.epoch = from.epoch;
-    empty.retention_us = static_cast<std::uint64_t>(reach.count());
-    empty.slots_idle = from.slots_idle;
-    empty.total_keys = static_cast<std::uint32_t>(keys.size());
-    empty.last = false;
+    ports::key_handover blank;
+    blank.partition = partition;
+    blank.epoch = handover.epoch;
+    blank.retention_us = static_cast<std::uint64_t>(history_length.count());
+    blank.slots_idle = handover.slots_idle;
+    blank.total_keys = static_cast<std::uint32_t>(keys.size());
+    blank.last = false;
 
-    std::vector<ports::key_handover> messages{empty};
+    std::vector<ports::key_handover> messages{blank};
     std::size_t bytes = 0;
     for (auto& key : keys)
     {
@@ -46,7 +47,7 @@
                           bytes > max_message_bytes;
         if (full && !messages.back().keys.empty())
         {
-            messages.push_back(empty);
+            messages.push_back(blank);
             bytes = size_of(key);
         }
         messages.back().keys.push_back(std::move(key));
@@ -60,78 +61,80 @@
 }
 
 bool key_import_buffer::on_message(common::time_point now,
-                                   ports::member_identity const& from,
+                                   ports::member_identity const& sender,
                                    ports::key_handover const& message)
 {
     if (message.partition >= common::partition_count)
     {
         return false;
     }
-    auto& known = incoming_[message.partition];
-    if (message.epoch < known.epoch)
+    auto& handover = incoming_[message.partition];
+    if (message.epoch < handover.epoch)
     {
         return false;
     }
-    auto const reaches_from =
+    auto const complete_since =
         now - common::duration(static_cast<std::int64_t>(message.retention_us));
-    if (message.epoch > known.epoch || known.from != from)
+    if (message.epoch > handover.epoch || handover.sender != sender)
     {
-        known = {};
-        known.from = from;
-        known.epoch = message.epoch;
-        known.reaches_from = reaches_from;
+        handover = {};
+        handover.sender = sender;
+        handover.epoch = message.epoch;
+        handover.complete_since = complete_since;
     }
-    known.reaches_from = std::max(known.reaches_from, reaches_from);
-    known.slots_idle = known.slots_idle && message.slots_idle;
-    known.total = message.total_keys;
-    if (count() + message.keys.size() > max_keys_)
+    handover.complete_since = std::max(handover.complete_since, complete_since);
+    handover.slots_idle = handover.slots_idle && message.slots_idle;
+    handover.total = message.total_keys;
+    if (key_count() + message.keys.size() > max_keys_)
     {
         return false;
     }
     for (auto const& key : message.keys)
     {
-        known.keys.insert_or_assign(customer_key(key.customer, key.key), key);
+        handover.keys.insert_or_assign(customer_key(key.customer, key.key),
+                                       key);
     }
-    return known.keys.size() == known.total;
+    return handover.keys.size() == handover.total;
 }
 
 std::optional<imported_keys>
 key_import_buffer::take(std::uint32_t partition,
                         std::uint64_t epoch,
-                        ports::member_identity const& before)
+                        ports::member_identity const& predecessor)
 {
     auto const found = incoming_.find(partition);
     if (found == incoming_.end())
     {
         return std::nullopt;
     }
-    incoming const taken = std::move(found->second);
+    incoming_handover const handover = std::move(found->second);
     incoming_.erase(found);
-    // Exactly the next epoch: had anybody owned it in between, keys may have
-    // run that this handover does not know.
-    if (taken.epoch + 1 != epoch || taken.from != before ||
-        taken.keys.size() != taken.total)
+    // The claim's epoch must directly follow the handover's. If another entry
+    // owned the partition in between, keys may have run that this handover does
+    // not contain.
+    if (handover.epoch + 1 != epoch || handover.sender != predecessor ||
+        handover.keys.size() != handover.total)
     {
         return std::nullopt;
     }
     imported_keys imported;
-    imported.predecessor = taken.from;
-    imported.epoch = taken.epoch;
-    imported.slots_idle = taken.slots_idle;
-    imported.complete_since = taken.reaches_from;
-    for (auto const& [name, key] : taken.keys)
+    imported.predecessor = handover.sender;
+    imported.epoch = handover.epoch;
+    imported.slots_idle = handover.slots_idle;
+    imported.complete_since = handover.complete_since;
+    for (auto const& [name, key] : handover.keys)
     {
         imported.keys.push_back(key);
     }
     return imported;
 }
 
-std::size_t key_import_buffer::count() const noexcept
+std::size_t key_import_buffer::key_count() const noexcept
 {
     std::size_t sum = 0;
-    for (auto const& [partition, one] : incoming_)
+    for (auto const& [partition, handover] : incoming_)
     {
-        sum += one.keys.size();
+        sum += handover.keys.size();
     }
     return sum;
 }
--- a/src/core/requests/key_memory.cpp
+++ b/src/core/requests/key_memory.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-/// Memory of one key besides its text and answer, roughly.
-constexpr std::size_t entry_overhead = 320;
+/// Approximate memory of one record besides the text of its key and answer.
+constexpr std::size_t record_overhead_bytes = 320;
 
 std::size_t size_of(ports::caller_answer const& answer)
 {
     std::size_t size = answer.body.size();
-    for (auto const& one : answer.headers)
+    for (auto const& header : answer.headers)
     {
-        size += one.name.size() + one.value.size();
+        size += header.name.size() + header.value.size();
     }
     return size;
 }
 
-/// What a repetition is told where the first one's answer is not known.
-ports::caller_answer memory_lost()
+/// Answer to a repetition if the answer of the first run is not known.
+ports::caller_answer memory_lost_answer()
 {
     using common::result_code;
     ports::caller_answer answer;
@@ -53,31 +53,31 @@
 }
 
 void key_memory::open(std::uint32_t partition,
-                      std::optional<common::time_point> reaches_from)
+                      std::optional<common::time_point> complete_since)
 {
     auto& memory = partitions_[partition];
     memory.open = true;
-    memory.complete_since = reaches_from;
+    memory.complete_since = complete_since;
 }
 
 std::vector<std::uint64_t> key_memory::close(std::uint32_t partition)
 {
     std::vector<std::uint64_t> waiters;
-    for (auto at = entries_.begin(); at != entries_.end();)
+    for (auto it = records_.begin(); it != records_.end();)
     {
-        auto const next = std::next(at);
-        if (at->second.partition == partition)
+        auto const next = std::next(it);
+        if (it->second.partition == partition)
         {
-            auto const& waiting = at->second.waiters;
+            auto const& waiting = it->second.waiters;
             waiters.insert(waiters.end(), waiting.begin(), waiting.end());
-            erase(at);
+            erase(it);
         }
-        at = next;
+        it = next;
     }
-    std::erase_if(ended_,
+    std::erase_if(expiry_queue_,
                   [this](auto const& ended)
                   {
-                      return !entries_.contains(ended.second);
+                      return !records_.contains(ended.second);
                   });
     partitions_[partition] = {};
     return waiters;
@@ -92,53 +92,55 @@
                                       std::uint32_t partition,
                                       std::string const& key,
                                       std::uint64_t fingerprint,
-                                      bool vouched) const
+                                      bool first_sending_confirmed) const
 {
-    auto const found = entries_.find(key);
-    if (found != entries_.end())
+    auto const found = records_.find(key);
+    if (found != records_.end())
     {
-        auto const& known = found->second;
-        if (known.fingerprint != 0 && known.fingerprint != fingerprint)
+        auto const& record = found->second;
+        if (record.fingerprint != 0 && record.fingerprint != fingerprint)
         {
             return {key_verdict::mismatch, nullptr};
         }
-        return known.ended
-                   ? key_lookup_result{key_verdict::ended, &known.answer}
+        return record.ended
+                   ? key_lookup_result{key_verdict::ended, &record.answer}
                    : key_lookup_result{key_verdict::running, nullptr};
     }
     auto const& memory = partitions_[partition];
-    bool const reaching = !memory.complete_since ||
-                          now - *memory.complete_since >= settings_.retention;
-    if (!memory.open || (!reaching && !vouched))
+    bool const reaches_back =
+        !memory.complete_since ||
+        now - *memory.complete_since >= settings_.retention;
+    if (!memory.open || (!reaches_back && !first_sending_confirmed))
     {
         return {key_verdict::history_incomplete, nullptr};
     }
-    bool const room =
-        entries_.size() < settings_.max_keys &&
-        bytes_ + entry_overhead + key.size() < settings_.max_bytes;
-    return {room ? key_verdict::first_run : key_verdict::memory_full, nullptr};
+    bool const has_room =
+        records_.size() < settings_.max_keys &&
+        bytes_ + record_overhead_bytes + key.size() < settings_.max_bytes;
+    return {has_room ? key_verdict::first_run : key_verdict::memory_full,
+            nullptr};
 }
 
 void key_memory::begin(std::uint32_t partition,
                        std::string const& key,
                        std::uint64_t fingerprint)
 {
-    auto const [at, added] = entries_.try_emplace(key);
+    auto const [it, added] = records_.try_emplace(key);
     if (!added)
     {
         return;
     }
-    at->second.partition = partition;
-    at->second.fingerprint = fingerprint;
-    at->second.bytes = entry_overhead + 2 * key.size();
-    bytes_ += at->second.bytes;
+    it->second.partition = partition;
+    it->second.fingerprint = fingerprint;
+    it->second.bytes = record_overhead_bytes + 2 * key.size();
+    bytes_ += it->second.bytes;
     ++partitions_[partition].running;
 }
 
 bool key_memory::add_waiter(std::string const& key, std::uint64_t waiter)
 {
-    auto const found = entries_.find(key);
-    if (found == entries_.end() ||
+    auto const found = records_.find(key);
+    if (found == records_.end() ||
         found->second.waiters.size() >= settings_.max_waiters)
     {
         return false;
@@ -152,22 +154,22 @@
                    std::string const& key,
                    ports::caller_answer const& answer)
 {
-    auto const found = entries_.find(key);
-    if (found == entries_.end() || found->second.ended)
+    auto const found = records_.find(key);
+    if (found == records_.end() || found->second.ended)
     {
         return {};
     }
     --partitions_[found->second.partition].running;
     std::vector<std::uint64_t> waiters;
     waiters.swap(found->second.waiters);
-    end_with(now + settings_.retention, found, answer);
+    record_end(now + settings_.retention, found, answer);
     return waiters;
 }
 
 std::vector<std::uint64_t> key_memory::forget(std::string const& key)
 {
-    auto const found = entries_.find(key);
-    if (found == entries_.end() || found->second.ended)
+    auto const found = records_.find(key);
+    if (found == records_.end() || found->second.ended)
     {
         return {};
     }
@@ -179,16 +181,17 @@
 
 void key_memory::tick(common::time_point now)
 {
-    while (!ended_.empty() && ended_.front().first <= now)
+    while (!expiry_queue_.empty() && expiry_queue_.front().first <= now)
     {
-        auto const found = entries_.find(ended_.front().second);
-        // A key whose partition left and came back has a later entry.
-        if (found != entries_.end() && found->second.ended &&
+        auto const found = records_.find(expiry_queue_.front().second);
+        // A key whose partition was released and acquired again may have a
+        // record that is to be forgotten later.
+        if (found != records_.end() && found->second.ended &&
             found->second.forget_at <= now)
         {
             erase(found);
         }
-        ended_.pop_front();
+        expiry_queue_.pop_front();
     }
 }
 
@@ -210,9 +213,9 @@
 key_memory::export_keys(common::time_point now, std::uint32_t partition) const
 {
     std::vector<ports::remembered_key> keys;
-    for (auto const& [name, known] : entries_)
+    for (auto const& [name, record] : records_)
     {
-        if (known.partition != partition)
+        if (record.partition != partition)
         {
             continue;
         }
@@ -220,13 +223,13 @@
         ports::remembered_key key;
         key.customer = name.substr(0, slash);
         key.key = name.substr(slash + 1);
-        key.finished = known.ended;
-        key.answer = known.answer;
-        key.fingerprint = known.fingerprint;
-        auto const left =
-            known.ended ? known.forget_at - now : settings_.retention;
-        key.age_us =
-            static_cast<std::uint64_t>((settings_.retention - left).count());
+        key.finished = record.ended;
+        key.answer = record.answer;
+        key.fingerprint = record.fingerprint;
+        auto const remaining =
+            record.ended ? record.forget_at - now : settings_.retention;
+        key.age_us = static_cast<std::uint64_t>(
+            (settings_.retention - remaining).count());
         keys.push_back(std::move(key));
     }
     return keys;
@@ -236,13 +239,14 @@
                              std::uint32_t partition,
                              std::vector<ports::remembered_key> const& keys)
 {
-    std::size_t wanted = bytes_;
+    std::size_t required_bytes = bytes_;
     for (auto const& key : keys)
     {
-        wanted += entry_overhead + 2 * (key.customer.size() + key.key.size());
+        required_bytes +=
+            record_overhead_bytes + 2 * (key.customer.size() + key.key.size());
     }
-    if (entries_.size() + keys.size() > settings_.max_keys ||
-        wanted > settings_.max_bytes)
+    if (records_.size() + keys.size() > settings_.max_keys ||
+        required_bytes > settings_.max_bytes)
     {
         return false;
     }
@@ -250,27 +254,28 @@
     {
         auto const name = customer_key(key.customer, key.key);
         begin(partition, name, key.fingerprint);
-        auto const found = entries_.find(name);
+        auto const found = records_.find(name);
         if (found->second.ended)
         {
             continue;
         }
-        // What was running when it was handed over ends where nobody tells us.
+        // This entry never learns the answer of a key that was still running
+        // when it was handed over.
         auto const age = common::duration(static_cast<std::int64_t>(
             std::min<std::uint64_t>(key.age_us, settings_.retention.count())));
         --partitions_[partition].running;
-        end_with(now + settings_.retention - age,
-                 found,
-                 key.finished ? key.answer : memory_lost());
+        record_end(now + settings_.retention - age,
+                   found,
+                   key.finished ? key.answer : memory_lost_answer());
     }
-    // Their ages differ, and forgetting goes from the front.
-    std::sort(ended_.begin(), ended_.end());
+    // `tick` takes keys from the front, and the imported ones differ in age.
+    std::sort(expiry_queue_.begin(), expiry_queue_.end());
     return true;
 }
 
 std::size_t key_memory::size() const noexcept
 {
-    return entries_.size();
+    return records_.size();
 }
 
 std::size_t key_memory::bytes() const noexcept
@@ -278,30 +283,30 @@
     return bytes_;
 }
 
-void key_memory::end_with(common::time_point forget_at,
-                          entries::iterator at,
-                          ports::caller_answer const& answer)
+void key_memory::record_end(common::time_point forget_at,
+                            key_records::iterator it,
+                            ports::caller_answer const& answer)
 {
-    auto& known = at->second;
-    known.ended = true;
-    known.forget_at = forget_at;
+    auto& record = it->second;
+    record.ended = true;
+    record.forget_at = forget_at;
     std::size_t const size = size_of(answer);
     bool const fits = bytes_ + size <= settings_.max_bytes;
-    known.answer = fits ? answer : memory_lost();
+    record.answer = fits ? answer : memory_lost_answer();
     std::size_t const added = fits ? size : 0;
-    known.bytes += added;
+    record.bytes += added;
     bytes_ += added;
-    ended_.emplace_back(forget_at, at->first);
+    expiry_queue_.emplace_back(forget_at, it->first);
 }
 
-void key_memory::erase(entries::iterator at)
+void key_memory::erase(key_records::iterator it)
 {
-    if (!at->second.ended)
+    if (!it->second.ended)
     {
-        --partitions_[at->second.partition].running;
+        --partitions_[it->second.partition].running;
     }
-    bytes_ -= at->second.bytes;
-    entries_.erase(at);
+    bytes_ -= it->second.bytes;
+    records_.erase(it);
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/key_memory.hpp
+++ b/src/core/requests/key_memory.hpp
@@ -19,71 +19,74 @@
 
 struct key_memory_settings
 {
-    /// How long after its end a key is remembered. Callers must not send a key
-    /// again later than this after its first sending.
+    /// Time that a key is remembered after its run ended. Callers must not
+    /// repeat a key later than this after they first sent it.
     common::duration retention = std::chrono::minutes(2);
-    std::size_t max_keys = 100'000;
+    std::size_t max_keys = 100'000; ///< Running and ended keys together.
     std::size_t max_bytes = 64U << 20U;
-    std::size_t max_waiters = 64; ///< On one running key.
+    std::size_t max_waiters =
+        64; ///< Maximum number of requests waiting for one running key.
 };
 
-/// What the owner of a key may do with a request that carries it.
+/// What the owner of a key has to do with a request that carries it.
 enum class key_verdict : std::uint8_t
 {
-    first_run,          ///< Never seen, and it would have been: run it.
-    running,            ///< Wait for the first one's answer.
-    ended,              ///< Answer the same again.
+    first_run,          ///< The key has certainly not run before: run it.
+    running,            ///< Wait for the answer of the running request.
+    ended,              ///< Repeat the remembered answer.
     mismatch,           ///< The key belongs to another request.
-    history_incomplete, ///< An earlier sending may have run before the memory
-                        ///< begins.
-    memory_full,        ///< No room to remember it, so it may not run.
+    history_incomplete, ///< The key may have run before the time from which
+                        ///< the memory is complete.
+    memory_full,        ///< The key can't be remembered, so it may not run.
 };
 
 struct key_lookup_result
 {
     key_verdict verdict = key_verdict::history_incomplete;
-    ports::caller_answer const* answer = nullptr; ///< Where it ended.
+    ports::caller_answer const* answer =
+        nullptr; ///< Set if the verdict is `ended`.
 };
 
-/// The name under which a key is remembered and by which it is given to a
-/// partition.
+/// Name under which a key is remembered and from which its partition is
+/// derived.
 std::string customer_key(std::string const& customer, std::string const& key);
 
-/// Hash of what a request asks for; never 0.
+/// Hash of a request's method, target and body; never 0.
 std::uint64_t fingerprint_of(ports::caller_request const& request);
 
-/// Idempotency keys of the partitions this entry owns: which run, and how the
-/// others ended.
+/// Idempotency keys of the partitions that this entry owns: the running ones,
+/// and the answers of the ended ones.
 ///
-/// At most one run per key holds because only the owner of the key's partition
-/// starts it and because it is not started unless the memory is known to hold
-/// every earlier run. After a takeover without a handover the memory begins
-/// empty at the takeover, and the predecessor may have run any key before. A
-/// key that is not found is then `fresh` only where one of two things holds:
+/// A key runs at most once because only the owner of its partition starts it,
+/// and only if the memory is known to hold every earlier run. After a takeover
+/// without a handover the memory is empty, and the predecessor may have run any
+/// key. A key that is not found is then a first run only if one of two
+/// conditions holds:
 ///
-/// - the memory reaches back further than `keep`: a caller does not repeat a
-///   key for longer, so an earlier run would be remembered;
-/// - the request is vouched for: the entry that read it from the caller knows
-///   that it is the key's first sending (Fuchsia-Attempt: 1) and that it was
-///   sent after this claim began. All other sendings of the key are later
-///   still, so none can have reached the predecessor. That it says "first"
-///   alone proves nothing: it may have been held up on its way while the
-///   second sending was run by the predecessor.
+/// - The memory reaches back further than `retention`. Callers do not repeat a
+/// key
+///   after that time, so an earlier run would be remembered.
+/// - The request is confirmed as the first sending: the entry that read it from
+///   the caller knows that it is the key's first sending (Fuchsia-Attempt: 1)
+///   and that it was sent after this claim began. All other sendings of the key
+///   are later, so none can have reached the predecessor. The header alone
+///   proves nothing: the first sending may have been delayed in transit while
+///   the predecessor ran the second one.
 ///
 /// A key is never forgotten early. When the memory is full, new keys are
-/// refused; an answer that does not fit is dropped but its key stays, and a
-/// repetition is told "unknown".
+/// refused. An answer that does not fit is dropped, but its key stays, and a
+/// repetition gets the outcome "unknown".
 class key_memory
 {
 public:
     explicit key_memory(key_memory_settings const& settings);
 
-    /// The partition is ours; its memory holds all runs since `reaches_from`.
-    /// Empty: all that ever were.
+    /// Starts the memory of a partition that this entry now owns. It holds all
+    /// runs since `complete_since`, or all runs ever if that is empty.
     void open(std::uint32_t partition,
-              std::optional<common::time_point> reaches_from);
-    /// The partition is no longer ours: forgets its keys. Returns the waiters
-    /// of those that were running.
+              std::optional<common::time_point> complete_since);
+    /// Forgets the keys of a partition that this entry no longer owns. Returns
+    /// the requests that waited for its running keys.
     std::vector<std::uint64_t> close(std::uint32_t partition);
     bool is_open(std::uint32_t partition) const noexcept;
 
@@ -91,30 +94,33 @@
                               std::uint32_t partition,
                               std::string const& key,
                               std::uint64_t fingerprint,
-                              bool vouched) const;
-    /// Remembers a fresh key as running, before anything is sent.
+                              bool first_sending_confirmed) const;
+    /// Remembers a new key as running. Called before the request is sent.
     void begin(std::uint32_t partition,
                std::string const& key,
                std::uint64_t fingerprint);
-    /// Adds a request that waits for a running key; false where too many do.
+    /// Adds a request that waits for a running key; false if too many do.
     bool add_waiter(std::string const& key, std::uint64_t waiter);
-    /// The run ended: remembers how, and returns the waiters.
+    /// Remembers the answer of a run that ended and returns the requests that
+    /// waited for it.
     std::vector<std::uint64_t> finish(common::time_point now,
                                       std::string const& key,
                                       ports::caller_answer const& answer);
-    /// Nothing was run after all: the key is fresh again.
+    /// Forgets a running key because its request was not run after all. Returns
+    /// the requests that waited for it.
     std::vector<std::uint64_t> forget(std::string const& key);
-    /// Drops what is older than `keep`.
+    /// Drops keys that ended more than `retention` ago.
     void tick(common::time_point now);
 
     std::uint32_t running(std::uint32_t partition) const noexcept;
-    /// How far back the memory of the partition reaches.
+    /// Time for which the memory of the partition is complete, at most
+    /// `retention`.
     common::duration history_length(common::time_point now,
                                     std::uint32_t partition) const noexcept;
     std::vector<ports::remembered_key>
     export_keys(common::time_point now, std::uint32_t partition) const;
-    /// Takes over a predecessor's keys; false where they don't fit, so that
-    /// the memory has to count as empty.
+    /// Adds a predecessor's keys; false if they don't fit, in which case the
+    /// memory must be treated as empty.
     bool import_keys(common::time_point now,
                      std::uint32_t partition,
                      std::vector<ports::remembered_key> const& keys);
@@ -123,7 +129,7 @@
     std::size_t bytes() const noexcept;
 
 private:
-    struct entry
+    struct key_record
     {
         std::uint32_t partition = 0;
         std::uint64_t fingerprint = 0;
@@ -139,17 +145,17 @@
         std::optional<common::time_point> complete_since;
         std::uint32_t running = 0;
     };
-    using entries = std::unordered_map<std::string, entry>;
+    using key_records = std::unordered_map<std::string, key_record>;
 
-    void end_with(common::time_point forget_at,
-                  entries::iterator at,
-                  ports::caller_answer const& answer);
-    void erase(entries::iterator at);
+    void record_end(common::time_point forget_at,
+                    key_records::iterator it,
+                    ports::caller_answer const& answer);
+    void erase(key_records::iterator it);
 
     key_memory_settings settings_;
-    entries entries_;
-    /// Ended keys in the order in which they are forgotten.
-    std::deque<std::pair<common::time_point, std::string>> ended_;
+    key_records records_;
+    /// Ended keys with the time at which to forget them, earliest first.
+    std::deque<std::pair<common::time_point, std::string>> expiry_queue_;
     std::array<partition_memory, common::partition_count> partitions_;
     std::size_t bytes_ = 0;
 };
--- a/src/core/requests/key_owners.hpp
+++ b/src/core/requests/key_owners.hpp
@@ -16,28 +16,29 @@
 /// Name of a partition in the claim table.
 std::string const& partition_name(std::uint32_t partition);
 
-/// Number of a partition by its name; `partition_count` where it is none.
+/// Number of the partition with this name; `partition_count` if there is none.
 std::uint32_t partition_number(std::string const& name) noexcept;
 
 /// Names of all partitions.
 std::vector<std::string> partition_names();
 
-/// What this entry knows of one partition's owner.
+/// Owner of one partition as this entry last learned it.
 struct key_owner
 {
-    ports::member_identity member; ///< Empty name: nobody.
+    ports::member_identity member; ///< Empty name: no owner.
     std::uint64_t epoch = 0;
-    common::time_point learned_at; ///< When it was first seen with this epoch.
+    common::time_point learned_at; ///< Time at which this owner and epoch were
+                                   ///< first seen.
 };
 
-/// Owners of all partitions as this entry last learned them, and since when it
-/// knows. The time is what lets it vouch that a caller sent a request after
-/// the owner's claim began.
+/// Owners of all partitions as this entry last learned them, and when it did.
+/// The time lets the entry confirm that a caller sent a request after the
+/// owner's claim began.
 class key_owners
 {
 public:
-    /// Takes over what the claims show; returns the partitions whose owner
-    /// changed.
+    /// Updates the owners from the claims. Returns the partitions whose owner
+    /// or epoch changed.
     std::vector<std::uint32_t> refresh(common::time_point now,
                                        claims::claim_table const& claims);
     key_owner const& owner_of(std::uint32_t partition) const noexcept;
--- a/src/core/requests/refusal.cpp
+++ b/src/core/requests/refusal.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 
 ports::caller_answer make_refusal(common::result_code code,
-                                  common::duration wait,
+                                  common::duration typical_wait,
                                   std::mt19937_64& random)
 {
     auto const& row = common::row_of(code);
@@ -20,10 +20,10 @@
     answer.body = "{\"code\":" + std::to_string(static_cast<unsigned>(code)) +
                   ",\"name\":\"" + std::string(row.name) + "\",\"why\":\"" +
                   std::string(row.meaning) + "\"}";
-    if (wait > 0us)
+    if (typical_wait > 0us)
     {
         std::uniform_int_distribution<std::int64_t> spread(
-            wait.count() * 3 / 4, wait.count() * 3 / 2);
+            typical_wait.count() * 3 / 4, typical_wait.count() * 3 / 2);
         answer.retry_after = common::duration(spread(random));
     }
     return answer;
--- a/src/core/requests/refusal.hpp
+++ b/src/core/requests/refusal.hpp
@@ -10,14 +10,16 @@
 namespace fuchsia::core::requests
 {
 
-/// Our own answer to a request that gets none from an upstream. `wait` is when
-/// it may pass; zero: never. The caller is told a random time around it, so
-/// that all who were refused together don't return together.
+/// Answer of this entry to a request that gets none from an upstream.
+/// `typical_wait` is the time after which a retry may succeed; zero: never. The
+/// caller gets a random time around it, so that callers refused at the same
+/// time don't all retry at the same time.
 ports::caller_answer make_refusal(common::result_code code,
-                                  common::duration wait,
+                                  common::duration typical_wait,
                                   std::mt19937_64& random);
 
-/// How long a refusal of this kind usually lasts.
+/// Typical time after which a request refused with this code may succeed; zero:
+/// never.
 common::duration default_retry_after(common::result_code code) noexcept;
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/replay_guard.cpp
+++ b/src/core/requests/replay_guard.cpp
@@ -3,17 +3,18 @@
 namespace fuchsia::core::requests
 {
 
-bool replay_guard::is_new(ports::member_identity const& from, std::uint64_t id)
+bool replay_guard::is_new(ports::member_identity const& sender,
+                          std::uint64_t id)
 {
-    auto& known = senders_[from];
-    if (id <= known.floor || !known.above.insert(id).second)
+    auto& history = senders_[sender];
+    if (id <= history.floor || !history.recent_ids.insert(id).second)
     {
         return false;
     }
-    if (known.above.size() > window)
+    if (history.recent_ids.size() > window_size)
     {
-        known.floor = *known.above.begin();
-        known.above.erase(known.above.begin());
+        history.floor = *history.recent_ids.begin();
+        history.recent_ids.erase(history.recent_ids.begin());
     }
     return true;
 }
--- a/src/core/requests/retry_budget.cpp
+++ b/src/core/requests/retry_budget.cpp
@@ -8,25 +8,25 @@
 namespace
 {
 
-constexpr std::uint64_t one_retry = 1000;
+constexpr std::uint64_t permille_per_retry = 1000;
 
-struct taker
+struct retry_check
 {
-    std::uint32_t tries;
+    std::uint32_t attempts;
 
     bool operator()(retry_budget& budget) const noexcept
     {
-        if (budget.saved_permille < one_retry)
+        if (budget.saved_permille < permille_per_retry)
         {
             return false;
         }
-        budget.saved_permille -= one_retry;
+        budget.saved_permille -= permille_per_retry;
         return true;
     }
 
     bool operator()(fixed_retries const& fixed) const noexcept
     {
-        return tries <= fixed.max_retries;
+        return attempts <= fixed.max_retries;
     }
 };
 
@@ -38,13 +38,13 @@
     {
         budget->saved_permille =
             std::min(budget->saved_permille + budget->share_permille,
-                     budget->max_saved * one_retry);
+                     budget->max_saved * permille_per_retry);
     }
 }
 
-bool take_retry(retry_policy& policy, std::uint32_t tries) noexcept
+bool take_retry(retry_policy& policy, std::uint32_t attempts) noexcept
 {
-    return tries < max_attempts && std::visit(taker{tries}, policy);
+    return attempts < max_attempts && std::visit(retry_check{attempts}, policy);
 }
 
 } // namespace fuchsia::core::requests
--- a/src/core/requests/retry_budget.hpp
+++ b/src/core/requests/retry_budget.hpp
@@ -6,17 +6,19 @@
 namespace fuchsia::core::requests
 {
 
-/// Retries may be a share of first tries. A fixed number of retries a request
-/// multiplies the load on upstreams just when they fail for too much of it; a
-/// share keeps the whole below 1 + share times the offered load.
+/// Limits retries to a share of the first attempts. A fixed number of retries
+/// per request multiplies the load on upstreams at the time when they fail from
+/// overload; a share keeps the total load below (1 + share) times the offered
+/// load.
 struct retry_budget
 {
-    std::uint32_t share_permille = 100;
-    std::uint32_t max_saved = 50; ///< Retries saved up in quiet times.
-    std::uint64_t saved_permille = 10'000;
+    std::uint32_t share_permille = 100; ///< Retries per 1000 first attempts.
+    std::uint32_t max_saved = 50; ///< Maximum number of unused retries kept.
+    std::uint64_t saved_permille =
+        10'000; ///< Unused retries, in thousandths of a retry.
 };
 
-/// The plain baseline: so many retries for each request.
+/// Baseline for comparison: a fixed maximum number of retries per request.
 struct fixed_retries
 {
     std::uint32_t max_retries = 2;
@@ -24,13 +26,14 @@
 
 using retry_policy = std::variant<retry_budget, fixed_retries>;
 
-/// No request is tried more often, whatever the policy.
+/// Maximum number of attempts per request under any policy.
 constexpr std::uint32_t max_attempts = 4;
 
+/// Adds the share of a retry that a first attempt earns to the budget.
 void count_first_attempt(retry_policy& policy) noexcept;
 
-/// Whether a request that was tried `tries` times may be tried again; takes
-/// it from the budget.
-bool take_retry(retry_policy& policy, std::uint32_t tries) noexcept;
+/// Whether a request that has had `attempts` attempts may be retried. Takes the
+/// retry from the budget if so.
+bool take_retry(retry_policy& policy, std::uint32_t attempts) noexcept;
 
 } // namespace fuchsia::core::requests
