--- a/src/core/upstreams/choice.cpp
+++ b/src/core/upstreams/choice.cpp
@@ -6,8 +6,9 @@
 namespace
 {
 
-/// A failing upstream often answers fast. Without this weight its short
-/// latency would draw all the requests, and they would all fail.
+/// Weight of the failure rate in the cost. A failing upstream often answers
+/// fast; without this weight its short latency would attract all requests, and
+/// all of them would fail.
 constexpr double failure_weight = 20.0;
 
 std::size_t draw(std::size_t count, std::mt19937_64& random) noexcept
@@ -15,12 +16,13 @@
     return static_cast<std::size_t>(random() % count);
 }
 
-std::size_t step_off(std::size_t at,
-                     std::span<std::uint32_t const> open,
-                     std::optional<std::uint32_t> avoid) noexcept
+std::size_t skip_avoided(std::size_t position,
+                         std::span<std::uint32_t const> candidates,
+                         std::optional<std::uint32_t> avoided_upstream) noexcept
 {
-    bool const avoided = avoid && open[at] == *avoid;
-    return avoided ? (at + 1) % open.size() : at;
+    bool const must_skip =
+        avoided_upstream && candidates[position] == *avoided_upstream;
+    return must_skip ? (position + 1) % candidates.size() : position;
 }
 
 } // namespace
@@ -33,25 +35,28 @@
     return share * latency * (1.0 + failure_weight * load.failure_rate);
 }
 
-std::optional<std::size_t> choose_upstream(choice_policy& policy,
-                                           std::span<std::uint32_t const> open,
-                                           std::span<upstream_load const> loads,
-                                           std::optional<std::uint32_t> avoid,
-                                           std::mt19937_64& random) noexcept
+std::optional<std::size_t>
+choose_upstream(choice_policy& policy,
+                std::span<std::uint32_t const> candidates,
+                std::span<upstream_load const> loads,
+                std::optional<std::uint32_t> avoided_upstream,
+                std::mt19937_64& random) noexcept
 {
-    if (open.empty())
+    if (candidates.empty())
     {
         return std::nullopt;
     }
     if (auto* rotation = std::get_if<round_robin>(&policy))
     {
-        rotation->next = (rotation->next + 1) % open.size();
-        return step_off(rotation->next, open, avoid);
+        rotation->next = (rotation->next + 1) % candidates.size();
+        return skip_avoided(rotation->next, candidates, avoided_upstream);
     }
-    std::size_t const first = step_off(draw(open.size(), random), open, avoid);
-    std::size_t const second = step_off(draw(open.size(), random), open, avoid);
+    std::size_t const first = skip_avoided(
+        draw(candidates.size(), random), candidates, avoided_upstream);
+    std::size_t const second = skip_avoided(
+        draw(candidates.size(), random), candidates, avoided_upstream);
     bool const second_is_better =
-        cost_of(loads[open[second]]) < cost_of(loads[open[first]]);
+        cost_of(loads[candidates[second]]) < cost_of(loads[candidates[first]]);
     return second_is_better ? second : first;
 }
 
--- a/src/core/upstreams/choice.hpp
+++ b/src/core/upstreams/choice.hpp
@@ -12,23 +12,25 @@
 namespace fuchsia::core::upstreams
 {
 
-/// What a choice between upstreams goes by.
+/// Load of one upstream, used to choose between upstreams.
 struct upstream_load
 {
     std::uint32_t in_use = 0; ///< Slots taken.
-    std::uint32_t limit = 0;  ///< Slots it may have taken now, at least 1.
-    double latency_us = 0;    ///< Moving average; 0: none seen.
-    double failure_rate = 0;  ///< Moving share of failures, 0 to 1.
+    std::uint32_t limit = 0;  ///< Slots that may be in use now, at least 1.
+    double latency_us = 0;    ///< Moving average; 0: no sample yet.
+    double failure_rate =
+        0; ///< Moving average of the share of failures, 0 to 1.
 };
 
-/// Draws two and takes the one that would serve sooner: share of slots in use,
-/// times its latency, times its failures. Two draws already avoid the worst
-/// upstream and, unlike the best of all, don't send everybody to the same one.
+/// Power of two choices: draws two upstreams at random and takes the one with
+/// the lower cost (see `cost_of`). Two draws are enough to avoid the worst
+/// upstream, and unlike a choice of the best upstream they don't send all
+/// requests to the same one.
 struct weighted_two_choices
 {
 };
 
-/// The plain baseline: one after the other, whatever their load.
+/// Baseline for comparison: one upstream after the other, regardless of load.
 struct round_robin
 {
     std::size_t next = 0;
@@ -36,16 +38,19 @@
 
 using choice_policy = std::variant<weighted_two_choices, round_robin>;
 
-/// Expected cost of one more request there; lower is better.
+/// Expected cost of one more request on the upstream; lower is better. The
+/// share of slots in use, times the latency, times a weight for failures.
 double cost_of(upstream_load const& load) noexcept;
 
-/// Position in `open` of the upstream to use; `loads` is indexed by the
-/// members of `open`. Takes `avoid` (an index of `loads`) only where there is
-/// no other. Empty where `open` is.
-std::optional<std::size_t> choose_upstream(choice_policy& policy,
-                                           std::span<std::uint32_t const> open,
-                                           std::span<upstream_load const> loads,
-                                           std::optional<std::uint32_t> avoid,
-                                           std::mt19937_64& random) noexcept;
+/// Position in `candidates` of the upstream to use; empty if there are no
+/// candidates. The elements of `candidates` are indices of `loads`.
+/// `avoided_upstream`, also an index of `loads`, is chosen only if it is the
+/// only candidate.
+std::optional<std::size_t>
+choose_upstream(choice_policy& policy,
+                std::span<std::uint32_t const> candidates,
+                std::span<upstream_load const> loads,
+                std::optional<std::uint32_t> avoided_upstream,
+                std::mt19937_64& random) noexcept;
 
 } // namespace fuchsia::core::upstreams
--- a/src/core/upstreams/slot_table.cpp
+++ b/src/core/upstreams/slot_table.cpp
@@ -11,15 +11,16 @@
 
 /// Weight of the newest sample in the moving averages.
 constexpr double sample_weight = 0.1;
-/// An upstream's share of its slots is halved by a failure and regained by
-/// successes, so that a broken one soon gets single probes only and one that
-/// comes back cold is filled step by step.
+/// A failure halves an upstream's share of its slots and each success adds a
+/// step to it, so that a broken upstream soon gets only single probes and one
+/// that recovers with cold caches is filled step by step.
 constexpr double failure_factor = 0.5;
 constexpr double success_step = 0.05;
-/// An exchange is slow only after this many times the usual service time.
+/// A caller's timeout counts as a failure of the upstream only after this many
+/// times the average service time.
 constexpr double slow_factor = 4.0;
-/// Numbers of holds that no exchange of ours stands for begin here.
-constexpr std::uint64_t first_unseen = std::uint64_t{1} << 63;
+/// First id for taken slots that belong to no exchange of this entry.
+constexpr std::uint64_t first_placeholder_id = std::uint64_t{1} << 63;
 
 bool is_failure(ports::upstream_end const& end) noexcept
 {
@@ -36,29 +37,30 @@
 
 } // namespace
 
-slot_table::slot_table(slot_table_settings const& chosen, std::uint64_t seed)
-    : settings_(chosen), random_(seed), next_unseen_(first_unseen)
+slot_table::slot_table(slot_table_settings const& settings, std::uint64_t seed)
+    : settings_(settings), random_(seed),
+      next_placeholder_id_(first_placeholder_id)
 {
 }
 
 void slot_table::acquire(common::time_point now,
                          std::uint32_t partition,
-                         bool idle)
+                         bool known_idle)
 {
     owned_[partition] = true;
-    taken_over_[partition] =
-        idle ? std::nullopt : std::optional<common::time_point>(now);
+    acquired_at_[partition] =
+        known_idle ? std::nullopt : std::optional<common::time_point>(now);
     for (std::uint32_t index = 0; index < upstreams_.size(); ++index)
     {
         if (upstreams_[index].partition != partition)
         {
             continue;
         }
-        if (!idle)
+        if (!known_idle)
         {
-            close_all_slots(now, index);
+            occupy_all_slots(now, index);
         }
-        refresh(index);
+        update_counts(index);
     }
 }
 
@@ -69,7 +71,7 @@
     {
         if (upstreams_[index].partition == partition)
         {
-            refresh(index);
+            update_counts(index);
         }
     }
 }
@@ -77,54 +79,55 @@
 void slot_table::on_instances(common::time_point now,
                               ports::instance_list const& list)
 {
-    for (auto& one : upstreams_)
+    for (auto& u : upstreams_)
     {
-        one.listed = false;
+        u.is_listed = false;
     }
-    for (auto const& listed : list.upstreams)
+    for (auto const& instance : list.upstreams)
     {
-        auto const found = index_of_.find(listed.id);
-        if (found == index_of_.end())
+        auto const it = index_of_.find(instance.id);
+        if (it == index_of_.end())
         {
-            add_upstream(now, listed);
+            add_upstream(now, instance);
             continue;
         }
-        update(upstreams_[found->second], listed);
-        on_report(list.received - listed.report_age - settings_.report_slack,
-                  found->second,
-                  listed.slots_in_use);
+        update(upstreams_[it->second], instance);
+        on_report(list.received - instance.report_age - settings_.report_slack,
+                  it->second,
+                  instance.slots_in_use);
     }
-    list_seen_ = true;
+    list_received_ = true;
     for (std::uint32_t index = 0; index < upstreams_.size(); ++index)
     {
-        refresh(index);
+        update_counts(index);
     }
 }
 
 void slot_table::add_upstream(common::time_point now,
-                              ports::upstream_instance const& listed)
+                              ports::upstream_instance const& instance)
 {
     auto index = static_cast<std::uint32_t>(upstreams_.size());
     if (index >= settings_.max_upstreams)
     {
-        // The place of one that is gone for good may be used again.
-        auto const gone =
-            std::find_if(upstreams_.begin(),
-                         upstreams_.end(),
-                         [this](upstream const& one)
-                         {
-                             auto const at = static_cast<std::size_t>(
-                                 &one - upstreams_.data());
-                             return !one.listed && loads_[at].in_use == 0;
-                         });
-        if (gone == upstreams_.end())
+        // Reuses the index of an upstream that is no longer listed and has no
+        // slot in use.
+        auto const reusable = std::find_if(
+            upstreams_.begin(),
+            upstreams_.end(),
+            [this](upstream const& u)
+            {
+                auto const position =
+                    static_cast<std::size_t>(&u - upstreams_.data());
+                return !u.is_listed && loads_[position].in_use == 0;
+            });
+        if (reusable == upstreams_.end())
         {
             return;
         }
-        index = static_cast<std::uint32_t>(gone - upstreams_.begin());
-        refresh(index);
-        index_of_.erase(gone->id);
-        *gone = {};
+        index = static_cast<std::uint32_t>(reusable - upstreams_.begin());
+        update_counts(index);
+        index_of_.erase(reusable->id);
+        *reusable = {};
         loads_[index] = {};
     }
     else
@@ -133,32 +136,33 @@
         loads_.emplace_back();
     }
     auto& added = upstreams_[index];
-    added.id = listed.id;
-    added.partition = common::partition_of(listed.id);
-    added.share = list_seen_ ? settings_.initial_share : 1.0;
-    // Nobody knows its latency yet: taken for the average, not for very fast.
+    added.id = instance.id;
+    added.partition = common::partition_of(instance.id);
+    added.share = list_received_ ? settings_.initial_share : 1.0;
+    // The latency is not known yet. The average is assumed, because 0 would
+    // make the upstream look very fast.
     loads_[index].latency_us = service_time_us_;
-    index_of_.emplace(listed.id, index);
-    update(added, listed);
-    // A predecessor with a newer list may have used it before we knew of it.
-    auto const taken = taken_over_[added.partition];
-    if (taken && now < *taken + settings_.max_execution)
+    index_of_.emplace(instance.id, index);
+    update(added, instance);
+    // A predecessor with a newer list may have used the upstream before this
+    // entry learned of it.
+    auto const acquired_at = acquired_at_[added.partition];
+    if (acquired_at && now < *acquired_at + settings_.max_execution)
     {
-        close_all_slots(*taken, index);
+        occupy_all_slots(*acquired_at, index);
     }
 }
 
-void slot_table::update(upstream& known, ports::upstream_instance const& listed)
+void slot_table::update(upstream& u, ports::upstream_instance const& instance)
 {
-    known.where = listed.remote_endpoint;
-    known.data_centre = listed.data_centre;
-    known.slots = listed.connections == 0
-                      ? listed.slots
-                      : std::min(listed.slots, listed.connections);
-    known.listed = true;
-    known.leaving = listed.state == ports::instance_state::leaving;
-    known.out_of_service =
-        data_centres_out_of_service_.contains(known.data_centre);
+    u.address = instance.remote_endpoint;
+    u.data_centre = instance.data_centre;
+    u.slots = instance.connections == 0
+                  ? instance.slots
+                  : std::min(instance.slots, instance.connections);
+    u.is_listed = true;
+    u.leaving = instance.state == ports::instance_state::leaving;
+    u.out_of_service = data_centres_out_of_service_.contains(u.data_centre);
 }
 
 void slot_table::set_data_centres_out_of_service(
@@ -167,102 +171,105 @@
     data_centres_out_of_service_ = names;
     for (std::uint32_t index = 0; index < upstreams_.size(); ++index)
     {
-        auto& one = upstreams_[index];
-        bool const was_out = one.out_of_service;
-        one.out_of_service = names.contains(one.data_centre);
-        if (was_out && !one.out_of_service)
+        auto& u = upstreams_[index];
+        bool const was_out = u.out_of_service;
+        u.out_of_service = names.contains(u.data_centre);
+        if (was_out && !u.out_of_service)
         {
-            one.share = std::min(one.share, settings_.initial_share);
+            u.share = std::min(u.share, settings_.initial_share);
         }
-        refresh(index);
+        update_counts(index);
     }
 }
 
 std::optional<slot_placement>
 slot_table::take_slot(common::time_point now,
                       std::uint64_t exchange,
-                      std::optional<std::uint32_t> avoid)
+                      std::optional<std::uint32_t> avoided_upstream)
 {
-    auto const at =
-        choose_upstream(settings_.choice, open_, loads_, avoid, random_);
-    if (!at)
+    auto const position = choose_upstream(
+        settings_.choice, available_, loads_, avoided_upstream, random_);
+    if (!position)
     {
         return std::nullopt;
     }
-    std::uint32_t const index = open_[*at];
-    holds_.emplace(exchange, hold{index, now, {}, false});
+    std::uint32_t const index = available_[*position];
+    taken_slots_.emplace(exchange, taken_slot{index, now, {}, false});
     ++loads_[index].in_use;
-    ++busy_[upstreams_[index].partition];
-    refresh(index);
-    return slot_placement{index, upstreams_[index].id, upstreams_[index].where};
+    ++partition_in_use_[upstreams_[index].partition];
+    update_counts(index);
+    return slot_placement{
+        index, upstreams_[index].id, upstreams_[index].address};
 }
 
-// A request that waited long in our queue has little time left when it is sent.
-// If its deadline counted against the upstream, a full queue would shrink the
-// upstreams' shares, which makes the queue longer yet: an entry with plenty of
-// idle slots would stay overloaded for good.
+// A request that waited long in the entry's queue has little time left when it
+// is sent. If missing its deadline counted against the upstream, a full queue
+// would reduce the upstreams' shares, which makes the queue even longer: an
+// entry with many idle slots would stay overloaded permanently.
 void slot_table::on_caller_timeout(common::time_point now,
                                    std::uint64_t exchange)
 {
-    auto const found = holds_.find(exchange);
-    if (found == holds_.end() || found->second.slow)
+    auto const it = taken_slots_.find(exchange);
+    if (it == taken_slots_.end() || it->second.timeout_counted)
     {
         return;
     }
-    auto const had = static_cast<double>((now - found->second.sent).count());
-    if (had < slow_factor * service_time_us_)
+    auto const elapsed =
+        static_cast<double>((now - it->second.sent_at).count());
+    if (elapsed < slow_factor * service_time_us_)
     {
         return;
     }
-    found->second.slow = true;
-    shrink(found->second.index);
-    refresh(found->second.index);
+    it->second.timeout_counted = true;
+    record_failure(it->second.index);
+    update_counts(it->second.index);
 }
 
 void slot_table::on_exchange_end(common::time_point now,
                                  ports::upstream_end const& end)
 {
-    auto const found = holds_.find(end.exchange);
-    if (found == holds_.end())
+    auto const it = taken_slots_.find(end.exchange);
+    if (it == taken_slots_.end())
     {
         return;
     }
-    hold const held = found->second;
+    taken_slot const slot = it->second;
     using enum ports::exchange_status;
     switch (end.status)
     {
     case answered:
     case drained:
-        learn(held.index, now - held.sent, is_failure(end));
-        free_hold(end.exchange);
+        record_result(slot.index, now - slot.sent_at, is_failure(end));
+        free_slot(end.exchange);
         break;
     case not_sent:
-        shrink(held.index);
-        free_hold(end.exchange);
+        record_failure(slot.index);
+        free_slot(end.exchange);
         break;
     case timed_out:
-        // The connection stands and the request may lie unread in it: a frozen
-        // upstream reports an idle slot and begins the request when it wakes.
-        // Only the other end, which follows, frees the slot.
+        // The connection is still open and the request may be unread in it: a
+        // frozen upstream reports an idle slot and starts the request when it
+        // resumes. Only the final end of the exchange, which follows, frees the
+        // slot.
         on_caller_timeout(now, end.exchange);
         break;
     case lost:
     case too_large:
-        shrink(held.index);
-        keep_unseen(now, end.exchange);
+        record_failure(slot.index);
+        mark_end_unseen(now, end.exchange);
         break;
     }
-    refresh(held.index);
+    update_counts(slot.index);
 }
 
 void slot_table::tick(common::time_point now)
 {
-    while (!bounds_.empty() && bounds_.begin()->first <= now)
+    while (!latest_ends_.empty() && latest_ends_.begin()->first <= now)
     {
-        std::uint64_t const id = bounds_.begin()->second;
-        std::uint32_t const index = holds_.at(id).index;
-        free_hold(id);
-        refresh(index);
+        std::uint64_t const id = latest_ends_.begin()->second;
+        std::uint32_t const index = taken_slots_.at(id).index;
+        free_slot(id);
+        update_counts(index);
     }
 }
 
@@ -283,13 +290,13 @@
 
 bool slot_table::is_idle(std::uint32_t partition) const noexcept
 {
-    return busy_[partition] == 0;
+    return partition_in_use_[partition] == 0;
 }
 
 std::uint32_t slot_table::in_use(std::string const& upstream) const noexcept
 {
-    auto const found = index_of_.find(upstream);
-    return found == index_of_.end() ? 0 : loads_[found->second].in_use;
+    auto const it = index_of_.find(upstream);
+    return it == index_of_.end() ? 0 : loads_[it->second].in_use;
 }
 
 std::size_t slot_table::size() const noexcept
@@ -297,72 +304,77 @@
     return upstreams_.size();
 }
 
-// Whatever ran when the report was made, ours or a predecessor's, is among the
-// `n` that it tells. Of the slots held for unseen ends older than the report
-// no more than `n` can therefore still be taken.
-void slot_table::on_report(common::time_point made,
+// `slots_in_use` counts all requests that ran when the report was made, those
+// of this entry and those of a predecessor. Of the slots whose end has been
+// unobserved since before the report, no more than `slots_in_use` can therefore
+// still be taken.
+void slot_table::on_report(common::time_point report_time,
                            std::uint32_t index,
-                           std::uint32_t n)
+                           std::uint32_t slots_in_use)
 {
-    auto const unseen = upstreams_[index].unseen;
-    std::vector<std::uint64_t> older;
-    for (std::uint64_t const id : unseen)
+    auto const unseen_ends = upstreams_[index].unseen_ends;
+    std::vector<std::uint64_t> older_ids;
+    for (std::uint64_t const id : unseen_ends)
     {
-        if (holds_.at(id).unseen_since < made)
+        if (taken_slots_.at(id).end_unseen_since < report_time)
         {
-            older.push_back(id);
+            older_ids.push_back(id);
         }
     }
-    for (std::size_t at = n; at < older.size(); ++at)
+    for (std::size_t i = slots_in_use; i < older_ids.size(); ++i)
     {
-        free_hold(older[at]);
+        free_slot(older_ids[i]);
     }
 }
 
-void slot_table::close_all_slots(common::time_point now, std::uint32_t index)
+void slot_table::occupy_all_slots(common::time_point now, std::uint32_t index)
 {
     auto const slots = upstreams_[index].slots;
-    while (upstreams_[index].unseen.size() < slots)
+    while (upstreams_[index].unseen_ends.size() < slots)
     {
-        std::uint64_t const id = next_unseen_++;
-        holds_.emplace(id, hold{index, now, {}, true});
+        std::uint64_t const id = next_placeholder_id_++;
+        taken_slots_.emplace(id, taken_slot{index, now, {}, true});
         ++loads_[index].in_use;
-        ++busy_[upstreams_[index].partition];
-        keep_unseen(now, id);
+        ++partition_in_use_[upstreams_[index].partition];
+        mark_end_unseen(now, id);
     }
 }
 
-void slot_table::free_hold(std::uint64_t id)
+void slot_table::free_slot(std::uint64_t id)
 {
-    hold const held = holds_.at(id);
-    auto& unseen = upstreams_[held.index].unseen;
-    unseen.erase(std::remove(unseen.begin(), unseen.end(), id), unseen.end());
-    bounds_.erase({held.sent + settings_.max_execution, id});
-    holds_.erase(id);
-    --loads_[held.index].in_use;
-    --busy_[upstreams_[held.index].partition];
+    taken_slot const slot = taken_slots_.at(id);
+    auto& unseen_ends = upstreams_[slot.index].unseen_ends;
+    unseen_ends.erase(std::remove(unseen_ends.begin(), unseen_ends.end(), id),
+                      unseen_ends.end());
+    latest_ends_.erase({slot.sent_at + settings_.max_execution, id});
+    taken_slots_.erase(id);
+    --loads_[slot.index].in_use;
+    --partition_in_use_[upstreams_[slot.index].partition];
 }
 
-void slot_table::keep_unseen(common::time_point now, std::uint64_t id)
+void slot_table::mark_end_unseen(common::time_point now, std::uint64_t id)
 {
-    auto& held = holds_.at(id);
-    auto& unseen = upstreams_[held.index].unseen;
-    if (std::find(unseen.begin(), unseen.end(), id) == unseen.end())
+    auto& slot = taken_slots_.at(id);
+    auto& unseen_ends = upstreams_[slot.index].unseen_ends;
+    if (std::find(unseen_ends.begin(), unseen_ends.end(), id) ==
+        unseen_ends.end())
     {
-        unseen.push_back(id);
+        unseen_ends.push_back(id);
     }
-    held.unseen_since = now;
-    bounds_.insert({held.sent + settings_.max_execution, id});
+    slot.end_unseen_since = now;
+    latest_ends_.insert({slot.sent_at + settings_.max_execution, id});
 }
 
-void slot_table::learn(std::uint32_t index, common::duration took, bool failed)
+void slot_table::record_result(std::uint32_t index,
+                               common::duration execution_time,
+                               bool failed)
 {
-    auto const sample = static_cast<double>(took.count());
+    auto const sample = static_cast<double>(execution_time.count());
     average(service_time_us_, sample);
     average(loads_[index].latency_us, sample);
     if (failed)
     {
-        shrink(index);
+        record_failure(index);
         return;
     }
     auto& load = loads_[index];
@@ -371,57 +383,58 @@
         std::min(1.0, upstreams_[index].share + success_step);
 }
 
-void slot_table::shrink(std::uint32_t index)
+void slot_table::record_failure(std::uint32_t index)
 {
     auto& load = loads_[index];
     load.failure_rate += sample_weight * (1.0 - load.failure_rate);
     upstreams_[index].share *= failure_factor;
 }
 
-bool slot_table::usable(upstream const& one) const noexcept
+bool slot_table::is_usable(upstream const& u) const noexcept
 {
-    return owned_[one.partition] && one.listed && !one.leaving &&
-           !one.out_of_service && one.slots > 0;
+    return owned_[u.partition] && u.is_listed && !u.leaving &&
+           !u.out_of_service && u.slots > 0;
 }
 
-// Brings an upstream's parts of the sums, and its place among those with a
-// free slot, up to date, so that no request has to look at all upstreams.
-void slot_table::refresh(std::uint32_t index)
+// Updates the upstream's share in the totals and its membership in
+// `available_`, so that no request has to look at all upstreams.
+void slot_table::update_counts(std::uint32_t index)
 {
-    auto& one = upstreams_[index];
+    auto& u = upstreams_[index];
     auto& load = loads_[index];
-    double const wished = std::ceil(one.slots * one.share);
-    load.limit = std::clamp(static_cast<std::uint32_t>(wished),
+    double const desired = std::ceil(u.slots * u.share);
+    load.limit = std::clamp(static_cast<std::uint32_t>(desired),
                             std::uint32_t{1},
-                            std::max(one.slots, std::uint32_t{1}));
-    bool const open = usable(one);
-    std::uint32_t const slots = open ? load.limit : 0;
-    std::uint32_t const free = slots > load.in_use ? slots - load.in_use : 0;
-    usable_slots_ += slots - one.counted_slots;
-    free_slots_ += free - one.counted_free;
-    one.counted_slots = slots;
-    one.counted_free = free;
-    set_open(index, free > 0);
+                            std::max(u.slots, std::uint32_t{1}));
+    bool const usable = is_usable(u);
+    std::uint32_t const slots = usable ? load.limit : 0;
+    std::uint32_t const free_count =
+        slots > load.in_use ? slots - load.in_use : 0;
+    usable_slots_ += slots - u.counted_slots;
+    free_slots_ += free_count - u.counted_free;
+    u.counted_slots = slots;
+    u.counted_free = free_count;
+    set_available(index, free_count > 0);
 }
 
-void slot_table::set_open(std::uint32_t index, bool open)
+void slot_table::set_available(std::uint32_t index, bool has_free_slot)
 {
-    auto& one = upstreams_[index];
-    if (open == one.open_at.has_value())
+    auto& u = upstreams_[index];
+    if (has_free_slot == u.available_index.has_value())
     {
         return;
     }
-    if (open)
+    if (has_free_slot)
     {
-        one.open_at = open_.size();
-        open_.push_back(index);
+        u.available_index = available_.size();
+        available_.push_back(index);
         return;
     }
-    std::uint32_t const moved = open_.back();
-    open_[*one.open_at] = moved;
-    upstreams_[moved].open_at = one.open_at;
-    open_.pop_back();
-    one.open_at.reset();
+    std::uint32_t const moved = available_.back();
+    available_[*u.available_index] = moved;
+    upstreams_[moved].available_index = u.available_index;
+    available_.pop_back();
+    u.available_index.reset();
 }
 
 } // namespace fuchsia::core::upstreams
