--- a/src/core/contracts/contract.cpp
+++ b/src/core/contracts/contract.cpp
@@ -11,6 +11,7 @@
 namespace
 {
 
+/// Upper bounds on the values of a contract.
 constexpr std::int64_t max_millicores = 100'000'000;
 constexpr std::int64_t max_memory_mb = 1'000'000'000;
 constexpr std::int64_t max_accelerators = 1'000'000;
--- a/src/core/contracts/slice_holder.cpp
+++ b/src/core/contracts/slice_holder.cpp
@@ -9,16 +9,19 @@
 namespace
 {
 
-/// Asked for beyond the demand seen, so that a rise finds a slice ready.
-constexpr double headroom = 1.5;
+/// Factor and constants by which a request for a slice exceeds the measured
+/// demand, so that the slice is large enough when demand rises.
+constexpr double demand_headroom = 1.5;
 constexpr double spare_slots = 2.0;
 constexpr double spare_rate = 20.0;
-/// Demand seen earlier counts less with each request for a slice.
+/// Factor by which earlier demand decreases with each request for a slice.
 constexpr double decay = 0.8;
-constexpr double least_demand = 0.1;
-/// A slice's rate may be used in bursts of this part of a second.
+/// Below this many requests in flight the entry needs no slice.
+constexpr double min_demand = 0.1;
+/// Size of the token bucket, in seconds of the slice's rate.
 constexpr double burst_seconds = 0.1;
-constexpr common::duration bucket_rest = std::chrono::seconds(1);
+/// Time without use after which the token bucket is full.
+constexpr common::duration bucket_idle_time = std::chrono::seconds(1);
 constexpr std::uint32_t permille = 1000;
 
 constexpr std::size_t index_of(ports::request_class kind) noexcept
@@ -41,7 +44,7 @@
                                   ports::request_class kind,
                                   contract const& limits)
 {
-    at_rest_ = false;
+    inactive_ = false;
     if (!is_valid(now))
     {
         return slice_verdict::no_slice;
@@ -55,7 +58,7 @@
     {
         return slice_verdict::in_flight_limit_reached;
     }
-    refill(now);
+    refill_tokens(now);
     if (tokens_ < 1.0)
     {
         ++arrivals_;
@@ -64,7 +67,7 @@
     tokens_ -= 1.0;
     ++arrivals_;
     ++in_flight_[index_of(kind)];
-    peak_ = std::max(peak_, in_flight());
+    peak_in_flight_ = std::max(peak_in_flight_, in_flight());
     return slice_verdict::admitted;
 }
 
@@ -78,89 +81,93 @@
 
 void slice_holder::count_unmet_demand() noexcept
 {
-    at_rest_ = false;
-    ++unmet_;
+    inactive_ = false;
+    ++unmet_demand_;
 }
 
 std::optional<ports::slice_request>
 slice_holder::next_request(common::time_point now, contract const& limits)
 {
-    if (!is_time(now))
+    if (!is_request_due(now))
     {
         return std::nullopt;
     }
     double const elapsed =
-        asked_ ? std::max(seconds(now - *asked_), 0.02) : 0.5;
-    demand_ = std::max<double>(peak_ + unmet_, demand_ * decay);
+        requested_at_ ? std::max(seconds(now - *requested_at_), 0.02) : 0.5;
+    demand_ =
+        std::max<double>(peak_in_flight_ + unmet_demand_, demand_ * decay);
     demand_rate_ =
-        std::max((arrivals_ + unmet_) / elapsed, demand_rate_ * decay);
-    bool const idle = in_flight() == 0 && demand_ < least_demand;
+        std::max((arrivals_ + unmet_demand_) / elapsed, demand_rate_ * decay);
+    bool const idle = in_flight() == 0 && demand_ < min_demand;
     ports::slice_request request;
     request.round = ++round_;
-    request.wanted =
-        idle ? 0 : static_cast<std::uint32_t>(demand_ * headroom + spare_slots);
+    request.wanted = idle ? 0
+                          : static_cast<std::uint32_t>(
+                                demand_ * demand_headroom + spare_slots);
     request.wanted_rate =
         idle ? 0
-             : static_cast<std::uint32_t>(demand_rate_ * headroom + spare_rate);
+             : static_cast<std::uint32_t>(demand_rate_ * demand_headroom +
+                                          spare_rate);
     request.wanted = std::min(request.wanted, limits.requests_in_flight);
     request.wanted_rate =
         std::min(request.wanted_rate, limits.requests_per_second);
-    // What is not wanted any more is given back with this request.
+    // This request returns the part of the slice that is no longer needed.
     slots_ = std::min(slots_, std::max(request.wanted, in_flight()));
     if (idle)
     {
         valid_until_ = now;
     }
     request.in_use = in_flight_bound(now);
-    wanted_ = request.wanted;
-    wanted_rate_ = request.wanted_rate;
-    waiting_ = true;
-    asked_ = now;
-    peak_ = in_flight();
-    unmet_ = 0;
+    requested_slots_ = request.wanted;
+    requested_rate_ = request.wanted_rate;
+    awaiting_grant_ = true;
+    requested_at_ = now;
+    peak_in_flight_ = in_flight();
+    unmet_demand_ = 0;
     arrivals_ = 0;
     return request;
 }
 
 void slice_holder::request_at_once() noexcept
 {
-    at_rest_ = false;
-    waiting_ = false;
-    asked_.reset();
+    inactive_ = false;
+    awaiting_grant_ = false;
+    requested_at_.reset();
 }
 
 void slice_holder::on_grant(common::time_point now,
                             ports::slice_grant const& grant)
 {
-    // A grant for an earlier request was cut before the report that went out
-    // with the last one: the owner no longer counts it.
-    if (!waiting_ || grant.round != round_ || !asked_)
+    // A grant for an earlier request was made before the owner received the
+    // report in the last one, after which the owner no longer counts that
+    // grant.
+    if (!awaiting_grant_ || grant.round != round_ || !requested_at_)
     {
         return;
     }
-    waiting_ = false;
-    auto const length = std::min<std::uint64_t>(
+    awaiting_grant_ = false;
+    auto const valid_for = std::min<std::uint64_t>(
         grant.valid_us, static_cast<std::uint64_t>(settings_.lifetime.count()));
-    // A bucket that was not used for a while is full.
-    bool const rested = now - refilled_ >= bucket_rest;
-    refill(now);
+    // A token bucket that was not used for `bucket_idle_time` is full.
+    bool const was_idle = now - refilled_at_ >= bucket_idle_time;
+    refill_tokens(now);
     slots_ = grant.in_flight;
     rate_ = grant.rate;
-    if (rested)
+    if (was_idle)
     {
         tokens_ = std::max(1.0, rate_ * burst_seconds);
     }
     valid_until_ =
-        *asked_ + common::duration(static_cast<std::int64_t>(length));
-    if (grant.in_flight < wanted_)
+        *requested_at_ + common::duration(static_cast<std::int64_t>(valid_for));
+    if (grant.in_flight < requested_slots_)
     {
         limited_until_ = now + settings_.renew_interval;
     }
-    if (grant.rate < wanted_rate_)
+    if (grant.rate < requested_rate_)
     {
         rate_limited_until_ = now + settings_.renew_interval;
     }
-    at_rest_ = wanted_ == 0 && in_flight() == 0 && unmet_ == 0;
+    inactive_ = requested_slots_ == 0 && in_flight() == 0 && unmet_demand_ == 0;
 }
 
 bool slice_holder::is_limited(common::time_point now) const noexcept
@@ -189,34 +196,34 @@
     return now < valid_until_;
 }
 
-bool slice_holder::is_time(common::time_point now) const noexcept
+bool slice_holder::is_request_due(common::time_point now) const noexcept
 {
-    if (at_rest_)
+    if (inactive_)
     {
         return false;
     }
-    if (!asked_)
+    if (!requested_at_)
     {
         return true;
     }
-    auto const since = now - *asked_;
-    if (waiting_)
+    auto const elapsed = now - *requested_at_;
+    if (awaiting_grant_)
     {
-        return since >= settings_.request_timeout;
+        return elapsed >= settings_.request_timeout;
     }
-    bool const more = unmet_ > 0 || in_flight() >= slots_;
-    return since >= settings_.renew_interval ||
-           ((more || !is_valid(now)) &&
-            since >= settings_.min_request_interval && !is_limited(now) &&
+    bool const needs_more = unmet_demand_ > 0 || in_flight() >= slots_;
+    return elapsed >= settings_.renew_interval ||
+           ((needs_more || !is_valid(now)) &&
+            elapsed >= settings_.min_request_interval && !is_limited(now) &&
             !is_rate_limited(now));
 }
 
-void slice_holder::refill(common::time_point now) noexcept
+void slice_holder::refill_tokens(common::time_point now) noexcept
 {
-    double const most = std::max(1.0, rate_ * burst_seconds);
-    double const elapsed = std::min(seconds(now - refilled_), 1.0);
-    tokens_ = std::min(most, tokens_ + elapsed * rate_);
-    refilled_ = now;
+    double const bucket_size = std::max(1.0, rate_ * burst_seconds);
+    double const elapsed = std::min(seconds(now - refilled_at_), 1.0);
+    tokens_ = std::min(bucket_size, tokens_ + elapsed * rate_);
+    refilled_at_ = now;
 }
 
 } // namespace fuchsia::core::contracts
--- a/src/core/contracts/slice_ledger.cpp
+++ b/src/core/contracts/slice_ledger.cpp
@@ -21,8 +21,8 @@
     for (auto const& other : others)
     {
         auto& added = shares_[other];
-        added.ends = now + settings_.max_execution;
-        added.rate_until = now + lease();
+        added.expires_at = now + settings_.max_execution;
+        added.rate_until = now + lease_duration();
     }
 }
 
@@ -34,11 +34,11 @@
                     std::uint32_t members,
                     std::uint64_t revision)
 {
-    drop_ended(now);
-    ports::slice_grant answer;
-    answer.round = request.round;
-    answer.customer = request.customer;
-    answer.config_revision = revision;
+    remove_expired(now);
+    ports::slice_grant reply;
+    reply.round = request.round;
+    reply.customer = request.customer;
+    reply.config_revision = revision;
     auto& own = shares_[member];
     if (request.round <= own.round)
     {
@@ -46,50 +46,50 @@
     }
     own.round = request.round;
     own.reported = true;
-    own.ends.reset();
-    own.asked = now;
+    own.expires_at.reset();
+    own.requested_at = now;
     own.wanted = request.wanted;
     own.wanted_rate = request.wanted_rate;
 
     std::uint32_t const cap = cap_of(limits.requests_in_flight, members);
-    std::uint32_t const used = others_slots(member, cap);
-    std::uint32_t const left =
+    std::uint32_t const used = slots_of_others(member, cap);
+    std::uint32_t const remaining =
         limits.requests_in_flight - std::min(limits.requests_in_flight, used);
     std::uint32_t const fair =
-        fair_part(now, limits.requests_in_flight, own.wanted, &share::wanted);
-    answer.in_flight = std::min({cap, left, fair});
-    own.bound = std::max(request.in_use, answer.in_flight);
+        fair_share(now, limits.requests_in_flight, own.wanted, &share::wanted);
+    reply.in_flight = std::min({cap, remaining, fair});
+    own.bound = std::max(request.in_use, reply.in_flight);
 
     std::uint32_t const rate_cap = cap_of(limits.requests_per_second, members);
-    std::uint32_t const rate_used = others_rate(now, member, rate_cap);
-    std::uint32_t const rate_left =
+    std::uint32_t const rate_used = rate_of_others(now, member, rate_cap);
+    std::uint32_t const rate_remaining =
         limits.requests_per_second -
         std::min(limits.requests_per_second, rate_used);
-    std::uint32_t const rate_fair = fair_part(
+    std::uint32_t const rate_fair = fair_share(
         now, limits.requests_per_second, own.wanted_rate, &share::wanted_rate);
-    answer.rate = std::min({rate_cap, rate_left, rate_fair});
-    if (now >= own.old_rate_until || own.rate >= own.old_rate)
+    reply.rate = std::min({rate_cap, rate_remaining, rate_fair});
+    if (now >= own.previous_rate_until || own.rate >= own.previous_rate)
     {
-        own.old_rate = own.rate;
-        own.old_rate_until = own.rate_until;
+        own.previous_rate = own.rate;
+        own.previous_rate_until = own.rate_until;
     }
-    own.rate = answer.rate;
-    own.rate_until = now + lease();
+    own.rate = reply.rate;
+    own.rate_until = now + lease_duration();
 
-    answer.valid_us = static_cast<std::uint64_t>(settings_.lifetime.count());
+    reply.valid_us = static_cast<std::uint64_t>(settings_.lifetime.count());
     last_cap_ = cap;
-    return answer;
+    return reply;
 }
 
 void slice_ledger::on_member_fenced(common::time_point now,
                                     ports::member_identity const& member)
 {
-    auto const found = shares_.find(member);
-    if (found != shares_.end() && !found->second.ends)
+    auto const it = shares_.find(member);
+    if (it != shares_.end() && !it->second.expires_at)
     {
-        found->second.ends = now + settings_.max_execution;
-        found->second.wanted = 0;
-        found->second.wanted_rate = 0;
+        it->second.expires_at = now + settings_.max_execution;
+        it->second.wanted = 0;
+        it->second.wanted_rate = 0;
     }
 }
 
@@ -97,15 +97,18 @@
 slice_ledger::granted_in_flight(common::time_point now) const noexcept
 {
     std::uint32_t sum = 0;
-    for (auto const& [member, one] : shares_)
+    for (auto const& [member, entry_share] : shares_)
     {
-        bool const ended = one.ends && *one.ends <= now;
-        sum += ended ? 0 : (one.reported ? one.bound : last_cap_);
+        bool const ended =
+            entry_share.expires_at && *entry_share.expires_at <= now;
+        sum +=
+            ended ? 0 : (entry_share.reported ? entry_share.bound : last_cap_);
     }
     return sum;
 }
 
-// A single entry may need the whole contract where there are few of them.
+// With few entries, one entry may need more than `max_share_permille`, up to
+// the whole contract.
 std::uint32_t slice_ledger::cap_of(std::uint32_t limit,
                                    std::uint32_t members) const noexcept
 {
@@ -118,68 +121,79 @@
         std::min<std::uint64_t>(limit, std::max(by_share, by_count)));
 }
 
-void slice_ledger::drop_ended(common::time_point now)
+void slice_ledger::remove_expired(common::time_point now)
 {
     std::erase_if(shares_,
-                  [now](auto const& one)
+                  [now](auto const& entry_share)
                   {
-                      return one.second.ends && *one.second.ends <= now;
+                      return entry_share.second.expires_at &&
+                             *entry_share.second.expires_at <= now;
                   });
 }
 
-common::duration slice_ledger::lease() const noexcept
+common::duration slice_ledger::lease_duration() const noexcept
 {
     return settings_.lifetime * (permille + settings_.drift_permille) /
            permille;
 }
 
-// Where more is wanted than there is, each gets in proportion to its wish.
+// If the demands exceed the limit, each entry gets a part in proportion to its
+// demand.
 std::uint32_t
-slice_ledger::fair_part(common::time_point now,
-                        std::uint32_t limit,
-                        std::uint32_t wanted,
-                        std::uint32_t share::*member) const noexcept
+slice_ledger::fair_share(common::time_point now,
+                         std::uint32_t limit,
+                         std::uint32_t wanted,
+                         std::uint32_t share::*demand) const noexcept
 {
     std::uint64_t total = 0;
-    for (auto const& [name, one] : shares_)
+    for (auto const& [name, entry_share] : shares_)
     {
-        bool const recent = now - one.asked < 2 * settings_.lifetime;
-        total += recent ? one.*member : 0;
+        bool const recent =
+            now - entry_share.requested_at < 2 * settings_.lifetime;
+        total += recent ? entry_share.*demand : 0;
     }
     if (total <= limit || wanted == 0)
     {
         return wanted;
     }
-    auto const part =
+    auto const proportional =
         static_cast<std::uint32_t>(std::uint64_t{limit} * wanted / total);
-    return std::max(part, std::uint32_t{1});
+    return std::max(proportional, std::uint32_t{1});
 }
 
-std::uint32_t slice_ledger::others_slots(ports::member_identity const& but,
-                                         std::uint32_t cap) const noexcept
+std::uint32_t
+slice_ledger::slots_of_others(ports::member_identity const& excluded,
+                              std::uint32_t cap) const noexcept
 {
     std::uint32_t sum = 0;
-    for (auto const& [name, one] : shares_)
+    for (auto const& [name, entry_share] : shares_)
     {
-        sum += name == but ? 0 : (one.reported ? one.bound : cap);
+        sum += name == excluded
+                   ? 0
+                   : (entry_share.reported ? entry_share.bound : cap);
     }
     return sum;
 }
 
-std::uint32_t slice_ledger::others_rate(common::time_point now,
-                                        ports::member_identity const& but,
-                                        std::uint32_t cap) const noexcept
+std::uint32_t
+slice_ledger::rate_of_others(common::time_point now,
+                             ports::member_identity const& excluded,
+                             std::uint32_t cap) const noexcept
 {
     std::uint32_t sum = 0;
-    for (auto const& [name, one] : shares_)
+    for (auto const& [name, entry_share] : shares_)
     {
-        if (name == but)
+        if (name == excluded)
         {
             continue;
         }
         std::uint32_t const current =
-            now < one.rate_until ? (one.reported ? one.rate : cap) : 0;
-        std::uint32_t const old = now < one.old_rate_until ? one.old_rate : 0;
+            now < entry_share.rate_until
+                ? (entry_share.reported ? entry_share.rate : cap)
+                : 0;
+        std::uint32_t const old = now < entry_share.previous_rate_until
+                                      ? entry_share.previous_rate
+                                      : 0;
         sum += std::max(current, old);
     }
     return sum;
