--- a/src/core/contracts/slice.hpp
+++ b/src/core/contracts/slice.hpp
@@ -44,8 +44,7 @@
 {
     admitted,
     no_slice,                ///< No valid slice: request one and wait briefly.
-    in_flight_limit_reached, ///< All requests in flight of the slice are in
-                             ///< use.
+    in_flight_limit_reached, ///< The slice's requests in flight are used up.
     rate_limit_reached,      ///< The rate of the slice is used up.
 };
 
--- a/src/core/requests/handover.hpp
+++ b/src/core/requests/handover.hpp
@@ -16,8 +16,7 @@
 enum class handover_stage : std::uint8_t
 {
     waiting,        ///< Waiting for its turn.
-    draining_slots, ///< The partition's upstreams get no new work; new keys
-                    ///< still run.
+    draining_slots, ///< Its upstreams get no new work; new keys still run.
     draining_keys,  ///< No new key runs; waiting for the running ones to end.
     awaiting_acknowledgement, ///< Keys were sent; waiting for the
                               ///< acknowledgement.
