--- a/tests/unit/contracts/slice_test.cpp
+++ b/tests/unit/contracts/slice_test.cpp
@@ -29,12 +29,12 @@
     return {"entry-" + std::to_string(number), number + 1};
 }
 
-time_point at(core::common::duration since)
+time_point at(core::common::duration since_start)
 {
-    return time_point(1h + since);
+    return time_point(1h + since_start);
 }
 
-/// Lets the holder ask the ledger and take the answer.
+/// Passes a due request from the holder to the ledger and the grant back.
 void renew(time_point now,
            slice_holder& holder,
            slice_ledger& ledger,
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST(slice, admits_within_the_slice_and_not_beyond)
+TEST(slice, admits_requests_only_within_the_slice)
 {
     auto const limits = limits_of(4);
     slice_holder holder({});
@@ -71,7 +71,7 @@
               slice_verdict::admitted);
     EXPECT_EQ(holder.admit(at(0s), request_class::batch, limits),
               slice_verdict::in_flight_limit_reached)
-        << "batch may use half";
+        << "batch requests may use half of the slice";
     EXPECT_EQ(holder.admit(at(0s), request_class::latency_critical, limits),
               slice_verdict::admitted);
     EXPECT_EQ(holder.admit(at(0s), request_class::latency_critical, limits),
@@ -80,9 +80,9 @@
               slice_verdict::in_flight_limit_reached);
 }
 
-// The owner can't be reached any more. The entry goes on with its slice until
-// that runs out, counted from when it asked, and then stops.
-TEST(slice, expires_counted_from_when_it_was_asked_for)
+// The owner becomes unreachable. The entry must use its slice only until its
+// lifetime has passed, counted from the request for it and not from the grant.
+TEST(slice, lifetime_is_counted_from_the_request)
 {
     auto const limits = limits_of(4);
     slice_holder holder({});
@@ -98,10 +98,10 @@
               slice_verdict::no_slice);
 }
 
-// A grant is delayed on its way while the entry, thinking it lost, asks again
-// and tells that it uses nothing. Taken after all, the old grant would be
-// counted by nobody.
-TEST(slice, grant_for_an_earlier_request_is_not_taken)
+// A grant is delayed, so the entry repeats its request and reports that it uses
+// nothing. If the entry then accepted the old grant, the owner would not count
+// it.
+TEST(slice, grant_for_an_earlier_request_is_ignored)
 {
     auto const limits = limits_of(4);
     slice_holder holder({});
@@ -114,9 +114,9 @@
     EXPECT_EQ(holder.in_flight_bound(at(201ms)), 0U);
 }
 
-// A noisy customer has used up its requests a second: the rest is refused, on
-// average not a request more is let through.
-TEST(slice, keeps_to_the_rate)
+// A noisy customer exceeds its requests per second. On average, no more
+// requests than the contract allows may be admitted.
+TEST(slice, admits_no_more_than_the_rate_of_the_contract)
 {
     auto const limits = limits_of(1000, 100);
     slice_holder holder({});
@@ -141,9 +141,9 @@
     EXPECT_GE(admitted, 950U);
 }
 
-// Entries ask and return under a link that loses, delays, repeats and
-// reorders, some die and the owner is replaced. What is in flight at all of
-// them together must never exceed the contract, at no step.
+// Entries request and return slices over a link that loses, delays, duplicates
+// and reorders messages, while the owner is replaced. The requests in flight at
+// all entries together must not exceed the contract at any step.
 TEST(slice, sum_over_entries_never_exceeds_the_contract)
 {
     constexpr std::size_t entries = 4;
@@ -153,21 +153,21 @@
         slice_settings settings;
         settings.max_execution = 5s;
         auto const limits = limits_of(1 + random() % 40, 1'000'000);
-        struct late
+        struct message
         {
-            time_point when;
-            std::size_t who;
+            time_point arrives_at;
+            std::size_t entry_index;
             bool to_owner;
             std::uint32_t owner;
             ports::slice_request request;
             ports::slice_grant grant;
         };
-        std::vector<late> link;
+        std::vector<message> messages;
         std::vector<slice_holder> holders(entries, slice_holder(settings));
-        std::vector<std::uint32_t> asked(entries, 0);
+        std::vector<std::uint32_t> last_requested_owner(entries, 0);
         slice_ledger ledger(settings);
-        std::uint32_t owner = 0; ///< Rises with each owner.
-        auto const way = [&random]
+        std::uint32_t owner = 0; ///< Increases with each new owner.
+        auto const delay = [&random]
         {
             return std::chrono::milliseconds(random() % 10 == 0 ? random() % 900
                                                                 : 2);
@@ -180,16 +180,18 @@
                 ++owner;
                 ledger = slice_ledger(settings);
                 std::vector<ports::member_identity> others;
-                for (std::size_t who = 0; who < entries; ++who)
+                for (std::size_t entry_index = 0; entry_index < entries;
+                     ++entry_index)
                 {
-                    others.push_back(entry(who));
-                    holders[who].request_at_once();
+                    others.push_back(entry(entry_index));
+                    holders[entry_index].request_at_once();
                 }
                 ledger.take_over(now, others);
             }
-            for (std::size_t who = 0; who < entries; ++who)
+            for (std::size_t entry_index = 0; entry_index < entries;
+                 ++entry_index)
             {
-                auto& holder = holders[who];
+                auto& holder = holders[entry_index];
                 for (auto turn = random() % 4; turn > 0; --turn)
                 {
                     if (holder.admit(now,
@@ -205,36 +207,53 @@
                 }
                 if (auto const request = holder.next_request(now, limits))
                 {
-                    asked[who] = owner;
+                    last_requested_owner[entry_index] = owner;
                     for (auto copies = random() % 3; copies > 0; --copies)
                     {
-                        link.push_back(
-                            {now + way(), who, true, owner, *request, {}});
+                        messages.push_back({now + delay(),
+                                            entry_index,
+                                            true,
+                                            owner,
+                                            *request,
+                                            {}});
                     }
                 }
             }
-            for (std::size_t index = 0; index < link.size();)
+            for (std::size_t index = 0; index < messages.size();)
             {
-                if (link[index].when > now)
+                if (messages[index].arrives_at > now)
                 {
                     ++index;
                     continue;
                 }
-                auto const one = link[index];
-                link.erase(link.begin() + static_cast<std::ptrdiff_t>(index));
-                if (one.to_owner && one.owner == owner)
+                auto const delivered = messages[index];
+                messages.erase(messages.begin() +
+                               static_cast<std::ptrdiff_t>(index));
+                if (delivered.to_owner && delivered.owner == owner)
                 {
-                    auto const grant = ledger.grant(
-                        now, entry(one.who), one.request, limits, entries, 1);
+                    auto const grant =
+                        ledger.grant(now,
+                                     entry(delivered.entry_index),
+                                     delivered.request,
+                                     limits,
+                                     entries,
+                                     1);
                     if (grant && random() % 10 != 0)
                     {
-                        link.push_back(
-                            {now + way(), one.who, false, owner, {}, *grant});
+                        messages.push_back({now + delay(),
+                                            delivered.entry_index,
+                                            false,
+                                            owner,
+                                            {},
+                                            *grant});
                     }
                 }
-                else if (!one.to_owner && one.owner == asked[one.who])
+                else if (!delivered.to_owner &&
+                         delivered.owner ==
+                             last_requested_owner[delivered.entry_index])
                 {
-                    holders[one.who].on_grant(now, one.grant);
+                    holders[delivered.entry_index].on_grant(now,
+                                                            delivered.grant);
                 }
             }
             std::uint32_t sum = 0;
--- a/tests/unit/requests/parts_test.cpp
+++ b/tests/unit/requests/parts_test.cpp
@@ -20,24 +20,24 @@
 namespace
 {
 
-time_point at(core::common::duration since)
+time_point at(core::common::duration since_start)
 {
-    return time_point(1h + since);
+    return time_point(1h + since_start);
 }
 
 ports::caller_answer answer(std::string body)
 {
-    ports::caller_answer made;
-    made.status = 200;
-    made.body = std::move(body);
-    return made;
+    ports::caller_answer result;
+    result.status = 200;
+    result.body = std::move(body);
+    return result;
 }
 
 constexpr std::uint32_t partition = 7;
 
 } // namespace
 
-TEST(key_memory, remembers_for_the_whole_time_and_then_forgets)
+TEST(key_memory, remembers_an_answer_for_its_retention_and_then_forgets_it)
 {
     key_memory memory({60s, 10, 100'000, 4});
     memory.open(partition, std::nullopt);
@@ -56,32 +56,37 @@
     EXPECT_EQ(memory.bytes(), 0U);
 }
 
-// The predecessor died with its memory. Until the own memory reaches back far
-// enough, only what is vouched for may run.
-TEST(key_memory, after_a_takeover_unknown_keys_are_not_fresh)
+// After a takeover without a handover the memory is empty, and the predecessor
+// may have run any key. Until the memory reaches back for the whole retention,
+// only requests confirmed as the first sending may run.
+TEST(key_memory, after_a_takeover_unknown_keys_run_only_if_confirmed_as_first)
 {
     key_memory memory({60s, 10, 100'000, 4});
     memory.open(partition, at(10s));
-    auto const look = [&memory](auto when, bool vouched)
+    auto const verdict_at =
+        [&memory](auto since_start, bool first_sending_confirmed)
     {
-        return memory.look_up(at(when), partition, "c/k", 5, vouched).verdict;
+        return memory
+            .look_up(
+                at(since_start), partition, "c/k", 5, first_sending_confirmed)
+            .verdict;
     };
-    EXPECT_EQ(look(69s, false), key_verdict::history_incomplete);
-    EXPECT_EQ(look(69s, true), key_verdict::first_run);
-    EXPECT_EQ(look(70s, false), key_verdict::first_run);
+    EXPECT_EQ(verdict_at(69s, false), key_verdict::history_incomplete);
+    EXPECT_EQ(verdict_at(69s, true), key_verdict::first_run);
+    EXPECT_EQ(verdict_at(70s, false), key_verdict::first_run);
     memory.close(partition);
-    EXPECT_EQ(look(70s, true), key_verdict::history_incomplete);
+    EXPECT_EQ(verdict_at(70s, true), key_verdict::history_incomplete);
 }
 
-// Callers send more keys than there is room for. A key forgotten early could
-// run again; so new ones are refused.
-TEST(key_memory, full_memory_refuses_new_keys_and_keeps_the_old)
+// Callers send more keys than the memory holds. A key that is forgotten early
+// could run twice, so new keys are refused instead.
+TEST(key_memory, full_memory_refuses_new_keys_and_keeps_the_old_ones)
 {
     key_memory memory({60s, 3, 100'000, 4});
     memory.open(partition, std::nullopt);
-    for (int number = 0; number < 3; ++number)
+    for (int i = 0; i < 3; ++i)
     {
-        memory.begin(partition, "c/" + std::to_string(number), 5);
+        memory.begin(partition, "c/" + std::to_string(i), 5);
     }
     EXPECT_EQ(memory.look_up(at(0s), partition, "c/9", 5, true).verdict,
               key_verdict::memory_full);
@@ -101,17 +106,18 @@
     EXPECT_LT(memory.bytes(), 2'000U);
 }
 
-// A handover is cut in several frames. With one of them missing the successor
-// must count its memory as empty, and with all of them in any order as whole.
-TEST(key_handover, counts_only_when_every_frame_came)
+// A handover is split into several frames. If one is missing, the successor
+// must treat its memory as empty; if all have arrived, in any order, as
+// complete.
+TEST(key_handover, is_complete_only_when_every_frame_has_arrived)
 {
     key_memory old({60s, 10'000, 10'000'000, 4});
     old.open(partition, std::nullopt);
-    for (int number = 0; number < 1200; ++number)
+    for (int i = 0; i < 1200; ++i)
     {
-        auto const key = "c/" + std::to_string(number);
+        auto const key = "c/" + std::to_string(i);
         old.begin(partition, key, 5);
-        if (number > 0)
+        if (i > 0)
         {
             old.finish(at(1s), key, answer("a"));
         }
@@ -152,25 +158,25 @@
               key_verdict::first_run);
 }
 
-// A handover arrives, but somebody else owned the partition before the claim
-// came. What ran there is not in it.
-TEST(key_handover, of_an_earlier_claim_does_not_count)
+// A handover arrives, but another entry owned the partition before this entry
+// got the claim. Keys that ran there are missing from the handover.
+TEST(key_handover, is_ignored_unless_it_directly_precedes_the_claim)
 {
-    key_import_buffer book(100);
+    key_import_buffer buffer(100);
     ports::key_handover message;
     message.partition = partition;
     message.epoch = 3;
     ports::member_identity const sender{"entry-1", 1};
-    EXPECT_TRUE(book.on_message(at(0s), sender, message));
-    EXPECT_FALSE(book.take(partition, 5, sender));
-    EXPECT_TRUE(book.on_message(at(0s), sender, message));
-    EXPECT_FALSE(book.take(partition, 4, {"entry-2", 2}));
-    EXPECT_TRUE(book.on_message(at(0s), sender, message));
-    EXPECT_TRUE(book.take(partition, 4, sender));
+    EXPECT_TRUE(buffer.on_message(at(0s), sender, message));
+    EXPECT_FALSE(buffer.take(partition, 5, sender));
+    EXPECT_TRUE(buffer.on_message(at(0s), sender, message));
+    EXPECT_FALSE(buffer.take(partition, 4, {"entry-2", 2}));
+    EXPECT_TRUE(buffer.on_message(at(0s), sender, message));
+    EXPECT_TRUE(buffer.take(partition, 4, sender));
 }
 
-// A noisy customer fills the queue. Others get their turns all the same, and
-// batch requests are not starved.
+// A noisy customer fills the queue. Other customers must still get their turns,
+// and batch requests must not starve.
 TEST(fair_queue, customers_take_turns_and_batch_is_not_starved)
 {
     fair_queue queue(1000);
@@ -181,11 +187,11 @@
         names[++id] = customer;
         EXPECT_TRUE(queue.push({id, customer, kind, at(1s)}));
     };
-    for (int number = 0; number < 100; ++number)
+    for (int i = 0; i < 100; ++i)
     {
         push("noisy", request_class::latency_critical);
     }
-    for (int number = 0; number < 5; ++number)
+    for (int i = 0; i < 5; ++i)
     {
         push("quiet", request_class::latency_critical);
     }
@@ -200,7 +206,7 @@
     EXPECT_EQ(queue.size(), 90U);
 }
 
-TEST(fair_queue, earliest_deadline_goes_first_and_the_bound_holds)
+TEST(fair_queue, serves_the_earliest_deadline_first_and_refuses_when_full)
 {
     fair_queue queue(2);
     queued_request const late{1, "c", request_class::batch, at(9s)};
@@ -214,14 +220,14 @@
     EXPECT_FALSE(queue.pop());
 }
 
-TEST(admission, refuses_what_would_be_late)
+TEST(admission, refuses_requests_that_would_miss_their_deadline)
 {
     struct row
     {
         std::size_t ahead;
         std::uint32_t slots;
         core::common::duration left;
-        std::optional<result_code> refused;
+        std::optional<result_code> expected;
     };
     std::vector<row> const rows{
         {0, 10, 200ms, std::nullopt},
@@ -235,7 +241,7 @@
         EXPECT_EQ(admission_refusal(deadline_admission{},
                                     {row.ahead, row.ahead, row.slots, 100ms},
                                     row.left),
-                  row.refused)
+                  row.expected)
             << row.ahead;
     }
     EXPECT_EQ(admission_refusal(fixed_bound_admission{5}, {5, 5, 1, 100ms}, 1s),
@@ -244,23 +250,25 @@
         admission_refusal(fixed_bound_admission{5}, {4, 4, 1, 100ms}, 1ms));
 }
 
-// All upstreams fail. A fixed number of retries multiplies the load, the
-// budget keeps it near what callers offered.
-TEST(retry_budget, keeps_amplification_below_its_share)
+// All upstreams fail. A fixed number of retries per request multiplies the
+// load; the budget keeps it close to the offered load.
+TEST(retry_budget, keeps_retries_below_its_share)
 {
     retry_policy budget = retry_budget{};
     retry_policy fixed = fixed_retries{};
     std::uint32_t by_budget = 0;
     std::uint32_t by_fixed = 0;
     constexpr std::uint32_t requests = 10'000;
-    for (std::uint32_t number = 0; number < requests; ++number)
+    for (std::uint32_t i = 0; i < requests; ++i)
     {
         count_first_attempt(budget);
-        for (std::uint32_t tries = 1; take_retry(budget, tries); ++tries)
+        for (std::uint32_t attempts = 1; take_retry(budget, attempts);
+             ++attempts)
         {
             ++by_budget;
         }
-        for (std::uint32_t tries = 1; take_retry(fixed, tries); ++tries)
+        for (std::uint32_t attempts = 1; take_retry(fixed, attempts);
+             ++attempts)
         {
             ++by_fixed;
         }
@@ -269,12 +277,12 @@
     EXPECT_EQ(by_fixed, 2 * requests);
 }
 
-TEST(replay_guard, takes_each_id_of_a_sender_once)
+TEST(replay_guard, accepts_each_id_of_a_sender_once)
 {
     replay_guard guard;
     ports::member_identity const sender{"entry-1", 1};
     EXPECT_TRUE(guard.is_new(sender, 5));
-    EXPECT_TRUE(guard.is_new(sender, 3)) << "overtaken, not repeated";
+    EXPECT_TRUE(guard.is_new(sender, 3)) << "out of order, not repeated";
     EXPECT_FALSE(guard.is_new(sender, 5));
     EXPECT_TRUE(guard.is_new({"entry-1", 2}, 5));
     for (std::uint64_t id = 10; id < 10'000; ++id)
@@ -284,42 +292,42 @@
     EXPECT_FALSE(guard.is_new(sender, 4)) << "older than the window";
 }
 
-TEST(life_cycle, goes_through_its_phases_in_order_only)
+TEST(entry_lifecycle, passes_its_phases_in_order_only)
 {
-    entry_lifecycle life;
+    entry_lifecycle lifecycle;
     using enum entry_event;
-    EXPECT_FALSE(life.handle(balancer_lag_elapsed));
+    EXPECT_FALSE(lifecycle.handle(balancer_lag_elapsed));
     std::vector<std::pair<entry_event, entry_phase>> const steps{
         {joined, entry_phase::serving},
         {stop_requested, entry_phase::stop_announced},
         {balancer_lag_elapsed, entry_phase::draining},
         {drained, entry_phase::leaving},
         {removed, entry_phase::stopped}};
-    EXPECT_EQ(life.phase(), entry_phase::joining);
+    EXPECT_EQ(lifecycle.phase(), entry_phase::joining);
     for (auto const& [event, phase] : steps)
     {
-        EXPECT_TRUE(life.handle(event));
-        EXPECT_EQ(life.phase(), phase) << name_of(phase);
-        EXPECT_FALSE(life.handle(event));
+        EXPECT_TRUE(lifecycle.handle(event));
+        EXPECT_EQ(lifecycle.phase(), phase) << name_of(phase);
+        EXPECT_FALSE(lifecycle.handle(event));
     }
     entry_lifecycle early;
     EXPECT_TRUE(early.handle(stop_requested));
     EXPECT_EQ(early.phase(), entry_phase::draining);
 }
 
-// A thousand callers are refused in one moment. Told the same time, they would
-// all come back together.
-TEST(refusal, spreads_the_time_to_come_back)
+// A thousand callers are refused at the same time. With the same retry time for
+// all, they would all retry at once.
+TEST(refusal, spreads_the_retry_times)
 {
     std::mt19937_64 random(1);
     std::map<std::int64_t, int> times;
-    for (int number = 0; number < 1000; ++number)
+    for (int i = 0; i < 1000; ++i)
     {
-        auto const refused =
+        auto const result =
             make_refusal(result_code::no_free_slot, 200ms, random);
-        EXPECT_GE(refused.retry_after, 150ms);
-        EXPECT_LE(refused.retry_after, 300ms);
-        ++times[refused.retry_after / 10ms];
+        EXPECT_GE(result.retry_after, 150ms);
+        EXPECT_LE(result.retry_after, 300ms);
+        ++times[result.retry_after / 10ms];
     }
     EXPECT_GE(times.size(), 15U);
 }
--- a/tests/unit/result_code_test.cpp
+++ b/tests/unit/result_code_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace fuchsia::core::common;
 
-TEST(result_code, every_number_and_name_stands_once)
+TEST(result_code, codes_and_names_are_unique)
 {
     std::set<result_code> codes;
     std::set<std::string_view> names;
@@ -17,7 +17,7 @@
     }
 }
 
-TEST(result_code, failure_tells_number_name_place_and_reason)
+TEST(result_code, failure_text_has_code_name_place_and_reason)
 {
     failure const reason{
         result_code::out_of_range, "a.toml:7", "hold must be below bury"};
--- a/tests/unit/upstreams/slot_table_test.cpp
+++ b/tests/unit/upstreams/slot_table_test.cpp
@@ -11,31 +11,31 @@
 namespace
 {
 
-time_point at(core::common::duration since)
+time_point at(core::common::duration since_start)
 {
-    return time_point(1h + since);
+    return time_point(1h + since_start);
 }
 
 ports::upstream_instance upstream(std::string const& id)
 {
-    ports::upstream_instance one;
-    one.id = id;
-    one.slots = 2;
-    one.connections = 60;
-    one.data_centre = "kochi-a";
-    return one;
+    ports::upstream_instance instance;
+    instance.id = id;
+    instance.slots = 2;
+    instance.connections = 60;
+    instance.data_centre = "kochi-a";
+    return instance;
 }
 
-/// A table with one upstream of two slots, whose partition it owns.
+/// Table with one upstream of two slots, whose partition the entry owns.
 class slot_table_test : public testing::Test
 {
 protected:
     slot_table_test()
     {
-        slot_table_settings chosen;
-        chosen.max_execution = 10s;
-        chosen.report_slack = 0ms;
-        table_ = std::make_unique<slot_table>(chosen, 1);
+        slot_table_settings settings;
+        settings.max_execution = 10s;
+        settings.report_slack = 0ms;
+        table_ = std::make_unique<slot_table>(settings, 1);
         table().acquire(at(0s), partition(), true);
         list(0s);
     }
@@ -50,29 +50,31 @@
         return *table_;
     }
 
-    void list(core::common::duration when,
-              ports::upstream_instance const& one = upstream("u"))
+    void list(core::common::duration since_start,
+              ports::upstream_instance const& instance = upstream("u"))
     {
-        ports::instance_list all;
-        all.upstreams = {one};
-        all.received = at(when);
-        table().on_instances(at(when), all);
+        ports::instance_list instances;
+        instances.upstreams = {instance};
+        instances.received = at(since_start);
+        table().on_instances(at(since_start), instances);
     }
 
-    bool take(core::common::duration when, std::uint64_t exchange)
+    bool take(core::common::duration since_start, std::uint64_t exchange)
     {
-        return table().take_slot(at(when), exchange, std::nullopt).has_value();
+        return table()
+            .take_slot(at(since_start), exchange, std::nullopt)
+            .has_value();
     }
 
-    void end(core::common::duration when,
+    void end(core::common::duration since_start,
              std::uint64_t exchange,
              ports::exchange_status status)
     {
-        ports::upstream_end ended;
-        ended.exchange = exchange;
-        ended.status = status;
-        ended.http_status = 200;
-        table().on_exchange_end(at(when), ended);
+        ports::upstream_end exchange_end;
+        exchange_end.exchange = exchange;
+        exchange_end.status = status;
+        exchange_end.http_status = 200;
+        table().on_exchange_end(at(since_start), exchange_end);
     }
 
 private:
@@ -81,7 +83,7 @@
 
 } // namespace
 
-TEST_F(slot_table_test, whole_answer_frees_its_slot)
+TEST_F(slot_table_test, complete_answer_frees_its_slot)
 {
     EXPECT_TRUE(take(1s, 1));
     EXPECT_TRUE(take(1s, 2));
@@ -90,9 +92,9 @@
     EXPECT_TRUE(take(2s, 3));
 }
 
-// A request ends in some way and a further one waits for its slot. Freed too
-// early, the upstream gets more work than it holds.
-TEST_F(slot_table_test, slot_is_free_only_once_its_end_is_certain)
+// An exchange ends in one of several ways while another request waits for its
+// slot. If the slot is freed too early, the upstream is overloaded.
+TEST_F(slot_table_test, slot_is_freed_only_when_its_request_has_certainly_ended)
 {
     struct row
     {
@@ -126,16 +128,17 @@
         if (row.ends.back() == timed_out)
         {
             table().tick(at(now));
-            EXPECT_EQ(table().in_use("u"), 1U) << "its connection stands";
+            EXPECT_EQ(table().in_use("u"), 1U)
+                << "its connection is still open";
             end(now, exchange, drained);
         }
     }
 }
 
-// An upstream is frozen with requests unread in its connections. The platform
-// reports it idle; were its slots taken for free, it would begin more than it
-// holds when it wakes.
-TEST_F(slot_table_test, report_frees_no_slot_whose_connection_stands)
+// An upstream is frozen with unread requests in its connections, and the
+// platform reports it idle. If this freed its slots, it would start more
+// requests than it has slots when it resumes.
+TEST_F(slot_table_test, report_frees_no_slot_whose_connection_is_open)
 {
     ASSERT_TRUE(take(1s, 1));
     end(2s, 1, timed_out);
@@ -148,8 +151,9 @@
     EXPECT_EQ(table().in_use("u"), 0U);
 }
 
-// A predecessor was killed with its requests still running here.
-TEST_F(slot_table_test, slots_stay_closed_after_a_takeover)
+// A predecessor was killed while its requests still run on the upstream. Using
+// their slots would overload the upstream.
+TEST_F(slot_table_test, slots_stay_taken_after_a_takeover)
 {
     table().release(partition());
     table().acquire(at(1s), partition(), false);
@@ -158,32 +162,35 @@
     busy.slots_in_use = 1;
     busy.report_age = 2s;
     list(2s, busy);
-    EXPECT_EQ(table().free_slots(), 0U) << "the report is of before";
+    EXPECT_EQ(table().free_slots(), 0U)
+        << "the report was made before the takeover";
     busy.report_age = 500ms;
     list(2s, busy);
-    EXPECT_EQ(table().free_slots(), 1U) << "one still runs";
+    EXPECT_EQ(table().free_slots(), 1U) << "one request still runs";
     table().tick(at(11s));
-    EXPECT_EQ(table().free_slots(), 2U) << "the bound has passed";
+    EXPECT_EQ(table().free_slots(), 2U) << "the bound max_execution has passed";
 }
 
-// The platform's list showed the upstream to the predecessor first. Learning
-// of it only after the takeover does not mean that nothing runs there.
-TEST_F(slot_table_test, upstream_learned_of_after_a_takeover_is_closed_too)
+// The platform's list shows a new upstream to the predecessor first. Requests
+// may run on it even if this entry learns of it only after the takeover.
+TEST_F(slot_table_test,
+       upstream_listed_after_a_takeover_starts_without_free_slots)
 {
-    slot_table_settings chosen;
-    chosen.max_execution = 10s;
-    slot_table fresh(chosen, 1);
+    slot_table_settings settings;
+    settings.max_execution = 10s;
+    slot_table fresh(settings, 1);
     fresh.acquire(at(1s), partition(), false);
-    ports::instance_list all;
-    all.upstreams = {upstream("u")};
-    all.received = at(2s);
-    fresh.on_instances(at(2s), all);
+    ports::instance_list instances;
+    instances.upstreams = {upstream("u")};
+    instances.received = at(2s);
+    fresh.on_instances(at(2s), instances);
     EXPECT_EQ(fresh.free_slots(), 0U);
     fresh.tick(at(11s));
     EXPECT_GT(fresh.free_slots(), 0U);
 }
 
-TEST_F(slot_table_test, gives_no_new_work_to_what_leaves_is_out_or_not_ours)
+TEST_F(slot_table_test,
+       leaving_out_of_service_unowned_and_unlisted_upstreams_get_no_work)
 {
     auto leaving = upstream("u");
     leaving.state = ports::instance_state::leaving;
@@ -194,17 +201,17 @@
     table().set_data_centres_out_of_service({"kochi-a"});
     EXPECT_FALSE(take(2s, 3));
     table().set_data_centres_out_of_service({});
-    EXPECT_EQ(table().in_use("u"), 1U) << "what runs goes on";
+    EXPECT_EQ(table().in_use("u"), 1U) << "the running request continues";
     table().release(partition());
     EXPECT_FALSE(take(3s, 4));
     table().acquire(at(4s), partition(), true);
     table().on_instances(at(4s), {});
-    EXPECT_FALSE(take(4s, 5)) << "the list does not name it any more";
+    EXPECT_FALSE(take(4s, 5)) << "the list no longer contains it";
 }
 
-// An upstream begins to fail. It soon gets single probes only, and is filled
-// step by step once it answers again.
-TEST_F(slot_table_test, failing_upstream_shrinks_and_grows_again)
+// An upstream starts to fail. It must soon get only single probes, and be
+// filled step by step when it answers again.
+TEST_F(slot_table_test, failing_upstream_loses_usable_slots_and_regains_them)
 {
     std::uint64_t exchange = 0;
     for (int turn = 0; turn < 3; ++turn)
@@ -221,9 +228,9 @@
     EXPECT_EQ(table().usable_slots(), 2U);
 }
 
-// One upstream fails everything at once. Its answers are the fastest, but it
-// must not draw the requests.
-TEST(upstream_choice, fast_failures_do_not_attract)
+// One upstream fails every request immediately. Its answers are the fastest,
+// but it must not attract the requests.
+TEST(upstream_choice, fast_failures_do_not_attract_requests)
 {
     upstream_load const good{1, 8, 50'000, 0};
     upstream_load const failing{0, 8, 1'000, 0.9};
@@ -234,12 +241,12 @@
     EXPECT_GT(cost_of(failing), cost_of({0, 8, 1'000, 0}) * 10);
 }
 
-TEST(upstream_choice, avoids_the_upstream_of_the_last_try_where_it_can)
+TEST(upstream_choice, avoids_the_previous_upstream_if_there_is_another)
 {
     std::mt19937_64 random(1);
     std::vector<upstream_load> const loads(2, upstream_load{0, 8, 1000, 0});
     std::vector<std::uint32_t> const both{0, 1};
-    std::vector<std::uint32_t> const one{1};
+    std::vector<std::uint32_t> const single{1};
     for (choice_policy policy :
          {choice_policy(weighted_two_choices{}), choice_policy(round_robin{})})
     {
@@ -247,7 +254,7 @@
         {
             EXPECT_EQ(*choose_upstream(policy, both, loads, 1, random), 0U);
         }
-        EXPECT_EQ(*choose_upstream(policy, one, loads, 1, random), 0U);
+        EXPECT_EQ(*choose_upstream(policy, single, loads, 1, random), 0U);
         EXPECT_FALSE(choose_upstream(policy, {}, loads, 1, random));
     }
 }
