--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -237,7 +237,7 @@
                     common::time_point sent,
                     worker& target,
                     ports::order_reply const& reply,
-                    bool first);
+                    bool first_report);
     /// Names of the tasks in a worker's report, sorted.
     using reported_names = std::vector<ports::task_name const*>;
     bool is_inconsistent(worker const& target, reported_names const& reported);
@@ -271,7 +271,7 @@
                        worker& target,
                        job_run& run,
                        ports::pool_attempt const& attempt_id,
-                       bool current);
+                       bool is_current);
 
     // owner_takeover.cpp: tasks that earlier owners may have started.
     void adopt_incarnation(common::time_point now,
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -82,7 +82,7 @@
                        common::time_point sent,
                        worker& target,
                        order_reply const& reply,
-                       bool first)
+                       bool first_report)
 {
     reported_names reported;
     reported.reserve(reply.running.size() + reply.ended.size());
@@ -101,7 +101,7 @@
         {
             target.highest_end = std::max(target.highest_end, row.sequence);
             apply_end(now, target, row);
-            if (first)
+            if (first_report)
             {
                 count_inherited_failure(now, row);
             }
@@ -299,14 +299,14 @@
     {
         return;
     }
-    bool const current = t->placed() && t->worker == target.info.id &&
-                         t->attempt == row.attempt_id.attempt;
+    bool const is_current = t->placed() && t->worker == target.info.id &&
+                            t->attempt == row.attempt_id.attempt;
     bool const inherited = may_belong_to_earlier_owner(*run, *t);
     // The end of a run that was counted as lost and was not restarted since.
     bool const late = t->phase == task_phase::ready &&
                       t->worker == target.info.id &&
                       t->attempt == row.attempt_id.attempt;
-    if (!row.checkpoint.empty() && (current || inherited || late))
+    if (!row.checkpoint.empty() && (is_current || inherited || late))
     {
         t->checkpoint = row.checkpoint;
     }
@@ -316,18 +316,18 @@
         t->attempt = std::max(t->attempt, row.attempt_id.attempt);
         run->started = true;
     }
-    if (row.kind == end_kind::done && (current || inherited || late))
+    if (row.kind == end_kind::done && (is_current || inherited || late))
     {
         target.failed_jobs.clear();
         task_done(now, *run, name);
         return;
     }
-    if (row.kind == end_kind::failed && (current || inherited))
+    if (row.kind == end_kind::failed && (is_current || inherited))
     {
-        apply_failure(now, target, *run, row.attempt_id, current);
+        apply_failure(now, target, *run, row.attempt_id, is_current);
         return;
     }
-    if (!current)
+    if (!is_current)
     {
         return;
     }
@@ -369,14 +369,14 @@
                           worker& target,
                           job_run& run,
                           ports::pool_attempt const& attempt_id,
-                          bool current)
+                          bool is_current)
 {
     auto& t = run.at(attempt_id.task);
     auto const& failures = t.failures;
     bool const already_counted =
         std::find(failures.begin(), failures.end(), attempt_id.attempt) !=
         failures.end();
-    if (already_counted && current)
+    if (already_counted && is_current)
     {
         task_over(now, run, attempt_id.task);
     }
@@ -387,7 +387,7 @@
     log_failure(now, target, run, attempt_id);
     t.worker = target.info.id;
     note_worker_failure(now, target, attempt_id.task.job);
-    if (current)
+    if (is_current)
     {
         task_failed(now, run, attempt_id.task);
         return;
--- a/src/core/pool/owner_settings.hpp
+++ b/src/core/pool/owner_settings.hpp
@@ -39,10 +39,9 @@
     /// Maximum age of the worker list for starting tasks while the store
     /// answers: a worker in an older list may be leaving.
     common::duration list_age_limit = std::chrono::milliseconds(1250);
-    /// Maximum age of the operators' configuration for starting tasks.
+    /// The same limit for the operators' configuration.
     common::duration configuration_age_limit = std::chrono::milliseconds(1950);
-    /// Maximum age of the job watch for starting tasks: a job may have been
-    /// cancelled since.
+    /// The same limit for the job watch: a job may have been cancelled since.
     common::duration jobs_age_limit = std::chrono::milliseconds(2600);
     /// Long-poll wait on workers where best-effort tasks may disturb serving
     /// tasks.
@@ -53,7 +52,7 @@
     common::duration idle_interval = std::chrono::seconds(2);
     /// Timeout of an order to a worker.
     common::duration order_timeout = std::chrono::milliseconds(350);
-    /// Time that the timeout of a poll exceeds the worker's long-poll wait.
+    /// Time by which the timeout of a poll exceeds the worker's long-poll wait.
     common::duration poll_grace = std::chrono::milliseconds(500);
     /// Time between dispatch rounds while only measurements change.
     common::duration dispatch_interval = std::chrono::milliseconds(100);
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -116,21 +116,21 @@
     target->last_contact = now;
     target->clock_ms = reply.clock_ms;
     target->clock_received_at = now;
-    bool const first =
+    bool const first_report =
         !target->adopted || target->incarnation != reply.incarnation;
-    if (first)
+    if (first_report)
     {
         adopt_incarnation(now, *target, reply.incarnation);
     }
     target->view_known = false;
-    apply_rows(now, sent, *target, reply, first);
+    apply_rows(now, sent, *target, reply, first_report);
     target->next_poll =
         target->runs.empty() ? now + settings_.idle_interval : now;
     if (target->highest_end > target->durable_end)
     {
         acknowledge_ends(now, *target);
     }
-    if (first)
+    if (first_report)
     {
         target->next_poll = now;
         complete_takeover(now);
@@ -147,9 +147,9 @@
 
 // Acknowledges ends only after they are durable in the store. A worker forgets
 // an acknowledged end; if the store did not hold it either, the next owner
-// would run that task again. The next poll is delayed, because until then the
-// worker would answer at once with the same ends. Ends that it repeats while
-// they are being written are not written again.
+// would run that task again. The next poll is delayed, because until the ends
+// are acknowledged the worker would answer at once with the same ones. Ends
+// that it repeats while they are being written are not written again.
 void owner::acknowledge_ends(common::time_point now, worker& target)
 {
     target.next_poll = now + settings_.guarded_poll_wait;
