--- a/src/core/pool/job_run.cpp
+++ b/src/core/pool/job_run.cpp
@@ -86,13 +86,16 @@
         spec.first_unix_ms > 0 ? spec.first_unix_ms : spec.accepted_unix_ms;
     run.due_unix_ms = first + limit;
     run.late_unix_ms = first + worthless_limit_factor * limit;
-    for (std::uint32_t number = 0; number < spec.occurrences; ++number)
+    for (std::uint32_t occurrence_index = 0;
+         occurrence_index < spec.occurrences;
+         ++occurrence_index)
     {
         auto occurrence = make_occurrence(spec);
         // A job without a first start time may start at once, whatever the
         // clocks say.
         occurrence.due_unix_ms =
-            spec.first_unix_ms > 0 ? first + number * spec.interval_ms : 0;
+            spec.first_unix_ms > 0 ? first + occurrence_index * spec.interval_ms
+                                   : 0;
         for (auto const& s : occurrence.steps)
         {
             run.tasks_left += s.tasks_left;
@@ -105,12 +108,12 @@
 
 bool out_of_attempts(job_run const& run,
                      std::size_t occurrence,
-                     std::size_t number)
+                     std::size_t step_index)
 {
-    auto const& s = run.spec.steps[number];
+    auto const& s = run.spec.steps[step_index];
     std::set<std::uint32_t> gang_failures;
     std::size_t max_failures = 0;
-    for (auto const& t : run.occurrences[occurrence].steps[number].tasks)
+    for (auto const& t : run.occurrences[occurrence].steps[step_index].tasks)
     {
         max_failures = std::max(max_failures, t.failures.size());
         gang_failures.insert(t.failures.begin(), t.failures.end());
@@ -121,11 +124,14 @@
 
 bool out_of_attempts(job_run const& run)
 {
-    for (std::size_t k = 0; k < run.occurrences.size(); ++k)
+    for (std::size_t occurrence_index = 0;
+         occurrence_index < run.occurrences.size();
+         ++occurrence_index)
     {
-        for (std::size_t number = 0; number < run.spec.steps.size(); ++number)
+        for (std::size_t step_index = 0; step_index < run.spec.steps.size();
+             ++step_index)
         {
-            if (out_of_attempts(run, k, number))
+            if (out_of_attempts(run, occurrence_index, step_index))
             {
                 return true;
             }
@@ -166,12 +172,15 @@
     progress result;
     result.job = run.spec.id;
     auto bytes_left = max_checkpoint_bytes;
-    for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
+    for (std::uint32_t occurrence_index = 0;
+         occurrence_index < run.occurrences.size();
+         ++occurrence_index)
     {
-        auto const& steps = run.occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        auto const& steps = run.occurrences[occurrence_index].steps;
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            auto const& tasks = steps[number].tasks;
+            auto const& tasks = steps[step_index].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
                 auto const& t = tasks[index];
@@ -183,8 +192,8 @@
                     continue;
                 }
                 bytes_left -= kept ? size : 0;
-                result.tasks.push_back({k,
-                                        number,
+                result.tasks.push_back({occurrence_index,
+                                        step_index,
                                         index,
                                         done,
                                         t.failures,
--- a/src/core/pool/job_run.hpp
+++ b/src/core/pool/job_run.hpp
@@ -160,8 +160,8 @@
 /// fails as a whole, whichever of its members fails.
 bool out_of_attempts(job_run const& run,
                      std::size_t occurrence,
-                     std::size_t number);
-/// Whether this is true of any step of the job.
+                     std::size_t step_index);
+/// Whether any step of the job is out of attempts.
 bool out_of_attempts(job_run const& run);
 
 /// Creates the run of a job with all tasks blocked; the owner opens the steps
--- a/src/core/pool/owner_dispatch.cpp
+++ b/src/core/pool/owner_dispatch.cpp
@@ -55,10 +55,10 @@
 // work.
 owner::ready_key owner::key_of(job_run const& run,
                                std::uint32_t occurrence,
-                               std::uint32_t number) const
+                               std::uint32_t step_index) const
 {
-    auto const& steps = run.occurrences[occurrence].steps[number];
-    bool const long_running = run.spec.steps[number].long_running;
+    auto const& steps = run.occurrences[occurrence].steps[step_index];
+    bool const long_running = run.spec.steps[step_index].long_running;
     bool const ran_before =
         !steps.ready.empty() && steps.tasks[steps.ready.back()].ran_before;
     auto const order_offset =
@@ -67,7 +67,7 @@
             order_offset + run.due_unix_ms,
             run.spec.id,
             occurrence,
-            number};
+            step_index};
 }
 
 // Recomputes the ranks: late jobs come after those that can still be on time.
@@ -93,14 +93,17 @@
         {
             run.rank += removed_queue_rank;
         }
-        for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
+        for (std::uint32_t occurrence_index = 0;
+             occurrence_index < run.occurrences.size();
+             ++occurrence_index)
         {
-            auto const& steps = run.occurrences[k].steps;
-            for (std::uint32_t number = 0; number < steps.size(); ++number)
+            auto const& steps = run.occurrences[occurrence_index].steps;
+            for (std::uint32_t step_index = 0; step_index < steps.size();
+                 ++step_index)
             {
-                if (!steps[number].ready.empty())
+                if (!steps[step_index].ready.empty())
                 {
-                    ready_.insert(key_of(run, k, number));
+                    ready_.insert(key_of(run, occurrence_index, step_index));
                 }
             }
         }
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -52,14 +52,15 @@
     bool const on_time = out_.unix_ms(now) <= run.due_unix_ms;
     for (auto const& occurrence : run.occurrences)
     {
-        for (std::size_t number = 0; number < occurrence.steps.size(); ++number)
+        for (std::size_t step_index = 0; step_index < occurrence.steps.size();
+             ++step_index)
         {
-            auto const& step_spec = run.spec.steps[number];
+            auto const& step_spec = run.spec.steps[step_index];
             if (step_spec.best_effort || step_spec.long_running)
             {
                 continue;
             }
-            for (auto const& t : occurrence.steps[number].tasks)
+            for (auto const& t : occurrence.steps[step_index].tasks)
             {
                 bool const needs_cores =
                     t.placed() || (on_time && t.phase == task_phase::ready);
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -107,27 +107,36 @@
     }
     job_status_detail detail;
     detail.job = row_of(now, *run);
-    for (std::uint32_t k = 0; k < run->occurrences.size(); ++k)
+    for (std::uint32_t occurrence_index = 0;
+         occurrence_index < run->occurrences.size();
+         ++occurrence_index)
     {
-        auto const& steps = run->occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        auto const& steps = run->occurrences[occurrence_index].steps;
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            auto const& tasks = steps[number].tasks;
+            auto const& tasks = steps[step_index].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
                 auto const& t = tasks[index];
-                detail.tasks.push_back({{id, k, number, index},
-                                        t.phase,
-                                        t.attempt,
-                                        t.failures.size(),
-                                        t.worker,
-                                        t.percent,
-                                        t.speed_limit});
+                detail.tasks.push_back(
+                    {{id, occurrence_index, step_index, index},
+                     t.phase,
+                     t.attempt,
+                     t.failures.size(),
+                     t.worker,
+                     t.percent,
+                     t.speed_limit});
             }
-            if (!steps[number].ready.empty())
+            if (!steps[step_index].ready.empty())
             {
-                detail.waiting.push_back(why_waiting(
-                    now, *run, {id, k, number, steps[number].ready.back()}));
+                detail.waiting.push_back(
+                    why_waiting(now,
+                                *run,
+                                {id,
+                                 occurrence_index,
+                                 step_index,
+                                 steps[step_index].ready.back()}));
             }
         }
     }
