--- a/src/core/pool/ledger.hpp
+++ b/src/core/pool/ledger.hpp
@@ -113,10 +113,10 @@
         /// Increases with each entry, except that an entry which replaces an
         /// earlier one takes the number of the earlier one.
         std::uint64_t number = 0;
-        std::uint64_t first_commit =
-            0; ///< Number of the first commit that contained it; 0: none.
-        std::optional<std::string>
-            latest_value; ///< Last value returned by `value`.
+        /// Number of the first commit that contained it; 0: none.
+        std::uint64_t first_commit = 0;
+        /// Last result of `value`.
+        std::optional<std::string> latest_value;
 
         void refresh();
         std::size_t changes() const noexcept;
--- a/src/core/pool/request_handler_counts.cpp
+++ b/src/core/pool/request_handler_counts.cpp
@@ -28,7 +28,7 @@
     }
     if (store_unavailable(now))
     {
-        refuse(caller, "the store is away");
+        refuse(caller, "the store is unavailable");
         return;
     }
     out_.store(
@@ -71,9 +71,9 @@
     report_waiting(caller, name, *counts, {"store", reply.revision, age});
 }
 
-// The record of an owner that is gone or far behind may contain a count that is
-// far too low. The age of the count is measured with this instance's clock
-// only.
+// The record of an owner that has failed or is far behind may contain a count
+// that is far too low. The age of the count is measured with this instance's
+// clock only.
 void request_handler::report_waiting(std::uint64_t caller,
                                      std::string const& name,
                                      backlog const& counts,
--- a/tests/unit/pool/pool_simulation.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -767,7 +767,7 @@
                                       start->ticket != "ticket " + order.worker
                                   ? 1U
                                   : 0U;
-    auto const begun = target.started_runs().size();
+    auto const runs_before = target.started_runs().size();
     bool const matches_incarnation =
         order.incarnation == 0 ||
         order.incarnation == target.info().incarnation;
@@ -777,7 +777,7 @@
     {
         reply = target.apply(now(), order.operation);
     }
-    if (target.started_runs().size() > begun)
+    if (target.started_runs().size() > runs_before)
     {
         check_start(worker_number, target.started_runs().back());
     }
--- a/tests/unit/pool/pool_simulation.hpp
+++ b/tests/unit/pool/pool_simulation.hpp
@@ -29,7 +29,7 @@
 {
     carried_out,
     answer_lost,   ///< Executed; the caller gets no answer.
-    refused,       ///< Not executed; the caller is told so.
+    refused,       ///< Not executed; the caller gets a refusal.
     request_lost,  ///< Not executed; the caller gets no answer.
     watch_stalled, ///< A watch is answered after its wait without changes.
     executed_late, ///< Executed 2 s later; the caller gets no answer.
