--- a/tests/unit/pool/pool_simulation.cpp
+++ b/tests/unit/pool/pool_simulation.cpp
@@ -842,7 +842,7 @@
                       std::to_string(worker_number);
     if (running_count(attempt.task) > 1)
     {
-        violation_ = "runs on two workers: " + name;
+        violation_ = "runs on several workers: " + name;
     }
     else if (done_.contains(attempt.task))
     {
