--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -21,8 +21,8 @@
     common::duration renew_interval = std::chrono::milliseconds(250);
     /// Timeout of one call to the store.
     common::duration call_timeout = std::chrono::milliseconds(900);
-    /// Maximum wait of a watch on a claim that another instance holds; the claim
-    /// is read again after it.
+    /// Maximum wait of a watch on a claim that another instance holds; the
+    /// claim is read again after it.
     common::duration watch_wait = std::chrono::milliseconds(3000);
     /// Delay after a failed attempt to read or acquire the claim.
     common::duration retry_interval = std::chrono::milliseconds(100);
@@ -60,8 +60,8 @@
     /// Revokes the lease and leaves the claim to other instances for
     /// `handover_pause`.
     void hand_over(common::time_point now, std::string const& reason);
-    /// Marks the claim as lost without a call to the store, for instance because
-    /// a worker has reported a higher fencing token.
+    /// Marks the claim as lost without a call to the store, for instance
+    /// because a worker has reported a higher fencing token.
     void mark_lost(std::string const& reason);
 
     bool held() const noexcept;
