--- a/src/core/claims/assignment.cpp
+++ b/src/core/claims/assignment.cpp
@@ -8,9 +8,9 @@
 owner_candidates find_owner_candidates(common::time_point now,
                                        membership::member const& members,
                                        bool leaving,
-                                       common::duration settle)
+                                       common::duration stable_after)
 {
-    owner_candidates who;
+    owner_candidates candidates;
     for (auto const& info : members.live())
     {
         bool const self = info.id == members.self().id;
@@ -18,14 +18,15 @@
         {
             continue;
         }
-        who.live.push_back(info.id.name);
-        auto const* seen = members.records().find(info.id.name);
-        if (self || (seen != nullptr && now - seen->incarnation_seen >= settle))
+        candidates.live.push_back(info.id.name);
+        auto const* record = members.records().find(info.id.name);
+        if (self || (record != nullptr &&
+                     now - record->incarnation_seen >= stable_after))
         {
-            who.stable.push_back(info.id.name);
+            candidates.stable.push_back(info.id.name);
         }
     }
-    return who;
+    return candidates;
 }
 
 void partition_assignment::update(std::vector<std::string> const& partitions,
@@ -42,9 +43,9 @@
     {
         return;
     }
-    std::size_t const most =
+    std::size_t const max_share =
         (partitions_.size() + names_.size() - 1) / names_.size();
-    std::vector<std::size_t> owned(names_.size(), 0);
+    std::vector<std::size_t> owned_counts(names_.size(), 0);
     for (auto const& partition : partitions_)
     {
         std::size_t best = names_.size();
@@ -53,14 +54,14 @@
         {
             auto const weight =
                 common::rendezvous_weight(partition, names_[index]);
-            if (owned[index] < most &&
+            if (owned_counts[index] < max_share &&
                 (best == names_.size() || weight > best_weight))
             {
                 best = index;
                 best_weight = weight;
             }
         }
-        ++owned[best];
+        ++owned_counts[best];
         owners_.emplace(partition, best);
     }
 }
--- a/src/core/claims/assignment.hpp
+++ b/src/core/claims/assignment.hpp
@@ -8,44 +8,48 @@
 #include <string>
 #include <vector>
 
-// Who should own a partition.
+// Assignment of partitions to the members that should own them.
 namespace fuchsia::core::claims
 {
 
-/// Names of the members that may own something, sorted.
+/// Names of the members that may own partitions, sorted.
 struct owner_candidates
 {
-    std::vector<std::string> live;   ///< All that don't leave.
-    std::vector<std::string> stable; ///< Those live long enough, and we.
+    std::vector<std::string> live;   ///< Live members that are not leaving.
+    std::vector<std::string> stable; ///< Of these, this member and those that
+                                     ///< have been live for `stable_after`.
 };
 
-/// `leaving`: this member is about to leave, whatever its record says yet.
+/// Returns the members that may own partitions. `leaving` excludes this member,
+/// which may begin to leave before its own record says so.
 owner_candidates find_owner_candidates(common::time_point now,
                                        membership::member const& members,
                                        bool leaving,
-                                       common::duration settle);
+                                       common::duration stable_after);
 
-/// Who should own each partition: rendezvous hashing in which nobody gets more
-/// than the even share, rounded up. Without that bound one of three members
-/// owned 10% of all slots and 22% of the keys.
+/// Assigns partitions to members by rendezvous hashing, with at most the even
+/// share, rounded up, for each member. Without this bound the shares become
+/// uneven: one of three members owned 10% of all slots and 22% of the keys.
 class partition_assignment
 {
 public:
-    /// Both sorted. Every member with the same lists names the same owners.
+    /// Recomputes the assignment if a list has changed. Both lists are sorted;
+    /// equal lists give the same assignment on every member.
     void update(std::vector<std::string> const& partitions,
                 std::vector<std::string> const& names);
-    /// Null where the partition is unknown or there is nobody.
+    /// Returns the name of the assigned owner; null if the partition is unknown
+    /// or there are no members.
     std::string const*
     assigned_owner(std::string const& partition) const noexcept;
 
 private:
     std::vector<std::string> partitions_;
     std::vector<std::string> names_;
-    std::map<std::string, std::size_t> owners_; ///< Index into `names_`.
+    std::map<std::string, std::size_t> owners_; ///< Indices into `names_`.
 };
 
-/// The rendezvous winner of the partition among `names`, into which it points;
-/// null where there is none.
+/// Returns a pointer to the element of `names` with the highest rendezvous
+/// weight for the partition; null if `names` is empty.
 std::string const* rendezvous_owner(std::string const& partition,
                                     std::vector<std::string> const& names);
 
--- a/src/core/claims/claim_calls.cpp
+++ b/src/core/claims/claim_calls.cpp
@@ -2,11 +2,11 @@
 
 #include <utility>
 
-// What the table asks of the store, and what becomes of it.
+// Store calls of the claim table and the handling of their replies.
 namespace fuchsia::core::claims
 {
 
-void claim_table::drive_list(common::time_point now, ports::actions& out)
+void claim_table::poll_list(common::time_point now, ports::actions& out)
 {
     if (list_in_flight_ || now < next_list_)
     {
@@ -17,13 +17,14 @@
     if (view_.is_loaded())
     {
         ++counts_.watches;
-        call({call_kind::list, {}, {}},
-             ports::store_watch{prefix_, view_.index(), settings_.watch_wait},
-             out);
+        send_call(
+            {call_kind::list, {}, {}},
+            ports::store_watch{prefix_, view_.index(), settings_.watch_wait},
+            out);
         return;
     }
     ++counts_.lists;
-    call({call_kind::list, {}, {}}, ports::store_list{prefix_}, out);
+    send_call({call_kind::list, {}, {}}, ports::store_list{prefix_}, out);
 }
 
 void claim_table::write_claim(claim const& current, ports::actions& out)
@@ -37,10 +38,10 @@
     value.epoch = current.epoch + 1;
     value.write_id = random_();
     ++counts_.writes;
-    call({call_kind::claim, current.partition, value},
-         ports::store_write{
-             prefix_ + current.partition, to_json(value), current.version},
-         out);
+    send_call({call_kind::claim, current.partition, value},
+              ports::store_write{
+                  prefix_ + current.partition, to_json(value), current.version},
+              out);
 }
 
 void claim_table::write_release(claim const& current, ports::actions& out)
@@ -51,10 +52,10 @@
     value.epoch = current.epoch;
     value.write_id = random_();
     ++counts_.writes;
-    call({call_kind::release, current.partition, value},
-         ports::store_write{
-             prefix_ + current.partition, to_json(value), current.version},
-         out);
+    send_call({call_kind::release, current.partition, value},
+              ports::store_write{
+                  prefix_ + current.partition, to_json(value), current.version},
+              out);
 }
 
 void claim_table::on_store_reply(common::time_point now,
@@ -62,28 +63,28 @@
                                  membership::member const& members,
                                  ports::actions& out)
 {
-    auto const place = calls_.find(reply.id.number);
-    if (place == calls_.end())
+    auto const found = calls_.find(reply.id.number);
+    if (found == calls_.end())
     {
         return;
     }
-    pending_call const answered = std::move(place->second);
-    calls_.erase(place);
+    pending_call const request = std::move(found->second);
+    calls_.erase(found);
     set_self(members.self().id);
-    switch (answered.kind)
+    switch (request.kind)
     {
     case call_kind::list:
         on_list(now, reply);
         break;
     case call_kind::read:
-        on_read(now, answered, reply);
+        on_read(now, request, reply);
         break;
     case call_kind::claim:
     case call_kind::release:
-        on_write(now, answered, reply);
+        on_write(now, request, reply);
         break;
     case call_kind::erase:
-        erasing_ = false;
+        erase_in_flight_ = false;
         break;
     }
     tick(now, members, out);
@@ -102,63 +103,65 @@
 }
 
 void claim_table::on_read(common::time_point now,
-                          pending_call const& answered,
+                          pending_call const& request,
                           ports::store_reply const& reply)
 {
-    --writes_;
-    auto& state = progress_[answered.partition];
-    state.calling = false;
+    --writes_in_flight_;
+    auto& state = progress_[request.partition];
+    state.call_in_flight = false;
     if (reply.status != ports::store_status::done)
     {
-        state.retry = now + settings_.retry_interval;
+        state.retry_at = now + settings_.retry_interval;
         return;
     }
-    state.read_back = false;
-    view_.apply_read(answered.partition, reply);
+    state.needs_read_back = false;
+    view_.apply_read(request.partition, reply);
 }
 
-// After a lost answer the write may have taken effect, or may yet. A claim
-// that reads back as ours is ours, and one that does not is written again from
-// the version read, which the lost one can't survive. A release is repeated
-// until a newer version shows that it, or a later change, stands: the member
-// never takes up again what it once began to release.
+// A write whose reply was lost may have taken effect or may still do so. A
+// claim that reads back with this member as owner is its own; otherwise it is
+// written again with the version just read, after which the lost write can only
+// fail. A release is repeated until a newer version shows that it, or a later
+// change, is stored: the member never resumes a partition that it has begun to
+// release.
 void claim_table::on_write(common::time_point now,
-                           pending_call const& answered,
+                           pending_call const& request,
                            ports::store_reply const& reply)
 {
-    --writes_;
-    auto& state = progress_[answered.partition];
-    state.calling = false;
+    --writes_in_flight_;
+    auto& state = progress_[request.partition];
+    state.call_in_flight = false;
     switch (reply.status)
     {
     case ports::store_status::done:
-        view_.take(answered.partition, answered.written, reply.index);
+        view_.apply_claim(
+            request.partition, request.written_record, reply.index);
         break;
     case ports::store_status::unavailable:
-        state.retry = now + settings_.retry_interval;
+        state.retry_at = now + settings_.retry_interval;
         break;
     case ports::store_status::conflict:
-        state.read_back = true;
+        state.needs_read_back = true;
         break;
     case ports::store_status::unclear:
-        state.read_back = true;
-        state.retry = now + settings_.retry_interval;
+        state.needs_read_back = true;
+        state.retry_at = now + settings_.retry_interval;
         break;
     }
 }
 
-void claim_table::call(pending_call what,
-                       ports::store_operation operation,
-                       ports::actions& out)
+void claim_table::send_call(pending_call pending,
+                            ports::store_operation operation,
+                            ports::actions& out)
 {
-    if (what.kind != call_kind::list && what.kind != call_kind::erase)
+    if (pending.kind != call_kind::list && pending.kind != call_kind::erase)
     {
-        progress_[what.partition].calling = true;
-        ++writes_;
+        progress_[pending.partition].call_in_flight = true;
+        ++writes_in_flight_;
     }
-    calls_.emplace(++last_call_, std::move(what));
+    calls_.emplace(++last_call_id_, std::move(pending));
     out.emplace_back(ports::store_call{
-        {ports::store_requester::claims, last_call_}, std::move(operation)});
+        {ports::store_requester::claims, last_call_id_}, std::move(operation)});
 }
 
 } // namespace fuchsia::core::claims
--- a/src/core/claims/claim_table.cpp
+++ b/src/core/claims/claim_table.cpp
@@ -33,7 +33,7 @@
 
 void claim_table::start(common::time_point now, ports::actions& out)
 {
-    drive_list(now, out);
+    poll_list(now, out);
 }
 
 void claim_table::tick(common::time_point now,
@@ -41,25 +41,26 @@
                        ports::actions& out)
 {
     set_self(members.self().id);
-    drive_list(now, out);
+    poll_list(now, out);
     if (!view_.is_loaded() || !members.has_member_list())
     {
         return;
     }
-    auto const who =
+    auto const candidates =
         find_owner_candidates(now, members, leaving_, settings_.stable_after);
-    live_assignment_.update(partitions_, who.live);
-    stable_assignment_.update(partitions_, who.stable);
+    live_assignment_.update(partitions_, candidates.live);
+    stable_assignment_.update(partitions_, candidates.stable);
     for (auto const& [partition, current] : view_.all())
     {
         auto& state = progress_[partition];
         update_owned(now, current, state, members);
-        if (state.calling || now < state.retry ||
-            writes_ >= settings_.max_writes)
+        if (state.call_in_flight || now < state.retry_at ||
+            writes_in_flight_ >= settings_.max_writes)
         {
             continue;
         }
-        if (state.read_back || (current.owner == self_ && !is_ours(partition)))
+        if (state.needs_read_back ||
+            (current.owner == self_ && !is_ours(partition)))
         {
             resolve_unclear_write(current, state, out);
         }
@@ -68,7 +69,7 @@
             claim_if_free(now, current, members, out);
         }
     }
-    erase_fenced_record(now, members, who, out);
+    erase_fenced_record(now, members, candidates, out);
 }
 
 void claim_table::set_self(ports::member_identity const& self)
@@ -85,12 +86,12 @@
                                         progress const& state,
                                         ports::actions& out)
 {
-    if (state.read_back)
+    if (state.needs_read_back)
     {
         ++counts_.reads;
-        call({call_kind::read, current.partition, {}},
-             ports::store_read{prefix_ + current.partition},
-             out);
+        send_call({call_kind::read, current.partition, {}},
+                  ports::store_read{prefix_ + current.partition},
+                  out);
         return;
     }
     write_release(current, out);
@@ -105,25 +106,28 @@
     {
         return;
     }
-    if (is_kept_for_another(current, members))
+    if (is_reserved_for_another(current, members))
     {
         return;
     }
-    auto const* wanted = live_assignment_.assigned_owner(current.partition);
-    bool const ours = current.handed_to == self_ ||
-                      (wanted != nullptr && *wanted == self_.name);
-    if (ours && std::binary_search(
-                    partitions_.begin(), partitions_.end(), current.partition))
+    auto const* assigned = live_assignment_.assigned_owner(current.partition);
+    bool const assigned_to_self =
+        current.handed_to == self_ ||
+        (assigned != nullptr && *assigned == self_.name);
+    if (assigned_to_self && std::binary_search(partitions_.begin(),
+                                               partitions_.end(),
+                                               current.partition))
     {
         write_claim(current, out);
     }
 }
 
-// A predecessor hands its remembered keys to the member it releases for. One
-// that joined meanwhile and wins the hash would take the partition without
-// them, and a retry of a request that had run would run again.
-bool claim_table::is_kept_for_another(claim const& current,
-                                      membership::member const& members) const
+// The releasing owner hands its remembered request keys to the member that it
+// releases the partition for. A member that joined in the meantime and wins the
+// hash would own the partition without these keys, and the retry of a request
+// that has already run would run again.
+bool claim_table::is_reserved_for_another(
+    claim const& current, membership::member const& members) const
 {
     auto const& id = current.handed_to;
     if (!current.owner.name.empty() || id.name.empty() || id == self_)
@@ -137,17 +141,17 @@
 bool claim_table::may_claim(common::time_point now,
                             membership::member const& members) const
 {
-    auto const* own = members.records().find(self_.name);
+    auto const* own_record = members.records().find(self_.name);
     return !leaving_ && members.may_act(now) && members.proved_by_store() &&
-           own != nullptr &&
-           now - own->incarnation_seen >= settings_.claim_delay;
+           own_record != nullptr &&
+           now - own_record->incarnation_seen >= settings_.claim_delay;
 }
 
-// An owner that joined after the members were last read looks removed, and a
-// store that answers from a lagging replica may show such an older state at
-// any time. So the members must have been read at an index that covers the
-// claim: its owner had joined before it claimed, and if it is not among them
-// then, it is gone for good.
+// An owner that joined after the member list was last read looks removed, and a
+// stale read from a lagging replica may return such an older list at any time.
+// So the list must have been read at an index that covers the claim's version:
+// the owner joined before it claimed, and if that list lacks the owner, the
+// owner has been removed for good.
 bool claim_table::is_free(claim const& current,
                           membership::member const& members) const
 {
@@ -159,9 +163,10 @@
            members.records().index() >= current.version;
 }
 
-// A claim is kept for a while, whatever the hash says: its last owner may have
-// released it since it is leaving, which the next list of members will tell.
-// Handing it back at once would leave its keys' callers without an owner.
+// A new claim is kept for `stable_after`, even if the hash assigns another
+// member: the previous owner may have released it because it is leaving, which
+// only the next member list shows. Handing the partition back at once would
+// leave the callers of its keys without an owner.
 void claim_table::update_owned(common::time_point now,
                                claim const& current,
                                progress& state,
@@ -185,22 +190,22 @@
     {
         return;
     }
-    auto const* wanted = stable_assignment_.assigned_owner(current.partition);
-    if (wanted == nullptr)
+    auto const* assigned = stable_assignment_.assigned_owner(current.partition);
+    if (assigned == nullptr)
     {
-        wanted = live_assignment_.assigned_owner(current.partition);
+        assigned = live_assignment_.assigned_owner(current.partition);
     }
-    if (wanted != nullptr && *wanted == self_.name)
+    if (assigned != nullptr && *assigned == self_.name)
     {
         state.handover_requested = false;
         state.requested_successor = {};
         return;
     }
-    if (wanted == nullptr && !leaving_)
+    if (assigned == nullptr && !leaving_)
     {
         return;
     }
-    auto const* info = wanted == nullptr ? nullptr : members.find(*wanted);
+    auto const* info = assigned == nullptr ? nullptr : members.find(*assigned);
     ports::member_identity const id =
         info == nullptr ? ports::member_identity{} : info->id;
     if (state.handover_requested && state.requested_successor == id)
@@ -232,36 +237,38 @@
                       }));
 }
 
-// Buried records are kept while a claim names them, so that everybody sees why
-// it may be taken over, and for a while longer; then one member erases them,
-// and any member where that one does not.
+// The record of a fenced member is kept while a claim names that member, so
+// that all others can see why the claim may be taken over, and for at least
+// `fenced_record_retention`. Then the member assigned by rendezvous hashing
+// erases it; after twice that time any member does.
 void claim_table::erase_fenced_record(common::time_point now,
                                       membership::member const& members,
-                                      owner_candidates const& who,
+                                      owner_candidates const& candidates,
                                       ports::actions& out)
 {
-    if (erasing_ || !members.may_act(now) || !members.proved_by_store())
+    if (erase_in_flight_ || !members.may_act(now) || !members.proved_by_store())
     {
         return;
     }
-    for (auto const& [name, seen] : members.records().records())
+    for (auto const& [name, record] : members.records().records())
     {
-        auto const age = now - seen.version_seen;
-        if (!seen.value.fenced || age < settings_.fenced_record_retention ||
-            view_.names_owner(seen.value.info.id))
+        auto const age = now - record.version_seen;
+        if (!record.value.fenced || age < settings_.fenced_record_retention ||
+            view_.names_owner(record.value.info.id))
         {
             continue;
         }
-        auto const* chosen = rendezvous_owner(name, who.live);
-        if ((chosen != nullptr && *chosen == self_.name) ||
+        auto const* assigned_eraser = rendezvous_owner(name, candidates.live);
+        if ((assigned_eraser != nullptr && *assigned_eraser == self_.name) ||
             age >= settings_.fenced_record_retention * 2)
         {
-            erasing_ = true;
+            erase_in_flight_ = true;
             ++counts_.erases;
-            call({call_kind::erase, {}, {}},
-                 ports::store_erase{membership::members_prefix(role_) + name,
-                                    seen.version},
-                 out);
+            send_call(
+                {call_kind::erase, {}, {}},
+                ports::store_erase{membership::members_prefix(role_) + name,
+                                   record.version},
+                out);
             return;
         }
     }
@@ -278,8 +285,8 @@
     }
     view_.begin_release(partition);
     auto const& state = progress_[partition];
-    if (!state.calling && !state.read_back && now >= state.retry &&
-        writes_ < settings_.max_writes)
+    if (!state.call_in_flight && !state.needs_read_back &&
+        now >= state.retry_at && writes_in_flight_ < settings_.max_writes)
     {
         write_release(*current, out);
     }
--- a/src/core/claims/claim_view.cpp
+++ b/src/core/claims/claim_view.cpp
@@ -27,30 +27,30 @@
 {
     if (reply.index < index_)
     {
-        return; // An older state than was shown before.
+        return; // A stale read, older than the state already applied.
     }
     index_ = reply.index;
-    known_ = true;
-    std::set<std::string> shown;
+    loaded_ = true;
+    std::set<std::string> listed;
     for (auto const& entry : reply.entries)
     {
         if (entry.key.starts_with(prefix_))
         {
-            shown.insert(entry.key.substr(prefix_.size()));
-            take_entry(entry);
+            listed.insert(entry.key.substr(prefix_.size()));
+            apply_entry(entry);
         }
     }
-    std::vector<std::string> absent;
+    std::vector<std::string> unlisted;
     for (auto const& [partition, current] : claims_)
     {
-        if (shown.count(partition) == 0)
+        if (listed.count(partition) == 0)
         {
-            absent.push_back(partition);
+            unlisted.push_back(partition);
         }
     }
-    for (auto const& partition : absent)
+    for (auto const& partition : unlisted)
     {
-        take_absent(partition, reply.index);
+        apply_absence(partition, reply.index);
     }
 }
 
@@ -59,60 +59,62 @@
 {
     if (reply.entries.empty())
     {
-        take_absent(partition, reply.index);
+        apply_absence(partition, reply.index);
         return;
     }
-    take_entry(reply.entries.front());
+    apply_entry(reply.entries.front());
 }
 
-// An unreadable claim stays as it was last shown: nobody takes it over, and a
-// write from its old version fails.
-void claim_view::take_entry(ports::store_entry const& entry)
+// A record that can't be parsed leaves the claim in its last known state:
+// nobody takes the partition over, since a write with the old version fails.
+void claim_view::apply_entry(ports::store_entry const& entry)
 {
     common::failure reason;
     auto const value = parse_claim_record(entry.value, reason);
     if (value)
     {
-        take(entry.key.substr(prefix_.size()), *value, entry.version);
+        apply_claim(entry.key.substr(prefix_.size()), *value, entry.version);
     }
 }
 
-void claim_view::take(std::string const& partition,
-                      claim_record const& value,
-                      std::uint64_t version)
+void claim_view::apply_claim(std::string const& partition,
+                             claim_record const& value,
+                             std::uint64_t version)
 {
     add(partition);
-    auto const place = claims_.find(partition);
-    if (place == claims_.end() || version <= place->second.version)
+    auto const found = claims_.find(partition);
+    if (found == claims_.end() || version <= found->second.version)
     {
         return;
     }
-    claim const before = std::exchange(place->second,
+    claim const before = std::exchange(found->second,
                                        {partition,
                                         value.owner,
                                         value.epoch,
                                         version,
                                         value.released_by,
                                         value.handed_to});
-    record_owner_change(before, place->second);
+    record_owner_change(before, found->second);
     if (value.owner != self_)
     {
         releasing_.erase(partition);
     }
 }
 
-// An answer read before the key was written shows it as absent, too.
-void claim_view::take_absent(std::string const& partition, std::uint64_t index)
+// A reply older than the write of the key lacks the key as well, so absence
+// counts only if the reply's index covers the known version.
+void claim_view::apply_absence(std::string const& partition,
+                               std::uint64_t index)
 {
-    auto const place = claims_.find(partition);
-    if (place == claims_.end() || place->second.version == 0 ||
-        place->second.version > index)
+    auto const found = claims_.find(partition);
+    if (found == claims_.end() || found->second.version == 0 ||
+        found->second.version > index)
     {
         return;
     }
-    claim const before = std::exchange(place->second, {});
-    place->second.partition = partition;
-    record_owner_change(before, place->second);
+    claim const before = std::exchange(found->second, {});
+    found->second.partition = partition;
+    record_owner_change(before, found->second);
     releasing_.erase(partition);
 }
 
@@ -130,7 +132,7 @@
     {
         if (is_releasing(after.partition))
         {
-            return; // It is given up before it was used.
+            return; // The release began before the claim was seen here.
         }
         change.kind = claim_change_kind::acquired;
         change.handed_over = !after.released_by.name.empty();
@@ -169,8 +171,8 @@
 
 claim const* claim_view::find(std::string const& partition) const noexcept
 {
-    auto const place = claims_.find(partition);
-    return place == claims_.end() ? nullptr : &place->second;
+    auto const found = claims_.find(partition);
+    return found == claims_.end() ? nullptr : &found->second;
 }
 
 bool claim_view::names_owner(ports::member_identity const& id) const noexcept
@@ -185,7 +187,7 @@
 
 bool claim_view::is_loaded() const noexcept
 {
-    return known_;
+    return loaded_;
 }
 
 std::uint64_t claim_view::index() const noexcept
