--- a/src/core/config/change.cpp
+++ b/src/core/config/change.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-struct last_change_in
+struct last_change_visitor
 {
     index_document const& index;
 
     std::uint64_t operator()(put_contract const& put) const
     {
-        return of_contract(put.value.customer);
+        return contract_change_revision(put.value.customer);
     }
 
     std::uint64_t operator()(withdraw_contract const& withdraw) const
     {
-        return of_contract(withdraw.customer);
+        return contract_change_revision(withdraw.customer);
     }
 
     std::uint64_t operator()(set_data_centre const& set) const
@@ -30,15 +30,15 @@
         return found == index.data_centres.end() ? 0 : found->second.revision;
     }
 
-    std::uint64_t of_contract(std::string const& customer) const
+    std::uint64_t contract_change_revision(std::string const& customer) const
     {
         auto const found = index.contracts.find(customer);
         return found == index.contracts.end() ? 0 : found->second.revision;
     }
 };
 
-/// Forgets the customers that were withdrawn longest ago.
-void bound_withdrawn(index_document& index)
+/// Erases the customers withdrawn longest ago, beyond `max_withdrawn`.
+void erase_oldest_withdrawn(index_document& index)
 {
     std::vector<std::pair<std::uint64_t, std::string>> withdrawn;
     for (auto const& [customer, entry] : index.contracts)
@@ -49,13 +49,13 @@
         }
     }
     std::sort(withdrawn.begin(), withdrawn.end());
-    for (std::size_t at = 0; at + max_withdrawn < withdrawn.size(); ++at)
+    for (std::size_t i = 0; i + max_withdrawn < withdrawn.size(); ++i)
     {
-        index.contracts.erase(withdrawn[at].second);
+        index.contracts.erase(withdrawn[i].second);
     }
 }
 
-struct make_in
+struct index_change_visitor
 {
     index_document& index;
     std::string const& write_id;
@@ -89,11 +89,11 @@
         {
             reason = {common::result_code::not_found,
                       withdraw.customer,
-                      "no contract stands for this customer"};
+                      "this customer has no contract"};
             return false;
         }
         found->second = {index.revision, true, {}};
-        bound_withdrawn(index);
+        erase_oldest_withdrawn(index);
         return true;
     }
 
@@ -111,7 +111,7 @@
     }
 };
 
-struct apply_to
+struct configuration_change_visitor
 {
     configuration& value;
 
@@ -147,7 +147,7 @@
 } // namespace
 
 std::optional<configuration> apply_change(configuration const& before,
-                                          change const& what,
+                                          change const& requested,
                                           std::uint64_t revision)
 {
     if (before.revision + 1 != revision)
@@ -156,22 +156,22 @@
     }
     configuration after = before;
     after.revision = revision;
-    std::visit(apply_to{after}, what);
+    std::visit(configuration_change_visitor{after}, requested);
     return after;
 }
 
 std::uint64_t last_change_revision(index_document const& index,
-                                   change const& what)
+                                   change const& requested)
 {
-    return std::visit(last_change_in{index}, what);
+    return std::visit(last_change_visitor{index}, requested);
 }
 
 bool apply_to_index(index_document& index,
                     std::string const& write_id,
-                    change const& what,
+                    change const& requested,
                     common::failure& reason)
 {
-    return std::visit(make_in{index, write_id, reason}, what);
+    return std::visit(index_change_visitor{index, write_id, reason}, requested);
 }
 
 } // namespace fuchsia::core::config
--- a/src/core/config/change_writer.cpp
+++ b/src/core/config/change_writer.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// Documents erased after one change; the next change erases more.
+/// Maximum number of documents erased after one change; the next change erases
+/// the others.
 constexpr std::size_t max_erased = 16;
 
 } // namespace
@@ -29,7 +30,7 @@
                           ports::actions& out)
 {
     give_up_at_ = now + settings_.give_up_after;
-    ready_ = true;
+    send_due_ = true;
     send(now, next_call, out);
 }
 
@@ -37,9 +38,9 @@
                          std::uint64_t& next_call,
                          ports::actions& out)
 {
-    if (!finished() && !waiting_for_ && now >= retry_at_)
+    if (!finished() && !pending_call_id_ && now >= retry_at_)
     {
-        ready_ = true;
+        send_due_ = true;
         send(now, next_call, out);
     }
 }
@@ -49,11 +50,11 @@
                                    std::uint64_t& next_call,
                                    ports::actions& out)
 {
-    if (!waiting_for_ || reply.id.number != *waiting_for_)
+    if (!pending_call_id_ || reply.id.number != *pending_call_id_)
     {
         return false;
     }
-    waiting_for_.reset();
+    pending_call_id_.reset();
     switch (step_)
     {
     case step::reading:
@@ -62,16 +63,16 @@
     case step::writing_document:
         on_document(now, reply.status);
         break;
-    case step::moving_index:
-        on_move(now, reply.status);
+    case step::swapping_index:
+        on_swap(now, reply.status);
         break;
     case step::listing_documents:
         on_documents(reply);
         break;
     case step::erasing_documents:
-        garbage_.pop_back();
-        step_ = garbage_.empty() ? step::finished : step_;
-        ready_ = !garbage_.empty();
+        unreferenced_documents_.pop_back();
+        step_ = unreferenced_documents_.empty() ? step::finished : step_;
+        send_due_ = !unreferenced_documents_.empty();
         break;
     case step::finished:
         break;
@@ -95,16 +96,17 @@
     return step_ == step::finished;
 }
 
-/// Sends the call of the present step where it is due, or gives up.
+/// Sends the call of the current step if it is due; fails the change if it has
+/// taken longer than `give_up_after`.
 void change_writer::send(common::time_point now,
                          std::uint64_t& next_call,
                          ports::actions& out)
 {
-    if (!ready_ || finished())
+    if (!send_due_ || finished())
     {
         return;
     }
-    ready_ = false;
+    send_due_ = false;
     if (!result_ && now >= give_up_at_)
     {
         finish({common::result_code::store_unavailable,
@@ -113,9 +115,10 @@
                0);
         return;
     }
-    waiting_for_ = next_call++;
+    pending_call_id_ = next_call++;
     out.emplace_back(ports::store_call{
-        {ports::store_requester::administration, *waiting_for_}, operation()});
+        {ports::store_requester::administration, *pending_call_id_},
+        operation()});
 }
 
 ports::store_operation change_writer::operation() const
@@ -126,19 +129,20 @@
     {
         auto const& contract =
             std::get<put_contract>(request_.requested_change).value;
-        auto const& entry = move_->index.contracts.at(contract.customer);
+        auto const& entry = swap_->index.contracts.at(contract.customer);
         return ports::store_write{
             document_key(contract.customer, entry.document),
             to_json(contract),
             0};
     }
-    case step::moving_index:
+    case step::swapping_index:
         return ports::store_write{
-            std::string(index_key), to_json(move_->index), move_->expected};
+            std::string(index_key), to_json(swap_->index), swap_->expected};
     case step::listing_documents:
         return ports::store_list{document_key(*customer(), {})};
     case step::erasing_documents:
-        return ports::store_erase{garbage_.back().key, garbage_.back().version};
+        return ports::store_erase{unreferenced_documents_.back().key,
+                                  unreferenced_documents_.back().version};
     case step::reading:
     case step::finished:
         break;
@@ -146,29 +150,30 @@
     return ports::store_read{std::string(index_key)};
 }
 
-void change_writer::pause(common::time_point now)
+void change_writer::schedule_retry(common::time_point now)
 {
     retry_at_ = now + settings_.retry_interval;
-    ready_ = false;
+    send_due_ = false;
 }
 
-/// Sets the result. While a swap may still take effect, no failure is told as
-/// one that changed nothing.
+/// Sets the result. While a swap may still take effect, every failure is
+/// reported as `store_unclear`, not as one that changed nothing.
 void change_writer::finish(common::failure reason, std::uint64_t revision)
 {
     bool const accepted = reason.code == common::result_code::ok;
-    if (!accepted && move_ && move_->unclear)
+    if (!accepted && swap_ && swap_->may_take_effect)
     {
-        reason = {common::result_code::store_unclear,
-                  std::string(index_key),
-                  "the answer was lost and reading back did not settle it"};
+        reason = {
+            common::result_code::store_unclear,
+            std::string(index_key),
+            "the reply was lost and reading back did not show the outcome"};
     }
     result_ = change_result{std::move(reason), revision};
     step_ = step::finished;
     if (accepted && customer() != nullptr)
     {
         step_ = step::listing_documents;
-        ready_ = true;
+        send_due_ = true;
     }
 }
 
@@ -177,7 +182,7 @@
 {
     if (reply.status != ports::store_status::done)
     {
-        pause(now);
+        schedule_retry(now);
         return;
     }
     index_document index;
@@ -196,69 +201,74 @@
     }
     if (index.revision < request_.known_revision)
     {
-        pause(now); // A stale answer.
+        schedule_retry(now); // A stale read.
         return;
     }
-    if (move_ && !settle_move(now, index, version))
+    if (swap_ && !resolve_swap(now, index, version))
     {
         return;
     }
-    decide(std::move(index), version);
+    prepare_swap(std::move(index), version);
 }
 
-/// Looks in a newly read index for the fate of the swap that was sent. True:
-/// it did not take effect and never will.
-bool change_writer::settle_move(common::time_point now,
-                                index_document const& index,
-                                std::uint64_t version)
+/// Determines the outcome of the sent swap from a newly read index. Returns
+/// true if the swap did not take effect and never will.
+bool change_writer::resolve_swap(common::time_point now,
+                                 index_document const& index,
+                                 std::uint64_t version)
 {
-    auto const target = move_->index.revision;
-    auto const writer_of = index.recent_writes.find(target);
-    if (writer_of != index.recent_writes.end())
+    auto const swap_revision = swap_->index.revision;
+    auto const recorded_write = index.recent_writes.find(swap_revision);
+    if (recorded_write != index.recent_writes.end())
     {
-        if (writer_of->second == request_.write_id)
+        if (recorded_write->second == request_.write_id)
         {
-            finish({}, target);
+            finish({}, swap_revision);
             return false;
         }
-        move_.reset();
+        swap_.reset();
         ++lost_races_;
         return true;
     }
-    if (version == move_->expected)
+    if (version == swap_->expected)
     {
-        step_ = step::moving_index;
-        pause(now); // A stale answer would have the two alternate at once.
+        step_ = step::swapping_index;
+        // Without a pause, a stale read and the swap's conflict would follow
+        // each other in a tight loop.
+        schedule_retry(now);
         return false;
     }
-    if (index.revision < target)
+    if (index.revision < swap_revision)
     {
-        pause(now); // Older than what the swap was made from: stale.
+        schedule_retry(now); // A stale read, older than the base of the swap.
         return false;
     }
     finish({common::result_code::store_unclear,
             std::string(index_key),
-            "too many changes came after it to tell"},
+            "too many later changes to determine the outcome"},
            index.revision);
     return false;
 }
 
-void change_writer::decide(index_document index, std::uint64_t version)
+void change_writer::prepare_swap(index_document index, std::uint64_t version)
 {
-    if (!base_)
+    if (!base_revision_)
     {
-        base_ = request_.if_revision.value_or(index.revision);
+        base_revision_ = request_.if_revision.value_or(index.revision);
     }
     auto const newest = index.revision;
-    bool const changed =
-        last_change_revision(index, request_.requested_change) > *base_;
-    if (changed || *base_ > newest || lost_races_ > settings_.max_lost_races)
+    bool const changed_since_base =
+        last_change_revision(index, request_.requested_change) >
+        *base_revision_;
+    if (changed_since_base || *base_revision_ > newest ||
+        lost_races_ > settings_.max_lost_races)
     {
         finish({common::result_code::conflict,
                 std::string(index_key),
-                changed ? "somebody else changed it after revision " +
-                              std::to_string(*base_)
-                        : "the newest revision is " + std::to_string(newest)},
+                changed_since_base
+                    ? "another change was made after revision " +
+                          std::to_string(*base_revision_)
+                    : "the newest revision is " + std::to_string(newest)},
                newest);
         return;
     }
@@ -269,20 +279,22 @@
             entry == index.contracts.end() ? "" : entry->second.document;
     }
     common::failure reason;
-    if (!make_next(index, reason))
+    if (!make_next_index(index, reason))
     {
         finish(std::move(reason), newest);
         return;
     }
-    move_ = sent_move{std::move(index), version, false};
+    swap_ = sent_swap{std::move(index), version, false};
     step_ = std::holds_alternative<put_contract>(request_.requested_change)
                 ? step::writing_document
-                : step::moving_index;
-    ready_ = true;
+                : step::swapping_index;
+    send_due_ = true;
 }
 
-/// Turns the index that was read into the one that is to replace it.
-bool change_writer::make_next(index_document& index, common::failure& reason)
+/// Applies the change to the index that was read, which gives the index that is
+/// to replace it.
+bool change_writer::make_next_index(index_document& index,
+                                    common::failure& reason)
 {
     ++index.revision;
     index.recent_writes[index.revision] = request_.write_id;
@@ -304,42 +316,42 @@
 void change_writer::on_document(common::time_point now,
                                 ports::store_status status)
 {
-    // The key holds the write id: a conflict says that an earlier try, whose
-    // answer was lost, has written it.
+    // The key contains the write id, so a conflict means that an earlier
+    // attempt whose reply was lost has written the document.
     if (status == ports::store_status::done ||
         status == ports::store_status::conflict)
     {
-        step_ = step::moving_index;
-        ready_ = true;
+        step_ = step::swapping_index;
+        send_due_ = true;
         return;
     }
-    pause(now);
+    schedule_retry(now);
 }
 
-void change_writer::on_move(common::time_point now, ports::store_status status)
+void change_writer::on_swap(common::time_point now, ports::store_status status)
 {
     switch (status)
     {
     case ports::store_status::done:
-        finish({}, move_->index.revision);
+        finish({}, swap_->index.revision);
         return;
     case ports::store_status::unavailable:
-        pause(now);
+        schedule_retry(now);
         return;
     case ports::store_status::unclear:
-        move_->unclear = true;
+        swap_->may_take_effect = true;
         [[fallthrough]];
     case ports::store_status::conflict:
         step_ = step::reading;
-        ready_ = true;
+        send_due_ = true;
         return;
     }
 }
 
-/// Collects the documents of this customer that nothing points to. One named
-/// for a revision that the index has reached can't be pointed to any more,
-/// since its writer's swap expects an older index. The document before this
-/// one stays, for those who still read the index before this one.
+/// Collects the customer's documents that no index refers to. A document named
+/// for a revision that the index has already reached can't become referenced,
+/// since its writer's swap expects an older index. The previous document is
+/// kept for readers that still use the previous index.
 void change_writer::on_documents(ports::store_reply const& reply)
 {
     step_ = step::finished;
@@ -347,26 +359,28 @@
     {
         return;
     }
-    auto const own = document_name(result_->revision, request_.write_id);
+    auto const own_document =
+        document_name(result_->revision, request_.write_id);
     auto const prefix = document_key(*customer(), {});
     for (auto const& entry : reply.entries)
     {
-        if (!entry.key.starts_with(prefix) || garbage_.size() == max_erased)
+        if (!entry.key.starts_with(prefix) ||
+            unreferenced_documents_.size() == max_erased)
         {
             continue;
         }
         auto const document = entry.key.substr(prefix.size());
         auto const revision = revision_of_document(document);
-        if (document != own && document != previous_document_ &&
+        if (document != own_document && document != previous_document_ &&
             revision != 0 && revision <= result_->revision)
         {
-            garbage_.push_back({entry.key, {}, entry.version});
+            unreferenced_documents_.push_back({entry.key, {}, entry.version});
         }
     }
-    if (!garbage_.empty())
+    if (!unreferenced_documents_.empty())
     {
         step_ = step::erasing_documents;
-        ready_ = true;
+        send_due_ = true;
     }
 }
 
--- a/src/core/config/change_writer.hpp
+++ b/src/core/config/change_writer.hpp
@@ -13,24 +13,28 @@
 namespace fuchsia::core::config
 {
 
+/// A change and the conditions under which it is accepted.
 struct change_request
 {
     change requested_change;
-    /// The operator saw this revision: a conflict where the same contract or
-    /// data centre was changed after it. Without it, the change conflicts
-    /// only with one that comes in while it is under way.
+    /// Revision that the operator has seen. The change conflicts if the same
+    /// contract or data centre was changed after it. If not set, the change
+    /// conflicts only with one that is made while this one is in progress.
     std::optional<std::uint64_t> if_revision;
-    /// Different for each change of each process; letters, digits and dots.
+    /// Unique for each change of each process; letters, digits and dots.
     std::string write_id;
-    /// Data centres of instances and workers; the index remembers them.
+    /// Names of the data centres of instances and workers, to be added to the
+    /// index.
     name_set observed_data_centres;
-    /// This process has applied this revision: an older index is stale.
+    /// Revision that this process has applied. An older index is a stale read.
     std::uint64_t known_revision = 0;
 };
 
-/// How a change ended: `ok` (accepted at `revision`), `conflict` (`revision`
-/// is the newest), `not_found`, `out_of_range`, `store_unavailable` (nothing
-/// was changed and nothing will be) or `store_unclear`.
+/// Outcome of a change. The code is `ok` (accepted at `revision`), `conflict`
+/// (`revision` is the newest), `not_found`, `out_of_range`, the code of an
+/// index that can't be parsed, `store_unavailable` (the change did not take
+/// effect and never will) or `store_unclear` (it may have taken effect or may
+/// still do so).
 struct change_result
 {
     common::failure reason;
@@ -41,43 +45,47 @@
 
 struct change_writer_settings
 {
+    /// Pause before the retry of a call.
     common::duration retry_interval = std::chrono::milliseconds(200);
-    /// No call is begun after this time since the start.
+    /// Time since the start after which no further call is sent.
     common::duration give_up_after = std::chrono::seconds(5);
-    /// Changes of other things that may come first before this one gives up.
+    /// Maximum number of compare-and-swaps lost to changes of other contracts
+    /// or data centres, after which this change ends in a conflict.
     std::uint32_t max_lost_races = 16;
 };
 
-/// One change on its way into the store: reads the index, checks that nobody
-/// else changed the same thing, writes the contract's document, and moves the
-/// index by one compare-and-swap. One call at a time.
+/// Writes one change to the store. It reads the index, checks that the same
+/// contract or data centre has not been changed by another writer, writes the
+/// contract's document, and replaces the index by one compare-and-swap. Only
+/// one call is in flight at a time.
 ///
-/// A lost answer of the swap is settled by reading back: the index names the
-/// writers of its newest revisions. While the index stands as it was, the same
-/// swap is sent again; whichever of the two comes first, the other fails.
+/// If the reply to the swap is lost, the outcome is determined by reading the
+/// index again, which names the writers of its newest revisions. While the
+/// index is unchanged, the same swap is sent again; at most one of the two
+/// succeeds, since both expect the same version.
 class change_writer
 {
 public:
     change_writer(change_writer_settings settings, change_request request);
 
-    /// `next_call` numbers the calls of `store_user::administration`; it is
-    /// counted up for each.
+    /// `next_call` is the number of the next call of
+    /// `store_requester::administration`; it is incremented for each call.
     void start(common::time_point now,
                std::uint64_t& next_call,
                ports::actions& out);
     void
     tick(common::time_point now, std::uint64_t& next_call, ports::actions& out);
-    /// False where the reply is not for this writer.
+    /// Returns false if the reply does not belong to this writer.
     bool on_store_reply(common::time_point now,
                         ports::store_reply const& reply,
                         std::uint64_t& next_call,
                         ports::actions& out);
 
     change_request const& request() const noexcept;
-    /// Set once the outcome is known.
+    /// Returns the outcome; empty while it is not known.
     std::optional<change_result> const& result() const noexcept;
-    /// Whether nothing is left to do; after the result, documents that
-    /// nothing points to any more are erased.
+    /// Whether the writer has no more calls to send. It still erases
+    /// unreferenced documents after the result is set.
     bool finished() const noexcept;
 
 private:
@@ -85,33 +93,33 @@
     {
         reading,
         writing_document,
-        moving_index,
+        swapping_index,
         listing_documents,
         erasing_documents,
         finished,
     };
 
-    /// An index that was sent, and perhaps written.
-    struct sent_move
+    /// The compare-and-swap of the index that was last sent.
+    struct sent_swap
     {
         index_document index;
-        std::uint64_t expected = 0;
-        bool unclear = false; ///< It may have taken effect, or may yet.
+        std::uint64_t expected = 0;   ///< Version that the swap expects.
+        bool may_take_effect = false; ///< Whether a reply to the swap was lost.
     };
 
     void
     send(common::time_point now, std::uint64_t& next_call, ports::actions& out);
     ports::store_operation operation() const;
-    void pause(common::time_point now);
+    void schedule_retry(common::time_point now);
     void finish(common::failure reason, std::uint64_t revision);
     void on_index(common::time_point now, ports::store_reply const& reply);
-    bool settle_move(common::time_point now,
-                     index_document const& index,
-                     std::uint64_t version);
-    void decide(index_document index, std::uint64_t version);
-    bool make_next(index_document& index, common::failure& reason);
+    bool resolve_swap(common::time_point now,
+                      index_document const& index,
+                      std::uint64_t version);
+    void prepare_swap(index_document index, std::uint64_t version);
+    bool make_next_index(index_document& index, common::failure& reason);
     void on_document(common::time_point now, ports::store_status status);
-    void on_move(common::time_point now, ports::store_status status);
+    void on_swap(common::time_point now, ports::store_status status);
     void on_documents(ports::store_reply const& reply);
     std::string const* customer() const noexcept;
 
@@ -121,13 +129,15 @@
     step step_ = step::reading;
     common::time_point give_up_at_{};
     common::time_point retry_at_{};
-    std::optional<std::uint64_t> waiting_for_; ///< Number of the call.
-    bool ready_ = false; ///< The call of `step_` is to be sent at once.
-    std::optional<std::uint64_t> base_;
+    std::optional<std::uint64_t> pending_call_id_; ///< Call in flight.
+    bool send_due_ = false; ///< Whether the call of `step_` is to be sent now.
+    /// A later change to the same contract or data centre is a conflict.
+    std::optional<std::uint64_t> base_revision_;
     std::uint32_t lost_races_ = 0;
-    std::optional<sent_move> move_;
-    std::string previous_document_;
-    std::vector<ports::store_entry> garbage_; ///< At most `max_erased`.
+    std::optional<sent_swap> swap_;
+    std::string previous_document_; ///< Document that this change replaces.
+    std::vector<ports::store_entry> unreferenced_documents_; ///< At most
+                                                             ///< `max_erased`.
 };
 
 } // namespace fuchsia::core::config
--- a/src/core/config/configuration.cpp
+++ b/src/core/config/configuration.cpp
@@ -35,7 +35,7 @@
 }
 
 std::map<std::string, std::uint64_t, std::less<>> read_revisions(
-    common::json_reader& reader, std::string_view key, std::int64_t least)
+    common::json_reader& reader, std::string_view key, std::int64_t min_value)
 {
     std::map<std::string, std::uint64_t, std::less<>> revisions;
     auto const* object = reader.object(key);
@@ -49,10 +49,11 @@
         std::string const name = member.key();
         if (!is_valid_name(name))
         {
-            inner.fail(common::result_code::out_of_range, name, "a bad name");
+            inner.fail(
+                common::result_code::out_of_range, name, "the name is invalid");
         }
         revisions[name] = static_cast<std::uint64_t>(
-            inner.integer(name, least, max_revision));
+            inner.integer(name, min_value, max_revision));
     }
     if (!inner.ok())
     {
@@ -72,17 +73,17 @@
     return object;
 }
 
-std::uint64_t
-find_revision(std::map<std::string, std::uint64_t, std::less<>> const& in,
-              std::string_view name) noexcept
+std::uint64_t find_revision(
+    std::map<std::string, std::uint64_t, std::less<>> const& revisions,
+    std::string_view name) noexcept
 {
-    auto const found = in.find(name);
-    return found == in.end() ? 0 : found->second;
+    auto const found = revisions.find(name);
+    return found == revisions.end() ? 0 : found->second;
 }
 
-/// Every contract and every withdrawal has the revision that brought it, none
-/// of which is later than the whole.
-bool agrees(configuration const& value)
+/// Whether every contract and every withdrawal has a revision that is not above
+/// the revision of the configuration, and no other customer has one.
+bool is_consistent(configuration const& value)
 {
     auto const has_revision = [&value](std::string const& customer)
     {
@@ -166,7 +167,7 @@
     value.data_centres_out_of_service =
         read_name_set(reader, "data_centres_out");
     value.data_centre_revisions = read_revisions(reader, "data_centres", 0);
-    if (reader.ok() && !agrees(value))
+    if (reader.ok() && !is_consistent(value))
     {
         reader.fail(common::result_code::inconsistent,
                     "changed_at",
--- a/src/core/config/follower.cpp
+++ b/src/core/config/follower.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-/// Least time between two watches, for a store that answers them at once.
-constexpr common::duration watch_spacing = std::chrono::milliseconds(100);
-/// The same refusal is logged again after this time.
+/// Minimum time between the starts of two watches, in case the store answers
+/// watches immediately.
+constexpr common::duration min_watch_interval = std::chrono::milliseconds(100);
+/// Minimum time between two log events for the same refusal.
 constexpr common::duration refusal_log_interval = std::chrono::seconds(60);
 
 void append_log(ports::actions& out,
@@ -23,9 +24,10 @@
         ports::log_event{level, std::move(event), std::move(fields)});
 }
 
-/// Text of the index in a reply of a read, a list or a watch; null where the
-/// store has none.
-ports::store_entry const* index_in(ports::store_reply const& reply) noexcept
+/// Returns the entry of the index in the reply to a read, list or watch; null
+/// if the store has no index.
+ports::store_entry const*
+find_index_entry(ports::store_reply const& reply) noexcept
 {
     for (auto const& entry : reply.entries)
     {
@@ -56,7 +58,7 @@
     {
         send_confirm(now, out);
     }
-    if (store_seen_ && now >= watch_due_ && !in_flight(call_kind::watch))
+    if (index_read_ && now >= watch_due_ && !in_flight(call_kind::watch))
     {
         send_watch(now, out);
     }
@@ -87,12 +89,12 @@
     case call_kind::confirm:
         confirm_due_ =
             std::max(now,
-                     call.sent + (answered ? settings_.confirm_interval
-                                           : settings_.retry_interval));
+                     call.sent_at + (answered ? settings_.confirm_interval
+                                              : settings_.retry_interval));
         break;
     case call_kind::watch:
         watch_due_ = answered && watch_index_ > 0
-                         ? std::max(now, call.sent + watch_spacing)
+                         ? std::max(now, call.sent_at + min_watch_interval)
                          : now + settings_.retry_interval;
         break;
     case call_kind::document:
@@ -103,7 +105,7 @@
     }
     if (answered)
     {
-        on_index(now, call.sent, reply, out);
+        on_index(now, call.sent_at, reply, out);
     }
     tick(now, out);
 }
@@ -132,22 +134,23 @@
     common::time_point now,
     std::uint64_t revision,
     ports::member_identity const& from,
-    ports::endpoint const& where,
+    ports::endpoint const& address,
     ports::actions& out)
 {
     if (revision <= current_.revision)
     {
         return;
     }
-    // One question at a time: after a change every peer tells the new
-    // revision, and each would send the whole content.
-    if (asked_peer_at_ && now - *asked_peer_at_ < settings_.retry_interval)
+    // Only one peer is asked at a time: after a change every peer reports the
+    // new revision, and each would send the whole configuration.
+    if (peer_requested_at_ &&
+        now - *peer_requested_at_ < settings_.retry_interval)
     {
         return;
     }
-    asked_peer_at_ = now;
+    peer_requested_at_ = now;
     out.emplace_back(ports::peer_send{
-        from, where, ports::config_request{current_.revision}});
+        from, address, ports::config_request{current_.revision}});
 }
 
 void configuration_follower::adopt(configuration newer, ports::actions& out)
@@ -176,7 +179,7 @@
                                   ports::store_operation operation,
                                   ports::actions& out)
 {
-    call.sent = now;
+    call.sent_at = now;
     auto const number = next_call_++;
     calls_.emplace(number, std::move(call));
     out.emplace_back(ports::store_call{
@@ -223,18 +226,18 @@
 }
 
 void configuration_follower::on_index(common::time_point now,
-                                      common::time_point sent,
+                                      common::time_point sent_at,
                                       ports::store_reply const& reply,
                                       ports::actions& out)
 {
-    store_seen_ = true;
-    auto const* entry = index_in(reply);
+    index_read_ = true;
+    auto const* entry = find_index_entry(reply);
     watch_index_ = std::max(reply.index, entry == nullptr ? 0 : entry->version);
     if (entry == nullptr)
     {
         if (current_.revision == 0)
         {
-            confirmed_at_ = std::max(confirmed_at_, sent);
+            confirmed_at_ = std::max(confirmed_at_, sent_at);
         }
         return;
     }
@@ -242,16 +245,16 @@
     auto index = parse_index(entry->value, reason);
     if (!index)
     {
-        refuse(now, std::string(index_key), reason, out);
+        log_refusal(now, std::string(index_key), reason, out);
         return;
     }
     if (index->revision == current_.revision)
     {
-        confirmed_at_ = std::max(confirmed_at_, sent);
+        confirmed_at_ = std::max(confirmed_at_, sent_at);
         return;
     }
-    // An older index is a stale answer, or one that was overtaken by a newer
-    // on the way: applied, it would bring back what operators took away.
+    // An older index is a stale read, or a reply that was overtaken by a newer
+    // one. Applying it would undo changes of the operators.
     if (index->revision < current_.revision)
     {
         return;
@@ -260,11 +263,11 @@
     {
         if (fetch_->index.revision == index->revision)
         {
-            fetch_->index_sent = std::max(fetch_->index_sent, sent);
+            fetch_->index_sent_at = std::max(fetch_->index_sent_at, sent_at);
         }
         return;
     }
-    begin_fetch(now, sent, std::move(*index), out);
+    begin_fetch(now, sent_at, std::move(*index), out);
 }
 
 void configuration_follower::apply(configuration newer,
@@ -287,11 +290,12 @@
     current_ = std::move(newer);
     if (fetch_ && fetch_->index.revision <= current_.revision)
     {
-        // The fetch of the same revision from the store came second; its
-        // index still proves that nothing newer stood there.
+        // The revision arrived from elsewhere while its documents were being
+        // fetched. The fetched index still proves that it was the newest in the
+        // store.
         if (fetch_->index.revision == current_.revision)
         {
-            confirmed_at_ = std::max(confirmed_at_, fetch_->index_sent);
+            confirmed_at_ = std::max(confirmed_at_, fetch_->index_sent_at);
         }
         fetch_.reset();
     }
@@ -310,25 +314,26 @@
     auto offered = parse_configuration(offer.document, reason);
     if (offered && offered->revision != offer.revision)
     {
-        reason = {common::result_code::inconsistent,
-                  "configuration.revision",
-                  "the offer names another revision"};
+        reason = {
+            common::result_code::inconsistent,
+            "configuration.revision",
+            "the revision of the document differs from that of the offer"};
         offered.reset();
     }
     if (!offered)
     {
-        refuse(now, "offer of " + message.from.name, reason, out);
+        log_refusal(now, "offer of " + message.from.name, reason, out);
         return;
     }
     apply(std::move(*offered), "peer", out);
 }
 
-void configuration_follower::refuse(common::time_point now,
-                                    std::string const& what,
-                                    common::failure const& reason,
-                                    ports::actions& out)
+void configuration_follower::log_refusal(common::time_point now,
+                                         std::string const& subject,
+                                         common::failure const& reason,
+                                         ports::actions& out)
 {
-    std::string text = what + " " + common::to_string(reason);
+    std::string text = subject + " " + common::to_string(reason);
     if (text == last_refusal_ && now - last_refusal_at_ < refusal_log_interval)
     {
         return;
@@ -338,7 +343,7 @@
     append_log(out,
                ports::severity::error,
                "configuration_refused",
-               {{"what", what},
+               {{"what", subject},
                 {"code", std::string(common::name_of(reason.code))},
                 {"where", reason.where},
                 {"why", reason.why},
--- a/src/core/config/follower_fetch.cpp
+++ b/src/core/config/follower_fetch.cpp
@@ -3,15 +3,17 @@
 #include <algorithm>
 #include <utility>
 
-// A newer index, whose documents are read before it is applied as a whole.
+// Reads of the documents of a newer index, which is applied once all documents
+// have been read.
 namespace fuchsia::core::config
 {
 
 namespace
 {
 
-/// With more documents missing than this, one list call reads them all; after
-/// a start that is one call in place of one for each customer.
+/// Maximum number of missing documents that are read one by one. Above it, one
+/// list call reads all documents; after a start this replaces one call for each
+/// customer.
 constexpr std::size_t max_single_reads = 3;
 
 } // namespace
@@ -19,7 +21,7 @@
 void configuration_follower::send_missing(common::time_point now,
                                           ports::actions& out)
 {
-    auto const customers = missing();
+    auto const customers = missing_customers();
     if (customers.size() > max_single_reads)
     {
         if (!in_flight(call_kind::list))
@@ -46,12 +48,12 @@
 }
 
 void configuration_follower::begin_fetch(common::time_point now,
-                                         common::time_point sent,
+                                         common::time_point sent_at,
                                          index_document index,
                                          ports::actions& out)
 {
     fetch next;
-    next.index_sent = sent;
+    next.index_sent_at = sent_at;
     next.retry_at = now + settings_.retry_interval;
     for (auto const& [customer, entry] : index.contracts)
     {
@@ -59,9 +61,9 @@
         {
             continue;
         }
-        auto const known = current_.contract_revisions.find(customer);
-        if (known != current_.contract_revisions.end() &&
-            known->second == entry.revision)
+        auto const applied = current_.contract_revisions.find(customer);
+        if (applied != current_.contract_revisions.end() &&
+            applied->second == entry.revision)
         {
             next.loaded.emplace(customer, current_.contracts.at(customer));
             continue;
@@ -75,7 +77,7 @@
     }
     next.index = std::move(index);
     fetch_ = std::move(next);
-    apply_if_whole(out);
+    apply_if_complete(out);
     if (fetch_)
     {
         send_missing(now, out);
@@ -101,7 +103,7 @@
     {
         texts.emplace(entry.key, &entry.value);
     }
-    for (auto const& customer : missing())
+    for (auto const& customer : missing_customers())
     {
         auto const key = document_key(
             customer, fetch_->index.contracts.at(customer).document);
@@ -112,23 +114,24 @@
         auto const found = texts.find(key);
         if (found == texts.end())
         {
-            refuse(now,
-                   key,
-                   {common::result_code::not_found,
-                    key,
-                    "the index names a document that the store lacks"},
-                   out);
+            log_refusal(
+                now,
+                key,
+                {common::result_code::not_found,
+                 key,
+                 "the index refers to a document that is not in the store"},
+                out);
             continue;
         }
-        take_document(now, customer, *found->second, out);
+        accept_document(now, customer, *found->second, out);
     }
-    apply_if_whole(out);
+    apply_if_complete(out);
 }
 
-void configuration_follower::take_document(common::time_point now,
-                                           std::string const& customer,
-                                           std::string const& text,
-                                           ports::actions& out)
+void configuration_follower::accept_document(common::time_point now,
+                                             std::string const& customer,
+                                             std::string const& text,
+                                             ports::actions& out)
 {
     common::failure reason;
     auto contract = contracts::parse_contract(text, reason);
@@ -141,13 +144,13 @@
     }
     if (!contract)
     {
-        refuse(now, std::string(contracts_prefix) + customer, reason, out);
+        log_refusal(now, std::string(contracts_prefix) + customer, reason, out);
         return;
     }
     fetch_->loaded.insert_or_assign(customer, std::move(*contract));
 }
 
-std::vector<std::string> configuration_follower::missing() const
+std::vector<std::string> configuration_follower::missing_customers() const
 {
     std::vector<std::string> customers;
     for (auto const& [customer, entry] : fetch_->index.contracts)
@@ -160,9 +163,9 @@
     return customers;
 }
 
-void configuration_follower::apply_if_whole(ports::actions& out)
+void configuration_follower::apply_if_complete(ports::actions& out)
 {
-    if (!fetch_ || !missing().empty())
+    if (!fetch_ || !missing_customers().empty())
     {
         return;
     }
@@ -185,10 +188,10 @@
             newer.withdrawn.insert(customer);
         }
     }
-    auto const sent = fetch_->index_sent;
+    auto const sent_at = fetch_->index_sent_at;
     fetch_.reset();
     apply(std::move(newer), "store", out);
-    confirmed_at_ = std::max(confirmed_at_, sent);
+    confirmed_at_ = std::max(confirmed_at_, sent_at);
 }
 
 } // namespace fuchsia::core::config
--- a/src/core/config/name_set.hpp
+++ b/src/core/config/name_set.hpp
@@ -9,16 +9,17 @@
 namespace fuchsia::core::config
 {
 
-/// Customers or data centres.
+/// Names of customers or data centres.
 using name_set = std::set<std::string, std::less<>>;
 
-/// Whether `name` may name a customer or a data centre: 1 to 64 lower-case
-/// letters, digits and hyphens. Names become parts of the store's keys.
+/// Whether `name` is a valid name of a customer or a data centre: 1 to 64
+/// lower-case letters, digits and hyphens. Names become parts of store keys.
 bool is_valid_name(std::string_view name) noexcept;
 
 boost::json::array to_json_array(name_set const& names);
 
-/// The names in the array under `key`; empty where there is none.
+/// Returns the names in the array under `key`; empty if there is no such key.
+/// An invalid name is recorded as an error of the reader.
 name_set read_name_set(common::json_reader& reader, std::string_view key);
 
 } // namespace fuchsia::core::config
