--- a/src/core/common/json.cpp
+++ b/src/core/common/json.cpp
@@ -19,7 +19,7 @@
 
 std::string json_reader::text(std::string_view key)
 {
-    auto const* value = need(key);
+    auto const* value = find_required(key);
     if (value == nullptr)
     {
         return {};
@@ -38,44 +38,45 @@
 }
 
 std::int64_t json_reader::integer(std::string_view key,
-                                  std::int64_t least,
-                                  std::int64_t most)
+                                  std::int64_t min_value,
+                                  std::int64_t max_value)
 {
-    auto const* value = need(key);
+    auto const* value = find_required(key);
     if (value == nullptr)
     {
-        return least;
+        return min_value;
     }
     boost::json::error_code error;
     auto const number = value->to_number<std::int64_t>(error);
     if (error || value->is_double())
     {
         fail(result_code::wrong_type, key, "a whole number is expected");
-        return least;
+        return min_value;
     }
-    if (number < least || number > most)
+    if (number < min_value || number > max_value)
     {
         fail(result_code::out_of_range,
              key,
              std::to_string(number) + " is not within " +
-                 std::to_string(least) + " to " + std::to_string(most));
-        return least;
+                 std::to_string(min_value) + " to " +
+                 std::to_string(max_value));
+        return min_value;
     }
     return number;
 }
 
 std::int64_t json_reader::integer_or(std::string_view key,
                                      std::int64_t fallback,
-                                     std::int64_t least,
-                                     std::int64_t most)
+                                     std::int64_t min_value,
+                                     std::int64_t max_value)
 {
-    return find(key) == nullptr ? fallback : integer(key, least, most);
+    return find(key) == nullptr ? fallback : integer(key, min_value, max_value);
 }
 
 double json_reader::number_or(std::string_view key,
                               double fallback,
-                              double least,
-                              double most)
+                              double min_value,
+                              double max_value)
 {
     auto const* value = find(key);
     if (value == nullptr)
@@ -89,12 +90,13 @@
         fail(result_code::wrong_type, key, "a number is expected");
         return fallback;
     }
-    if (!std::isfinite(number) || number < least || number > most)
+    if (!std::isfinite(number) || number < min_value || number > max_value)
     {
         fail(result_code::out_of_range,
              key,
              std::to_string(number) + " is not within " +
-                 std::to_string(least) + " to " + std::to_string(most));
+                 std::to_string(min_value) + " to " +
+                 std::to_string(max_value));
         return fallback;
     }
     return number;
@@ -135,12 +137,14 @@
     return value == nullptr ? nullptr : value->if_array();
 }
 
-void json_reader::allow_only(std::initializer_list<std::string_view> known)
+void json_reader::allow_only(
+    std::initializer_list<std::string_view> allowed_keys)
 {
     for (auto const& member : object_)
     {
         std::string_view const key = member.key();
-        if (std::find(known.begin(), known.end(), key) == known.end())
+        if (std::find(allowed_keys.begin(), allowed_keys.end(), key) ==
+            allowed_keys.end())
         {
             fail(result_code::unknown_key, key, "nothing reads this key");
             return;
@@ -171,7 +175,7 @@
     return object_.if_contains(key);
 }
 
-boost::json::value const* json_reader::need(std::string_view key)
+boost::json::value const* json_reader::find_required(std::string_view key)
 {
     auto const* value = find(key);
     if (value == nullptr)
@@ -187,7 +191,7 @@
     boost::json::parse_options options;
     options.max_depth = max_json_depth;
     boost::json::error_code error;
-    // One block for all values: they live and go together.
+    // All values share one monotonic resource, since they are freed together.
     auto const block =
         boost::json::make_shared_resource<boost::json::monotonic_resource>();
     auto value = boost::json::parse(text, error, block, options);
--- a/src/core/common/json_source.cpp
+++ b/src/core/common/json_source.cpp
@@ -1,2 +1,3 @@
-// Boost.JSON is header-only here: its definitions are compiled in this file.
+// Boost.JSON is used as a header-only library; this file compiles its
+// definitions.
 #include <boost/json/src.hpp>
--- a/src/core/common/result_code.cpp
+++ b/src/core/common/result_code.cpp
@@ -243,20 +243,20 @@
     return row_of(code).name;
 }
 
-std::string_view name_of(outcome says) noexcept
+std::string_view name_of(outcome result) noexcept
 {
     constexpr std::array<std::string_view, 3> names{
         "ran", "not-run", "unknown"};
-    return names[static_cast<std::size_t>(says)];
+    return names[static_cast<std::size_t>(result)];
 }
 
 std::optional<outcome> outcome_from(std::string_view name) noexcept
 {
-    for (outcome says : {ran, not_run, unknown})
+    for (outcome result : {ran, not_run, unknown})
     {
-        if (name_of(says) == name)
+        if (name_of(result) == name)
         {
-            return says;
+            return result;
         }
     }
     return std::nullopt;
--- a/src/core/common/result_code.hpp
+++ b/src/core/common/result_code.hpp
@@ -9,8 +9,9 @@
 namespace fuchsia::core::common
 {
 
-/// Every way in which something can end, by number. docs/ERRORS.md holds the
-/// same table for operators; a test compares the two.
+/// All results of requests, changes and parsing, with their numbers.
+/// docs/ERRORS.md contains the same table for operators; a test compares the
+/// two.
 enum class result_code : std::uint16_t
 {
     ok = 0,
@@ -76,14 +77,15 @@
     backlog_unknown = 6006,
 };
 
-/// What a caller may conclude about its request from an answer.
+/// Information in an answer on whether the caller's request has run.
 enum class outcome : std::uint8_t
 {
-    ran,     ///< The whole answer of the upstream follows.
+    ran,     ///< The complete answer of the upstream follows.
     not_run, ///< The request reached no upstream and never will.
-    unknown, ///< It may have run, once at most.
+    unknown, ///< The request may have run, at most once.
 };
 
+/// Description of one result code.
 struct result_code_row
 {
     result_code code;
@@ -93,19 +95,20 @@
     std::string_view meaning;
 };
 
-/// The table behind `row_of`, in the order of the numbers.
+/// Table of all result codes, in the order of their numbers.
 extern const std::array<result_code_row, 55> result_code_table;
 
-/// The row of `code`; every code has one.
+/// Returns the row of `code`; every code has one.
 result_code_row const& row_of(result_code code) noexcept;
 
+/// Returns the name as written in answers, logs and metrics.
 std::string_view name_of(result_code code) noexcept;
-std::string_view name_of(outcome says) noexcept;
+std::string_view name_of(outcome result) noexcept;
+/// Returns the outcome with this name; empty if there is none.
 std::optional<outcome> outcome_from(std::string_view name) noexcept;
 
-/// The last reason for an error: beside each `std::optional` that came back
-/// empty, what went wrong, where (file and line, header, or path in a
-/// document) and why.
+/// Reason for an error, reported with each empty `std::optional`: the code, the
+/// place (file and line, header, or path in a document) and the explanation.
 struct failure
 {
     result_code code = result_code::ok;
@@ -115,7 +118,8 @@
     bool operator==(failure const&) const = default;
 };
 
-/// "1009 out_of_range at settings.toml:7: hold must be below bury".
+/// Returns text such as "1009 out_of_range at settings.toml:7: hold must be
+/// below bury".
 std::string to_string(failure const& reason);
 
 } // namespace fuchsia::core::common
