--- a/src/core/common/hash.hpp
+++ b/src/core/common/hash.hpp
@@ -25,7 +25,7 @@
 
 /// Returns the index in `candidates` of the rendezvous-hashing winner for
 /// `key`. All instances with the same candidates agree on the winner, and a
-/// change of the candidates moves only the keys of added or removed candidates.
+/// change of the candidates moves keys only to added or from removed ones.
 /// `candidates` must not be empty.
 std::size_t rendezvous_winner(std::string_view key,
                               std::span<std::string const> candidates) noexcept;
--- a/tests/unit/claims/assignment_test.cpp
+++ b/tests/unit/claims/assignment_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-std::vector<std::string> numbered(std::string const& prefix, int count)
+std::vector<std::string> numbered_names(std::string const& prefix, int count)
 {
     std::vector<std::string> names;
     names.reserve(static_cast<std::size_t>(count));
@@ -20,9 +20,9 @@
     return names;
 }
 
-std::size_t moved(partition_assignment const& before,
-                  partition_assignment const& after,
-                  std::vector<std::string> const& partitions)
+std::size_t count_moved(partition_assignment const& before,
+                        partition_assignment const& after,
+                        std::vector<std::string> const& partitions)
 {
     return static_cast<std::size_t>(
         std::count_if(partitions.begin(),
@@ -36,48 +36,52 @@
 
 } // namespace
 
-TEST(fair_shares, nobody_gets_more_than_the_even_share_rounded_up)
+TEST(assignment_of_partitions,
+     no_member_gets_more_than_the_rounded_up_even_share)
 {
-    auto const partitions = numbered("", 64);
+    auto const partitions = numbered_names("", 64);
     for (int count = 1; count <= 33; ++count)
     {
-        auto const names = numbered("entry-", count);
-        partition_assignment shares;
-        shares.update(partitions, names);
+        auto const names = numbered_names("entry-", count);
+        partition_assignment assignment;
+        assignment.update(partitions, names);
         std::map<std::string, std::size_t> owned;
         for (auto const& partition : partitions)
         {
-            ++owned[*shares.assigned_owner(partition)];
+            ++owned[*assignment.assigned_owner(partition)];
         }
-        std::size_t const most = (64 + count - 1) / count;
-        for (auto const& [name, share] : owned)
+        std::size_t const max_share = (64 + count - 1) / count;
+        for (auto const& [name, owned_count] : owned)
         {
-            EXPECT_LE(share, most) << name << " of " << count;
+            EXPECT_LE(owned_count, max_share) << name << " of " << count;
         }
     }
 }
 
-TEST(fair_shares, without_members_there_is_no_owner)
+TEST(assignment_of_partitions, partition_has_no_owner_without_members)
 {
-    partition_assignment shares;
-    shares.update(numbered("", 4), {});
-    EXPECT_EQ(shares.assigned_owner("1"), nullptr);
+    partition_assignment assignment;
+    assignment.update(numbered_names("", 4), {});
+    EXPECT_EQ(assignment.assigned_owner("1"), nullptr);
 }
 
-// An instance is replaced. Every partition that changes hands is closed for a
-// moment, so those of the others must mostly stay where they are.
-TEST(fair_shares, loss_of_a_member_leaves_most_partitions_where_they_are)
+// Guards against too many moves when an instance is replaced. A partition is
+// unavailable for a short time while its owner changes, so most partitions of
+// the other members must keep their owner.
+TEST(assignment_of_partitions, removal_of_a_member_moves_at_most_a_third)
 {
-    auto const partitions = numbered("", 64);
-    auto const names = numbered("entry-", 9);
+    auto const partitions = numbered_names("", 64);
+    auto const names = numbered_names("entry-", 9);
     partition_assignment before;
     before.update(partitions, names);
-    for (std::size_t gone = 0; gone < names.size(); ++gone)
+    for (std::size_t removed = 0; removed < names.size(); ++removed)
     {
-        auto fewer = names;
-        fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
+        auto remaining = names;
+        remaining.erase(remaining.begin() +
+                        static_cast<std::ptrdiff_t>(removed));
         partition_assignment after;
-        after.update(partitions, fewer);
-        EXPECT_LE(moved(before, after, partitions), 64U / 3) << names[gone];
+        after.update(partitions, remaining);
+        EXPECT_LE(count_moved(before, after, partitions), 64U / 3)
+            << names[removed];
     }
 }
--- a/tests/unit/claims/claim_table_test.cpp
+++ b/tests/unit/claims/claim_table_test.cpp
@@ -14,11 +14,11 @@
 class claims : public testing::Test
 {
 protected:
-    claims() : system(many_partitions())
+    claims() : system(options_with_32_partitions())
     {
     }
 
-    static membership_simulation_options many_partitions()
+    static membership_simulation_options options_with_32_partitions()
     {
         membership_simulation_options options;
         options.partitions = 32;
@@ -50,9 +50,10 @@
         std::map<std::string, ports::member_identity> names;
         for (auto const& partition : system.partitions())
         {
-            auto const* who = system.owner(partition);
-            names[partition] =
-                who == nullptr ? ports::member_identity{} : who->id;
+            auto const* current_owner = system.owner(partition);
+            names[partition] = current_owner == nullptr
+                                   ? ports::member_identity{}
+                                   : current_owner->id;
         }
         return names;
     }
@@ -62,47 +63,47 @@
 
 } // namespace
 
-TEST(claim_record, bad_values_are_refused_with_the_place)
+TEST(claim_record, invalid_values_are_rejected_with_their_path)
 {
-    std::map<std::string, std::string> const places{
+    std::map<std::string, std::string> const paths{
         {"", "claim"},
         {"{}", "claim.owner"},
         {R"({"owner":"a","incarnation":"-1"})", "claim.incarnation"},
         {R"({"owner":"a","incarnation":"1","epoch":"2"})", "claim.epoch"},
         {R"({"owner":"a","incarnation":"1","epoch":2})", "claim.write_id"},
     };
-    for (auto const& [json, place] : places)
+    for (auto const& [json, path] : paths)
     {
         core::common::failure reason;
         EXPECT_FALSE(core::claims::parse_claim_record(json, reason)) << json;
-        EXPECT_EQ(reason.where, place) << json;
+        EXPECT_EQ(reason.where, path) << json;
     }
 }
 
-TEST_F(claims, newcomer_gets_its_share_once_it_has_settled)
+TEST_F(claims, new_member_gets_its_share_once_it_is_stable)
 {
     auto const before = owners();
-    auto const& added = system.start(4);
+    auto const& newcomer = system.start(4);
     ASSERT_TRUE(system.run_until(
         [&]
         {
-            return added.may_act(system.time.now());
+            return newcomer.may_act(system.time.now());
         },
         5s));
     system.run(4s);
-    EXPECT_EQ(owners(), before) << "moved before it had settled";
+    EXPECT_EQ(owners(), before) << "moved before the member was stable";
     system.run(10s);
     EXPECT_TRUE(system.all_owned());
-    EXPECT_GT(added.claims.owned(added.member).size(), 1U);
-    EXPECT_LT(added.claims.owned(added.member).size(), 16U);
+    EXPECT_GT(newcomer.claims.owned(newcomer.member).size(), 1U);
+    EXPECT_LT(newcomer.claims.owned(newcomer.member).size(), 16U);
 }
 
-// A member that is restarted every few seconds gets nothing from the others,
-// so that their callers' keys stay where they are.
+// Guards against moves to a member that restarts every few seconds: the request
+// keys of the other members' callers would move each time.
 TEST_F(claims, flapping_member_moves_no_claims_of_others)
 {
     auto const before = owners();
-    for (int times = 0; times < 5; ++times)
+    for (int round = 0; round < 5; ++round)
     {
         system.start(4);
         system.run(4500ms);
@@ -110,16 +111,17 @@
     EXPECT_EQ(owners(), before);
 }
 
-// A member stops while another one has just joined, and hands its remembered
-// keys to members that have settled. Were the newcomer to claim what the hash
-// gives it, it would not know those keys, and retries would run twice.
-TEST_F(claims, released_claims_go_to_whom_they_were_handed)
+// Guards against requests that run twice: a member stops just after another one
+// has joined, and hands its remembered keys to stable members. If the new
+// member claimed its share of the hash, it would lack these keys, and retries
+// would run again.
+TEST_F(claims, released_claims_go_only_to_their_requested_successors)
 {
-    auto const& added = system.start(4);
+    auto const& newcomer = system.start(4);
     ASSERT_TRUE(system.run_until(
         [&]
         {
-            return added.may_act(system.time.now());
+            return newcomer.may_act(system.time.now());
         },
         5s));
     system.begin_leaving(1);
@@ -129,12 +131,13 @@
             return system.at(1).ended && system.all_owned();
         },
         3s));
-    EXPECT_TRUE(added.claims.owned(added.member).empty());
+    EXPECT_TRUE(newcomer.claims.owned(newcomer.member).empty());
 }
 
-// The store loses the answers of releases and of claims, after the effect. A
-// member that took up again what it had released would own it beside the next.
-TEST_F(claims, lost_answers_in_a_handover_leave_one_owner)
+// Guards against two owners of one partition: the store applies releases and
+// claims but loses the replies. A member that resumed a partition it had
+// released would own it together with the successor.
+TEST_F(claims, lost_replies_in_a_handover_leave_one_owner)
 {
     system.store.faults.lose_prefix = "partitions/";
     system.store.faults.lose_next_replies = 12;
@@ -148,7 +151,7 @@
     EXPECT_EQ(system.store.faults.lose_next_replies, 0U);
 }
 
-TEST_F(claims, buried_record_is_erased_once_no_claim_names_it)
+TEST_F(claims, fenced_record_is_erased_once_no_claim_names_it)
 {
     system.end(1);
     EXPECT_TRUE(system.run_until(
@@ -167,13 +170,14 @@
         150s));
 }
 
-// The store takes several hundred writes and 2,000 reads a second from all
-// processes together; membership and claims of both roles may use a part.
+// Guards against overload of the store, which accepts several hundred writes
+// and 2,000 reads a second from all processes together. Membership and claims
+// of both roles may use only a part of this.
 TEST(store_calls, steady_state_stays_within_the_budget)
 {
     std::map<std::size_t, std::pair<double, double>> const bounds{
-        {9, {40, 20}},   // Two roles of 9: writes and reads a second.
-        {33, {140, 70}}, // Two roles of 11 data centres x 3.
+        {9, {40, 20}},   // Two roles with 9 members: writes, reads a second.
+        {33, {140, 70}}, // Two roles with 3 members in 11 data centres.
     };
     for (auto const& [members, bound] : bounds)
     {
@@ -196,6 +200,7 @@
         EXPECT_LE(2 * static_cast<double>(counts.writes) / seconds,
                   bound.first);
         EXPECT_LE(2 * static_cast<double>(reads) / seconds, bound.second);
-        EXPECT_EQ(system.link.sent, frames) << "promises while the store is up";
+        EXPECT_EQ(system.link.sent, frames)
+            << "peer frames while the store is available";
     }
 }
