--- a/tests/contract/config/follower_test.cpp
+++ b/tests/contract/config/follower_test.cpp
@@ -33,8 +33,8 @@
     return value;
 }
 
-/// One follower over the store in memory. Watches stay unanswered until
-/// `release_watches`; everything else is answered by `run` in order.
+/// One follower with an in-memory store. Watches are answered only by
+/// `release_watches`; `run` answers all other calls in order.
 struct follower_bench
 {
     tests::memory_store store;
@@ -45,7 +45,7 @@
     std::vector<ports::log_event> logs;
     core::common::duration now{};
 
-    /// Writes the index and documents as a writer would.
+    /// Writes the index and the documents as a change writer does.
     void publish(std::uint64_t revision,
                  std::vector<core::contracts::contract> const& contracts,
                  std::vector<std::string> const& out_of_service = {})
@@ -58,8 +58,8 @@
         }
         for (auto const& contract : contracts)
         {
-            // Equal contracts keep the document of their first revision.
-            auto& first = first_seen[to_json(contract)];
+            // An unchanged contract keeps the document of its first revision.
+            auto& first = first_revisions[to_json(contract)];
             first = first == 0 ? revision : first;
             auto const name = core::config::document_name(first, "test");
             index.contracts[contract.customer] = {first, false, name};
@@ -74,40 +74,40 @@
         subject.start(at(now), out);
     }
 
-    /// Answers the calls on their way, and those that the answers bring.
-    void run(fault how = fault::none)
+    /// Answers the calls in flight and those sent in response.
+    void run(fault injected = fault::none)
     {
         for (int round = 0; round < 50 && !out.empty(); ++round)
         {
             auto const batch = std::exchange(out, {});
             for (auto const& action : batch)
             {
-                take(action, how);
+                handle_action(action, injected);
             }
         }
-        ASSERT_TRUE(out.empty()) << "calls without end";
+        ASSERT_TRUE(out.empty()) << "calls did not end after 50 rounds";
     }
 
-    void pass(core::common::duration by, fault how = fault::none)
+    void pass(core::common::duration by, fault injected = fault::none)
     {
         now += by;
         subject.tick(at(now), out);
-        run(how);
+        run(injected);
     }
 
-    void release_watches(fault how = fault::none)
+    void release_watches(fault injected = fault::none)
     {
         for (auto const& watch : std::exchange(watches, {}))
         {
-            subject.on_store_reply(at(now), store.answer(watch, how), out);
+            subject.on_store_reply(at(now), store.answer(watch, injected), out);
         }
-        run(how);
+        run(injected);
     }
 
-    std::map<std::string, std::uint64_t> first_seen;
+    std::map<std::string, std::uint64_t> first_revisions;
 
 private:
-    void take(ports::action const& action, fault how)
+    void handle_action(ports::action const& action, fault injected)
     {
         if (auto const* call = std::get_if<ports::store_call>(&action))
         {
@@ -116,7 +116,7 @@
                 watches.push_back(*call);
                 return;
             }
-            subject.on_store_reply(at(now), store.answer(*call, how), out);
+            subject.on_store_reply(at(now), store.answer(*call, injected), out);
         }
         else if (auto const* message = std::get_if<ports::peer_send>(&action))
         {
@@ -148,7 +148,7 @@
 
 } // namespace
 
-TEST(config_follower, reads_the_whole_configuration_at_its_start)
+TEST(config_follower, start_reads_the_complete_configuration)
 {
     follower_bench bench;
     bench.publish(4, {contract_of("mill", 9), contract_of("shop", 3)}, {"a"});
@@ -163,7 +163,7 @@
     EXPECT_EQ(bench.subject.confirmed_at(), at(0s));
 }
 
-TEST(config_follower, an_empty_store_is_revision_0_and_confirmed)
+TEST(config_follower, empty_store_gives_a_confirmed_revision_0)
 {
     follower_bench bench;
     bench.start();
@@ -173,7 +173,7 @@
     EXPECT_EQ(bench.subject.confirmed_at(), at(500ms));
 }
 
-TEST(config_follower, a_start_with_many_contracts_costs_three_calls)
+TEST(config_follower, start_with_many_contracts_takes_three_calls)
 {
     follower_bench bench;
     std::vector<core::contracts::contract> contracts;
@@ -190,7 +190,7 @@
     EXPECT_EQ(bench.store.calls + bench.watches.size(), 3U);
 }
 
-TEST(config_follower, a_watch_brings_a_change_and_reads_only_what_changed)
+TEST(config_follower, change_seen_by_a_watch_reads_only_changed_documents)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9), contract_of("shop", 3)});
@@ -208,7 +208,7 @@
     EXPECT_EQ(bench.store.calls - before, 2U) << "the watch and one document";
 }
 
-TEST(config_follower, ten_quiet_seconds_cost_21_calls)
+TEST(config_follower, ten_seconds_without_a_change_take_21_calls)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9)});
@@ -225,10 +225,11 @@
     EXPECT_EQ(bench.subject.confirmed_at(), at(10s));
 }
 
-// A watch ends after ten seconds without news. A change that came in its last
-// second, and whose wake-up was lost, would go unseen; a task could start in a
-// data centre that is out for more than a few seconds.
-TEST(config_follower, the_end_of_a_watch_proves_nothing_after_its_sending)
+// Guards against a stale configuration that counts as confirmed: a watch ends
+// after ten seconds without a change, but a change in its last second may have
+// been missed because its wake-up was lost. A task could then start in a data
+// centre that has been out of service for more than a few seconds.
+TEST(config_follower, watch_confirms_only_the_time_at_which_it_was_sent)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9)});
@@ -243,18 +244,19 @@
 struct read_fault_case
 {
     char const* name;
-    fault how;
-    bool logged;
+    fault injected;
+    bool expect_log;
 };
 
 class config_follower_faults : public testing::TestWithParam<read_fault_case>
 {
 };
 
-// The store fails, lies or answers from a lagging replica just when operators
-// lower a contract. The change may come late, but never in part, and what
-// stands must not go back.
-TEST_P(config_follower_faults, keep_what_stands_until_the_store_answers_whole)
+// Guards against partial or reverted changes: the store fails, returns
+// malformed values or answers from a lagging replica while operators lower
+// contracts. The change may be applied late, but only completely, and the
+// current configuration must never be replaced by an older one.
+TEST_P(config_follower_faults, keep_the_configuration_until_reads_are_complete)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9), contract_of("shop", 3)});
@@ -263,19 +265,19 @@
     bench.start();
     bench.run();
     auto const confirmed = bench.subject.confirmed_at();
-    auto const standing = bench.subject.current();
+    auto const before_fault = bench.subject.current();
 
     bench.publish(3, {contract_of("mill", 7), contract_of("shop", 1)});
     for (int step = 0; step < 20; ++step)
     {
-        bench.pass(100ms, GetParam().how);
-        bench.release_watches(GetParam().how);
-        EXPECT_EQ(bench.subject.current(), standing);
+        bench.pass(100ms, GetParam().injected);
+        bench.release_watches(GetParam().injected);
+        EXPECT_EQ(bench.subject.current(), before_fault);
     }
     EXPECT_EQ(bench.subject.confirmed_at(), confirmed);
     EXPECT_EQ(!bench.logs.empty() &&
                   bench.logs.back().event == "configuration_refused",
-              GetParam().logged);
+              GetParam().expect_log);
 
     bench.pass(500ms);
     bench.pass(500ms);
@@ -296,9 +298,10 @@
         return std::string(info.param.name);
     });
 
-// A document that the index names is gone or damaged. Half of the change, the
-// other contract, must not come into force alone.
-TEST(config_follower, a_missing_document_holds_the_whole_change_back)
+// Guards against a change applied in part: a document that the index refers to
+// is missing or is another customer's, and the other contract of the change
+// must not be applied alone.
+TEST(config_follower, missing_document_delays_the_complete_change)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9), contract_of("shop", 3)});
@@ -313,14 +316,15 @@
     EXPECT_EQ(bench.subject.current().revision, 1U);
     bench.store.put(key, to_json(contract_of("mill", 1)));
     bench.pass(500ms);
-    EXPECT_EQ(bench.subject.current().revision, 1U) << "another's contract";
+    EXPECT_EQ(bench.subject.current().revision, 1U)
+        << "contract of another customer";
 
     bench.store.put(key, text);
     bench.pass(500ms);
     EXPECT_EQ(bench.subject.current().revision, 2U);
 }
 
-TEST(config_follower, a_newer_index_replaces_a_fetch_that_is_under_way)
+TEST(config_follower, newer_index_replaces_a_fetch_in_progress)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9)});
@@ -335,9 +339,9 @@
     EXPECT_EQ(bench.subject.current().revision, 3U);
 }
 
-// The store is silent for an hour. An instance that missed the last change
-// before the outage gets it from its peers.
-TEST(config_follower, a_peer_brings_what_the_silent_store_can_not)
+// Guards against an outdated configuration during a long store outage: an
+// instance that missed the last change before it gets the change from a peer.
+TEST(config_follower, peer_supplies_a_change_while_the_store_is_unavailable)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9)});
@@ -349,7 +353,7 @@
     bench.subject.on_peer_revision(at(1s), 2, peer, peer_address, bench.out);
     bench.run(fault::unavailable);
 
-    ASSERT_EQ(bench.sent.size(), 1U) << "one question at a time";
+    ASSERT_EQ(bench.sent.size(), 1U) << "one request at a time";
     EXPECT_EQ(bench.sent[0].to, peer);
     EXPECT_EQ(std::get<ports::config_request>(bench.sent[0].message).revision,
               1U);
@@ -362,42 +366,43 @@
 struct offer_case
 {
     char const* name;
-    std::uint64_t named; ///< Revision beside the document.
+    std::uint64_t offered_revision; ///< Revision in the offer itself.
     std::string document;
 };
 
-TEST(config_follower, bad_and_older_offers_change_nothing)
+TEST(config_follower, invalid_and_older_offers_are_ignored)
 {
-    std::string huge = to_json(configuration_at(9, 4));
-    huge.insert(1, core::config::max_configuration_bytes, ' ');
-    std::string strange = to_json(configuration_at(9, 4));
-    strange.replace(strange.find("\"mill\":9"), 8, "\"hill\":9");
+    std::string oversized = to_json(configuration_at(9, 4));
+    oversized.insert(1, core::config::max_configuration_bytes, ' ');
+    std::string inconsistent = to_json(configuration_at(9, 4));
+    inconsistent.replace(inconsistent.find("\"mill\":9"), 8, "\"hill\":9");
     std::vector<offer_case> const cases{
         {"older", 4, to_json(configuration_at(4, 4))},
         {"the same", 5, to_json(configuration_at(5, 4))},
         {"revision differs", 9, to_json(configuration_at(8, 4))},
         {"no json", 9, "{\"revision\":9"},
         {"no object", 9, "[]"},
-        {"too large", 9, huge},
-        {"other customers", 9, strange},
+        {"too large", 9, oversized},
+        {"other customers", 9, inconsistent},
     };
     follower_bench bench;
     bench.publish(5, {contract_of("mill", 9)});
     bench.start();
     bench.run();
-    auto const standing = bench.subject.current();
-    for (auto const& each : cases)
+    auto const before_fault = bench.subject.current();
+    for (auto const& test_case : cases)
     {
-        bench.subject.on_peer(
-            at(1s),
-            {peer, ports::config_offer{each.named, each.document}},
-            peer_address,
-            bench.out);
-        EXPECT_EQ(bench.subject.current(), standing) << each.name;
+        bench.subject.on_peer(at(1s),
+                              {peer,
+                               ports::config_offer{test_case.offered_revision,
+                                                   test_case.document}},
+                              peer_address,
+                              bench.out);
+        EXPECT_EQ(bench.subject.current(), before_fault) << test_case.name;
     }
 }
 
-TEST(config_follower, offers_the_whole_configuration_to_an_older_peer_only)
+TEST(config_follower, offers_the_configuration_only_to_an_older_peer)
 {
     follower_bench bench;
     bench.publish(5, {contract_of("mill", 9)}, {"kochi-a"});
@@ -420,7 +425,7 @@
     EXPECT_EQ(*read, bench.subject.current());
 }
 
-TEST(config_follower, what_the_writer_knows_is_in_force_at_once)
+TEST(config_follower, adopted_configuration_applies_at_once_if_newer)
 {
     follower_bench bench;
     bench.publish(1, {contract_of("mill", 9)});
--- a/tests/contract/config/memory_store.hpp
+++ b/tests/contract/config/memory_store.hpp
@@ -11,43 +11,44 @@
 namespace fuchsia::tests
 {
 
-/// The platform's store in memory, for decision tests. Calls are answered one
-/// by one by the test, each with a fault of its choice.
+/// In-memory platform store for tests of decisions. The test answers the calls
+/// one by one, each with a fault of its choice.
 class memory_store
 {
 public:
-    /// What becomes of one call.
+    /// Fault injected into one call.
     enum class fault : std::uint8_t
     {
         none,
-        unavailable,     ///< Not sent, no effect.
-        lost_before,     ///< No effect, no answer.
-        lost_after,      ///< Effect, no answer.
-        stale,           ///< Read or list answered from the last snapshot.
-        malformed_value, ///< Read or list whose values are cut short.
+        unavailable,     ///< Not sent: no effect, status `unavailable`.
+        lost_before,     ///< No effect, status `unclear`.
+        lost_after,      ///< Effect, but status `unclear`.
+        stale,           ///< Reads return the last snapshot.
+        malformed_value, ///< Reads return truncated values.
     };
 
+    /// Executes the call with the injected fault and returns its reply.
     ports::store_reply answer(ports::store_call const& call,
-                              fault how = fault::none)
+                              fault injected = fault::none)
     {
         ++calls;
-        if (how == fault::unavailable)
+        if (injected == fault::unavailable)
         {
             return {call.id, ports::store_status::unavailable, {}, 0};
         }
-        if (how == fault::lost_before)
+        if (injected == fault::lost_before)
         {
             return {call.id, ports::store_status::unclear, {}, 0};
         }
-        auto reply = run(call, how);
-        if (how == fault::lost_after)
+        auto reply = run(call, injected);
+        if (injected == fault::lost_after)
         {
             return {call.id, ports::store_status::unclear, {}, 0};
         }
         return reply;
     }
 
-    /// Later stale reads see the store as it is now.
+    /// Saves the current contents for later stale reads.
     void take_snapshot()
     {
         snapshot_ = entries_;
@@ -65,7 +66,7 @@
         entries_.erase(key);
     }
 
-    /// Value of `key`; empty where there is none.
+    /// Returns the value of `key`; empty if there is none.
     std::string value(std::string const& key) const
     {
         auto const found = entries_.find(key);
@@ -85,20 +86,20 @@
         return found;
     }
 
-    std::uint64_t calls = 0;
+    std::uint64_t calls = 0; ///< Number of calls answered.
 
 private:
-    ports::store_reply run(ports::store_call const& call, fault how)
+    ports::store_reply run(ports::store_call const& call, fault injected)
     {
         ports::store_reply reply{
             call.id, ports::store_status::done, {}, index_};
-        bool const stale = how == fault::stale;
-        auto const& seen = stale ? snapshot_ : entries_;
+        bool const stale = injected == fault::stale;
+        auto const& visible = stale ? snapshot_ : entries_;
         reply.index = stale ? snapshot_index_ : index_;
         if (auto const* read = std::get_if<ports::store_read>(&call.operation))
         {
-            auto const found = seen.find(read->key);
-            if (found != seen.end())
+            auto const found = visible.find(read->key);
+            if (found != visible.end())
             {
                 reply.entries.push_back(found->second);
             }
@@ -106,24 +107,25 @@
         else if (auto const* list =
                      std::get_if<ports::store_list>(&call.operation))
         {
-            collect(seen, list->prefix, reply);
+            collect(visible, list->prefix, reply);
         }
         else if (auto const* watch =
                      std::get_if<ports::store_watch>(&call.operation))
         {
-            collect(seen, watch->prefix, reply);
+            collect(visible, watch->prefix, reply);
         }
         else if (auto const* write =
                      std::get_if<ports::store_write>(&call.operation))
         {
             change(write->key, &write->value, write->expected_version, reply);
         }
-        else if (auto const* gone =
+        else if (auto const* erase_call =
                      std::get_if<ports::store_erase>(&call.operation))
         {
-            change(gone->key, nullptr, gone->expected_version, reply);
+            change(
+                erase_call->key, nullptr, erase_call->expected_version, reply);
         }
-        if (how == fault::malformed_value)
+        if (injected == fault::malformed_value)
         {
             for (auto& entry : reply.entries)
             {
@@ -133,11 +135,12 @@
         return reply;
     }
 
-    static void collect(std::map<std::string, ports::store_entry> const& seen,
-                        std::string const& prefix,
-                        ports::store_reply& reply)
+    static void
+    collect(std::map<std::string, ports::store_entry> const& visible,
+            std::string const& prefix,
+            ports::store_reply& reply)
     {
-        for (auto const& [key, entry] : seen)
+        for (auto const& [key, entry] : visible)
         {
             if (key.starts_with(prefix))
             {
--- a/tests/contract/config/writer_test.cpp
+++ b/tests/contract/config/writer_test.cpp
@@ -33,72 +33,73 @@
     return value;
 }
 
-/// Writers over one store; the test decides whose call is answered next and
-/// how.
+/// Change writers that share one store. The test decides whose call is answered
+/// next and with which fault.
 struct writer_bench
 {
-    struct one
+    struct writer_run
     {
         change_writer subject;
         std::deque<ports::store_call> calls;
     };
 
     tests::memory_store store;
-    std::deque<one> writers;
+    std::deque<writer_run> writers;
     std::uint64_t next_call = 1;
     core::common::time_point now{100s};
 
-    one& begin(change what,
-               std::optional<std::uint64_t> if_revision = std::nullopt,
-               std::uint64_t known = 0)
+    writer_run& begin(change requested,
+                      std::optional<std::uint64_t> if_revision = std::nullopt,
+                      std::uint64_t known_revision = 0)
     {
         core::config::change_request request;
-        request.requested_change = std::move(what);
+        request.requested_change = std::move(requested);
         request.if_revision = if_revision;
         request.write_id = "w" + std::to_string(writers.size());
-        request.known_revision = known;
+        request.known_revision = known_revision;
         writers.push_back({change_writer({}, std::move(request)), {}});
-        auto& made = writers.back();
+        auto& started = writers.back();
         ports::actions out;
-        made.subject.start(now, next_call, out);
-        take(made, out);
-        return made;
+        started.subject.start(now, next_call, out);
+        collect_calls(started, out);
+        return started;
     }
 
-    /// Answers one call of `who`; without one, lets its pause pass.
-    void step(one& who, fault how = fault::none)
+    /// Answers one call of the writer; if it has none in flight, lets its pause
+    /// pass.
+    void step(writer_run& writer, fault injected = fault::none)
     {
         ports::actions out;
-        if (who.calls.empty())
+        if (writer.calls.empty())
         {
             now += 200ms;
-            who.subject.tick(now, next_call, out);
+            writer.subject.tick(now, next_call, out);
         }
         else
         {
-            auto const call = who.calls.front();
-            who.calls.pop_front();
-            auto const reply = store.answer(call, how);
-            who.subject.on_store_reply(now, reply, next_call, out);
+            auto const call = writer.calls.front();
+            writer.calls.pop_front();
+            auto const reply = store.answer(call, injected);
+            writer.subject.on_store_reply(now, reply, next_call, out);
         }
-        take(who, out);
+        collect_calls(writer, out);
     }
 
-    core::config::change_result run(one& who)
+    core::config::change_result run(writer_run& writer)
     {
-        for (int count = 0; count < 500 && !who.subject.finished(); ++count)
+        for (int count = 0; count < 500 && !writer.subject.finished(); ++count)
         {
-            step(who);
+            step(writer);
         }
-        EXPECT_TRUE(who.subject.finished());
-        return *who.subject.result();
+        EXPECT_TRUE(writer.subject.finished());
+        return *writer.subject.result();
     }
 
     core::config::change_result
-    change_to(change what,
+    change_to(change requested,
               std::optional<std::uint64_t> if_revision = std::nullopt)
     {
-        return run(begin(std::move(what), if_revision));
+        return run(begin(std::move(requested), if_revision));
     }
 
     index_document index() const
@@ -110,13 +111,13 @@
         return parsed.value_or(index_document{});
     }
 
-    /// In-flight limit of the contract that the index points to; nothing
-    /// where the contract is withdrawn or absent.
+    /// Returns the in-flight limit of the contract that the index refers to;
+    /// empty if the contract is withdrawn or absent.
     std::optional<std::uint32_t> limit_of(std::string const& customer) const
     {
-        auto const now_index = index();
-        auto const found = now_index.contracts.find(customer);
-        if (found == now_index.contracts.end() || found->second.withdrawn)
+        auto const current_index = index();
+        auto const found = current_index.contracts.find(customer);
+        if (found == current_index.contracts.end() || found->second.withdrawn)
         {
             return std::nullopt;
         }
@@ -131,18 +132,18 @@
     }
 
 private:
-    static void take(one& who, ports::actions const& out)
+    static void collect_calls(writer_run& writer, ports::actions const& out)
     {
         for (auto const& action : out)
         {
-            who.calls.push_back(std::get<ports::store_call>(action));
+            writer.calls.push_back(std::get<ports::store_call>(action));
         }
     }
 };
 
 } // namespace
 
-TEST(config_writer, changes_count_the_revision_up_and_can_be_read)
+TEST(config_writer, changes_increment_the_revision_and_can_be_read)
 {
     writer_bench bench;
     EXPECT_EQ(bench.change_to(put_contract{contract_of("mill", 9)}).revision,
@@ -160,7 +161,7 @@
     EXPECT_FALSE(bench.index().data_centres.at("kochi-a").out_of_service);
 }
 
-TEST(config_writer, withdrawing_what_does_not_stand_is_refused)
+TEST(config_writer, withdrawal_of_an_absent_contract_is_rejected)
 {
     writer_bench bench;
     EXPECT_EQ(bench.change_to(withdraw_contract{"mill"}).reason.code,
@@ -174,14 +175,14 @@
 struct if_revision_case
 {
     char const* name;
-    change what;
+    change requested;
     std::uint64_t if_revision;
-    result_code wanted;
+    result_code expected_code;
 };
 
-TEST(config_writer, if_revision_conflicts_only_with_later_changes_of_the_same)
+TEST(config_writer, if_revision_conflicts_only_with_later_changes_of_its_target)
 {
-    // Revision 1: mill, 2: shop, 3: kochi-a out.
+    // Revision 1 put mill, 2 put shop, 3 took kochi-a out of service.
     std::vector<if_revision_case> const cases{
         {"mill unchanged since 1",
          put_contract{contract_of("mill", 1)},
@@ -195,30 +196,38 @@
          set_data_centre{"kochi-a", false},
          2,
          result_code::conflict},
-        {"a new one", put_contract{contract_of("new", 1)}, 0, result_code::ok},
-        {"a revision to come",
+        {"new contract",
+         put_contract{contract_of("new", 1)},
+         0,
+         result_code::ok},
+        {"if_revision above the newest",
          put_contract{contract_of("mill", 1)},
          9,
          result_code::conflict},
     };
-    for (auto const& each : cases)
+    for (auto const& test_case : cases)
     {
         writer_bench bench;
         bench.change_to(put_contract{contract_of("mill", 9)});
         bench.change_to(put_contract{contract_of("shop", 3)});
         bench.change_to(set_data_centre{"kochi-a", true});
-        auto const result = bench.change_to(each.what, each.if_revision);
-        EXPECT_EQ(result.reason.code, each.wanted) << each.name;
-        EXPECT_EQ(result.revision, each.wanted == result_code::ok ? 4U : 3U);
+        auto const result =
+            bench.change_to(test_case.requested, test_case.if_revision);
+        EXPECT_EQ(result.reason.code, test_case.expected_code)
+            << test_case.name;
+        EXPECT_EQ(result.revision,
+                  test_case.expected_code == result_code::ok ? 4U : 3U);
     }
 }
 
-// Two operators lower the same contract at the same moment through different
-// planners. One of them must be told that somebody else was first; that both
-// believe in their own figure would let the customer exceed one of them.
-TEST(config_writer, of_two_racing_on_one_contract_one_gets_a_conflict)
+// Guards against a lost update: two operators lower the same contract at the
+// same time through different planners. One of them must get a conflict; if
+// both were accepted, the customer could exceed the limit that one of them has
+// set.
+TEST(config_writer, one_of_two_concurrent_changes_of_a_contract_conflicts)
 {
-    // Each position of a cut through the two writers' calls is a race.
+    // Every number of calls of the first writer that precede the second
+    // writer's change is a different race.
     for (int first_steps = 0; first_steps <= 3; ++first_steps)
     {
         writer_bench bench;
@@ -230,26 +239,28 @@
         {
             bench.step(first);
         }
-        auto const late = bench.run(second);
-        auto const early = bench.run(first);
+        auto const second_result = bench.run(second);
+        auto const first_result = bench.run(first);
 
         EXPECT_EQ(bench.index().revision, 2U + (first_steps == 0 ? 1U : 0U));
         if (first_steps == 0)
         {
-            // The first had read nothing yet: it simply came second.
-            EXPECT_TRUE(early.accepted() && late.accepted());
+            // The first writer had read nothing yet, so it simply came second.
+            EXPECT_TRUE(first_result.accepted() && second_result.accepted());
             EXPECT_EQ(bench.limit_of("mill"), 10U);
             continue;
         }
-        EXPECT_NE(early.accepted(), late.accepted()) << first_steps;
-        auto const& loser = early.accepted() ? late : early;
+        EXPECT_NE(first_result.accepted(), second_result.accepted())
+            << first_steps;
+        auto const& loser =
+            first_result.accepted() ? second_result : first_result;
         EXPECT_EQ(loser.reason.code, result_code::conflict);
         EXPECT_EQ(loser.revision, 2U) << "the newer revision";
-        EXPECT_EQ(bench.limit_of("mill"), early.accepted() ? 10U : 20U);
+        EXPECT_EQ(bench.limit_of("mill"), first_result.accepted() ? 10U : 20U);
     }
 }
 
-TEST(config_writer, races_about_different_things_are_all_accepted)
+TEST(config_writer, concurrent_changes_of_different_targets_are_all_accepted)
 {
     writer_bench bench;
     auto& mill = bench.begin(put_contract{contract_of("mill", 10)});
@@ -262,9 +273,9 @@
         bench.step(out);
     }
     std::set<std::uint64_t> revisions;
-    for (auto* who : {&mill, &shop, &out})
+    for (auto* writer : {&mill, &shop, &out})
     {
-        auto const result = bench.run(*who);
+        auto const result = bench.run(*writer);
         EXPECT_TRUE(result.accepted()) << to_string(result.reason);
         revisions.insert(result.revision);
     }
@@ -277,40 +288,41 @@
 struct writer_fault_case
 {
     char const* name;
-    int at; ///< Which call: 0 read, 1 document, 2 swap.
-    fault how;
+    int call_index; ///< First faulty call: 0 read, 1 document, 2 swap.
+    fault injected;
     int times;
-    result_code wanted;
-    bool changed; ///< Whether the index has the change in the end.
+    result_code expected_code;
+    bool takes_effect; ///< Whether the index contains the change in the end.
 };
 
 class config_writer_faults : public testing::TestWithParam<writer_fault_case>
 {
 };
 
-// The store fails in the middle of a change, or makes it and loses the answer.
-// An operator who is told "nothing was changed" will try again or leave it;
-// either is wrong when the change stands after all.
-TEST_P(config_writer_faults, tell_the_truth)
+// Guards against a false result: the store fails in the middle of a change, or
+// applies it and loses the reply. An operator who reads "nothing was changed"
+// tries again or gives up, and both are wrong if the change took effect.
+TEST_P(config_writer_faults, give_a_result_that_matches_the_store)
 {
-    auto const& each = GetParam();
+    auto const& test_case = GetParam();
     writer_bench bench;
     bench.change_to(put_contract{contract_of("mill", 100)});
     auto& subject = bench.begin(put_contract{contract_of("mill", 10)});
-    for (int count = 0; count < each.at; ++count)
+    for (int count = 0; count < test_case.call_index; ++count)
     {
         bench.step(subject);
     }
-    for (int count = 0; count < each.times && !subject.subject.result();
+    for (int count = 0; count < test_case.times && !subject.subject.result();
          ++count)
     {
-        bench.step(subject, each.how);
+        bench.step(subject, test_case.injected);
     }
     auto const result = bench.run(subject);
 
-    EXPECT_EQ(result.reason.code, each.wanted) << to_string(result.reason);
-    EXPECT_EQ(bench.limit_of("mill"), each.changed ? 10U : 100U);
-    EXPECT_EQ(bench.index().revision, each.changed ? 2U : 1U);
+    EXPECT_EQ(result.reason.code, test_case.expected_code)
+        << to_string(result.reason);
+    EXPECT_EQ(bench.limit_of("mill"), test_case.takes_effect ? 10U : 100U);
+    EXPECT_EQ(bench.index().revision, test_case.takes_effect ? 2U : 1U);
 }
 
 constexpr int forever = 1000;
@@ -388,10 +400,10 @@
         return std::string(info.param.name);
     });
 
-// The swap took effect, its answer was lost, and before the writer could read
-// back another operator changed another contract. The index no longer shows
-// the writer's revision as its newest, and the change still counts as its own.
-TEST(config_writer, a_lost_answer_is_settled_behind_later_changes)
+// Guards against a false conflict: the swap took effect, its reply was lost,
+// and other contracts were changed before the writer read the index again. The
+// writer's revision is no longer the newest, but it is still the writer's own.
+TEST(config_writer, lost_reply_is_resolved_after_later_changes)
 {
     writer_bench bench;
     auto& subject = bench.begin(put_contract{contract_of("mill", 10)});
@@ -407,25 +419,26 @@
     EXPECT_EQ(result.revision, 1U);
 }
 
-// As above, but the swap was lost on its way and another took its revision.
-TEST(config_writer, a_swap_lost_on_its_way_is_not_taken_for_anothers)
+// Guards against a false success: the swap was lost before it took effect, and
+// another writer's change got the revision that it was meant to have.
+TEST(config_writer, revision_of_another_writer_is_not_taken_for_the_lost_swap)
 {
     writer_bench bench;
-    auto& same = bench.begin(set_data_centre{"kochi-a", false});
-    auto& other = bench.begin(set_data_centre{"thrissur-b", true});
-    for (auto* who : {&same, &other})
+    auto& first_writer = bench.begin(set_data_centre{"kochi-a", false});
+    auto& second_writer = bench.begin(set_data_centre{"thrissur-b", true});
+    for (auto* writer : {&first_writer, &second_writer})
     {
-        bench.step(*who);
-        bench.step(*who, fault::lost_before);
+        bench.step(*writer);
+        bench.step(*writer, fault::lost_before);
     }
     bench.change_to(set_data_centre{"kochi-a", true});
 
-    EXPECT_EQ(bench.run(same).reason.code, result_code::conflict);
-    EXPECT_EQ(bench.run(other).revision, 2U);
+    EXPECT_EQ(bench.run(first_writer).reason.code, result_code::conflict);
+    EXPECT_EQ(bench.run(second_writer).revision, 2U);
     EXPECT_TRUE(bench.index().data_centres.at("kochi-a").out_of_service);
 }
 
-TEST(config_writer, too_many_later_changes_leave_it_unclear)
+TEST(config_writer, lost_reply_stays_unclear_after_too_many_later_changes)
 {
     writer_bench bench;
     auto& subject = bench.begin(set_data_centre{"kochi-a", true});
@@ -441,9 +454,10 @@
               core::config::max_recent_writes);
 }
 
-// A lagging replica shows an index older than what this process has applied.
-// A change made from it could only fail, or hide what came between.
-TEST(config_writer, a_stale_index_is_read_again)
+// Guards against a change based on a stale read: a lagging replica returns an
+// index older than the revision that this process has applied. A change based
+// on it could only fail, or hide the changes in between.
+TEST(config_writer, stale_index_is_read_again)
 {
     writer_bench bench;
     bench.change_to(put_contract{contract_of("mill", 100)});
@@ -455,23 +469,24 @@
     EXPECT_EQ(bench.run(subject).revision, 3U);
 }
 
-TEST(config_writer, documents_that_nothing_points_to_are_erased)
+TEST(config_writer, unreferenced_documents_are_erased)
 {
     writer_bench bench;
-    // A writer that died between its document and its swap leaves one behind.
-    auto& dead = bench.begin(put_contract{contract_of("mill", 1)});
-    bench.step(dead);
-    bench.step(dead);
+    // A writer that crashed between its document and its swap leaves an
+    // unreferenced document.
+    auto& crashed = bench.begin(put_contract{contract_of("mill", 1)});
+    bench.step(crashed);
+    bench.step(crashed);
     for (std::uint32_t limit = 1; limit < 30; ++limit)
     {
         bench.change_to(put_contract{contract_of("mill", limit)});
     }
     EXPECT_EQ(bench.store.keys("config/contract/mill/").size(), 2U)
-        << "the present one and the one before";
+        << "the current document and the previous one";
     EXPECT_EQ(bench.limit_of("mill"), 29U);
 }
 
-TEST(config_writer, what_it_writes_is_what_a_follower_applies)
+TEST(config_writer, follower_applies_the_written_changes)
 {
     writer_bench bench;
     core::config::configuration expected;
@@ -483,17 +498,17 @@
         set_data_centre{"kochi-a", false},
         put_contract{contract_of("mill", 4)},
     };
-    for (auto const& each : changes)
+    for (auto const& current : changes)
     {
-        auto const result = bench.change_to(each);
+        auto const result = bench.change_to(current);
         auto const next =
-            core::config::apply_change(expected, each, result.revision);
+            core::config::apply_change(expected, current, result.revision);
         ASSERT_TRUE(next);
         expected = *next;
     }
-    core::config::configuration_follower reader{{}};
+    core::config::configuration_follower follower{{}};
     ports::actions out;
-    reader.start(bench.now, out);
+    follower.start(bench.now, out);
     for (int round = 0; round < 10; ++round)
     {
         for (auto const& action : std::exchange(out, {}))
@@ -501,19 +516,21 @@
             auto const* call = std::get_if<ports::store_call>(&action);
             if (call != nullptr && call->operation.index() != 4)
             {
-                reader.on_store_reply(
+                follower.on_store_reply(
                     bench.now, bench.store.answer(*call), out);
             }
         }
     }
-    EXPECT_EQ(reader.current(), expected);
+    EXPECT_EQ(follower.current(), expected);
     EXPECT_FALSE(core::config::apply_change(expected, changes[0], 9));
 }
 
-// Four operators change two contracts and a data centre at once, over a store
-// that fails at random. Whatever the order: each revision has one writer, each
-// "accepted" is in the history once, each "conflict" and "not run" never.
-TEST(config_writer, random_races_over_a_failing_store_tell_the_truth)
+// Guards against lost updates and false results: concurrent changes of two
+// contracts and a data centre on a store that fails at random. In every order
+// each revision has one writer, each accepted change is in the history exactly
+// once, and a change with any other result but `store_unclear` is never in it.
+TEST(config_writer,
+     results_of_random_races_on_a_failing_store_match_the_history)
 {
     for (std::uint64_t seed = 1; seed <= 2000; ++seed)
     {
@@ -521,7 +538,7 @@
         writer_bench bench;
         bench.change_to(put_contract{contract_of("mill", 100)});
         std::map<std::uint64_t, std::string> history;
-        std::vector<change> const wishes{
+        std::vector<change> const requested_changes{
             put_contract{contract_of("mill", 1)},
             put_contract{contract_of("mill", 2)},
             withdraw_contract{"mill"},
@@ -529,43 +546,43 @@
             set_data_centre{"kochi-a", true},
             set_data_centre{"kochi-a", false},
         };
-        std::vector<writer_bench::one*> racing;
-        racing.reserve(wishes.size());
-        for (auto const& wish : wishes)
+        std::vector<writer_bench::writer_run*> racing_writers;
+        racing_writers.reserve(requested_changes.size());
+        for (auto const& planned_change : requested_changes)
         {
-            racing.push_back(&bench.begin(wish));
+            racing_writers.push_back(&bench.begin(planned_change));
         }
-        auto const all_finished = [&racing]
+        auto const all_finished = [&racing_writers]
         {
-            return std::all_of(racing.begin(),
-                               racing.end(),
-                               [](auto const* who)
+            return std::all_of(racing_writers.begin(),
+                               racing_writers.end(),
+                               [](auto const* writer)
                                {
-                                   return who->subject.finished();
+                                   return writer->subject.finished();
                                });
         };
         for (int count = 0; count < 2000 && !all_finished(); ++count)
         {
-            auto& who = *racing[random() % racing.size()];
-            fault how = fault::none;
+            auto& writer = *racing_writers[random() % racing_writers.size()];
+            fault injected = fault::none;
             if (random() % 4 == 0)
             {
-                how = static_cast<fault>(random() % 4);
+                injected = static_cast<fault>(random() % 4);
             }
-            if (!who.subject.finished())
+            if (!writer.subject.finished())
             {
-                bench.step(who, how);
+                bench.step(writer, injected);
             }
             for (auto const& [revision, id] : bench.index().recent_writes)
             {
-                auto const [place, added] = history.emplace(revision, id);
-                ASSERT_EQ(place->second, id) << "seed " << seed;
+                auto const [position, added] = history.emplace(revision, id);
+                ASSERT_EQ(position->second, id) << "seed " << seed;
             }
         }
-        for (auto* who : racing)
+        for (auto* writer : racing_writers)
         {
-            auto const result = bench.run(*who);
-            auto const& id = who->subject.request().write_id;
+            auto const result = bench.run(*writer);
+            auto const& id = writer->subject.request().write_id;
             auto const written = std::count_if(history.begin(),
                                                history.end(),
                                                [&id](auto const& pair)
@@ -586,13 +603,14 @@
         }
         auto const mill = bench.index().contracts.at("mill");
         auto const limit = bench.limit_of("mill");
-        auto const last = std::find_if(
-            bench.writers.begin(),
-            bench.writers.end(),
-            [&](auto const& who)
-            {
-                return who.subject.request().write_id == history[mill.revision];
-            });
+        auto const last =
+            std::find_if(bench.writers.begin(),
+                         bench.writers.end(),
+                         [&](auto const& writer)
+                         {
+                             return writer.subject.request().write_id ==
+                                    history[mill.revision];
+                         });
         auto const* put = last == bench.writers.end()
                               ? nullptr
                               : std::get_if<put_contract>(
@@ -600,7 +618,7 @@
         EXPECT_EQ(limit,
                   put == nullptr ? std::nullopt
                                  : std::optional(put->value.requests_in_flight))
-            << "another's document, seed " << seed;
+            << "document of another change, seed " << seed;
         ASSERT_FALSE(testing::Test::HasFailure()) << "seed " << seed;
     }
 }
