--- a/src/core/claims/claim_table.hpp
+++ b/src/core/claims/claim_table.hpp
@@ -133,14 +133,15 @@
     {
         common::time_point retry_at; ///< Earliest time of the next call.
         bool call_in_flight = false;
-        bool needs_read_back = false; ///< Whether the key must be read before
-                                      ///< the next write, since the outcome of
-                                      ///< the last one is unknown.
+        /// Whether the key must be read before the next write, since the last
+        /// write conflicted or its outcome is unknown.
+        bool needs_read_back = false;
         bool handover_requested = false; ///< Whether a handover was requested.
-        ports::member_identity
-            requested_successor; ///< Successor of that request.
+        /// Successor named in the last handover request.
+        ports::member_identity requested_successor;
         std::uint64_t epoch = 0; ///< Epoch of this member's latest claim.
-        common::time_point owned_since; ///< Time that epoch was first seen.
+        /// Time at which that epoch was first seen.
+        common::time_point owned_since;
     };
 
     // claim_table.cpp: decisions on claiming, keeping and handing over.
--- a/src/core/config/follower_fetch.cpp
+++ b/src/core/config/follower_fetch.cpp
@@ -114,13 +114,12 @@
         auto const found = texts.find(key);
         if (found == texts.end())
         {
-            log_refusal(
-                now,
-                key,
-                {common::result_code::not_found,
-                 key,
-                 "the index refers to a document that is not in the store"},
-                out);
+            log_refusal(now,
+                        key,
+                        {common::result_code::not_found,
+                         key,
+                         "the index refers to a document that the store lacks"},
+                        out);
             continue;
         }
         accept_document(now, customer, *found->second, out);
