--- a/src/core/tasks/change.cpp
+++ b/src/core/tasks/change.cpp
@@ -16,15 +16,15 @@
 
 namespace json = boost::json;
 
-constexpr std::array<std::string_view, 6> end_names{
+constexpr std::array<std::string_view, 6> outcome_names{
     "finished", "failed", "refused", "stopped", "lost", "unsent"};
 constexpr std::int64_t max_number = std::numeric_limits<std::int64_t>::max();
 constexpr std::int64_t max_count = std::numeric_limits<std::int32_t>::max();
 
-json::array strings(std::vector<std::string> const& from)
+json::array strings(std::vector<std::string> const& values)
 {
     json::array out;
-    for (auto const& item : from)
+    for (auto const& item : values)
     {
         out.emplace_back(item);
     }
@@ -160,8 +160,8 @@
     return task;
 }
 
-std::optional<inbox_message> read_parcel(json::object const& object,
-                                         common::failure& reason)
+std::optional<inbox_message> read_inbox_message(json::object const& object,
+                                                common::failure& reason)
 {
     common::json_reader reader(object, "parcel");
     inbox_message value;
@@ -177,12 +177,12 @@
                              : reader.reason();
         return std::nullopt;
     }
-    auto what = parse_job(json::serialize(*job_object), reason);
-    if (!what)
+    auto definition = parse_job(json::serialize(*job_object), reason);
+    if (!definition)
     {
         return std::nullopt;
     }
-    value.definition = std::move(*what);
+    value.definition = std::move(*definition);
     for (auto const& item : *tasks)
     {
         auto task = read_task(item, reason);
@@ -206,17 +206,17 @@
     return *key;
 }
 
-attempt_outcome read_end(common::json_reader& reader)
+attempt_outcome read_outcome(common::json_reader& reader)
 {
     std::string const name = reader.text("h");
     auto const* const found =
-        std::find(end_names.begin(), end_names.end(), name);
-    if (found == end_names.end())
+        std::find(outcome_names.begin(), outcome_names.end(), name);
+    if (found == outcome_names.end())
     {
         reader.fail(common::result_code::out_of_range, "h", "unknown end");
         return attempt_outcome::lost;
     }
-    return static_cast<attempt_outcome>(found - end_names.begin());
+    return static_cast<attempt_outcome>(found - outcome_names.begin());
 }
 
 common::result_code read_code(common::json_reader& reader)
@@ -269,12 +269,12 @@
                       "an object is expected"};
             return std::nullopt;
         }
-        auto taken = read_parcel(*inner, reason);
-        if (!taken)
+        auto message = read_inbox_message(*inner, reason);
+        if (!message)
         {
             return std::nullopt;
         }
-        out = message_accepted{std::move(*taken)};
+        out = message_accepted{std::move(*message)};
     }
     else if (kind == "started")
     {
@@ -288,7 +288,7 @@
     {
         out = attempt_ended{read_key(reader),
                             read_count(reader, "a"),
-                            read_end(reader),
+                            read_outcome(reader),
                             reader.text("y")};
     }
     else if (kind == "checkpoint")
@@ -356,7 +356,7 @@
 
 std::string_view name_of(attempt_outcome value) noexcept
 {
-    return end_names[static_cast<std::size_t>(value)];
+    return outcome_names[static_cast<std::size_t>(value)];
 }
 
 std::string to_json(inbox_message const& value)
@@ -368,15 +368,15 @@
                                                  common::failure& reason)
 {
     auto const object = common::parse_json_object(json, "parcel", reason);
-    return object ? read_parcel(*object, reason) : std::nullopt;
+    return object ? read_inbox_message(*object, reason) : std::nullopt;
 }
 
-inbox_message make_submission_message(job const& what)
+inbox_message make_submission_message(job const& definition)
 {
     inbox_message out;
-    out.name = what.id;
-    out.definition = what;
-    for (std::uint32_t index = 0; index < what.tasks; ++index)
+    out.name = definition.id;
+    out.definition = definition;
+    for (std::uint32_t index = 0; index < definition.tasks; ++index)
     {
         out.tasks.push_back({index, 0, {}, {}});
     }
@@ -434,12 +434,12 @@
                       "an object is expected"};
             return std::nullopt;
         }
-        auto one = read_change(item.as_object(), reason);
-        if (!one)
+        auto parsed = read_change(item.as_object(), reason);
+        if (!parsed)
         {
             return std::nullopt;
         }
-        value.changes.push_back(std::move(*one));
+        value.changes.push_back(std::move(*parsed));
     }
     return value;
 }
--- a/src/core/tasks/change.hpp
+++ b/src/core/tasks/change.hpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-// The change records of a cell's log. Applying them in order rebuilds the
-// cell's state (cell_state.hpp); nothing else may change it.
+// Change records of a cell's log. Applying them in order rebuilds the state of
+// the cell (cell_state.hpp), which is changed in no other way.
 namespace fuchsia::core::tasks
 {
 
@@ -27,19 +27,20 @@
 std::string task_name(task_key const& key);
 std::optional<task_key> parse_task_name(std::string_view name);
 
-/// What of a task goes with it from cell to cell.
+/// State of a task that is transferred with it to another cell.
 struct transferred_task
 {
     std::uint32_t index = 0;
-    std::uint32_t attempt = 0; ///< The last one; the next is one higher.
+    std::uint32_t attempt =
+        0; ///< Number of the last attempt; the next is one higher.
     std::string checkpoint;
-    std::vector<std::string> failed_workers; ///< Different workers.
+    std::vector<std::string> failed_workers; ///< Distinct workers.
 
     bool operator==(transferred_task const&) const = default;
 };
 
-/// Tasks of one job on their way into a cell: a submission, or a move from
-/// another cell. The name makes taking it in idempotent.
+/// Tasks of one job that are sent to a cell, by a submission or by a transfer
+/// from another cell. The name makes accepting the message idempotent.
 struct inbox_message
 {
     std::string name;
@@ -54,8 +55,8 @@
 std::optional<inbox_message> parse_inbox_message(std::string_view json,
                                                  common::failure& reason);
 
-/// The whole job as submitted: all its tasks, none ever tried.
-inbox_message make_submission_message(job const& what);
+/// Returns a message with all tasks of a submitted job, none attempted yet.
+inbox_message make_submission_message(job const& definition);
 
 struct message_accepted
 {
@@ -64,7 +65,8 @@
     bool operator==(message_accepted const&) const = default;
 };
 
-/// Committed before the worker is told. Both times are on the worker's clock.
+/// Start of an attempt, committed before the start is sent to the worker. Both
+/// times are on the worker's clock.
 struct attempt_started
 {
     task_key task;
@@ -80,10 +82,10 @@
 {
     finished,
     failed,  ///< The task itself failed on the worker.
-    refused, ///< The worker did not take it.
-    stopped, ///< Evicted or cancelled; the worker said that it is over.
-    lost,    ///< Gone with its worker, or its lease ran out.
-    unsent,  ///< The worker was never told.
+    refused, ///< The worker did not accept the attempt.
+    stopped, ///< Evicted or cancelled; the worker confirmed the end.
+    lost,    ///< The worker was lost, or the lease expired.
+    unsent,  ///< The start was never sent to the worker.
 };
 
 std::string_view name_of(attempt_outcome value) noexcept;
@@ -98,7 +100,8 @@
     bool operator==(attempt_ended const&) const = default;
 };
 
-/// Committed before the attempt is stopped: the next one resumes from it.
+/// Checkpoint of an attempt, committed before the attempt is stopped. The next
+/// attempt resumes from it.
 struct checkpoint_taken
 {
     task_key task;
@@ -108,7 +111,7 @@
     bool operator==(checkpoint_taken const&) const = default;
 };
 
-/// No further attempt of this job; running ones are stopped.
+/// End of a job: no further attempt is started, and running ones are stopped.
 struct job_stopped
 {
     std::string job;
@@ -118,8 +121,9 @@
     bool operator==(job_stopped const&) const = default;
 };
 
-/// Queued tasks leave for another cell: the first record of a move. The
-/// parcel is then written to that cell's inbox until it is known to be there.
+/// First record of a transfer of queued tasks to another cell. The message is
+/// then written to the inbox of that cell, with retries until the write is
+/// confirmed.
 struct transfer_started
 {
     std::string message_name;
@@ -131,7 +135,7 @@
     bool operator==(transfer_started const&) const = default;
 };
 
-/// The parcel is in the other cell's inbox; this cell is done with it.
+/// Last record of a transfer: the message is in the inbox of the other cell.
 struct transfer_completed
 {
     std::string message_name;
@@ -139,7 +143,7 @@
     bool operator==(transfer_completed const&) const = default;
 };
 
-/// An ended job whose time in the list is over.
+/// Removal of an ended job after its retention period.
 struct job_removed
 {
     std::string job;
@@ -156,12 +160,12 @@
                             transfer_completed,
                             job_removed>;
 
-/// One value of the log: the changes committed together, and who wrote them.
+/// One value of the log: changes that are committed together, and their writer.
 struct log_record
 {
-    std::uint64_t number = 0; ///< From 1, without gaps.
-    std::uint64_t epoch = 0;  ///< Of the writer's claim.
-    std::string writer;       ///< Incarnation and write id; never repeated.
+    std::uint64_t number = 0; ///< Starts at 1, without gaps.
+    std::uint64_t epoch = 0;  ///< Epoch of the writer's claim.
+    std::string writer; ///< Incarnation and write id; unique for each write.
     std::vector<change> changes;
 
     bool operator==(log_record const&) const = default;
--- a/src/core/tasks/planner_cells.cpp
+++ b/src/core/tasks/planner_cells.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <utility>
 
-// The cells that this planner owns: taken up, driven, handed over.
+// Cells that this planner owns: acquisition, ticks and handover.
 namespace fuchsia::core::tasks
 {
 
@@ -15,7 +15,7 @@
     bool const may_act = claims_.owns(now, cell, member_);
     return {now,
             may_act,
-            may_act && config_fresh(now) && !stop_since_,
+            may_act && config_fresh(now) && !stop_started_at_,
             settings_.cell,
             follower_.current(),
             workers_,
@@ -36,29 +36,30 @@
     }
 }
 
-// Each round begins with another cell: when the budget of store writes is
-// short, the same cells would else go without each time.
+// Each round begins with another cell. Otherwise the same cells would always
+// be throttled while the rate limit of store writes is reached.
 void planner_engine::tick_cells(common::time_point now, ports::actions& out)
 {
-    auto const touched = std::exchange(dirty_cells_, {});
-    std::vector<std::string> order(touched.begin(), touched.end());
+    auto const dirty = std::exchange(dirty_cells_, {});
+    std::vector<std::string> order(dirty.begin(), dirty.end());
     if (order.empty())
     {
         return;
     }
-    auto const first = static_cast<std::ptrdiff_t>(++rounds_ % order.size());
+    auto const first =
+        static_cast<std::ptrdiff_t>(++round_count_ % order.size());
     std::rotate(order.begin(), order.begin() + first, order.end());
     for (auto const& name : order)
     {
-        auto const found = cells_.find(name);
-        if (found == cells_.end())
+        auto const cell_entry = cells_.find(name);
+        if (cell_entry == cells_.end())
         {
             continue;
         }
-        auto& cell = *found->second;
+        auto& cell = *cell_entry->second;
         bool const was_active = cell.active();
-        auto with = make_cell_context(now, name, out);
-        cell.tick(with);
+        auto context = make_cell_context(now, name, out);
+        cell.tick(context);
         if (cell.active() && !was_active)
         {
             deliver_inbox(now, cell, out);
@@ -98,8 +99,8 @@
                                          member_.self().id.incarnation,
                                          claim.epoch,
                                          settings_.cell.log);
-    auto with = make_cell_context(now, claim.partition, out);
-    cell->start(with);
+    auto context = make_cell_context(now, claim.partition, out);
+    cell->start(context);
 }
 
 void planner_engine::remove_cell(std::string const& cell)
@@ -110,19 +111,20 @@
     loads_.drop_own(cell);
 }
 
-// A cell asked for by another member is held, its commits end, and only then
-// it is released: the next owner reads a log that nobody adds to.
+// Hands over the cells that another member requested. A cell stops new work and
+// is released only after its pending commits have completed, so that the next
+// owner reads a log to which nothing is appended any more.
 void planner_engine::hand_over(common::time_point now, ports::actions& out)
 {
     std::vector<std::string> released;
     for (auto const& name : releasing_)
     {
-        auto const found = cells_.find(name);
-        if (found == cells_.end())
+        auto const cell_entry = cells_.find(name);
+        if (cell_entry == cells_.end())
         {
             continue;
         }
-        auto& cell = *found->second;
+        auto& cell = *cell_entry->second;
         if (!cell.handing_over())
         {
             cell.begin_handover();
@@ -140,14 +142,14 @@
 }
 
 void planner_engine::deliver_inbox(common::time_point now,
-                                   cell_runner& to,
+                                   cell_runner& target,
                                    ports::actions& out)
 {
-    auto with = make_cell_context(now, to.name(), out);
-    to.on_inbox(with, inbox_.items_of(to.name()));
+    auto context = make_cell_context(now, target.name(), out);
+    target.on_inbox(context, inbox_.items_of(target.name()));
     for (auto const& notice : inbox_.notices())
     {
-        to.stop_job(with, notice.job, notice.code, notice.why);
+        target.stop_job(context, notice.job, notice.code, notice.why);
     }
 }
 
@@ -158,14 +160,14 @@
     {
         for (auto const& job : cell->take_faulty_jobs())
         {
-            auto to_desk = make_request_context(now, out);
-            job_request_handler_.publish_stop(to_desk, job);
+            auto request_context = make_request_context(now, out);
+            job_request_handler_.publish_stop(request_context, job);
         }
     }
 }
 
-// Cells are the racks of the list and those that were ever claimed: the tasks
-// of a rack that is gone still need an owner who moves them elsewhere.
+// The cells are all listed racks and all racks that were ever claimed: the
+// tasks of a removed rack still need an owner that moves them elsewhere.
 void planner_engine::set_partitions()
 {
     std::set<std::string> names;
--- a/src/core/tasks/planner_engine.cpp
+++ b/src/core/tasks/planner_engine.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr auto* role = "planner";
-/// Between two looks at a cell that no event concerned.
+/// Time between two ticks of a cell that no event affected.
 constexpr common::duration round_interval = std::chrono::milliseconds(100);
 
 } // namespace
@@ -51,7 +51,7 @@
             loads_,
             calls_,
             inbox_.size(),
-            !stop_since_.has_value(),
+            !stop_started_at_.has_value(),
             out};
 }
 
@@ -60,16 +60,17 @@
     member_.tick(now, out);
     follower_.tick(now, out);
     claims_.tick(now, member_, out);
-    if (now >= next_round_)
+    if (now >= next_round_at_)
     {
-        next_round_ = now + round_interval;
+        next_round_at_ = now + round_interval;
         mark_all_cells_dirty();
     }
     process_events(now, out);
 }
 
-// All that follows from what is known now. Called after every event, so that
-// a job that came in is committed and started without waiting for a tick.
+// Takes all actions that follow from the current state. It is called after
+// every event, so that a new job is committed and started without waiting for
+// the next tick.
 void planner_engine::process_events(common::time_point now, ports::actions& out)
 {
     apply_config(out);
@@ -79,8 +80,8 @@
         inbox_.tick(now, calls_, out);
         loads_.tick(now, calls_, out);
     }
-    auto to_desk = make_request_context(now, out);
-    job_request_handler_.tick(to_desk);
+    auto request_context = make_request_context(now, out);
+    job_request_handler_.tick(request_context);
     tick_cells(now, out);
     quotas_.tick(now, follower_.current().contracts, calls_, out);
     publish_faulty_jobs(now, out);
@@ -117,7 +118,8 @@
                                  member_.self().id.name;
 }
 
-// One planner, found by hashing, erases a notice that stood long enough.
+// Erases a stop notice whose retention period has passed. Rendezvous hashing
+// selects the planner that does it.
 void planner_engine::erase_stop_notices(common::time_point now,
                                         ports::actions& out)
 {
@@ -139,11 +141,11 @@
 
 void planner_engine::begin_stop(common::time_point now, ports::actions& out)
 {
-    if (stop_since_)
+    if (stop_started_at_)
     {
         return;
     }
-    stop_since_ = now;
+    stop_started_at_ = now;
     claims_.begin_leaving();
     member_.begin_leaving(now, out);
     for (auto& [name, cell] : cells_)
@@ -155,7 +157,7 @@
 
 void planner_engine::advance_stop(common::time_point now, ports::actions& out)
 {
-    if (!stop_since_ || stop_reported_)
+    if (!stop_started_at_ || stop_reported_)
     {
         return;
     }
@@ -164,7 +166,7 @@
         removing_record_ = true;
         member_.remove(now, out);
     }
-    bool const late = now - *stop_since_ >= settings_.stop_timeout;
+    bool const late = now - *stop_started_at_ >= settings_.stop_timeout;
     if ((removing_record_ && member_.is_removed()) || late)
     {
         stop_reported_ = true;
@@ -175,12 +177,12 @@
 bool planner_engine::ready(common::time_point now) const noexcept
 {
     return member_.has_member_list() && claims_.is_loaded() && workers_known_ &&
-           member_.may_act(now) && !stop_since_;
+           member_.may_act(now) && !stop_started_at_;
 }
 
 bool planner_engine::stopping() const noexcept
 {
-    return stop_since_.has_value();
+    return stop_started_at_.has_value();
 }
 
 membership::member& planner_engine::members() noexcept
--- a/src/core/tasks/planner_engine.hpp
+++ b/src/core/tasks/planner_engine.hpp
@@ -32,14 +32,14 @@
     job_registry_sweep_settings sweep;
     cell_settings cell;
     placement::interference_settings interference;
-    /// A planned stop that the store keeps from ending is given up after
-    /// this; the others then bury this member.
+    /// Timeout of a planned stop that an unavailable store delays. The other
+    /// members then declare this member dead.
     common::duration stop_timeout = std::chrono::seconds(20);
 };
 
-/// A planner without its protocols: membership, claims on cells, the
-/// configuration and the tasks of the cells it owns. Events come in with the
-/// time, actions go out; there is no thread, socket, file or clock in it.
+/// Core of a planner: membership, claims on cells, the configuration and the
+/// tasks of the cells that it owns. It receives events together with the time
+/// and returns actions; it uses no thread, socket, file or clock.
 class planner_engine
 {
 public:
@@ -50,7 +50,7 @@
     void start(common::time_point now, ports::actions& out);
     /// Called at least every 100 ms.
     void tick(common::time_point now, ports::actions& out);
-    /// False for replies of users that are not part of the engine.
+    /// Returns false for replies to requesters outside the engine.
     bool on_store_reply(common::time_point now,
                         ports::store_reply const& reply,
                         ports::actions& out);
@@ -69,16 +69,18 @@
     void on_worker_reply(common::time_point now,
                          ports::worker_reply const& reply,
                          ports::actions& out);
-    /// Jobs; answered by a `caller_reply` with the request's caller.
+    /// Handles a job request and answers it with a `caller_reply` that bears
+    /// the caller of the request.
     void on_job_request(common::time_point now,
                         job_request const& request,
                         ports::actions& out);
-    /// A planned stop: nothing new is started, what is in commit ends, the
-    /// cells are handed over, the record is removed; running tasks go on.
-    /// Ends in `stop_complete`.
+    /// Begins a planned stop: no new attempt is started, pending commits
+    /// complete, the cells are handed over and the member record is removed.
+    /// Running tasks continue. The stop ends with `stop_complete`.
     void begin_stop(common::time_point now, ports::actions& out);
 
-    /// Members and configuration are known: requests can be answered.
+    /// Whether members, claims and workers are known, this member may act and
+    /// does not stop, so that requests can be answered.
     bool ready(common::time_point now) const noexcept;
     bool stopping() const noexcept;
     membership::member& members() noexcept;
@@ -92,11 +94,12 @@
     cells() const noexcept;
     /// Racks whose reports this planner needs.
     std::vector<std::string> racks() const;
-    /// Tasks, jobs and free resources over all cells, some seconds old.
+    /// Sums of tasks, jobs and free resources over all cells; the figures are
+    /// some seconds old.
     cell_load totals() const noexcept;
 
 private:
-    // planner_engine.cpp: composition, time, a planned stop.
+    // planner_engine.cpp: composition, ticks and the planned stop.
     job_request_context make_request_context(common::time_point now,
                                              ports::actions& out);
     bool config_fresh(common::time_point now) const noexcept;
@@ -104,10 +107,11 @@
     void advance_stop(common::time_point now, ports::actions& out);
     void apply_config(ports::actions& out);
     void erase_stop_notices(common::time_point now, ports::actions& out);
-    /// Whether hashing gives this member what one of them does for all.
+    /// Whether rendezvous hashing selects this member for work that one
+    /// member does for all.
     bool is_chosen_for(std::string const& key) const;
 
-    // planner_cells.cpp: the cells that it owns.
+    // planner_cells.cpp: the cells that this planner owns.
     cell_context make_cell_context(common::time_point now,
                                    std::string const& cell,
                                    ports::actions& out);
@@ -119,8 +123,9 @@
                   ports::actions& out);
     void remove_cell(std::string const& cell);
     void hand_over(common::time_point now, ports::actions& out);
-    void
-    deliver_inbox(common::time_point now, cell_runner& to, ports::actions& out);
+    void deliver_inbox(common::time_point now,
+                       cell_runner& target,
+                       ports::actions& out);
     void publish_faulty_jobs(common::time_point now, ports::actions& out);
     void set_partitions();
 
@@ -139,15 +144,15 @@
     placement::interference_model interference_estimates_;
     task_counters counters_;
     std::map<std::string, std::unique_ptr<cell_runner>> cells_;
-    std::set<std::string> releasing_; ///< Asked to hand over, not yet idle.
-    /// Cells that an event concerned; the others wait for the next round.
+    std::set<std::string> releasing_; ///< Cells that are being handed over.
+    /// Cells that an event affected; the others are ticked in the next round.
     std::set<std::string> dirty_cells_;
-    common::time_point next_round_{};
-    std::uint64_t rounds_ = 0;
+    common::time_point next_round_at_{};
+    std::uint64_t round_count_ = 0;
     std::uint64_t known_revision_ = 0;
     std::uint64_t stop_notice_call_ = 0;
     bool workers_known_ = false;
-    std::optional<common::time_point> stop_since_;
+    std::optional<common::time_point> stop_started_at_;
     bool removing_record_ = false;
     bool stop_reported_ = false;
 };
--- a/src/core/tasks/planner_events.cpp
+++ b/src/core/tasks/planner_events.cpp
@@ -3,23 +3,23 @@
 #include <optional>
 #include <variant>
 
-// What comes in, and to which part it goes.
+// Dispatch of incoming events to the parts of the planner.
 namespace fuchsia::core::tasks
 {
 
 namespace
 {
 
-// Tells the follower which revision a promise carries.
+// Returns the configuration revision of a promise, for the follower.
 std::optional<std::uint64_t> revision_in(ports::peer_message const& message)
 {
-    if (auto const* asked = std::get_if<ports::promise_request>(&message))
+    if (auto const* request = std::get_if<ports::promise_request>(&message))
     {
-        return asked->config_revision;
+        return request->config_revision;
     }
-    if (auto const* told = std::get_if<ports::promise_reply>(&message))
+    if (auto const* reply = std::get_if<ports::promise_reply>(&message))
     {
-        return told->config_revision;
+        return reply->config_revision;
     }
     return std::nullopt;
 }
@@ -55,7 +55,7 @@
         process_events(now, out);
         return true;
     }
-    auto to_desk = make_request_context(now, out);
+    auto request_context = make_request_context(now, out);
     auto const cell = cells_.find(tag->name);
     switch (tag->owner)
     {
@@ -65,23 +65,23 @@
     case call_owner::erase:
         if (cell != cells_.end())
         {
-            auto with = make_cell_context(now, tag->name, out);
-            cell->second->on_store_reply(with, *tag, reply);
+            auto context = make_cell_context(now, tag->name, out);
+            cell->second->on_store_reply(context, *tag, reply);
             dirty_cells_.insert(tag->name);
         }
         break;
     case call_owner::inbox:
         if (inbox_.on_store_reply(now, *tag, reply))
         {
-            for (auto& [name, each] : cells_)
+            for (auto& [name, runner] : cells_)
             {
-                deliver_inbox(now, *each, out);
+                deliver_inbox(now, *runner, out);
             }
             mark_all_cells_dirty();
         }
         break;
     case call_owner::job_requests:
-        job_request_handler_.on_store_reply(to_desk, *tag, reply);
+        job_request_handler_.on_store_reply(request_context, *tag, reply);
         break;
     case call_owner::quota:
         quotas_.on_store_reply(now, *tag, reply);
@@ -109,13 +109,13 @@
     auto const* from = member_.find(message.from);
     if (from != nullptr)
     {
-        auto const where = from->peer_address;
+        auto const address = from->peer_address;
         if (auto const revision = revision_in(message.message))
         {
             follower_.on_peer_revision(
-                now, *revision, message.from, where, out);
+                now, *revision, message.from, address, out);
         }
-        follower_.on_peer(now, message, where, out);
+        follower_.on_peer(now, message, address, out);
     }
     member_.on_peer(now, message, out);
     process_events(now, out);
@@ -151,8 +151,8 @@
     auto const cell = cells_.find(view->info.rack);
     if (cell != cells_.end())
     {
-        auto with = make_cell_context(now, cell->first, out);
-        cell->second->on_report(with, report);
+        auto context = make_cell_context(now, cell->first, out);
+        cell->second->on_report(context, report);
     }
 }
 
@@ -168,8 +168,8 @@
     auto const cell = cells_.find(tag->cell);
     if (cell != cells_.end())
     {
-        auto with = make_cell_context(now, tag->cell, out);
-        cell->second->on_worker_reply(with, *tag, reply);
+        auto context = make_cell_context(now, tag->cell, out);
+        cell->second->on_worker_reply(context, *tag, reply);
     }
 }
 
@@ -177,8 +177,8 @@
                                     job_request const& request,
                                     ports::actions& out)
 {
-    auto to_desk = make_request_context(now, out);
-    job_request_handler_.on_request(to_desk, request);
+    auto request_context = make_request_context(now, out);
+    job_request_handler_.on_request(request_context, request);
 }
 
 } // namespace fuchsia::core::tasks
