--- a/src/core/tasks/job.cpp
+++ b/src/core/tasks/job.cpp
@@ -17,11 +17,12 @@
 constexpr std::int64_t max_accelerators = 10'000;
 constexpr std::int64_t max_tasks = 10'000;
 constexpr std::int64_t max_work_ms = 30LL * 24 * 3'600'000;
-constexpr std::size_t max_name = 96;
+constexpr std::size_t max_name_bytes = 96;
 
 constexpr std::array<std::string_view, 2> kind_names{"service", "batch"};
 
-// Ids become part of store keys and of task names, which are split at '/'.
+// Whether `name` is allowed as an id. Ids become part of store keys and of task
+// names, which are split at '/', so that they must not contain one.
 bool is_name(std::string_view name) noexcept
 {
     auto const allowed = [](char letter)
@@ -31,7 +32,7 @@
                (letter >= '0' && letter <= '9') || letter == '-' ||
                letter == '_' || letter == '.';
     };
-    return !name.empty() && name.size() <= max_name &&
+    return !name.empty() && name.size() <= max_name_bytes &&
            std::all_of(name.begin(), name.end(), allowed);
 }
 
--- a/src/core/tasks/job_registration.cpp
+++ b/src/core/tasks/job_registration.cpp
@@ -45,12 +45,12 @@
         reason = reader.reason();
         return std::nullopt;
     }
-    auto what = parse_job(json::serialize(*inner), reason);
-    if (!what)
+    auto definition = parse_job(json::serialize(*inner), reason);
+    if (!definition)
     {
         return std::nullopt;
     }
-    out.definition = std::move(*what);
+    out.definition = std::move(*definition);
     return out;
 }
 
--- a/src/core/tasks/job_registration.hpp
+++ b/src/core/tasks/job_registration.hpp
@@ -12,7 +12,7 @@
 
 std::string job_registration_key(std::string const& job);
 
-/// The value of `jobs/<id>`.
+/// Value of the store key `jobs/<id>`.
 struct job_registration
 {
     std::string writer;
--- a/src/core/tasks/job_registry_sweep.cpp
+++ b/src/core/tasks/job_registry_sweep.cpp
@@ -21,15 +21,15 @@
 }
 
 void job_registry_sweep::tick(common::time_point now,
-                              bool ours,
+                              bool is_sweeper,
                               store_calls& calls,
                               ports::actions& out)
 {
-    if (!std::exchange(began_, true))
+    if (!std::exchange(started_, true))
     {
-        next_ = now + settings_.interval;
+        next_sweep_ = now + settings_.interval;
     }
-    if (!ours || call_ != 0)
+    if (!is_sweeper || call_ != 0)
     {
         return;
     }
@@ -40,10 +40,10 @@
     };
     switch (step_)
     {
-    case step::resting:
-        if (now >= next_)
+    case step::idle:
+        if (now >= next_sweep_)
         {
-            next_ = now + settings_.interval;
+            next_sweep_ = now + settings_.interval;
             step_ = step::listing_registry;
             list(registry_prefix);
         }
@@ -60,7 +60,7 @@
     case step::erasing:
         if (erasable_.empty())
         {
-            step_ = step::resting;
+            step_ = step::idle;
         }
         else if (calls.may_write(now))
         {
@@ -86,21 +86,21 @@
     call_ = 0;
     if (step_ == step::erasing)
     {
-        return; // An erasure that failed is found by a later sweep.
+        return; // A later sweep repeats an erasure that failed.
     }
     if (reply.status != ports::store_status::done)
     {
-        step_ = step::resting;
+        step_ = step::idle;
         return;
     }
     switch (step_)
     {
     case step::listing_registry:
-        registered_.clear();
-        known_.clear();
+        registered_jobs_.clear();
+        known_jobs_.clear();
         for (auto const& entry : reply.entries)
         {
-            registered_[entry.key.substr(registry_prefix.size())] =
+            registered_jobs_[entry.key.substr(registry_prefix.size())] =
                 entry.version;
         }
         step_ = step::listing_inbox;
@@ -108,44 +108,45 @@
     case step::listing_inbox:
         for (auto const& [id, view] : build_job_views(reply.entries, {}, {}))
         {
-            known_.insert(id);
+            known_jobs_.insert(id);
         }
         step_ = step::listing_tasks;
         break;
     case step::listing_tasks:
-        compare(reply.entries);
+        find_unknown_jobs(reply.entries);
         step_ = step::erasing;
         break;
-    case step::resting:
+    case step::idle:
     case step::erasing:
         break;
     }
 }
 
-void job_registry_sweep::compare(std::vector<ports::store_entry> const& cells)
+void job_registry_sweep::find_unknown_jobs(
+    std::vector<ports::store_entry> const& cells)
 {
     for (auto const& [id, view] : build_job_views({}, cells, {}))
     {
-        known_.insert(id);
+        known_jobs_.insert(id);
     }
-    auto const before = std::exchange(unknown_, {});
+    auto const previous = std::exchange(unknown_jobs_, {});
     erasable_.clear();
-    for (auto const& [id, version] : registered_)
+    for (auto const& [id, version] : registered_jobs_)
     {
-        if (known_.count(id) != 0)
+        if (known_jobs_.count(id) != 0)
         {
             continue;
         }
-        unknown_[id] = version;
-        auto const last = before.find(id);
-        if (last != before.end() && last->second == version &&
+        unknown_jobs_[id] = version;
+        auto const last = previous.find(id);
+        if (last != previous.end() && last->second == version &&
             erasable_.size() < settings_.max_erasures)
         {
             erasable_.emplace_back(id, version);
         }
     }
-    registered_.clear();
-    known_.clear();
+    registered_jobs_.clear();
+    known_jobs_.clear();
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/job_registry_sweep.hpp
+++ b/src/core/tasks/job_registry_sweep.hpp
@@ -15,24 +15,25 @@
 struct job_registry_sweep_settings
 {
     common::duration interval = std::chrono::minutes(10);
-    /// Erasures in one sweep at most.
+    /// Maximum number of erasures in one sweep.
     std::size_t max_erasures = 500;
 };
 
-/// Erases `jobs/<id>` of jobs that no cell and no inbox knows any more. Parts
-/// of a job lie in several cells, so none of them can tell alone.
+/// Erases the key `jobs/<id>` of jobs that are in no cell and no inbox any
+/// more. The tasks of a job may be spread over several cells, so that no cell
+/// can decide this alone.
 ///
-/// A job that is on its way from one cell to another, or that was registered
-/// and not yet delivered, may be missing from one look: a key is erased only
-/// where two sweeps in a row, at the same version, found it unknown.
+/// A job in transfer between two cells, or one that is registered but not yet
+/// delivered, may be missing from a single read. A key is therefore erased only
+/// if two consecutive sweeps found the job unknown at the same version.
 class job_registry_sweep
 {
 public:
     explicit job_registry_sweep(job_registry_sweep_settings settings);
 
-    /// `ours`: whether this planner is the one that sweeps.
+    /// `is_sweeper` tells whether this planner is the one that sweeps.
     void tick(common::time_point now,
-              bool ours,
+              bool is_sweeper,
               store_calls& calls,
               ports::actions& out);
     void on_store_reply(call_tag const& tag, ports::store_reply const& reply);
@@ -40,23 +41,26 @@
 private:
     enum class step : std::uint8_t
     {
-        resting,
-        listing_registry, ///< First, so that what is newer is not missed.
+        idle,
+        listing_registry, ///< First: the later lists then show deliveries
+                          ///< since.
         listing_inbox,
         listing_tasks,
         erasing,
     };
 
-    void compare(std::vector<ports::store_entry> const& cells);
+    void find_unknown_jobs(std::vector<ports::store_entry> const& cells);
 
     job_registry_sweep_settings settings_;
-    step step_ = step::resting;
-    common::time_point next_{};
-    bool began_ = false;
+    step step_ = step::idle;
+    common::time_point next_sweep_{};
+    bool started_ = false;
     std::uint64_t call_ = 0;
-    std::map<std::string, std::uint64_t> registered_; ///< Job to version.
-    std::set<std::string> known_;
-    std::map<std::string, std::uint64_t> unknown_; ///< By the last sweep.
+    std::map<std::string, std::uint64_t>
+        registered_jobs_; ///< Version by job id.
+    std::set<std::string> known_jobs_;
+    std::map<std::string, std::uint64_t>
+        unknown_jobs_; ///< Version by job id, of the last sweep.
     std::vector<std::pair<std::string, std::uint64_t>> erasable_;
 };
 
--- a/src/core/tasks/job_request_handler.cpp
+++ b/src/core/tasks/job_request_handler.cpp
@@ -48,37 +48,38 @@
 {
 }
 
-void job_request_handler::answer(job_request_context& with,
-                                 pending_request const& of,
+void job_request_handler::answer(job_request_context& context,
+                                 pending_request const& pending,
                                  std::uint16_t status,
                                  std::string body)
 {
-    if (of.kind == request_kind::stop)
+    if (pending.kind == request_kind::stop)
     {
         return;
     }
     ports::caller_reply out;
-    out.caller = of.caller;
+    out.caller = pending.caller;
     out.answer.status = status;
     out.answer.headers.push_back({"Content-Type", "application/json"});
     out.answer.body = std::move(body);
-    with.out.emplace_back(std::move(out));
+    context.out.emplace_back(std::move(out));
 }
 
-void job_request_handler::on_request(job_request_context& with,
+void job_request_handler::on_request(job_request_context& context,
                                      job_request const& request)
 {
     std::string_view target = request.target;
-    auto const mark = target.find('?');
-    std::string_view const query =
-        mark == std::string_view::npos ? "" : target.substr(mark + 1);
-    target = target.substr(0, mark);
+    auto const query_start = target.find('?');
+    std::string_view const query = query_start == std::string_view::npos
+                                       ? ""
+                                       : target.substr(query_start + 1);
+    target = target.substr(0, query_start);
     bool const all = target == jobs_path;
     std::string_view id =
         all ? "" : target.substr(std::min(target.size(), jobs_path.size() + 1));
     if (!all && (id.empty() || id.find('/') != std::string_view::npos))
     {
-        with.out.emplace_back(refuse(
+        context.out.emplace_back(refuse(
             request.caller,
             {result_code::unknown_path, request.target, "no such path"}));
         return;
@@ -88,7 +89,7 @@
     next.id = id;
     if (all && request.method == "POST")
     {
-        submit(with, request);
+        submit(context, request);
         return;
     }
     if (request.method == "GET")
@@ -105,57 +106,59 @@
     }
     else
     {
-        with.out.emplace_back(
+        context.out.emplace_back(
             refuse(request.caller,
                    {result_code::bad_method, request.target, request.method}));
         return;
     }
-    begin(with, std::move(next));
+    begin(context, std::move(next));
 }
 
-void job_request_handler::publish_stop(job_request_context& with,
-                                       job_stopped const& what)
+void job_request_handler::publish_stop(job_request_context& context,
+                                       job_stopped const& stopped)
 {
     pending_request next;
     next.kind = request_kind::stop;
     next.current_step = step::publishing_stop;
-    next.id = what.job;
-    next.notice = {"", 0, what.job, what.code, what.why};
-    begin(with, std::move(next));
+    next.id = stopped.job;
+    next.notice = {"", 0, stopped.job, stopped.code, stopped.why};
+    begin(context, std::move(next));
 }
 
 std::optional<common::failure>
-job_request_handler::refusal(job_request_context& with, job const& wanted) const
+job_request_handler::refusal(job_request_context& context,
+                             job const& definition) const
 {
-    if (!with.accepting)
+    if (!context.accepting)
     {
         return common::failure{
             result_code::draining, "", "this planner is stopping"};
     }
-    if (with.inbox_message_count >= settings_.max_inbox_messages)
+    if (context.inbox_message_count >= settings_.max_inbox_messages)
     {
         return common::failure{
             result_code::queue_full, "inbox", "too many jobs wait"};
     }
-    if (with.config.withdrawn.count(wanted.customer) != 0)
+    if (context.config.withdrawn.count(definition.customer) != 0)
     {
-        return common::failure{
-            result_code::contract_withdrawn, "job.customer", wanted.customer};
+        return common::failure{result_code::contract_withdrawn,
+                               "job.customer",
+                               definition.customer};
     }
-    auto const contract = with.config.contracts.find(wanted.customer);
-    if (contract == with.config.contracts.end())
+    auto const contract = context.config.contracts.find(definition.customer);
+    if (contract == context.config.contracts.end())
     {
         return common::failure{
-            result_code::unknown_customer, "job.customer", wanted.customer};
+            result_code::unknown_customer, "job.customer", definition.customer};
     }
-    if (!contract->second.capacity.covers(wanted.declared))
+    if (!contract->second.capacity.covers(definition.declared))
     {
         return common::failure{result_code::over_contract_resources,
                                "job",
                                "one task exceeds the contract"};
     }
-    if (!with.workers.all().empty() &&
-        !with.workers.ever_fits(wanted.declared, wanted.data_centre))
+    if (!context.workers.all().empty() &&
+        !context.workers.ever_fits(definition.declared, definition.data_centre))
     {
         return common::failure{
             result_code::job_never_fits, "job", "larger than any worker"};
@@ -163,95 +166,99 @@
     return std::nullopt;
 }
 
-void job_request_handler::submit(job_request_context& with,
+void job_request_handler::submit(job_request_context& context,
                                  job_request const& request)
 {
     common::failure reason;
-    auto wanted = parse_job(request.body, reason);
-    if (!wanted)
+    auto definition = parse_job(request.body, reason);
+    if (!definition)
     {
-        with.out.emplace_back(refuse(request.caller, reason));
+        context.out.emplace_back(refuse(request.caller, reason));
         return;
     }
-    if (auto const why = refusal(with, *wanted))
+    if (auto const reason_to_refuse = refusal(context, *definition))
     {
-        with.out.emplace_back(refuse(request.caller, *why));
+        context.out.emplace_back(refuse(request.caller, *reason_to_refuse));
         return;
     }
     auto cell =
-        with.loads.choose_cell({wanted->declared,
-                                wanted->data_centre,
-                                "",
-                                false,
-                                with.config.data_centres_out_of_service},
-                               with.workers);
+        context.loads.choose_cell({definition->declared,
+                                   definition->data_centre,
+                                   "",
+                                   false,
+                                   context.config.data_centres_out_of_service},
+                                  context.workers);
     if (!cell)
     {
-        // Its data centre is out: it waits there until that comes back.
-        cell = with.loads.choose_cell(
-            {wanted->declared, wanted->data_centre, "", false, {}},
-            with.workers);
+        // The requested data centre is out of service: the job waits in one of
+        // its cells until it is back.
+        cell = context.loads.choose_cell(
+            {definition->declared, definition->data_centre, "", false, {}},
+            context.workers);
     }
     if (!cell)
     {
-        with.out.emplace_back(refuse(
+        context.out.emplace_back(refuse(
             request.caller,
             {result_code::worker_unreachable, "", "no worker is known yet"}));
         return;
     }
-    auto const sent = std::min<std::uint32_t>(wanted->tasks, 64);
-    for (std::uint32_t count = 0; count < sent; ++count)
+    auto const reserved_tasks = std::min<std::uint32_t>(definition->tasks, 64);
+    for (std::uint32_t count = 0; count < reserved_tasks; ++count)
     {
-        with.loads.reserve(*cell, wanted->declared);
+        context.loads.reserve(*cell, definition->declared);
     }
     pending_request next;
     next.caller = request.caller;
     next.kind = request_kind::submit;
     next.current_step = step::registering;
-    next.id = wanted->id;
-    next.submitted = std::move(*wanted);
+    next.id = definition->id;
+    next.submitted = std::move(*definition);
     next.cell = *cell;
-    begin(with, std::move(next));
+    begin(context, std::move(next));
 }
 
-void job_request_handler::begin(job_request_context& with, pending_request next)
+void job_request_handler::begin(job_request_context& context,
+                                pending_request next)
 {
     if (pending_requests_.size() >= settings_.max_requests &&
         next.kind != request_kind::stop)
     {
-        with.out.emplace_back(
+        context.out.emplace_back(
             refuse(next.caller,
                    {result_code::queue_full, "", "too many requests wait"}));
         return;
     }
-    next.started_at = with.now;
+    next.started_at = context.now;
     next.writer = writer_ + std::to_string(++last_request_number_);
     auto& stored = pending_requests_[last_request_number_];
     stored = std::move(next);
-    send(with, stored);
+    send(context, stored);
 }
 
-void job_request_handler::send(job_request_context& with, pending_request& of)
+void job_request_handler::send(job_request_context& context,
+                               pending_request& pending)
 {
-    bool const writes = of.current_step == step::registering ||
-                        of.current_step == step::delivering ||
-                        of.current_step == step::publishing_stop;
-    if (writes && !with.calls.may_write(with.now))
+    bool const writes = pending.current_step == step::registering ||
+                        pending.current_step == step::delivering ||
+                        pending.current_step == step::publishing_stop;
+    if (writes && !context.calls.may_write(context.now))
     {
-        of.next_retry_at = with.now;
+        pending.next_retry_at = context.now;
         return;
     }
     ports::store_operation operation;
-    switch (of.current_step)
+    switch (pending.current_step)
     {
     case step::registering:
         operation = ports::store_write{
-            job_registration_key(of.id),
-            to_json(job_registration{of.writer, of.cell, of.submitted}),
+            job_registration_key(pending.id),
+            to_json(job_registration{
+                pending.writer, pending.cell, pending.submitted}),
             0};
         break;
     case step::reading_job:
-        operation = ports::store_read{job_registration_key(of.id)};
+        operation = ports::store_read{job_registration_key(pending.id)};
         break;
     case step::listing_inbox:
         operation = ports::store_list{"inbox/"};
@@ -260,40 +267,44 @@
         operation = ports::store_list{"tasks/"};
         break;
     case step::delivering:
-        operation =
-            ports::store_write{inbox_key(of.cell, of.id),
-                               to_json(make_submission_message(of.submitted)),
-                               0};
+        operation = ports::store_write{
+            inbox_key(pending.cell, pending.id),
+            to_json(make_submission_message(pending.submitted)),
+            0};
         break;
     case step::publishing_stop:
-        operation = ports::store_write{stop_key(of.id), to_json(of.notice), 0};
+        operation = ports::store_write{
+            stop_key(pending.id), to_json(pending.notice), 0};
         break;
     }
-    of.call = with.calls.send(
-        call_owner::job_requests, of.id, std::move(operation), with.out);
+    pending.call = context.calls.send(call_owner::job_requests,
+                                      pending.id,
+                                      std::move(operation),
+                                      context.out);
 }
 
-void job_request_handler::tick(job_request_context& with)
+void job_request_handler::tick(job_request_context& context)
 {
     for (auto item = pending_requests_.begin();
          item != pending_requests_.end();)
     {
-        auto& of = item->second;
-        if (of.call == 0 &&
-            with.now - of.started_at >= settings_.request_timeout &&
-            of.kind != request_kind::stop)
+        auto& pending = item->second;
+        if (pending.call == 0 &&
+            context.now - pending.started_at >= settings_.request_timeout &&
+            pending.kind != request_kind::stop)
         {
-            auto const code = of.write_may_have_applied
+            auto const code = pending.write_may_have_applied
                                   ? result_code::store_unclear
                                   : result_code::store_unavailable;
-            with.out.emplace_back(
-                refuse(of.caller, {code, of.id, "the store does not answer"}));
+            context.out.emplace_back(
+                refuse(pending.caller,
+                       {code, pending.id, "the store does not answer"}));
             item = pending_requests_.erase(item);
             continue;
         }
-        if (of.call == 0 && with.now >= of.next_retry_at)
+        if (pending.call == 0 && context.now >= pending.next_retry_at)
         {
-            send(with, of);
+            send(context, pending);
         }
         ++item;
     }
--- a/src/core/tasks/job_request_handler.hpp
+++ b/src/core/tasks/job_request_handler.hpp
@@ -20,15 +20,15 @@
 struct job_request_handler_settings
 {
     common::duration retry_interval = std::chrono::milliseconds(150);
-    /// A request that the store kept from ending is answered after this.
+    /// Time after which a request that waits for the store is refused.
     common::duration request_timeout = std::chrono::seconds(5);
-    /// Requests under way; one more is refused.
+    /// Maximum number of pending requests; further ones are refused.
     std::size_t max_requests = 512;
-    /// Parcels that lie in inboxes; beyond it new jobs are refused.
+    /// Maximum number of messages in inboxes; beyond it new jobs are refused.
     std::size_t max_inbox_messages = 4000;
 };
 
-/// An operator's request on a path below `/v1/jobs`, as the HTTP side got it.
+/// Request of an operator on a path below `/v1/jobs`, as received over HTTP.
 struct job_request
 {
     std::uint64_t caller = 0;
@@ -37,7 +37,7 @@
     std::string body;
 };
 
-/// What the desk looks at while it handles a request.
+/// State that the handler uses while it handles a request.
 struct job_request_context
 {
     common::time_point now;
@@ -46,37 +46,37 @@
     load_table& loads;
     store_calls& calls;
     std::size_t inbox_message_count = 0;
-    bool accepting = true; ///< False while the planner stops.
+    bool accepting = true; ///< False while the planner is stopping.
     ports::actions& out;
 };
 
-/// Takes jobs and cancellations in and lists jobs, for any cell. A job is
-/// accepted when the store has it: first `jobs/<id>`, which makes its id
-/// unique, then the inbox of the cell that was chosen for it.
+/// Accepts jobs and cancellations and lists jobs, for all cells. A job is
+/// accepted once it is stored: first below `jobs/<id>`, which makes its id
+/// unique, then in the inbox of the cell that was chosen for it.
 class job_request_handler
 {
 public:
     job_request_handler(std::uint64_t incarnation,
                         job_request_handler_settings settings);
 
-    /// Answers by a `caller_reply`, now or later.
-    void on_request(job_request_context& with, job_request const& request);
-    /// Has all cells stop a job that was found to be at fault.
-    void publish_stop(job_request_context& with, job_stopped const& what);
+    /// Answers with a `caller_reply`, at once or later.
+    void on_request(job_request_context& context, job_request const& request);
+    /// Publishes a notice on which all cells stop a faulty job.
+    void publish_stop(job_request_context& context, job_stopped const& stopped);
 
-    void tick(job_request_context& with);
-    void on_store_reply(job_request_context& with,
+    void tick(job_request_context& context);
+    void on_store_reply(job_request_context& context,
                         call_tag const& tag,
                         ports::store_reply const& reply);
 
 private:
     enum class step : std::uint8_t
     {
-        registering,   ///< Writes `jobs/<id>`.
-        reading_job,   ///< Reads it back, or finds out whose it is.
-        listing_inbox, ///< Is a job with this id known anywhere?
-        listing_tasks,
-        delivering,      ///< Writes the parcel into the cell's inbox.
+        registering,     ///< Writes `jobs/<id>`.
+        reading_job,     ///< Reads it back to find its writer.
+        listing_inbox,   ///< Looks for the job in the inboxes.
+        listing_tasks,   ///< Looks for the job in the cells.
+        delivering,      ///< Writes the message into the cell's inbox.
         publishing_stop, ///< Writes the stop notice.
     };
     enum class request_kind : std::uint8_t
@@ -85,7 +85,7 @@
         cancel,
         list,
         show,
-        stop, ///< Of the planner itself; answers nobody.
+        stop, ///< Sent by the planner itself; gets no answer.
     };
     struct pending_request
     {
@@ -103,34 +103,35 @@
         common::time_point next_retry_at{};
         std::uint64_t call = 0;
         bool write_may_have_applied =
-            false; ///< A write of this errand may have taken effect.
+            false; ///< Whether a write of this request may have taken effect.
     };
 
-    // job_desk.cpp: requests, and the calls that they need.
-    void submit(job_request_context& with, job_request const& request);
-    void begin(job_request_context& with, pending_request next);
-    void send(job_request_context& with, pending_request& of);
-    std::optional<common::failure> refusal(job_request_context& with,
-                                           job const& wanted) const;
-    static void answer(job_request_context& with,
-                       pending_request const& of,
+    // job_request_handler.cpp: requests and their store calls.
+    void submit(job_request_context& context, job_request const& request);
+    void begin(job_request_context& context, pending_request next);
+    void send(job_request_context& context, pending_request& pending);
+    std::optional<common::failure> refusal(job_request_context& context,
+                                           job const& definition) const;
+    static void answer(job_request_context& context,
+                       pending_request const& pending,
                        std::uint16_t status,
                        std::string body);
 
-    // job_desk_replies.cpp: what the store answers.
-    /// Each gives false where the errand is over.
-    bool on_registered(pending_request& of, ports::store_reply const& reply);
-    bool on_job_read(job_request_context& with,
-                     pending_request& of,
+    // job_request_replies.cpp: replies of the store. Each of these functions
+    // returns false if the request is complete.
+    bool on_registered(pending_request& pending,
+                       ports::store_reply const& reply);
+    bool on_job_read(job_request_context& context,
+                     pending_request& pending,
                      ports::store_reply const& reply);
-    bool on_listed(job_request_context& with,
-                   pending_request& of,
+    bool on_listed(job_request_context& context,
+                   pending_request& pending,
                    ports::store_reply const& reply);
-    bool on_delivered(job_request_context& with,
-                      pending_request& of,
+    bool on_delivered(job_request_context& context,
+                      pending_request& pending,
                       ports::store_reply const& reply);
-    bool on_stop_published(job_request_context& with,
-                           pending_request& of,
+    bool on_stop_published(job_request_context& context,
+                           pending_request& pending,
                            ports::store_reply const& reply);
 
     std::string writer_;
@@ -139,7 +140,7 @@
     std::map<std::uint64_t, pending_request> pending_requests_;
 };
 
-/// An answer that refuses, with the code's number, name and HTTP status.
+/// Returns a refusal with the number, name and HTTP status of the code.
 ports::caller_reply refuse(std::uint64_t caller, common::failure reason);
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/job_request_replies.cpp
+++ b/src/core/tasks/job_request_replies.cpp
@@ -3,7 +3,7 @@
 #include "core/common/json.hpp"
 #include "core/tasks/job_registration.hpp"
 
-// What the store answers to errands.
+// Replies of the store to pending job requests.
 namespace fuchsia::core::tasks
 {
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void job_request_handler::on_store_reply(job_request_context& with,
+void job_request_handler::on_store_reply(job_request_context& context,
                                          call_tag const& tag,
                                          ports::store_reply const& reply)
 {
@@ -38,128 +38,134 @@
     {
         return;
     }
-    auto& of = item->second;
-    of.call = 0;
-    of.next_retry_at = with.now;
+    auto& pending = item->second;
+    pending.call = 0;
+    pending.next_retry_at = context.now;
     if (reply.status == ports::store_status::unavailable ||
         reply.status == ports::store_status::unclear)
     {
-        // A write is sent again as it was: where the first took effect the
-        // second conflicts, and reading back shows whose the key is.
-        of.write_may_have_applied =
-            of.write_may_have_applied ||
+        // A write is retried unchanged: if the first one took effect, the
+        // second conflicts, and reading the key back shows who wrote it.
+        pending.write_may_have_applied =
+            pending.write_may_have_applied ||
             reply.status == ports::store_status::unclear;
-        of.next_retry_at = with.now + settings_.retry_interval;
+        pending.next_retry_at = context.now + settings_.retry_interval;
         return;
     }
-    bool goes_on = false;
-    switch (of.current_step)
+    bool in_progress = false;
+    switch (pending.current_step)
     {
     case step::registering:
-        goes_on = on_registered(of, reply);
+        in_progress = on_registered(pending, reply);
         break;
     case step::reading_job:
-        goes_on = on_job_read(with, of, reply);
+        in_progress = on_job_read(context, pending, reply);
         break;
     case step::listing_inbox:
     case step::listing_tasks:
-        goes_on = on_listed(with, of, reply);
+        in_progress = on_listed(context, pending, reply);
         break;
     case step::delivering:
-        goes_on = on_delivered(with, of, reply);
+        in_progress = on_delivered(context, pending, reply);
         break;
     case step::publishing_stop:
-        goes_on = on_stop_published(with, of, reply);
+        in_progress = on_stop_published(context, pending, reply);
         break;
     }
-    if (!goes_on)
+    if (!in_progress)
     {
         pending_requests_.erase(item);
         return;
     }
-    send(with, of);
+    send(context, pending);
 }
 
-bool job_request_handler::on_registered(pending_request& of,
+bool job_request_handler::on_registered(pending_request& pending,
                                         ports::store_reply const& reply)
 {
     bool const done = reply.status == ports::store_status::done;
-    of.write_may_have_applied = of.write_may_have_applied || done;
-    of.current_step = done ? step::delivering : step::reading_job;
+    pending.write_may_have_applied = pending.write_may_have_applied || done;
+    pending.current_step = done ? step::delivering : step::reading_job;
     return true;
 }
 
-bool job_request_handler::on_job_read(job_request_context& with,
-                                      pending_request& of,
+bool job_request_handler::on_job_read(job_request_context& context,
+                                      pending_request& pending,
                                       ports::store_reply const& reply)
 {
     if (reply.entries.empty())
     {
-        if (of.kind == request_kind::submit)
+        if (pending.kind == request_kind::submit)
         {
-            of.current_step = step::registering;
+            pending.current_step = step::registering;
             return true;
         }
-        with.out.emplace_back(
-            refuse(of.caller, {result_code::not_found, of.id, "no such job"}));
+        context.out.emplace_back(
+            refuse(pending.caller,
+                   {result_code::not_found, pending.id, "no such job"}));
         return false;
     }
-    if (of.kind == request_kind::cancel)
+    if (pending.kind == request_kind::cancel)
     {
-        of.current_step = step::publishing_stop;
+        pending.current_step = step::publishing_stop;
         return true;
     }
     common::failure reason;
     auto const found = parse_registration(reply.entries.front().value, reason);
-    if (!found || found->definition != of.submitted)
+    if (!found || found->definition != pending.submitted)
     {
-        with.out.emplace_back(refuse(of.caller,
-                                     {result_code::already_exists,
-                                      of.id,
-                                      "a job with this id and other content"}));
+        context.out.emplace_back(
+            refuse(pending.caller,
+                   {result_code::already_exists,
+                    pending.id,
+                    "a job with this id and other content"}));
         return false;
     }
-    of.cell = found->cell;
-    // Our own registration, or a repeated submission: is it delivered?
-    of.current_step =
-        found->writer == of.writer ? step::delivering : step::listing_inbox;
+    pending.cell = found->cell;
+    // The registration of this request is delivered next. For a repeated
+    // submission the lists show whether it was delivered already.
+    pending.current_step = found->writer == pending.writer
+                               ? step::delivering
+                               : step::listing_inbox;
     return true;
 }
 
-bool job_request_handler::on_listed(job_request_context& with,
-                                    pending_request& of,
+bool job_request_handler::on_listed(job_request_context& context,
+                                    pending_request& pending,
                                     ports::store_reply const& reply)
 {
-    if (of.current_step == step::listing_inbox)
+    if (pending.current_step == step::listing_inbox)
     {
-        of.inboxes = reply.entries;
-        of.current_step = step::listing_tasks;
+        pending.inboxes = reply.entries;
+        pending.current_step = step::listing_tasks;
         return true;
     }
-    auto const jobs = build_job_views(of.inboxes, reply.entries, with.config);
-    auto const found = jobs.find(of.id);
-    switch (of.kind)
+    auto const jobs =
+        build_job_views(pending.inboxes, reply.entries, context.config);
+    auto const found = jobs.find(pending.id);
+    switch (pending.kind)
     {
     case request_kind::submit:
         if (found == jobs.end())
         {
-            // Whoever registered it died before it was delivered.
-            of.current_step = step::delivering;
+            // The planner that registered the job died before delivering it.
+            pending.current_step = step::delivering;
             return true;
         }
-        answer(with, of, 200, accepted_body(of.id));
+        answer(context, pending, 200, accepted_body(pending.id));
         return false;
     case request_kind::show:
         if (found == jobs.end())
         {
-            with.out.emplace_back(refuse(
-                of.caller, {result_code::not_found, of.id, "no such job"}));
+            context.out.emplace_back(
+                refuse(pending.caller,
+                       {result_code::not_found, pending.id, "no such job"}));
             return false;
         }
-        answer(with, of, 200, to_json(found->second, true));
+        answer(context, pending, 200, to_json(found->second, true));
         return false;
     case request_kind::list:
-        answer(with, of, 200, to_json(jobs, of.state));
+        answer(context, pending, 200, to_json(jobs, pending.state));
         return false;
     case request_kind::cancel:
     case request_kind::stop:
@@ -168,20 +174,21 @@
     return false;
 }
 
-bool job_request_handler::on_delivered(job_request_context& with,
-                                       pending_request& of,
+bool job_request_handler::on_delivered(job_request_context& context,
+                                       pending_request& pending,
                                        ports::store_reply const&)
 {
-    // Done, or a conflict: it lies there already.
-    answer(with, of, 200, accepted_body(of.id));
+    // Either the write is done, or it conflicts because the message is in the
+    // inbox already.
+    answer(context, pending, 200, accepted_body(pending.id));
     return false;
 }
 
-bool job_request_handler::on_stop_published(job_request_context& with,
-                                            pending_request& of,
+bool job_request_handler::on_stop_published(job_request_context& context,
+                                            pending_request& pending,
                                             ports::store_reply const&)
 {
-    answer(with, of, 200, cancelled_body(of.id));
+    answer(context, pending, 200, cancelled_body(pending.id));
     return false;
 }
 
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -28,8 +28,9 @@
     }
 }
 
-// A cell that moved a task away shows it as moving until the next cell's own
-// record of it replaces that.
+// Adds a task that may be known from another cell already. The cell that
+// transferred a task away shows it as moving; the record of the receiving cell
+// replaces that one.
 void add_task(std::map<std::uint32_t, task_view>& tasks, task_view next)
 {
     auto const found = tasks.find(next.index);
@@ -38,31 +39,31 @@
         tasks.emplace(next.index, std::move(next));
         return;
     }
-    auto& known = found->second;
-    bool const better =
-        known.state == "moving"
-            ? next.state != "moving" || next.attempt >= known.attempt
-            : next.state != "moving" && next.attempt > known.attempt;
-    if (better)
+    auto& existing = found->second;
+    bool const replaces =
+        existing.state == "moving"
+            ? next.state != "moving" || next.attempt >= existing.attempt
+            : next.state != "moving" && next.attempt > existing.attempt;
+    if (replaces)
     {
-        known = std::move(next);
+        existing = std::move(next);
     }
 }
 
-struct gathered
+struct merged_job
 {
-    job what;
+    job definition;
     std::string stop_why;
     std::map<std::uint32_t, task_view> tasks;
 };
 
-void gather_parcel(std::map<std::string, gathered>& jobs,
-                   std::string const& cell,
-                   inbox_message const& what)
+void merge_inbox_message(std::map<std::string, merged_job>& jobs,
+                         std::string const& cell,
+                         inbox_message const& message)
 {
-    auto& job = jobs[what.definition.id];
-    job.what = what.definition;
-    for (auto const& task : what.tasks)
+    auto& job = jobs[message.definition.id];
+    job.definition = message.definition;
+    for (auto const& task : message.tasks)
     {
         add_task(job.tasks,
                  {task.index,
@@ -75,14 +76,14 @@
     }
 }
 
-void gather_cell(std::map<std::string, gathered>& jobs,
-                 std::string const& cell,
-                 cell_state const& state)
+void merge_cell(std::map<std::string, merged_job>& jobs,
+                std::string const& cell,
+                cell_state const& state)
 {
     for (auto const& [id, part] : state.jobs)
     {
         auto& job = jobs[id];
-        job.what = part.definition;
+        job.definition = part.definition;
         if (part.stopped)
         {
             job.stop_why =
@@ -104,11 +105,11 @@
     }
 }
 
-// What a job that has waiting tasks waits for, as far as the whole picture
-// tells.
-std::string waits_for(job_view const& view,
-                      std::map<std::string, ports::resources> const& in_use,
-                      config::configuration const& config)
+// Returns what a job with waiting tasks probably waits for, judged by the
+// resources in use and the configuration.
+std::string wait_reason(job_view const& view,
+                        std::map<std::string, ports::resources> const& in_use,
+                        config::configuration const& config)
 {
     auto const contract = config.contracts.find(view.definition.customer);
     if (contract == config.contracts.end())
@@ -130,7 +131,7 @@
     return "waits for room on a worker";
 }
 
-void count(job_view& view)
+void count_tasks(job_view& view)
 {
     for (auto const& task : view.tasks)
     {
@@ -182,7 +183,7 @@
                 std::vector<ports::store_entry> const& cells,
                 config::configuration const& config)
 {
-    std::map<std::string, gathered> jobs;
+    std::map<std::string, merged_job> jobs;
     std::map<std::string, std::vector<stored_inbox_message>> items;
     std::vector<stop_notice> notices;
     parse_inbox_entries(inboxes, items, notices);
@@ -190,7 +191,7 @@
     {
         for (auto const& item : list)
         {
-            gather_parcel(jobs, cell, item.message);
+            merge_inbox_message(jobs, cell, item.message);
         }
     }
     std::map<std::string, std::vector<ports::store_entry>> by_cell;
@@ -209,7 +210,7 @@
         common::failure reason;
         if (auto const stored = replay(cell, entries, reason))
         {
-            gather_cell(jobs, cell, stored->state);
+            merge_cell(jobs, cell, stored->state);
         }
     }
     std::map<std::string, job_view> out;
@@ -217,7 +218,7 @@
     for (auto& [id, job] : jobs)
     {
         auto& view = out[id];
-        view.definition = job.what;
+        view.definition = job.definition;
         view.why = job.stop_why;
         for (auto& [index, task] : job.tasks)
         {
@@ -227,13 +228,13 @@
             }
             view.tasks.push_back(std::move(task));
         }
-        count(view);
+        count_tasks(view);
     }
     for (auto& [id, view] : out)
     {
         if (view.queued != 0 && view.why.empty())
         {
-            view.why = waits_for(view, in_use, config);
+            view.why = wait_reason(view, in_use, config);
         }
     }
     return out;
--- a/src/core/tasks/job_view.hpp
+++ b/src/core/tasks/job_view.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-// Jobs as operators see them: the parts that lie in several cells, and what
-// still waits in inboxes, put together.
+// Jobs as shown to operators, merged from the tasks in several cells and the
+// messages that wait in inboxes.
 namespace fuchsia::core::tasks
 {
 
@@ -34,13 +34,13 @@
     std::uint32_t finished = 0;
     std::uint32_t failed = 0;
     std::uint32_t cancelled = 0;
-    std::string why; ///< Why it waits or why it ended; empty while it runs.
+    std::string why; ///< Why the job waits or ended; empty while it runs.
     std::vector<task_view> tasks;
 };
 
-/// The jobs in the entries below `inbox/` and then `tasks/`, in this order of
-/// reading: a job that was taken in between is then seen twice rather than
-/// not at all.
+/// Returns the jobs in the entries below `inbox/` and `tasks/`. The inboxes
+/// must be read first: a job that is accepted by its cell between the two reads
+/// is then found twice rather than missed.
 std::map<std::string, job_view>
 build_job_views(std::vector<ports::store_entry> const& inboxes,
                 std::vector<ports::store_entry> const& cells,
