--- a/src/core/tasks/allowance.cpp
+++ b/src/core/tasks/allowance.cpp
@@ -7,29 +7,29 @@
 
 using ports::resources;
 
-resources component_min(resources const& one, resources const& other)
+resources component_min(resources const& lhs, resources const& rhs)
 {
     resources out;
     for (auto const part : resource_parts)
     {
-        out.*part = std::min(one.*part, other.*part);
+        out.*part = std::min(lhs.*part, rhs.*part);
     }
     return out;
 }
 
-resources component_max(resources const& one, resources const& other)
+resources component_max(resources const& lhs, resources const& rhs)
 {
     resources out;
     for (auto const part : resource_parts)
     {
-        out.*part = std::max(one.*part, other.*part);
+        out.*part = std::max(lhs.*part, rhs.*part);
     }
     return out;
 }
 
-bool covers(allowance const& room, allowance const& wanted)
+bool covers(allowance const& limit, allowance const& need)
 {
-    return room.total.covers(wanted.total) && room.batch.covers(wanted.batch);
+    return limit.total.covers(need.total) && limit.batch.covers(need.batch);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/allowance.hpp
+++ b/src/core/tasks/allowance.hpp
@@ -7,7 +7,8 @@
 namespace fuchsia::core::tasks
 {
 
-/// A part of a contract: of everything, and of that what batch may use.
+/// Share of a contract: resources in total, and how much of them batch tasks
+/// may use.
 struct allowance
 {
     ports::resources total;
@@ -20,11 +21,11 @@
                                            &ports::resources::memory_mb,
                                            &ports::resources::accelerators};
 
-/// The least, or the most, of each part.
-ports::resources component_min(ports::resources const& one,
-                               ports::resources const& other);
-ports::resources component_max(ports::resources const& one,
-                               ports::resources const& other);
-bool covers(allowance const& room, allowance const& wanted);
+/// Component-wise minimum and maximum of two resource vectors.
+ports::resources component_min(ports::resources const& lhs,
+                               ports::resources const& rhs);
+ports::resources component_max(ports::resources const& lhs,
+                               ports::resources const& rhs);
+bool covers(allowance const& limit, allowance const& need);
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/inbox.cpp
+++ b/src/core/tasks/inbox.cpp
@@ -47,9 +47,9 @@
 
 } // namespace
 
-std::string inbox_key(std::string const& cell, std::string const& parcel)
+std::string inbox_key(std::string const& cell, std::string const& message_name)
 {
-    return std::string(jobs_prefix) + cell + "/" + parcel;
+    return std::string(jobs_prefix) + cell + "/" + message_name;
 }
 
 std::string stop_key(std::string const& job)
@@ -85,11 +85,11 @@
         auto const rest = entry.key.substr(jobs_prefix.size());
         auto const slash = rest.find('/');
         common::failure reason;
-        auto what = parse_inbox_message(entry.value, reason);
-        if (slash != std::string::npos && what)
+        auto message = parse_inbox_message(entry.value, reason);
+        if (slash != std::string::npos && message)
         {
             items[rest.substr(0, slash)].push_back(
-                {entry.key, entry.version, std::move(*what)});
+                {entry.key, entry.version, std::move(*message)});
         }
     }
 }
@@ -102,15 +102,15 @@
                  store_calls& calls,
                  ports::actions& out)
 {
-    if (call_ != 0 || now < next_try_)
+    if (call_ != 0 || now < next_call_at_)
     {
         return;
     }
     ports::store_operation const list = ports::store_list{std::string(prefix)};
     ports::store_operation const watch =
         ports::store_watch{std::string(prefix), index_, settings_.watch_wait};
-    next_try_ = now + settings_.watch_gap;
-    call_ = calls.send(call_owner::inbox, "", known_ ? watch : list, out);
+    next_call_at_ = now + settings_.min_watch_interval;
+    call_ = calls.send(call_owner::inbox, "", loaded_ ? watch : list, out);
 }
 
 bool inbox::on_store_reply(common::time_point now,
@@ -124,23 +124,25 @@
     call_ = 0;
     if (reply.status != ports::store_status::done)
     {
-        next_try_ = now + settings_.retry_interval;
+        next_call_at_ = now + settings_.retry_interval;
         return false;
     }
-    // An index that went back: the store was replaced; begin again.
+    // An index that went back shows that the store was replaced: start again
+    // at 0.
     index_ = reply.index >= index_ ? reply.index : 0;
-    known_ = true;
+    loaded_ = true;
     items_.clear();
     notices_.clear();
     size_ = reply.entries.size();
     parse_inbox_entries(reply.entries, items_, notices_);
-    std::map<std::string, common::time_point> seen;
+    std::map<std::string, common::time_point> first_seen;
     for (auto const& notice : notices_)
     {
-        auto const before = notice_seen_.find(notice.key);
-        seen[notice.key] = before == notice_seen_.end() ? now : before->second;
+        auto const previous = notice_first_seen_.find(notice.key);
+        first_seen[notice.key] =
+            previous == notice_first_seen_.end() ? now : previous->second;
     }
-    notice_seen_ = std::move(seen);
+    notice_first_seen_ = std::move(first_seen);
     return true;
 }
 
@@ -163,14 +165,15 @@
 
 bool inbox::list_received() const noexcept
 {
-    return known_;
+    return loaded_;
 }
 
 std::optional<stop_notice> inbox::expired_notice(common::time_point now) const
 {
     for (auto const& notice : notices_)
     {
-        if (now - notice_seen_.at(notice.key) >= settings_.notice_time)
+        if (now - notice_first_seen_.at(notice.key) >=
+            settings_.notice_retention)
         {
             return notice;
         }
--- a/src/core/tasks/inbox.hpp
+++ b/src/core/tasks/inbox.hpp
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-// The way of jobs and cancellations to the cells: keys below `inbox/`, which
-// every planner watches with one call.
+// Delivery of jobs and cancellations to the cells through keys below `inbox/`,
+// which every planner follows with a single watch.
 namespace fuchsia::core::tasks
 {
 
-std::string inbox_key(std::string const& cell, std::string const& parcel);
+std::string inbox_key(std::string const& cell, std::string const& message_name);
 std::string stop_key(std::string const& job);
 
-/// A job that all cells are to stop, with the reason.
+/// Notice that all cells have to stop a job, with the reason.
 struct stop_notice
 {
     std::string key;
@@ -35,21 +35,22 @@
 {
     common::duration watch_wait = std::chrono::seconds(10);
     common::duration retry_interval = std::chrono::milliseconds(300);
-    /// Least time between two watches: in a burst one answer then carries many
-    /// changes, rather than each change a call of every planner.
-    common::duration watch_gap = std::chrono::milliseconds(100);
-    /// A notice stays this long, so that parcels under way meet it too.
-    common::duration notice_time = std::chrono::minutes(2);
+    /// Minimum time between two watches. In a burst one reply then carries many
+    /// changes; otherwise each change would cost one call of every planner.
+    common::duration min_watch_interval = std::chrono::milliseconds(100);
+    /// Time that a notice is kept, so that it also applies to messages that
+    /// are still in transfer.
+    common::duration notice_retention = std::chrono::minutes(2);
 };
 
-/// One waiting watch on `inbox/`, sorted by cell.
+/// Follows `inbox/` with a single watch and sorts its entries by cell.
 class inbox
 {
 public:
     explicit inbox(inbox_settings settings);
 
     void tick(common::time_point now, store_calls& calls, ports::actions& out);
-    /// True where the content may have changed.
+    /// Returns true if the content may have changed.
     bool on_store_reply(common::time_point now,
                         call_tag const& tag,
                         ports::store_reply const& reply);
@@ -60,22 +61,23 @@
     /// Whether a list has been read at least once.
     bool list_received() const noexcept;
 
-    /// The notice that has stood longest beyond its time; at most one.
+    /// Returns the first listed notice whose retention period has passed.
     std::optional<stop_notice> expired_notice(common::time_point now) const;
 
 private:
     inbox_settings settings_;
     std::uint64_t index_ = 0;
     std::uint64_t call_ = 0;
-    bool known_ = false;
-    common::time_point next_try_{};
+    bool loaded_ = false;
+    common::time_point next_call_at_{};
     std::map<std::string, std::vector<stored_inbox_message>> items_;
     std::vector<stop_notice> notices_;
-    std::map<std::string, common::time_point> notice_seen_;
+    std::map<std::string, common::time_point> notice_first_seen_;
     std::size_t size_ = 0;
 };
 
-/// Sorts the entries below `inbox/`; used for lists that operators ask, too.
+/// Sorts the entries below `inbox/` into messages by cell and stop notices.
+/// Also used for the job lists that operators request.
 void parse_inbox_entries(
     std::vector<ports::store_entry> const& entries,
     std::map<std::string, std::vector<stored_inbox_message>>& items,
--- a/src/core/tasks/load_table.cpp
+++ b/src/core/tasks/load_table.cpp
@@ -66,7 +66,7 @@
                      numbers[10]};
 }
 
-// The load of a cell that nobody has published: all of it is free.
+// Returns the load of a cell without a published one: all its capacity is free.
 cell_load empty_cell(std::string const& cell, worker_registry const& workers)
 {
     cell_load load;
@@ -82,9 +82,9 @@
     return load;
 }
 
-bool could_hold(std::string const& cell,
-                ports::resources const& declared,
-                worker_registry const& workers)
+bool has_large_enough_worker(std::string const& cell,
+                             ports::resources const& declared,
+                             worker_registry const& workers)
 {
     auto const& ids = workers.in_rack(cell);
     return std::any_of(ids.begin(),
@@ -133,15 +133,15 @@
         return;
     }
     auto value = to_json(own_);
-    if (value != written_ && calls.may_write(now))
+    if (value != last_written_ && calls.may_write(now))
     {
         next_write_ = now + settings_.publish_interval;
-        in_flight_ = std::move(value);
+        value_in_flight_ = std::move(value);
         write_call_ = calls.send(
             call_owner::load,
             member_,
             ports::store_write{
-                std::string(load_prefix) + member_, in_flight_, version_},
+                std::string(load_prefix) + member_, value_in_flight_, version_},
             out);
     }
 }
@@ -156,12 +156,12 @@
         write_call_ = 0;
         if (done)
         {
-            written_ = std::move(in_flight_);
+            last_written_ = std::move(value_in_flight_);
             version_ = reply.index;
         }
         else if (reply.status == ports::store_status::conflict)
         {
-            // The next list tells the version.
+            // The next list gives the current version.
             next_read_ = now;
         }
         return;
@@ -178,8 +178,8 @@
     std::map<std::string, published_load> cells;
     for (auto const& entry : reply.entries)
     {
-        auto const by = entry.key.substr(load_prefix.size());
-        if (by == member_)
+        auto const publisher = entry.key.substr(load_prefix.size());
+        if (publisher == member_)
         {
             version_ = std::max(version_, entry.version);
             continue;
@@ -191,7 +191,7 @@
         {
             if (auto const load = read_load(item.value()))
             {
-                cells[std::string(item.key())] = {*load, by};
+                cells[std::string(item.key())] = {*load, publisher};
             }
         }
     }
@@ -203,66 +203,69 @@
 }
 
 std::optional<std::string>
-load_table::choose_cell(cell_query const& want, worker_registry const& workers)
+load_table::choose_cell(cell_query const& query, worker_registry const& workers)
 {
-    std::vector<std::pair<std::string, cell_load>> roomy;
-    std::vector<std::pair<std::string, cell_load>> rest;
+    std::vector<std::pair<std::string, cell_load>> with_capacity;
+    std::vector<std::pair<std::string, cell_load>> without_capacity;
     for (auto const& cell : workers.racks())
     {
         auto const data_centre = workers.data_centre_of(cell);
-        bool const wished =
-            want.data_centre.empty() || want.data_centre == data_centre;
-        if (cell == want.excluded_cell || !wished ||
-            want.unavailable_data_centres.count(data_centre) != 0 ||
-            !could_hold(cell, want.declared, workers))
+        bool const data_centre_matches =
+            query.data_centre.empty() || query.data_centre == data_centre;
+        if (cell == query.excluded_cell || !data_centre_matches ||
+            query.unavailable_data_centres.count(data_centre) != 0 ||
+            !has_large_enough_worker(cell, query.declared, workers))
         {
             continue;
         }
         auto const found = cells_.find(cell);
         auto const load = found == cells_.end() ? empty_cell(cell, workers)
                                                 : found->second.load;
-        auto& list = load.largest_free.covers(want.declared) ? roomy : rest;
+        auto& list = load.largest_free.covers(query.declared)
+                         ? with_capacity
+                         : without_capacity;
         list.emplace_back(cell, load);
     }
-    auto const& list = roomy.empty() ? rest : roomy;
-    if (list.empty() || (roomy.empty() && want.requires_capacity))
+    auto const& list = with_capacity.empty() ? without_capacity : with_capacity;
+    if (list.empty() || (with_capacity.empty() && query.requires_capacity))
     {
         return std::nullopt;
     }
-    auto const better = [](cell_load const& one, cell_load const& other)
+    auto const better = [](cell_load const& lhs, cell_load const& rhs)
     {
-        return one.free.millicores - one.queued_millicores >=
-               other.free.millicores - other.queued_millicores;
+        return lhs.free.millicores - lhs.queued_millicores >=
+               rhs.free.millicores - rhs.queued_millicores;
     };
-    // Two random ones: if all planners chose the emptiest, they would fill it
-    // together before it could say so.
-    auto const& one = list[random_() % list.size()];
-    auto const& other = list[random_() % list.size()];
-    return better(one.second, other.second) ? one.first : other.first;
+    // The choice is between two random cells: if all planners chose the least
+    // loaded one, they would overload it before its next published load.
+    auto const& lhs = list[random_() % list.size()];
+    auto const& rhs = list[random_() % list.size()];
+    return better(lhs.second, rhs.second) ? lhs.first : rhs.first;
 }
 
 cell_load load_table::totals() const noexcept
 {
     cell_load out;
-    for (auto const& [cell, each] : cells_)
+    for (auto const& [cell, published] : cells_)
     {
-        out.free += each.load.free;
-        out.queued_millicores += each.load.queued_millicores;
-        out.queued_tasks += each.load.queued_tasks;
-        out.running_tasks += each.load.running_tasks;
-        out.ended_jobs += each.load.ended_jobs;
-        out.live_jobs += each.load.live_jobs;
+        out.free += published.load.free;
+        out.queued_millicores += published.load.queued_millicores;
+        out.queued_tasks += published.load.queued_tasks;
+        out.running_tasks += published.load.running_tasks;
+        out.ended_jobs += published.load.ended_jobs;
+        out.live_jobs += published.load.live_jobs;
     }
     return out;
 }
 
-void load_table::reserve(std::string const& cell, ports::resources const& sent)
+void load_table::reserve(std::string const& cell,
+                         ports::resources const& amount)
 {
     auto const found = cells_.find(cell);
     if (found != cells_.end())
     {
-        found->second.load.free -= sent;
-        found->second.load.largest_free -= sent;
+        found->second.load.free -= amount;
+        found->second.load.largest_free -= amount;
     }
 }
 
--- a/src/core/tasks/load_table.hpp
+++ b/src/core/tasks/load_table.hpp
@@ -15,15 +15,16 @@
 namespace fuchsia::core::tasks
 {
 
-/// How full one cell is, as its owner last published it.
+/// Load of one cell, as last published by its owner.
 struct cell_load
 {
-    ports::resources free;         ///< Summed over its workers.
-    ports::resources largest_free; ///< Free on the worker with most free cores.
+    ports::resources free; ///< Sum over its workers.
+    ports::resources
+        largest_free; ///< Free on the worker with the most free cores.
     std::int64_t queued_millicores = 0;
     std::int64_t queued_tasks = 0;
     std::int64_t running_tasks = 0;
-    std::int64_t ended_jobs = 0; ///< Of those still listed.
+    std::int64_t ended_jobs = 0; ///< Ended jobs that are still listed.
     std::int64_t live_jobs = 0;
 
     bool operator==(cell_load const&) const = default;
@@ -35,9 +36,10 @@
     common::duration read_interval = std::chrono::seconds(2);
 };
 
-/// `load/<member>`: each planner writes how full its cells are and reads the
-/// others', so that jobs and moved tasks go where there is room. A guess only:
-/// each cell checks for itself, and what does not fit moves on.
+/// Table of cell loads below `load/<member>`. Each planner publishes the loads
+/// of its cells and reads those of the others, so that jobs and transferred
+/// tasks go to cells with free capacity. The figures are estimates: each cell
+/// checks its own capacity and transfers tasks that do not fit.
 class load_table
 {
 public:
@@ -53,21 +55,22 @@
 
     struct cell_query
     {
-        ports::resources declared; ///< Of one task.
-        std::string data_centre;   ///< Empty: any.
-        std::string excluded_cell; ///< Empty: any.
+        ports::resources declared; ///< Declared resources of one task.
+        std::string data_centre;   ///< Empty for any.
+        std::string excluded_cell; ///< Empty for none.
         bool requires_capacity = false;
         std::set<std::string, std::less<>> const&
-            unavailable_data_centres; ///< Data centres.
+            unavailable_data_centres; ///< Data centres to skip.
     };
-    /// A cell for tasks like this, the better of two random ones with room;
-    /// empty where none fits the wish.
-    std::optional<std::string> choose_cell(cell_query const& want,
+    /// Returns the better of two random cells with enough free capacity, or
+    /// nothing if no cell matches the query.
+    std::optional<std::string> choose_cell(cell_query const& query,
                                            worker_registry const& workers);
-    /// Sums over all cells, as last published; for the status page.
+    /// Returns the sums over all cells, as last published, for the status page.
     cell_load totals() const noexcept;
-    /// Counts work sent there as used until its owner publishes again.
-    void reserve(std::string const& cell, ports::resources const& sent);
+    /// Counts the resources of work sent to a cell as used until its owner
+    /// publishes its load again.
+    void reserve(std::string const& cell, ports::resources const& amount);
 
 private:
     struct published_load
@@ -80,11 +83,11 @@
     std::mt19937_64 random_;
     load_table_settings settings_;
     std::map<std::string, cell_load> own_;
-    std::string written_;
+    std::string last_written_;
     std::uint64_t version_ = 0;
     std::uint64_t write_call_ = 0;
     std::uint64_t read_call_ = 0;
-    std::string in_flight_;
+    std::string value_in_flight_;
     common::time_point next_write_{};
     common::time_point next_read_{};
     std::map<std::string, published_load> cells_;
--- a/src/core/tasks/quota.cpp
+++ b/src/core/tasks/quota.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// Whether the cell could start its next task, were `after` its grant.
-bool holds_one_more(quota_document document,
+// Whether the cell could start its next task if its grant were `after`.
+bool fits_next_task(quota_document document,
                     std::string const& cell,
                     cell_grant const& after,
                     cell_need const& need,
@@ -39,18 +39,18 @@
 
 void quota_manager::drop_cell(std::string const& cell)
 {
-    for (auto& [customer, of] : accounts_)
+    for (auto& [customer, entry] : accounts_)
     {
-        of.needs.erase(cell);
+        entry.needs.erase(cell);
     }
 }
 
 void quota_manager::refresh()
 {
-    for (auto& [customer, of] : accounts_)
+    for (auto& [customer, entry] : accounts_)
     {
-        of.read = false;
-        of.next_try = {};
+        entry.loaded = false;
+        entry.next_call_at = {};
     }
 }
 
@@ -63,20 +63,20 @@
     {
         return {};
     }
-    auto const& of = found->second;
-    auto const need = of.needs.find(cell);
-    auto const grant = of.stored.cells.find(cell);
-    if (need == of.needs.end() || grant == of.stored.cells.end() ||
+    auto const& entry = found->second;
+    auto const need = entry.needs.find(cell);
+    auto const grant = entry.stored.cells.find(cell);
+    if (need == entry.needs.end() || grant == entry.stored.cells.end() ||
         grant->second.epoch != need->second.epoch)
     {
         return {};
     }
-    auto out = scaled_grant(of.stored, cell, contract);
-    auto const doubt = of.doubtful.find(cell);
-    if (doubt != of.doubtful.end())
+    auto out = scaled_grant(entry.stored, cell, contract);
+    auto const uncertain = entry.uncertain_grants.find(cell);
+    if (uncertain != entry.uncertain_grants.end())
     {
-        out.total = component_min(out.total, doubt->second.granted.total);
-        out.batch = component_min(out.batch, doubt->second.granted.batch);
+        out.total = component_min(out.total, uncertain->second.granted.total);
+        out.batch = component_min(out.batch, uncertain->second.granted.batch);
     }
     return out;
 }
@@ -89,35 +89,36 @@
     {
         return false;
     }
-    auto const& of = found->second;
-    auto const need = of.needs.find(cell);
-    auto const grant = of.stored.cells.find(cell);
-    return need != of.needs.end() && grant != of.stored.cells.end() &&
+    auto const& entry = found->second;
+    auto const need = entry.needs.find(cell);
+    auto const grant = entry.stored.cells.find(cell);
+    return need != entry.needs.end() && grant != entry.stored.cells.end() &&
            grant->second.epoch == need->second.epoch;
 }
 
 void quota_manager::send_read(std::string const& customer,
-                              account& of,
+                              account& entry,
                               store_calls& calls,
                               ports::actions& out)
 {
-    of.call_writes = false;
-    of.call = calls.send(call_owner::quota,
-                         customer,
-                         ports::store_read{"quota/" + customer},
-                         out);
+    entry.call_is_write = false;
+    entry.call = calls.send(call_owner::quota,
+                            customer,
+                            ports::store_read{"quota/" + customer},
+                            out);
 }
 
-// What the document should be; empty where nothing is to be changed.
+// Returns the document that should be written, or nothing if no change is
+// needed.
 std::optional<quota_document>
 quota_manager::next_document(common::time_point now,
-                             account& of,
+                             account& entry,
                              contracts::contract const& contract) const
 {
-    auto next = of.stored;
-    bool shrinks = false;
-    bool urgent = !of.doubtful.empty();
-    for (auto const& [cell, need] : of.needs)
+    auto next = entry.stored;
+    bool any_shrinks = false;
+    bool urgent = !entry.uncertain_grants.empty();
+    for (auto const& [cell, need] : entry.needs)
     {
         bool const used = need.requested != allowance{};
         if (!used && next.cells.count(cell) == 0)
@@ -126,14 +127,15 @@
         }
         auto const before = next.cells[cell];
         auto after = grow_grant(next, cell, need.requested, contract);
-        if (!holds_one_more(next, cell, after, need, contract))
+        if (!fits_next_task(next, cell, after, need, contract))
         {
             after.granted.total =
                 component_min(before.granted.total, need.in_use.total);
             after.granted.batch =
                 component_min(before.granted.batch, need.in_use.batch);
         }
-        // Never below what is in use: that is the evictions' business.
+        // A grant is never lowered below what is in use: evictions lower the
+        // use first.
         after.granted.total = component_max(
             after.granted.total,
             component_min(need.in_use.total, before.granted.total));
@@ -141,26 +143,26 @@
             after.granted.batch,
             component_min(need.in_use.batch, before.granted.batch));
         after.epoch = need.epoch;
-        bool const less = !covers(after.granted, before.granted);
-        bool const more = !covers(before.granted, after.granted);
-        shrinks = shrinks || less;
-        urgent = urgent || more || after.epoch != before.epoch;
+        bool const shrank = !covers(after.granted, before.granted);
+        bool const grew = !covers(before.granted, after.granted);
+        any_shrinks = any_shrinks || shrank;
+        urgent = urgent || grew || after.epoch != before.epoch;
         next.cells[cell] = after;
         if (!used && need.in_use == allowance{} && after.granted == allowance{})
         {
             next.cells.erase(cell);
         }
     }
-    if (!shrinks)
+    if (!any_shrinks)
     {
-        of.idle_since.reset();
+        entry.idle_since.reset();
     }
-    else if (!of.idle_since)
+    else if (!entry.idle_since)
     {
-        of.idle_since = now;
+        entry.idle_since = now;
     }
     bool const idle =
-        of.idle_since && now - *of.idle_since >= settings_.idle_time;
+        entry.idle_since && now - *entry.idle_since >= settings_.idle_timeout;
     return urgent || idle ? std::optional(next) : std::nullopt;
 }
 
@@ -170,40 +172,41 @@
     store_calls& calls,
     ports::actions& out)
 {
-    for (auto& [customer, of] : accounts_)
+    for (auto& [customer, entry] : accounts_)
     {
-        if (of.call != 0 || now < of.next_try)
+        if (entry.call != 0 || now < entry.next_call_at)
         {
             continue;
         }
-        if (!of.read)
+        if (!entry.loaded)
         {
-            send_read(customer, of, calls, out);
+            send_read(customer, entry, calls, out);
             continue;
         }
         auto const found = contracts.find(customer);
         contracts::contract const contract =
             found == contracts.end() ? contracts::contract{} : found->second;
-        auto next = next_document(now, of, contract);
+        auto next = next_document(now, entry, contract);
         if (next && calls.may_write(now))
         {
-            send_write(customer, of, std::move(*next), calls, out);
+            send_write(customer, entry, std::move(*next), calls, out);
         }
-        else if (!next && is_short(of))
+        else if (!next && needs_more(entry))
         {
-            // All of the contract is granted: see whether a cell gave back.
-            of.read = false;
-            of.next_try = now + settings_.retry_interval;
+            // The contract is fully granted: read again, in case another cell
+            // has returned a part of its grant.
+            entry.loaded = false;
+            entry.next_call_at = now + settings_.retry_interval;
         }
     }
 }
 
-bool quota_manager::is_short(account const& of)
+bool quota_manager::needs_more(account const& entry)
 {
-    for (auto const& [cell, need] : of.needs)
+    for (auto const& [cell, need] : entry.needs)
     {
-        auto const grant = of.stored.cells.find(cell);
-        auto const granted = grant == of.stored.cells.end()
+        auto const grant = entry.stored.cells.find(cell);
+        auto const granted = grant == entry.stored.cells.end()
                                  ? allowance{}
                                  : grant->second.granted;
         if (!covers(granted, need.requested))
@@ -215,43 +218,44 @@
 }
 
 void quota_manager::send_write(std::string const& customer,
-                               account& of,
+                               account& entry,
                                quota_document next,
                                store_calls& calls,
                                ports::actions& out)
 {
-    next.writer = writer_ + std::to_string(++writes_);
-    // Until the answer is known each cell counts on the lesser of what stands
-    // and what was asked for.
-    for (auto const& [cell, need] : of.needs)
+    next.writer = writer_ + std::to_string(++write_count_);
+    // Until the outcome is known, each cell may use only the smaller of the
+    // stored grant and the written one.
+    for (auto const& [cell, need] : entry.needs)
     {
         auto const grant = next.cells.find(cell);
         auto const value =
             grant == next.cells.end() ? cell_grant{} : grant->second;
-        auto& doubt = of.doubtful.try_emplace(cell, value).first->second;
-        doubt.granted.total =
-            component_min(doubt.granted.total, value.granted.total);
-        doubt.granted.batch =
-            component_min(doubt.granted.batch, value.granted.batch);
+        auto& uncertain =
+            entry.uncertain_grants.try_emplace(cell, value).first->second;
+        uncertain.granted.total =
+            component_min(uncertain.granted.total, value.granted.total);
+        uncertain.granted.batch =
+            component_min(uncertain.granted.batch, value.granted.batch);
     }
-    of.call_writes = true;
-    of.idle_since.reset();
-    of.call = calls.send(
+    entry.call_is_write = true;
+    entry.idle_since.reset();
+    entry.call = calls.send(
         call_owner::quota,
         customer,
-        ports::store_write{"quota/" + customer, to_json(next), of.version},
+        ports::store_write{"quota/" + customer, to_json(next), entry.version},
         out);
-    of.attempted = std::move(next);
+    entry.written_document = std::move(next);
 }
 
-void quota_manager::accept_document(account& of,
+void quota_manager::accept_document(account& entry,
                                     quota_document document,
                                     std::uint64_t version)
 {
-    of.stored = std::move(document);
-    of.version = version;
-    of.read = true;
-    of.doubtful.clear();
+    entry.stored = std::move(document);
+    entry.version = version;
+    entry.loaded = true;
+    entry.uncertain_grants.clear();
 }
 
 void quota_manager::on_store_reply(common::time_point now,
@@ -263,38 +267,38 @@
     {
         return;
     }
-    auto& of = found->second;
-    of.call = 0;
-    bool const wrote = std::exchange(of.call_writes, false);
-    if (wrote && reply.status == ports::store_status::done)
+    auto& entry = found->second;
+    entry.call = 0;
+    bool const was_write = std::exchange(entry.call_is_write, false);
+    if (was_write && reply.status == ports::store_status::done)
     {
-        accept_document(of, std::move(of.attempted), reply.index);
+        accept_document(entry, std::move(entry.written_document), reply.index);
         return;
     }
-    if (wrote && reply.status == ports::store_status::unavailable)
+    if (was_write && reply.status == ports::store_status::unavailable)
     {
-        of.next_try = now + settings_.retry_interval;
+        entry.next_call_at = now + settings_.retry_interval;
         return;
     }
-    if (wrote)
+    if (was_write)
     {
-        of.read = false;
-        of.next_try = reply.status == ports::store_status::conflict
-                          ? now
-                          : now + settings_.retry_interval;
+        entry.loaded = false;
+        entry.next_call_at = reply.status == ports::store_status::conflict
+                                 ? now
+                                 : now + settings_.retry_interval;
         return;
     }
     if (reply.status != ports::store_status::done)
     {
-        of.next_try = now + settings_.retry_interval;
+        entry.next_call_at = now + settings_.retry_interval;
         return;
     }
     auto const version =
         reply.entries.empty() ? 0 : reply.entries.front().version;
-    if (of.version != 0 && version < of.version)
+    if (entry.version != 0 && version < entry.version)
     {
-        of.next_try = now + settings_.retry_interval;
-        return; // A stale read.
+        entry.next_call_at = now + settings_.retry_interval;
+        return; // Stale read.
     }
     common::failure reason;
     auto document = reply.entries.empty()
@@ -302,17 +306,18 @@
                         : parse_quota(reply.entries.front().value, reason);
     if (!document)
     {
-        of.next_try = now + settings_.refresh_interval;
+        entry.next_call_at = now + settings_.refresh_interval;
         return;
     }
-    if (version == of.version)
+    if (version == entry.version)
     {
-        // A write of unknown fate may still come; `doubtful` stays, and
-        // `wished` writes again until the version moves.
-        of.read = true;
+        // A write with an unknown outcome may still be applied. Therefore
+        // `uncertain_grants` is kept, and `next_document` gives a new write
+        // until the version changes.
+        entry.loaded = true;
         return;
     }
-    accept_document(of, std::move(*document), version);
+    accept_document(entry, std::move(*document), version);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/quota.hpp
+++ b/src/core/tasks/quota.hpp
@@ -10,55 +10,57 @@
 #include <optional>
 #include <string>
 
-// What of a customer's contract each cell may use. The sum of the grants
-// never exceeds the contract, and each cell stays within its grant, so the
-// customer stays within its contract without a call per task.
+// Distribution of each customer's contract over the cells. The sum of the
+// grants never exceeds the contract and each cell stays within its grant, so
+// that the customer stays within its contract without a store call for each
+// task.
 namespace fuchsia::core::tasks
 {
 
-/// One cell's need of one customer: in use now, and hoped for.
+/// Resources that one cell needs for one customer.
 struct cell_need
 {
     std::uint64_t epoch = 0;
     allowance in_use;
-    allowance requested; ///< `in_use` and what is queued.
-    /// Of the next queued task. A grant that can't hold one more is given
-    /// back, or cells could share a contract in parts too small for any task.
+    allowance requested; ///< `in_use` plus the queued tasks.
+    /// Need of the next queued task. The unused part of a grant that cannot
+    /// hold this task is returned. Otherwise the cells could split a contract
+    /// into parts that are too small for any task.
     allowance next_task;
 };
 
 struct quota_settings
 {
-    /// Between reads while the contract is fully granted elsewhere.
+    /// Time between reads while the contract is fully granted to other cells,
+    /// and before a retry of a failed call.
     common::duration retry_interval = std::chrono::milliseconds(500);
-    /// A grant that stands idle this long is given back.
-    common::duration idle_time = std::chrono::seconds(1);
-    /// A document is read again at least this often while a contract is
-    /// overdrawn or was changed.
+    /// Time after which an idle grant is returned.
+    common::duration idle_timeout = std::chrono::seconds(1);
+    /// Time before a document that could not be parsed is read again.
     common::duration refresh_interval = std::chrono::seconds(2);
 };
 
-/// The grants of this planner's cells.
+/// Manages the grants of the cells that this planner owns.
 class quota_manager
 {
 public:
     quota_manager(std::uint64_t incarnation, quota_settings settings);
 
-    /// Tells the need of one cell, whenever it changes.
+    /// Sets the need of one cell; called whenever the need changes.
     void set_need(std::string const& customer,
                   std::string const& cell,
                   cell_need const& need);
-    /// The cell is no longer this planner's.
+    /// Drops a cell that this planner no longer owns.
     void drop_cell(std::string const& cell);
-    /// Contracts may have changed: read the documents again.
+    /// Reads the documents again after a possible change of contracts.
     void refresh();
 
-    /// What the cell may use now. Zero until its grant is read and bears the
-    /// epoch of the cell's present claim.
+    /// Returns what the cell may use now. This is zero until its grant has been
+    /// read and bears the epoch of the cell's current claim.
     allowance allowed(std::string const& customer,
                       std::string const& cell,
                       contracts::contract const& contract) const;
-    /// Whether the grant is known, so that use above it is an overage.
+    /// Whether the grant is known, so that use above it exceeds the quota.
     bool grant_known(std::string const& customer,
                      std::string const& cell) const;
 
@@ -77,38 +79,38 @@
         std::map<std::string, cell_need> needs;
         quota_document stored;
         std::uint64_t version = 0;
-        bool read = false;
+        bool loaded = false;
         std::uint64_t call = 0;
-        bool call_writes = false;
-        quota_document attempted; ///< Of the write in flight.
-        /// What writes of unknown fate would leave each cell.
-        std::map<std::string, cell_grant> doubtful;
-        common::time_point next_try{};
+        bool call_is_write = false;
+        quota_document written_document; ///< Document of the write in flight.
+        /// Smallest grant of each cell in writes whose outcome is unknown.
+        std::map<std::string, cell_grant> uncertain_grants;
+        common::time_point next_call_at{};
         std::optional<common::time_point> idle_since;
     };
 
     void send_read(std::string const& customer,
-                   account& of,
+                   account& entry,
                    store_calls& calls,
                    ports::actions& out);
     void send_write(std::string const& customer,
-                    account& of,
+                    account& entry,
                     quota_document next,
                     store_calls& calls,
                     ports::actions& out);
-    /// Some cell hopes for more than its grant.
-    static bool is_short(account const& of);
+    /// Whether some cell requests more than its grant.
+    static bool needs_more(account const& entry);
     std::optional<quota_document>
     next_document(common::time_point now,
-                  account& of,
+                  account& entry,
                   contracts::contract const& contract) const;
-    static void accept_document(account& of,
+    static void accept_document(account& entry,
                                 quota_document document,
                                 std::uint64_t version);
 
     std::string writer_;
     quota_settings settings_;
-    std::uint64_t writes_ = 0;
+    std::uint64_t write_count_ = 0;
     std::map<std::string, account> accounts_;
 };
 
--- a/src/core/tasks/quota_document.cpp
+++ b/src/core/tasks/quota_document.cpp
@@ -37,34 +37,37 @@
     return out;
 }
 
-// `part` of a sum that is held to `limit`, in proportion.
+// Scales `part` down in proportion if `sum`, of which it is a part, exceeds
+// `limit`.
 std::int64_t share_of(std::int64_t part, std::int64_t sum, std::int64_t limit)
 {
     if (sum <= limit)
     {
         return part;
     }
-    // In double: the product of two large amounts may not fit.
+    // Computed in double, since the product of two large amounts may overflow.
     return static_cast<std::int64_t>(static_cast<double>(part) *
                                      static_cast<double>(limit) /
                                      static_cast<double>(sum));
 }
 
-// What of a grant is for batch, and what is left for services.
+// Returns the part of a grant that is for batch; the rest is for services.
 std::int64_t batch_part(allowance const& granted, std::int64_t resources::*part)
 {
     return std::min(granted.batch.*part, granted.total.*part);
 }
 
-// Moves `granted` to `need`, up by no more than `room` in each part.
-resources
-moved(resources const& granted, resources const& need, resources const& room)
+// Returns `need`, limited in each part to `granted` plus `available`.
+resources adjusted_amount(resources const& granted,
+                          resources const& need,
+                          resources const& available)
 {
     resources out = need;
     for (auto const part : resource_parts)
     {
-        auto const most = granted.*part + std::max<std::int64_t>(0, room.*part);
-        out.*part = std::min(need.*part, most);
+        auto const limit =
+            granted.*part + std::max<std::int64_t>(0, available.*part);
+        out.*part = std::min(need.*part, limit);
     }
     return out;
 }
@@ -80,10 +83,10 @@
     return sum;
 }
 
-resources minus(resources left, resources const& right)
+resources minus(resources lhs, resources const& rhs)
 {
-    left -= right;
-    return left;
+    lhs -= rhs;
+    return lhs;
 }
 
 } // namespace
@@ -131,9 +134,9 @@
     }
 }
 
-// Services keep their grants as long as the contract holds these alone; what
-// they leave is shared out to batch. Were all grants scaled alike, a cell with
-// services only would stop one while batch goes on in other cells.
+// Services keep their grants as long as the contract covers all services; batch
+// shares the rest. If all grants were scaled alike, a cell that runs services
+// only would have to stop one while batch continues in other cells.
 allowance scaled_grant(quota_document const& document,
                        std::string const& cell,
                        contracts::contract const& contract)
@@ -144,7 +147,7 @@
         return {};
     }
     auto const& own = found->second.granted;
-    auto const batch_most = batch_share(contract);
+    auto const batch_limit = batch_share(contract);
     allowance out;
     for (auto const part : resource_parts)
     {
@@ -152,15 +155,15 @@
         std::int64_t batch = 0;
         for (auto const& [name, grant] : document.cells)
         {
-            auto const of_batch = batch_part(grant.granted, part);
-            batch += of_batch;
-            services += grant.granted.total.*part - of_batch;
+            auto const batch_amount = batch_part(grant.granted, part);
+            batch += batch_amount;
+            services += grant.granted.total.*part - batch_amount;
         }
         auto const limit = contract.capacity.*part;
-        auto const left = std::min(batch_most.*part,
-                                   std::max<std::int64_t>(0, limit - services));
+        auto const remaining = std::min(
+            batch_limit.*part, std::max<std::int64_t>(0, limit - services));
         auto const own_batch = batch_part(own, part);
-        out.batch.*part = share_of(own_batch, batch, left);
+        out.batch.*part = share_of(own_batch, batch, remaining);
         out.total.*part =
             share_of(own.total.*part - own_batch, services, limit) +
             out.batch.*part;
@@ -178,11 +181,12 @@
         found == document.cells.end() ? cell_grant{} : found->second;
     auto const sum = sum_of(document);
     cell_grant out = before;
-    out.granted.total = moved(
+    out.granted.total = adjusted_amount(
         before.granted.total, need.total, minus(contract.capacity, sum.total));
-    out.granted.batch = moved(before.granted.batch,
-                              need.batch,
-                              minus(batch_share(contract), sum.batch));
+    out.granted.batch =
+        adjusted_amount(before.granted.batch,
+                        need.batch,
+                        minus(batch_share(contract), sum.batch));
     return out;
 }
 
--- a/src/core/tasks/quota_document.hpp
+++ b/src/core/tasks/quota_document.hpp
@@ -14,15 +14,16 @@
 
 struct cell_grant
 {
-    /// Claim epoch of the owner that wrote it. A new owner writes its own
-    /// before it uses more, so that a late write of the old one conflicts.
+    /// Claim epoch of the owner that wrote the grant. A new owner writes its
+    /// own epoch before it uses the grant, so that a late write of the previous
+    /// owner conflicts.
     std::uint64_t epoch = 0;
     allowance granted;
 
     bool operator==(cell_grant const&) const = default;
 };
 
-/// The value of `quota/<customer>`.
+/// Value of the store key `quota/<customer>`.
 struct quota_document
 {
     std::string writer;
@@ -33,15 +34,15 @@
 std::optional<quota_document> parse_quota(std::string_view json,
                                           common::failure& reason);
 
-/// What `contract` leaves of a cell's grant where the sum of all grants is
-/// above it: services first, then batch, each in proportion. So a lowered
-/// contract binds before any grant is changed.
+/// Returns the part of a cell's grant that `contract` allows if the sum of all
+/// grants exceeds the contract: services first, then batch, each in proportion.
+/// A lowered contract thus takes effect before any grant is changed.
 allowance scaled_grant(quota_document const& document,
                        std::string const& cell,
                        contracts::contract const& contract);
 
-/// The document with one cell's grant moved to what it needs, as far as the
-/// contract leaves room.
+/// Returns the grant of one cell, adjusted to `need` as far as the contract is
+/// not granted to other cells.
 cell_grant grow_grant(quota_document const& document,
                       std::string const& cell,
                       allowance const& need,
