--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -29,8 +29,8 @@
     return out;
 }
 
-/// A cell's log over a store in memory that answers at once.
-struct log_bench
+/// Drives cell logs on an in-memory store that replies at once.
+struct log_fixture
 {
     tests::unit::walks::store_contents store;
     store_calls calls{{1000, 1000}};
@@ -123,7 +123,8 @@
 
 } // namespace
 
-TEST(job, is_read_back_as_written_and_refused_with_its_place)
+// A malformed job must be refused with the code of its fault.
+TEST(job, round_trips_through_json_and_malformed_input_is_refused)
 {
     core::common::failure reason;
     auto const written = sample_job("valuation-17");
@@ -148,7 +149,7 @@
     }
 }
 
-TEST(life_cycle, has_just_the_steps_of_its_table)
+TEST(attempt_lifecycle, allows_only_the_transitions_of_its_table)
 {
     using enum attempt_phase;
     using enum attempt_event;
@@ -166,73 +167,73 @@
     EXPECT_FALSE(next_phase(complete, running_observed));
 }
 
-TEST(cell_log, replays_to_the_state_that_was_committed)
+TEST(cell_log, replays_to_the_committed_state)
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
         std::mt19937_64 random(seed);
-        log_bench bench;
+        log_fixture fixture;
         cell_log_settings settings;
         settings.records_per_snapshot =
             static_cast<std::uint32_t>(1 + random() % 30);
         cell_log log("cell", 7, 1, settings);
-        bench.start(log);
+        fixture.start(log);
         ASSERT_TRUE(log.active());
         for (int round = 0; round < 200; ++round)
         {
             for (auto count = random() % 6; count > 0; --count)
             {
                 log.submit_change(
-                    bench.now, random_change(random, log.state()), false);
+                    fixture.now, random_change(random, log.state()), false);
             }
-            bench.settle(log);
-            ASSERT_EQ(bench.replayed("cell"), log.state()) << seed;
+            fixture.settle(log);
+            ASSERT_EQ(fixture.replayed("cell"), log.state()) << seed;
         }
         EXPECT_GT(log.state().last_record, log_slots);
     }
 }
 
-// An owner was cut off, another took the cell over, and the first comes back
-// with decisions that nobody should hear of.
-TEST(cell_log, shuts_out_an_owner_that_was_replaced)
+// An owner is partitioned, another one takes over the cell, and the first
+// returns with changes that must not be committed.
+TEST(cell_log, fences_off_an_owner_that_was_replaced)
 {
-    log_bench bench;
+    log_fixture fixture;
     cell_log first("cell", 7, 1, {});
-    bench.start(first);
+    fixture.start(first);
     cell_log second("cell", 8, 2, {});
-    bench.start(second);
+    fixture.start(second);
     ASSERT_TRUE(second.active());
     first.submit_change(
-        bench.now,
+        fixture.now,
         message_accepted{make_submission_message(sample_job("late"))},
         true);
-    bench.settle(first);
+    fixture.settle(first);
     EXPECT_TRUE(first.ownership_lost());
     EXPECT_TRUE(first.take_committed().empty());
-    EXPECT_TRUE(bench.replayed("cell").jobs.empty());
+    EXPECT_TRUE(fixture.replayed("cell").jobs.empty());
     cell_log older("cell", 9, 1, {});
-    bench.start(older);
+    fixture.start(older);
     EXPECT_TRUE(older.ownership_lost());
 }
 
-// Owners that die before their first snapshot leave only records of their
-// takeovers, and the log has a bounded number of places.
+// Owners that crash before their first snapshot leave only takeover records.
+// The log has a limited number of slots, which these records must not use up.
 TEST(cell_log, survives_any_number_of_takeovers)
 {
-    log_bench bench;
+    log_fixture fixture;
     cell_log_settings settings;
     settings.records_per_snapshot = 1000;
     for (std::uint64_t epoch = 1; epoch <= 3 * log_slots; ++epoch)
     {
         cell_log log("cell", epoch, epoch, settings);
-        bench.start(log);
+        fixture.start(log);
         ASSERT_TRUE(log.active()) << epoch;
-        log.submit_change(bench.now,
+        log.submit_change(fixture.now,
                           message_accepted{make_submission_message(
                               sample_job("j" + std::to_string(epoch), 1))},
                           true);
-        bench.settle(log);
-        ASSERT_EQ(bench.replayed("cell").jobs.size(), epoch);
+        fixture.settle(log);
+        ASSERT_EQ(fixture.replayed("cell").jobs.size(), epoch);
     }
 }
 
@@ -250,7 +251,8 @@
     EXPECT_EQ(document.cells["b"].granted.total.millicores, 2000);
     EXPECT_EQ(document.cells["b"].granted.batch.millicores, 0);
     contract.capacity = {5000, 100000, 0};
-    // Of a's 8 cores 3 are for services; with b's 2 they fill the contract.
+    // Services have 3 of the 8 cores of a; with the 2 cores of b they use up
+    // the contract.
     EXPECT_EQ(scaled_grant(document, "a", contract).total.millicores, 3000);
     EXPECT_EQ(scaled_grant(document, "b", contract).total.millicores, 2000);
     EXPECT_EQ(scaled_grant(document, "a", contract).batch.millicores, 0);
@@ -262,37 +264,42 @@
     EXPECT_EQ(scaled_grant(document, "b", contract).total.millicores, 1000);
 }
 
-TEST(worker_book, quarantines_a_worker_by_failures_of_different_jobs)
+// Repeated failures of one job may be the fault of that job; only failures of
+// different jobs count against the worker.
+TEST(worker_registry, quarantines_a_worker_after_failures_of_different_jobs)
 {
-    worker_registry book({});
+    worker_registry registry({});
     ports::worker_instance info{"w", "r", "dc", {8000, 8000, 0}};
-    book.on_list({{info}, {}});
+    registry.on_list({{info}, {}});
     time_point now{1h};
-    book.on_report(now, {"w", 1, 5000, {}});
+    registry.on_report(now, {"w", 1, 5000, {}});
     for (int round = 0; round < 9; ++round)
     {
-        book.record_failure(now, "w", "same");
+        registry.record_failure(now, "w", "same");
     }
-    EXPECT_TRUE(book.may_start(now, *book.find("w")));
+    EXPECT_TRUE(registry.may_start(now, *registry.find("w")));
     for (auto const* job : {"a", "b", "c"})
     {
-        book.record_failure(now, "w", job);
+        registry.record_failure(now, "w", job);
     }
-    EXPECT_FALSE(book.may_start(now, *book.find("w")));
+    EXPECT_FALSE(registry.may_start(now, *registry.find("w")));
     now += 25s;
-    book.on_report(now, {"w", 2, 30000, {}});
-    EXPECT_TRUE(book.may_start(now, *book.find("w")));
-    EXPECT_TRUE(book.find("w")->probing);
-    book.record_success("w");
-    EXPECT_FALSE(book.find("w")->probing);
+    registry.on_report(now, {"w", 2, 30000, {}});
+    EXPECT_TRUE(registry.may_start(now, *registry.find("w")));
+    EXPECT_TRUE(registry.find("w")->probing);
+    registry.record_success("w");
+    EXPECT_FALSE(registry.find("w")->probing);
 }
 
-TEST(worker_book, never_reads_a_clock_ahead_of_its_worker)
+// The estimate is a lower bound of the worker's clock, and a repeated report
+// does not count as news of it.
+TEST(worker_registry, never_estimates_a_clock_ahead_of_its_worker)
 {
-    worker_registry book({});
-    book.on_list({{{"w", "r", "dc", {}}}, {}});
+    worker_registry registry({});
+    registry.on_list({{{"w", "r", "dc", {}}}, {}});
     time_point const now{1h};
-    book.on_report(now, {"w", 1, 5000, {}});
-    EXPECT_FALSE(book.on_report(now + 1s, {"w", 1, 5000, {}}));
-    EXPECT_EQ(book.clock_lower_bound(now + 10s, *book.find("w")), 14700U);
+    registry.on_report(now, {"w", 1, 5000, {}});
+    EXPECT_FALSE(registry.on_report(now + 1s, {"w", 1, 5000, {}}));
+    EXPECT_EQ(registry.clock_lower_bound(now + 10s, *registry.find("w")),
+              14700U);
 }
--- a/tests/unit/tasks/planner_test.cpp
+++ b/tests/unit/tasks/planner_test.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Planners that have joined and shared out the cells, and one contract.
+/// Three planners that have joined and distributed the cells, and one contract.
 struct planners : testing::Test
 {
     planners() : system({})
@@ -40,9 +40,10 @@
         EXPECT_EQ(answer.status, 200) << answer.body;
     }
 
-    bool reaches(std::string const& job, std::string const& state, duration in)
+    bool
+    reaches(std::string const& job, std::string const& state, duration timeout)
     {
-        auto const until = system.time.now() + in;
+        auto const until = system.time.now() + timeout;
         while (system.time.now() < until)
         {
             if (system.state_of(job) == state)
@@ -59,7 +60,7 @@
 
 } // namespace
 
-TEST_F(planners, run_a_batch_job_to_its_end)
+TEST_F(planners, run_a_batch_job_to_completion)
 {
     submit(job_json("report", "estate", "batch", 1000, 4, 3000));
     EXPECT_TRUE(reaches("report", "finished", 30s))
@@ -79,10 +80,10 @@
         1400ms));
 }
 
-// Two submissions of one job, as by an operator who got no answer to the
-// first, perhaps through another planner. Run twice, a packing run would pack
-// every box twice.
-TEST_F(planners, take_a_repeated_submission_for_the_same_job)
+// An operator who got no answer to a submission repeats it, perhaps through
+// another planner. Running the job twice would do its work twice: a packing run
+// would pack every box twice.
+TEST_F(planners, treat_a_repeated_submission_as_the_same_job)
 {
     auto const body = job_json("twice", "estate", "batch", 1000, 1, 2000);
     system.request(0, "POST", "/v1/jobs", body);
@@ -97,7 +98,7 @@
               409);
 }
 
-TEST_F(planners, refuse_what_can_never_run)
+TEST_F(planners, refuse_jobs_that_can_never_run)
 {
     auto const status = [this](std::string const& body)
     {
@@ -112,7 +113,7 @@
     EXPECT_EQ(status("{\"id\":"), result_code::malformed_json);
 }
 
-TEST_F(planners, stop_a_job_that_fails_wherever_it_starts)
+TEST_F(planners, stop_a_job_that_fails_on_every_worker)
 {
     system.workers.broken_classes.insert("batch-class");
     submit(job_json("broken", "estate", "batch", 1000, 2));
@@ -123,9 +124,10 @@
     EXPECT_NE(shown.find("job_failed_everywhere"), std::string::npos) << shown;
 }
 
-// Some workers fail all that they start, and being empty they look best. Jobs
-// must end elsewhere, and none may be blamed for its worker.
-TEST_F(planners, keep_away_from_workers_that_fail_everything)
+// Some workers fail every attempt and, being empty, look best for placement.
+// The jobs must finish on other workers, and none may be marked as faulty
+// because of its worker.
+TEST_F(planners, avoid_workers_that_fail_every_attempt)
 {
     system.workers.workers.at("w-0-0").faults.fail_starts = true;
     system.workers.workers.at("w-1-0").faults.fail_starts = true;
@@ -141,7 +143,7 @@
     EXPECT_LE(system.workers.starts, 24U + 16U);
 }
 
-TEST_F(planners, cancel_in_a_wave)
+TEST_F(planners, cancel_many_services_at_once)
 {
     for (int number = 0; number < 20; ++number)
     {
@@ -163,10 +165,10 @@
     }
 }
 
-// A planner is killed while attempts run. Their workers keep them by their
-// leases; the next owner must renew these in time, and neither start the
-// tasks a second time nor let them end.
-TEST_F(planners, keep_tasks_running_over_the_death_of_their_planner)
+// A planner is killed while attempts run on workers under leases. The next
+// owner must renew the leases in time, and must neither start the tasks a
+// second time nor let them end.
+TEST_F(planners, keep_tasks_running_after_a_crash_of_their_planner)
 {
     submit(job_json("bids", "estate", "service", 1000, 6, 0));
     system.run(5s);
@@ -187,7 +189,7 @@
     }
 }
 
-TEST_F(planners, hand_over_in_a_planned_stop_without_ending_a_task)
+TEST_F(planners, hand_over_cells_in_a_planned_stop_without_ending_tasks)
 {
     submit(job_json("bids", "estate", "service", 1000, 6, 0));
     system.run(5s);
@@ -209,25 +211,24 @@
 namespace
 {
 
-/// At which call to a worker the planner that makes it is killed.
-struct death
+/// Crash of a planner at a call to a worker.
+struct planner_crash
 {
     std::string name;
     std::size_t call = 0;   ///< Index of `ports::worker_operation`.
-    bool delivered = false; ///< The worker gets the call all the same.
+    bool delivered = false; ///< Whether the worker still gets the call.
 };
 
-struct deaths : planners, testing::WithParamInterface<death>
+struct planner_crashes : planners, testing::WithParamInterface<planner_crash>
 {
 };
 
 } // namespace
 
-// A planner dies between commit and start, between a start and its answer, or
-// between a checkpoint and its resume. The next owner knows from the log only
-// that the attempt was decided. Users would notice a report computed twice or
-// never.
-TEST_P(deaths, leave_the_task_in_one_place_and_resume_it_once)
+// A planner crashes between commit and start, between a start and its reply, or
+// between a checkpoint and the resume. The log tells the next owner only that
+// the attempt was committed. A fault would compute a report twice or never.
+TEST_P(planner_crashes, leave_the_task_on_one_worker_and_resume_it_once)
 {
     bool killed = false;
     system.worker_call_filter =
@@ -260,24 +261,25 @@
     EXPECT_EQ(system.workers.finished["report/1"], 1);
 }
 
-INSTANTIATE_TEST_SUITE_P(at_each_step,
-                         deaths,
-                         testing::Values(death{"before_the_start", 0, false},
-                                         death{"after_the_start", 0, true},
-                                         death{
-                                             "before_the_checkpoint", 3, false},
-                                         death{"after_the_checkpoint", 3, true},
-                                         death{"before_the_stop", 4, false},
-                                         death{"after_the_stop", 4, true}),
-                         [](auto const& info)
-                         {
-                             return info.param.name;
-                         });
-
-// A data centre is taken out while starts are on their way and the planner of
-// its racks is cut off from the store, so that it can't learn of it there.
-// Nothing may start there a few seconds later, however late a call comes in.
-TEST_F(planners, start_nothing_in_a_data_centre_that_is_out)
+INSTANTIATE_TEST_SUITE_P(
+    at_each_step,
+    planner_crashes,
+    testing::Values(planner_crash{"before_the_start", 0, false},
+                    planner_crash{"after_the_start", 0, true},
+                    planner_crash{"before_the_checkpoint", 3, false},
+                    planner_crash{"after_the_checkpoint", 3, true},
+                    planner_crash{"before_the_stop", 4, false},
+                    planner_crash{"after_the_stop", 4, true}),
+    [](auto const& info)
+    {
+        return info.param.name;
+    });
+
+// A data centre is taken out of service while starts are in flight and the
+// planner of its racks is partitioned from the store, so that it cannot read
+// the change there. A few seconds later nothing may start in it, however late a
+// call arrives.
+TEST_F(planners, start_nothing_in_a_data_centre_out_of_service)
 {
     system.workers.faults.late_permille = 300;
     auto const owner = system.owner_of("rack-0");
@@ -314,9 +316,10 @@
 }
 
 // A report finishes between its checkpoint and the stop that follows. The
-// worker answers that it does not run, which is no sign that it was cut short;
-// started again from the checkpoint it would be delivered twice.
-TEST_F(planners, do_not_repeat_work_that_ended_before_its_stop)
+// worker replies that the task does not run, which does not mean that it was
+// interrupted. Restarted from the checkpoint, the report would be delivered
+// twice.
+TEST_F(planners, do_not_repeat_a_task_that_finished_before_its_stop)
 {
     submit(job_json("report", "estate", "batch", 1000, 1, 11000));
     system.run(6s);
@@ -332,9 +335,10 @@
     EXPECT_EQ(system.workers.finished["report/0"], 1);
 }
 
-// The store takes seconds to answer, and a data centre goes out while starts
-// are in commit. What was decided before must not start after.
-TEST_F(planners, start_nothing_late_where_a_commit_took_long)
+// The store takes seconds to reply, and a data centre is taken out of service
+// while starts are being committed. A start decided before must not be carried
+// out afterwards.
+TEST_F(planners, start_nothing_late_after_a_slow_commit)
 {
     system.store.faults.timeout = 30s;
     for (int number = 0; number < 3; ++number)
@@ -359,9 +363,10 @@
     EXPECT_TRUE(reaches("j0", "finished", 90s));
 }
 
-// Work of a data centre that goes out goes on in others: batch from its
-// checkpoint, once; services anew. Back in, it is filled slowly.
-TEST_F(planners, carry_work_out_of_a_data_centre_and_back)
+// The tasks of a data centre that is taken out of service continue in others:
+// batch tasks resume once from their checkpoint, services start again. Back in
+// service, the data centre is filled slowly.
+TEST_F(planners, move_tasks_out_of_a_data_centre_and_back)
 {
     submit(job_json("bids", "estate", "service", 1000, 6, 0));
     submit(job_json("report", "estate", "batch", 1000, 6, 50000));
@@ -372,11 +377,11 @@
         system.run(20s);
         for (auto const& [id, worker] : system.workers.workers)
         {
-            for (auto const& [what, attempt] : worker.attempts)
+            for (auto const& [key, attempt] : worker.attempts)
             {
                 EXPECT_FALSE(worker.info.data_centre == name &&
                              attempt.state == ports::attempt_state::running)
-                    << what.task << " still in " << name;
+                    << key.task << " still in " << name;
             }
         }
         system.set_out_of_service(name, false);
@@ -394,8 +399,9 @@
 }
 
 // An operator lowers a contract while its tasks run in all cells. Each cell
-// sees only its own; together they must come under the new limit, batch first.
-TEST_F(planners, evict_what_a_lowered_contract_no_longer_allows)
+// sees only its own tasks; together they must get below the new limit, and
+// batch tasks are evicted first.
+TEST_F(planners, evict_tasks_that_a_lowered_contract_no_longer_allows)
 {
     submit(job_json("bids", "estate", "service", 1000, 4, 0));
     submit(job_json("report", "estate", "batch", 1000, 24, 60000));
@@ -426,22 +432,23 @@
 namespace
 {
 
-struct lost_answer
+struct lost_store_reply
 {
     std::string name;
     std::string prefix;
 };
 
-struct lost_answers : planners, testing::WithParamInterface<lost_answer>
+struct lost_store_replies : planners,
+                            testing::WithParamInterface<lost_store_reply>
 {
 };
 
 } // namespace
 
-// The store applies a write and its answer is lost on the way. Whoever wrote
-// must find out by reading back; taking the write for failed would run a task
-// twice, taking it for done would lose it.
-TEST_P(lost_answers, change_nothing)
+// The store applies a write and its reply is lost. The writer must read the key
+// back: to assume that the write failed would run a task twice, to assume that
+// it is done would lose the task.
+TEST_P(lost_store_replies, neither_repeat_nor_lose_tasks)
 {
     system.store.faults.lose_prefix = GetParam().prefix;
     system.store.faults.lose_next_replies = 3;
@@ -455,19 +462,19 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(of_each_write,
-                         lost_answers,
-                         testing::Values(lost_answer{"log", "tasks/"},
-                                         lost_answer{"registry", "jobs/"},
-                                         lost_answer{"inbox", "inbox/"},
-                                         lost_answer{"quota", "quota/"}),
+                         lost_store_replies,
+                         testing::Values(lost_store_reply{"log", "tasks/"},
+                                         lost_store_reply{"registry", "jobs/"},
+                                         lost_store_reply{"inbox", "inbox/"},
+                                         lost_store_reply{"quota", "quota/"}),
                          [](auto const& info)
                          {
                              return info.param.name;
                          });
 
-// The store is down for a minute. Running tasks must run on, since the
-// planners' proofs come from their witnesses; nothing new starts, and all goes
-// on when the store is back.
+// The store is down for a minute. Running tasks must continue, since the
+// liveness proofs of the planners come from their witnesses. Nothing new starts
+// until the store is back, and then all work continues.
 TEST_F(planners, keep_tasks_running_while_the_store_is_down)
 {
     submit(job_json("bids", "estate", "service", 1000, 6, 0));
--- a/tests/unit/tasks/planner_walk_test.cpp
+++ b/tests/unit/tasks/planner_walk_test.cpp
@@ -11,9 +11,10 @@
 {
 
 constexpr std::uint64_t walks_in_ci = 400;
-constexpr int steps = 30;
+constexpr int steps_per_walk = 30;
 
-/// Faults, operators and customers, at random, over a few planners.
+/// Random sequence of faults and of requests by operators and customers on
+/// three planners.
 class planner_walk
 {
 public:
@@ -22,7 +23,7 @@
     {
     }
 
-    /// What went wrong; empty where nothing did.
+    /// Returns the violation that was found, or an empty text.
     std::string run()
     {
         system_.put_contract("one", {20000, 100000, 0}, 600);
@@ -32,21 +33,22 @@
             system_.start(slot);
         }
         system_.run(8s);
-        for (int number = 0; number < steps && ok(); ++number)
+        for (int number = 0; number < steps_per_walk && no_violation();
+             ++number)
         {
-            step();
+            apply_random_event();
             system_.run(
                 duration(static_cast<std::int64_t>(random_() % 4'000'000)));
         }
-        heal();
+        clear_faults();
         system_.run(15s);
-        bool over = all_over();
-        for (int tries = 0; tries < 50 && ok() && !over; ++tries)
+        bool all_ended = check_all_ended();
+        for (int tries = 0; tries < 50 && no_violation() && !all_ended; ++tries)
         {
             system_.run(5s);
-            over = all_over();
+            all_ended = check_all_ended();
         }
-        check_end(over);
+        check_end(all_ended);
         return system_.violation;
     }
 
@@ -61,17 +63,17 @@
         return out;
     }
 
-    bool ok() const
+    bool no_violation() const
     {
         return system_.violation.empty();
     }
 
-    std::size_t any_planner()
+    std::size_t random_planner()
     {
         return random_() % 3;
     }
 
-    fake_workers::worker& any_worker()
+    fake_workers::worker& random_worker()
     {
         auto found = system_.workers.workers.begin();
         std::advance(found,
@@ -80,7 +82,7 @@
         return found->second;
     }
 
-    void step()
+    void apply_random_event()
     {
         switch (random_() % 14)
         {
@@ -91,10 +93,11 @@
             submit();
             break;
         case 4:
-            system_.request(any_planner(), "DELETE", "/v1/jobs/" + any_job());
+            system_.request(
+                random_planner(), "DELETE", "/v1/jobs/" + random_job());
             break;
         case 5:
-            system_.kill(any_planner());
+            system_.kill(random_planner());
             break;
         case 6:
             restart();
@@ -103,7 +106,7 @@
             freeze_or_wake();
             break;
         case 8:
-            system_.cut_store(any_planner(), random_() % 2 == 0);
+            system_.cut_store(random_planner(), random_() % 2 == 0);
             break;
         case 9:
             system_.store.faults.down = random_() % 4 == 0;
@@ -113,7 +116,7 @@
                                        random_() % 2 == 0);
             break;
         case 11:
-            system_.workers.cut(any_worker().info.id, random_() % 2 == 0);
+            system_.workers.cut(random_worker().info.id, random_() % 2 == 0);
             break;
         case 12:
             system_.put_contract(
@@ -124,27 +127,27 @@
                 600);
             break;
         default:
-            noise();
+            set_random_faults();
             break;
         }
     }
 
-    void noise()
+    void set_random_faults()
     {
-        auto const some = [this](std::uint32_t most)
+        auto const random_rate = [this](std::uint32_t max_permille)
         {
             return random_() % 2 == 0
                        ? 0
-                       : static_cast<std::uint32_t>(random_() % most);
+                       : static_cast<std::uint32_t>(random_() % max_permille);
         };
-        system_.store.faults.lose_reply_permille = some(100);
-        system_.store.faults.lose_request_permille = some(50);
-        system_.store.faults.duplicate_permille = some(50);
-        system_.store.faults.late_permille = some(50);
-        system_.workers.faults.lose_reply_permille = some(200);
-        system_.workers.faults.lose_request_permille = some(100);
-        system_.workers.faults.late_permille = some(100);
-        system_.link.faults.lose_permille = some(100);
+        system_.store.faults.lose_reply_permille = random_rate(100);
+        system_.store.faults.lose_request_permille = random_rate(50);
+        system_.store.faults.duplicate_permille = random_rate(50);
+        system_.store.faults.late_permille = random_rate(50);
+        system_.workers.faults.lose_reply_permille = random_rate(200);
+        system_.workers.faults.lose_request_permille = random_rate(100);
+        system_.workers.faults.late_permille = random_rate(100);
+        system_.link.faults.lose_permille = random_rate(100);
     }
 
     void submit()
@@ -152,7 +155,7 @@
         bool const service = random_() % 3 == 0;
         auto const id = "j" + std::to_string(++jobs_);
         system_.request(
-            any_planner(),
+            random_planner(),
             "POST",
             "/v1/jobs",
             job_json(id,
@@ -163,14 +166,14 @@
                      1000 + random_() % 20000));
     }
 
-    std::string any_job()
+    std::string random_job()
     {
         return "j" + std::to_string(1 + random_() % (jobs_ + 1));
     }
 
     void restart()
     {
-        auto const slot = any_planner();
+        auto const slot = random_planner();
         if (!frozen_[slot])
         {
             system_.start(slot);
@@ -179,7 +182,7 @@
 
     void freeze_or_wake()
     {
-        auto const slot = any_planner();
+        auto const slot = random_planner();
         if (std::exchange(frozen_[slot], false))
         {
             system_.unfreeze(slot);
@@ -191,7 +194,7 @@
         }
     }
 
-    void heal()
+    void clear_faults()
     {
         system_.store.faults.down = false;
         system_.store.faults.cut.clear();
@@ -224,8 +227,8 @@
         }
     }
 
-    /// No batch job is left that has not ended.
-    bool all_over()
+    /// Whether all batch jobs have ended and no job is queued.
+    bool check_all_ended()
     {
         auto const answer = system_.request_and_wait(0, "GET", "/v1/jobs");
         core::common::failure reason;
@@ -235,25 +238,25 @@
         {
             return false;
         }
-        listed_.clear();
-        bool over = true;
+        listed_states_.clear();
+        bool all_ended = true;
         for (auto const& item : object->at("jobs").as_array())
         {
             auto const& job = item.as_object();
             std::string const state(job.at("state").as_string());
             bool const batch = job.at("kind").as_string() == "batch";
-            listed_[std::string(job.at("id").as_string())] = state;
+            listed_states_[std::string(job.at("id").as_string())] = state;
             bool const live = state == "queued" || state == "running";
-            over = over && !(batch && live) && state != "queued";
+            all_ended = all_ended && !(batch && live) && state != "queued";
         }
-        return over;
+        return all_ended;
     }
 
-    void check_end(bool over)
+    void check_end(bool all_ended)
     {
-        if (ok() && !over)
+        if (no_violation() && !all_ended)
         {
-            for (auto const& [id, state] : listed_)
+            for (auto const& [id, state] : listed_states_)
             {
                 if (state == "queued" || state == "running")
                 {
@@ -267,13 +270,13 @@
         for (auto const& [caller, answer] : system_.answers)
         {
             auto const mark = answer.body.find("\"accepted\":true");
-            if (!ok() || mark == std::string::npos)
+            if (!no_violation() || mark == std::string::npos)
             {
                 continue;
             }
             auto const job =
                 answer.body.substr(8, answer.body.find('"', 8) - 8);
-            if (listed_.count(job) == 0)
+            if (listed_states_.count(job) == 0)
             {
                 system_.violation = job + " was accepted and is not listed";
             }
@@ -284,7 +287,7 @@
     planner_simulation system_;
     std::uint64_t jobs_ = 0;
     std::map<std::size_t, bool> frozen_;
-    std::map<std::string, std::string> listed_;
+    std::map<std::string, std::string> listed_states_;
 };
 
 std::uint64_t number_from(char const* variable, std::uint64_t fallback)
@@ -295,11 +298,12 @@
 
 } // namespace
 
-// Anything may fail at any moment, together or twice, while operators change
-// contracts and data centres and customers submit and cancel. No task may run
-// in two places, no worker or contract be overdrawn, nothing start in a data
-// centre that is out, no checkpoint be used twice, no accepted job be lost.
-TEST(planner_walks, keep_every_promise)
+// Any part may fail at any time, also together or repeatedly, while operators
+// change contracts and data centres and customers submit and cancel jobs. No
+// task may run in two places, no worker or contract may be exceeded, nothing
+// may start in a data centre out of service, no checkpoint may be used twice,
+// and no accepted job may be lost.
+TEST(planner_walks, preserve_all_guarantees_under_random_faults)
 {
     auto const first = number_from("FUCHSIA_FIRST_SEED", 1);
     auto const count = number_from("FUCHSIA_WALKS", walks_in_ci);
@@ -309,10 +313,10 @@
     }
 }
 
-// Seeds that showed faults: tasks that waited for ever for room (38, 54), that
-// were never renewed (1343), and that were run again although their end was
-// there to be read (356, 825).
-TEST(planner_walks, keep_every_promise_where_they_once_did_not)
+// Seeds that showed faults: tasks that waited forever for free capacity (38,
+// 54), tasks whose leases were never renewed (1343), and tasks that were run
+// again although their end could have been read (356, 825).
+TEST(planner_walks, preserve_all_guarantees_with_seeds_of_former_faults)
 {
     for (std::uint64_t const seed : {38, 54, 214, 356, 825, 1067, 1343, 1387})
     {
