--- a/src/core/tasks/change.hpp
+++ b/src/core/tasks/change.hpp
@@ -31,8 +31,7 @@
 struct transferred_task
 {
     std::uint32_t index = 0;
-    std::uint32_t attempt =
-        0; ///< Number of the last attempt; the next is one higher.
+    std::uint32_t attempt = 0; ///< Last attempt; the next is one higher.
     std::string checkpoint;
     std::vector<std::string> failed_workers; ///< Distinct workers.
 
--- a/src/core/tasks/job_request_handler.hpp
+++ b/src/core/tasks/job_request_handler.hpp
@@ -73,7 +73,7 @@
     enum class step : std::uint8_t
     {
         registering,     ///< Writes `jobs/<id>`.
-        reading_job,     ///< Reads it back to find its writer.
+        reading_job,     ///< Reads `jobs/<id>`, to find the job or its writer.
         listing_inbox,   ///< Looks for the job in the inboxes.
         listing_tasks,   ///< Looks for the job in the cells.
         delivering,      ///< Writes the message into the cell's inbox.
@@ -102,8 +102,8 @@
         common::time_point started_at{};
         common::time_point next_retry_at{};
         std::uint64_t call = 0;
-        bool write_may_have_applied =
-            false; ///< Whether a write of this request may have taken effect.
+        /// Whether a write of this request may have taken effect.
+        bool write_may_have_applied = false;
     };
 
     // job_request_handler.cpp: requests and their store calls.
