--- a/src/adapters/http/client.cpp
+++ b/src/adapters/http/client.cpp
@@ -22,9 +22,9 @@
 using ports::exchange_status;
 using tcp = asio::ip::tcp;
 
-// How long an answer that is being read may bring nothing: a packet that was
-// lost comes again after 200 ms.
-constexpr core::common::duration longest_gap = std::chrono::milliseconds(400);
+// Maximum time without new data while a late response is read. A lost packet
+// is retransmitted after 200 ms.
+constexpr core::common::duration max_read_gap = std::chrono::milliseconds(400);
 } // namespace
 
 class client::pool : public std::enable_shared_from_this<client::pool>
@@ -37,8 +37,8 @@
 
     void send(client_call call, handler handle);
     void close();
-    /// Closes without a word to the handlers.
-    void abandon();
+    /// Closes every connection without calling the handlers of pending calls.
+    void close_without_handlers();
 
 private:
     class connection;
@@ -50,34 +50,35 @@
         std::set<connection_ptr> all;
     };
 
-    connection_ptr take_idle(ports::endpoint const& where);
-    void put_back(connection_ptr const& done);
-    void forget(connection_ptr const& gone);
-    void doubt_unused(connection const& silent);
+    connection_ptr take_idle(ports::endpoint const& remote_endpoint);
+    void put_back(connection_ptr const& conn);
+    void remove(connection_ptr const& conn);
+    void close_silent_idle(connection const& silent_connection);
 
     asio::io_context& io_;
     client_settings settings_;
     std::map<ports::endpoint, endpoint_pool> endpoints_;
-    std::uint64_t moment_ = 0; // Of the last begin of a call, or answer.
+    std::uint64_t event_counter_ = 0; ///< Orders call starts and responses.
 };
 
-// One TCP connection. States in order: connecting, then any number of times
-// busy (one call) and idle (in the pool), then closed.
+// One TCP connection. It is first connecting, then alternates between busy
+// (with one call) and idle (in the pool), and is finally closed.
 class client::pool::connection : public std::enable_shared_from_this<connection>
 {
 public:
-    connection(std::shared_ptr<pool> owner, ports::endpoint where)
-        : owner_(std::move(owner)), where_(std::move(where)),
-          socket_(owner_->io_), deadline_(owner_->io_)
+    connection(std::shared_ptr<pool> owner, ports::endpoint remote_endpoint)
+        : owner_(std::move(owner)),
+          remote_endpoint_(std::move(remote_endpoint)), socket_(owner_->io_),
+          deadline_(owner_->io_)
     {
     }
 
-    ports::endpoint const& where() const noexcept
+    ports::endpoint const& remote_endpoint() const noexcept
     {
-        return where_;
+        return remote_endpoint_;
     }
 
-    void begin(client_call call, handler handle)
+    void start_call(client_call call, handler handle)
     {
         call_ = std::move(call);
         handle_ = std::move(handle);
@@ -85,9 +86,9 @@
         timed_out_ = false;
         progress_ = 0;
         parser_.reset();
-        reading_until_.reset();
-        last_look_ = false;
-        began_ = ++owner_->moment_;
+        read_deadline_.reset();
+        final_check_done_ = false;
+        call_started_ = ++owner_->event_counter_;
         if (socket_.is_open())
         {
             arm(call_.timeout);
@@ -97,25 +98,25 @@
         connect();
     }
 
-    // Watches an unused connection: whatever arrives ends it.
-    void rest()
+    // Watches the idle connection and closes it if anything arrives.
+    void watch_idle()
     {
         arm(owner_->settings_.idle_timeout);
-        socket_.async_wait(
-            tcp::socket::wait_read,
-            [self = shared_from_this(), turn = ++turn_](beast::error_code)
-            {
-                if (self->turn_ == turn)
-                {
-                    self->close();
-                }
-            });
+        socket_.async_wait(tcp::socket::wait_read,
+                           [self = shared_from_this(),
+                            watch_id = ++watch_id_](beast::error_code)
+                           {
+                               if (self->watch_id_ == watch_id)
+                               {
+                                   self->close();
+                               }
+                           });
     }
 
-    // Ends the watch of `rest`; false where the connection is no good.
-    bool wake()
+    // Ends the watch of `watch_idle`. Returns whether the connection is usable.
+    bool end_idle_watch()
     {
-        ++turn_;
+        ++watch_id_;
         beast::error_code error;
         socket_.cancel(error);
         char byte = 0;
@@ -130,26 +131,26 @@
 
     void close()
     {
-        ++turn_;
+        ++watch_id_;
         beast::error_code ignored;
         deadline_.cancel();
         socket_.close(ignored);
-        owner_->forget(shared_from_this());
+        owner_->remove(shared_from_this());
     }
 
     void fail(exchange_status status)
     {
-        auto const keep = shared_from_this();
+        auto const self = shared_from_this();
         close();
         end(status, {});
     }
 
-    bool heard_since_begin_of(connection const& other) const noexcept
+    bool received_since_start_of(connection const& other) const noexcept
     {
-        return heard_ > other.began_;
+        return last_response_ > other.call_started_;
     }
 
-    void forget_handler()
+    void clear_handler()
     {
         handle_ = nullptr;
     }
@@ -176,7 +177,8 @@
 
     void on_deadline()
     {
-        // After a stall of this process it may be the one of an earlier call.
+        // After a stall of this process the handler may still run for the
+        // deadline of an earlier call.
         if (deadline_.expiry() > core::common::clock::now())
         {
             return;
@@ -196,13 +198,13 @@
             fail(exchange_status::lost);
             return;
         }
-        if (answer_keeps_coming())
+        if (is_receiving_response())
         {
-            arm(std::min(longest_gap, call_.late_read_limit));
+            arm(std::min(max_read_gap, call_.late_read_limit));
             return;
         }
         timed_out_ = true;
-        owner_->doubt_unused(*this);
+        owner_->close_silent_idle(*this);
         if (!call_.drain)
         {
             fail(exchange_status::timed_out);
@@ -212,25 +214,28 @@
         handle_(exchange_status::timed_out, {});
     }
 
-    // A time limit is for a silent server. A large answer may take longer on a
-    // thin link: cut off and asked for again, it would never be whole. Besides,
-    // after a stall of this process its timers and what came meanwhile are due
-    // together. A call that drains reads on in any case.
-    bool answer_keeps_coming()
+    // Returns whether the response has made progress and may be read further
+    // after the timeout. The timeout is meant for an unresponsive server. A
+    // large response may take longer on a slow link; if it were aborted and
+    // requested again, it would never complete. Also, after a stall of this
+    // process, its timers and the data received meanwhile are due at the same
+    // time. A call that drains reads the response in any case.
+    bool is_receiving_response()
     {
         auto const now = core::common::clock::now();
-        auto const before = std::exchange(progress_, progress());
-        if (call_.drain || progress_ <= before)
+        auto const previous = std::exchange(progress_, progress());
+        if (call_.drain || progress_ <= previous)
         {
             return false;
         }
-        reading_until_ = reading_until_.value_or(now + call_.late_read_limit);
-        // This process may have stood still when the limit passed.
-        return now < *reading_until_ || !std::exchange(last_look_, true);
+        read_deadline_ = read_deadline_.value_or(now + call_.late_read_limit);
+        // One check is allowed after the deadline, because this process may
+        // have been stalled when the deadline passed.
+        return now < *read_deadline_ || !std::exchange(final_check_done_, true);
     }
 
-    // Grows with each byte of the answer that arrives, and with each that is
-    // read.
+    // Returns a value that grows with each byte of the response that arrives
+    // and with each byte that is parsed.
     std::size_t progress()
     {
         beast::error_code ignored;
@@ -242,10 +247,11 @@
     {
         sent_ = false;
         beast::error_code error;
-        auto const address = asio::ip::make_address(where_.address, error);
+        auto const address =
+            asio::ip::make_address(remote_endpoint_.address, error);
         arm(std::min(call_.timeout, owner_->settings_.connect_timeout));
         socket_.async_connect(
-            tcp::endpoint(address, where_.port),
+            tcp::endpoint(address, remote_endpoint_.port),
             [self = shared_from_this()](beast::error_code failed)
             {
                 if (self->ended_)
@@ -277,7 +283,7 @@
         }
         if (message_.find(beast::http::field::host) == message_.end())
         {
-            message_.set(beast::http::field::host, to_string(where_));
+            message_.set(beast::http::field::host, to_string(remote_endpoint_));
         }
         message_.keep_alive(true);
         message_.body() = std::move(call_.message.body);
@@ -324,18 +330,18 @@
         }
         if (error)
         {
-            bool const large = error == beast::http::error::body_limit ||
-                               error == beast::http::error::header_limit;
-            fail(large && !timed_out_ ? exchange_status::too_large
-                                      : exchange_status::lost);
+            bool const over_limit = error == beast::http::error::body_limit ||
+                                    error == beast::http::error::header_limit;
+            fail(over_limit && !timed_out_ ? exchange_status::too_large
+                                           : exchange_status::lost);
             return;
         }
-        heard_ = ++owner_->moment_;
+        last_response_ = ++owner_->event_counter_;
         auto message = parser_->release();
-        auto const keep = shared_from_this();
+        auto const self = shared_from_this();
         if (message.keep_alive() && buffer_.size() == 0)
         {
-            owner_->put_back(keep);
+            owner_->put_back(self);
         }
         else
         {
@@ -348,15 +354,15 @@
     static response
     take_response(beast::http::response<beast::http::string_body>& message)
     {
-        response taken;
-        taken.status = static_cast<std::uint16_t>(message.result_int());
+        response result;
+        result.status = static_cast<std::uint16_t>(message.result_int());
         for (auto const& field : message)
         {
-            taken.headers.push_back(
+            result.headers.push_back(
                 {std::string(field.name_string()), std::string(field.value())});
         }
-        taken.body = std::move(message.body());
-        return taken;
+        result.body = std::move(message.body());
+        return result;
     }
 
     void end(exchange_status status, response answer)
@@ -375,7 +381,7 @@
     }
 
     std::shared_ptr<pool> owner_;
-    ports::endpoint where_;
+    ports::endpoint remote_endpoint_;
     tcp::socket socket_;
     runtime::timer deadline_;
     client_call call_;
@@ -384,27 +390,31 @@
     beast::http::request<beast::http::string_body> message_;
     std::optional<beast::http::response_parser<beast::http::string_body>>
         parser_;
-    std::uint64_t turn_ = 0; // Of idle watches; an old one does nothing.
-    bool sent_ = false;      // A byte of the present call may have gone out.
+    std::uint64_t watch_id_ =
+        0;              ///< Invalidates the handlers of earlier idle watches.
+    bool sent_ = false; ///< A byte of the current call may have been sent.
     bool ended_ = true;
     bool timed_out_ = false;
-    std::size_t progress_ = 0; // At the last look, past the time limit.
-    std::optional<core::common::time_point> reading_until_;
-    bool last_look_ = false;  // Was taken, behind `reading_until_`.
-    std::uint64_t began_ = 0; // Moments of the pool: the present call began,
-    std::uint64_t heard_ = 0; // the last answer came.
+    std::size_t progress_ = 0; ///< Value at the last check after the timeout.
+    /// End of reading a response that was still arriving at the timeout.
+    std::optional<core::common::time_point> read_deadline_;
+    bool final_check_done_ = false; ///< Check after `read_deadline_`.
+    std::uint64_t call_started_ =
+        0; ///< `event_counter_` at the start of the call.
+    std::uint64_t last_response_ =
+        0; ///< `event_counter_` at the last response.
 };
 
 void client::pool::send(client_call call, handler handle)
 {
-    while (auto const reused = take_idle(call.remote_endpoint))
+    while (auto const idle_connection = take_idle(call.remote_endpoint))
     {
-        if (reused->wake())
+        if (idle_connection->end_idle_watch())
         {
-            reused->begin(std::move(call), std::move(handle));
+            idle_connection->start_call(std::move(call), std::move(handle));
             return;
         }
-        reused->close();
+        idle_connection->close();
     }
     auto& endpoint = endpoints_[call.remote_endpoint];
     if (endpoint.all.size() >= settings_.connections_per_endpoint)
@@ -416,61 +426,61 @@
                    });
         return;
     }
-    auto const made =
+    auto const new_connection =
         std::make_shared<connection>(shared_from_this(), call.remote_endpoint);
-    endpoint.all.insert(made);
-    made->begin(std::move(call), std::move(handle));
+    endpoint.all.insert(new_connection);
+    new_connection->start_call(std::move(call), std::move(handle));
 }
 
 client::pool::connection_ptr
-client::pool::take_idle(ports::endpoint const& where)
+client::pool::take_idle(ports::endpoint const& remote_endpoint)
 {
-    auto const found = endpoints_.find(where);
-    if (found == endpoints_.end() || found->second.idle.empty())
+    auto const it = endpoints_.find(remote_endpoint);
+    if (it == endpoints_.end() || it->second.idle.empty())
     {
         return nullptr;
     }
-    auto taken = found->second.idle.back();
-    found->second.idle.pop_back();
-    return taken;
+    auto result = it->second.idle.back();
+    it->second.idle.pop_back();
+    return result;
 }
 
-void client::pool::put_back(connection_ptr const& done)
+void client::pool::put_back(connection_ptr const& conn)
 {
-    endpoints_[done->where()].idle.push_back(done);
-    done->rest();
+    endpoints_[conn->remote_endpoint()].idle.push_back(conn);
+    conn->watch_idle();
 }
 
-void client::pool::forget(connection_ptr const& gone)
+void client::pool::remove(connection_ptr const& conn)
 {
-    auto const found = endpoints_.find(gone->where());
-    if (found == endpoints_.end())
+    auto const it = endpoints_.find(conn->remote_endpoint());
+    if (it == endpoints_.end())
     {
         return;
     }
-    std::erase(found->second.idle, gone);
-    found->second.all.erase(gone);
-    if (found->second.all.empty())
+    std::erase(it->second.idle, conn);
+    it->second.all.erase(conn);
+    if (it->second.all.empty())
     {
-        endpoints_.erase(found);
+        endpoints_.erase(it);
     }
 }
 
-// Channels to one place can fall silent together, without a reset. Tried one
-// after the other, each would cost the next call.
-void client::pool::doubt_unused(connection const& silent)
+// Connections to one endpoint can become unresponsive together, without a
+// reset. If they were used one after the other, each would cost a call.
+void client::pool::close_silent_idle(connection const& silent_connection)
 {
-    auto const found = endpoints_.find(silent.where());
-    if (!settings_.close_idle_on_timeout || found == endpoints_.end())
+    auto const it = endpoints_.find(silent_connection.remote_endpoint());
+    if (!settings_.close_idle_on_timeout || it == endpoints_.end())
     {
         return;
     }
-    auto const unused = found->second.idle;
-    for (auto const& each : unused)
+    auto const idle_connections = it->second.idle;
+    for (auto const& candidate : idle_connections)
     {
-        if (!each->heard_since_begin_of(silent))
+        if (!candidate->received_since_start_of(silent_connection))
         {
-            each->close();
+            candidate->close();
         }
     }
 }
@@ -479,22 +489,22 @@
 {
     auto const endpoints = std::move(endpoints_);
     endpoints_.clear();
-    for (auto const& [where, endpoint] : endpoints)
+    for (auto const& [remote_endpoint, endpoint] : endpoints)
     {
-        for (auto const& open : endpoint.all)
+        for (auto const& current : endpoint.all)
         {
-            open->abort();
+            current->abort();
         }
     }
 }
 
-void client::pool::abandon()
+void client::pool::close_without_handlers()
 {
-    for (auto const& [where, endpoint] : endpoints_)
+    for (auto const& [remote_endpoint, endpoint] : endpoints_)
     {
-        for (auto const& open : endpoint.all)
+        for (auto const& current : endpoint.all)
         {
-            open->forget_handler();
+            current->clear_handler();
         }
     }
     close();
@@ -505,11 +515,12 @@
 {
 }
 
-// A handler belongs to the client's owner, which is being destroyed now: parts
-// of it that the handler would touch are gone already.
+// The handlers belong to the owner of the client. When the client is destroyed
+// as part of its owner, members that a handler would use may be destroyed
+// already, so no handler is called.
 client::~client()
 {
-    pool_->abandon();
+    pool_->close_without_handlers();
 }
 
 void client::send(client_call call, handler handle)
--- a/src/adapters/http/client.hpp
+++ b/src/adapters/http/client.hpp
@@ -12,19 +12,23 @@
 
 struct client_settings
 {
-    /// Kept and busy connections to one endpoint together.
+    /// Maximum number of connections to one endpoint, idle and busy together.
     std::uint32_t connections_per_endpoint = 60;
     core::common::duration connect_timeout = std::chrono::seconds(1);
-    /// A late answer is waited for this long before its connection is closed.
+    /// Maximum time to wait for a late response before its connection is
+    /// closed.
     core::common::duration drain_timeout = std::chrono::seconds(30);
-    /// An unused connection is closed after this long.
+    /// Time after which an idle connection is closed.
     core::common::duration idle_timeout = std::chrono::seconds(30);
+    /// Maximum size of a response header.
     std::uint32_t header_bytes = 16 * 1024;
+    /// Maximum size of a response body.
     std::uint64_t body_bytes = 4 * 1024 * 1024;
-    /// A call that times out closes the unused connections to its endpoint that
-    /// have brought nothing since it began: they may be as silent as its own.
+    /// Whether a call that times out also closes the idle connections to its
+    /// endpoint that have received nothing since the call started. They may be
+    /// as unresponsive as the connection of the call.
     bool close_idle_on_timeout = false;
-    /// Answers are read in pieces of this size, at least.
+    /// Minimum buffer size for reading a response.
     std::size_t read_bytes = 512;
 };
 
@@ -33,35 +37,37 @@
     ports::endpoint remote_endpoint;
     request message;
     core::common::duration timeout = std::chrono::seconds(5);
-    /// After a time-out: keep the connection until the late answer was drained
-    /// (a second call of the handler says so), or close it at once.
+    /// Whether a timed-out call keeps its connection until the late response
+    /// has been drained, which a second call of the handler reports. Otherwise
+    /// the connection is closed at once.
     bool drain = false;
-    /// An answer that keeps arriving when the time limit passes is read on for
-    /// about this long.
+    /// Approximate time for which a response that is still arriving at the
+    /// timeout is read further.
     core::common::duration late_read_limit = std::chrono::seconds(1);
 };
 
-/// HTTP/1.1 client with a pool of kept connections per endpoint; one request
-/// at a time on each. It sends every request at most once.
+/// HTTP/1.1 client with a pool of persistent connections per endpoint and one
+/// request at a time on each connection. It sends every request at most once.
 ///
-/// A kept connection that its server has closed would lose the next request
-/// without a trace of whether it ran. An idle connection is therefore watched:
-/// one on which anything arrives is dropped from the pool before it is used.
+/// A request sent on a persistent connection that the server has closed would
+/// be lost, and the client could not know whether it ran. Idle connections are
+/// therefore watched: a connection on which anything arrives while it is idle
+/// is removed from the pool before it is used again.
 class client
 {
 public:
     using handler = std::function<void(ports::exchange_status, response)>;
 
     client(boost::asio::io_context& io, client_settings settings);
-    /// Closes every connection; handlers of open calls are not called.
+    /// Closes every connection without calling the handlers of pending calls.
     ~client();
 
-    /// `handle` is called on the client's `io_context`: once, or twice where
-    /// the first status is `timed_out` and the call asked to drain. Never from
-    /// within `send`.
+    /// Calls `handle` on the client's `io_context`, never from within `send`.
+    /// It is called once, or twice if the first status is `timed_out` and
+    /// `client_call::drain` is set.
     void send(client_call call, handler handle);
 
-    /// Closes every connection; open calls end as `lost` or `not_sent`.
+    /// Closes every connection; pending calls end as `lost` or `not_sent`.
     void close();
 
 private:
--- a/src/adapters/http/message.cpp
+++ b/src/adapters/http/message.cpp
@@ -91,14 +91,13 @@
                        });
 }
 
-bool equal_in_constant_time(std::string_view left,
-                            std::string_view right) noexcept
+bool equal_in_constant_time(std::string_view lhs, std::string_view rhs) noexcept
 {
-    unsigned difference = left.size() == right.size() ? 0 : 1;
-    for (std::size_t index = 0; index < left.size(); ++index)
+    unsigned difference = lhs.size() == rhs.size() ? 0 : 1;
+    for (std::size_t index = 0; index < lhs.size(); ++index)
     {
-        char const other = right.empty() ? '\0' : right[index % right.size()];
-        difference |= static_cast<unsigned char>(left[index] ^ other);
+        char const other = rhs.empty() ? '\0' : rhs[index % rhs.size()];
+        difference |= static_cast<unsigned char>(lhs[index] ^ other);
     }
     return difference == 0;
 }
@@ -129,8 +128,9 @@
 
 std::string to_string(ports::endpoint const& value)
 {
-    bool const six = value.address.find(':') != std::string::npos;
-    std::string const host = six ? "[" + value.address + "]" : value.address;
+    bool const is_ipv6 = value.address.find(':') != std::string::npos;
+    std::string const host =
+        is_ipv6 ? "[" + value.address + "]" : value.address;
     return host + ":" + std::to_string(value.port);
 }
 
--- a/src/adapters/http/message.hpp
+++ b/src/adapters/http/message.hpp
@@ -14,16 +14,16 @@
 namespace fuchsia::adapters::http
 {
 
-/// A whole HTTP request, as a server got it or a client sends it.
+/// A complete HTTP request, as received by a server or sent by a client.
 struct request
 {
     std::string method;
     std::string target;
     std::vector<ports::header> headers;
     std::string body;
-    std::string remote_address; ///< Of the peer; servers only.
+    std::string remote_address; ///< Address of the client; set by servers only.
 
-    /// Value of the first header with this name, whatever its case.
+    /// Returns the value of the first header with this name, ignoring case.
     std::optional<std::string_view>
     header(std::string_view name) const noexcept;
 };
@@ -34,26 +34,29 @@
     std::vector<ports::header> headers;
     std::string body;
 
+    /// Returns the value of the first header with this name, ignoring case.
     std::optional<std::string_view>
     header(std::string_view name) const noexcept;
 };
 
-/// JSON answer with `status`.
+/// Returns a response with the given status and a JSON body.
 response json_response(std::uint16_t status, std::string body);
 
-/// A refusal as docs/API.md has it: the code's HTTP status, its number and
-/// name in the header and the body, and what a caller may conclude.
+/// Returns an error response in the format of docs/API.md: the HTTP status of
+/// the result code, its number and name in a header and in the body, and the
+/// outcome that the caller may assume for its request.
 response failure_response(core::common::failure const& reason);
 
-/// Whether a header belongs to one connection and is never passed on; these
-/// include the ones that the library writes itself.
+/// Returns whether a header applies to a single connection and must not be
+/// forwarded. This includes the headers that the HTTP library writes itself.
 bool is_hop_by_hop(std::string_view header_name) noexcept;
 
-/// Compares without telling by its run time where the two differ.
-bool equal_in_constant_time(std::string_view left,
-                            std::string_view right) noexcept;
+/// Compares two strings in a run time that does not reveal where they differ.
+bool equal_in_constant_time(std::string_view lhs,
+                            std::string_view rhs) noexcept;
 
-/// "127.0.0.1:8080" or "[::1]:8080"; empty where it is no IP number and port.
+/// Parses "127.0.0.1:8080" or "[::1]:8080". Empty if the text is not an IP
+/// address with a port.
 std::optional<ports::endpoint> parse_endpoint(std::string_view text) noexcept;
 std::string to_string(ports::endpoint const& value);
 
--- a/src/adapters/http/server.cpp
+++ b/src/adapters/http/server.cpp
@@ -34,7 +34,8 @@
     return {result_code::malformed_http, "request", error.message()};
 }
 
-// Whether the peer sent something that is no HTTP, rather than went away.
+// Returns whether the client sent malformed HTTP, as opposed to closing the
+// connection.
 bool is_parse_error(beast::error_code error)
 {
     return error.category() ==
@@ -54,10 +55,10 @@
     {
     }
 
-    std::optional<ports::endpoint> listen(ports::endpoint const& where,
+    std::optional<ports::endpoint> listen(ports::endpoint const& local_endpoint,
                                           core::common::failure& reason)
     {
-        auto bound = acceptor_.listen(where, reason);
+        auto bound = acceptor_.listen(local_endpoint, reason);
         if (bound)
         {
             accept();
@@ -75,7 +76,7 @@
 
     std::uint32_t waiting() const noexcept
     {
-        return waiting_;
+        return pending_requests_;
     }
 
 private:
@@ -87,9 +88,10 @@
     server_limits limits_;
     request_handler handle_;
     std::list<std::weak_ptr<connection>> connections_;
-    std::uint32_t open_ = 0;
-    std::uint32_t waiting_ = 0;
-    bool keep_alive_ = true; ///< Connections may be used again.
+    std::uint32_t open_connections_ = 0;
+    std::uint32_t pending_requests_ = 0;
+    bool keep_alive_ =
+        true; ///< Whether connections stay open after a response.
 };
 
 class server::listener::connection
@@ -97,19 +99,19 @@
 {
 public:
     connection(tcp::socket socket, std::shared_ptr<listener> owner)
-        : stream_(std::move(socket)), idle_(stream_.get_executor()),
+        : stream_(std::move(socket)), idle_timer_(stream_.get_executor()),
           owner_(std::move(owner))
     {
         beast::error_code ignored;
         stream_.set_option(tcp::no_delay(true), ignored);
         auto const peer = stream_.remote_endpoint(ignored);
         remote_address_ = peer.address().to_string();
-        ++owner_->open_;
+        ++owner_->open_connections_;
     }
 
     ~connection()
     {
-        --owner_->open_;
+        --owner_->open_connections_;
     }
 
     void read()
@@ -131,7 +133,7 @@
     void drain()
     {
         draining_ = true;
-        if (!answering_ && buffer_.size() == 0)
+        if (!response_pending_ && buffer_.size() == 0)
         {
             close();
         }
@@ -140,7 +142,7 @@
     void close()
     {
         beast::error_code ignored;
-        idle_.cancel();
+        idle_timer_.cancel();
         stream_.shutdown(tcp::socket::shutdown_both, ignored);
         stream_.close(ignored);
     }
@@ -148,12 +150,12 @@
 private:
     void arm_idle()
     {
-        idle_.expires_after(owner_->limits_.idle);
-        idle_.async_wait(
+        idle_timer_.expires_after(owner_->limits_.idle);
+        idle_timer_.async_wait(
             [weak = weak_from_this()](beast::error_code error)
             {
                 auto const self = weak.lock();
-                if (!error && self && !self->answering_)
+                if (!error && self && !self->response_pending_)
                 {
                     self->close();
                 }
@@ -162,22 +164,22 @@
 
     void on_read(beast::error_code error)
     {
-        idle_.cancel();
+        idle_timer_.cancel();
         if (error)
         {
             if (is_parse_error(error))
             {
                 draining_ = true;
-                answering_ = true;
-                ++owner_->waiting_;
+                response_pending_ = true;
+                ++owner_->pending_requests_;
                 write(failure_response(failure_of(error)));
                 return;
             }
             close();
             return;
         }
-        answering_ = true;
-        ++owner_->waiting_;
+        response_pending_ = true;
+        ++owner_->pending_requests_;
         owner_->handle_(take_request(), make_responder());
     }
 
@@ -185,17 +187,17 @@
     {
         auto message = parser_->release();
         keep_alive_ = message.keep_alive();
-        request taken;
-        taken.method = std::string(message.method_string());
-        taken.target = std::string(message.target());
+        request result;
+        result.method = std::string(message.method_string());
+        result.target = std::string(message.target());
         for (auto const& field : message)
         {
-            taken.headers.push_back(
+            result.headers.push_back(
                 {std::string(field.name_string()), std::string(field.value())});
         }
-        taken.body = std::move(message.body());
-        taken.remote_address = remote_address_;
-        return taken;
+        result.body = std::move(message.body());
+        result.remote_address = remote_address_;
+        return result;
     }
 
     responder make_responder()
@@ -203,8 +205,8 @@
         auto const number = ++request_number_;
         return [self = shared_from_this(), number](response answer)
         {
-            bool const first = self->request_number_ == number;
-            if (first && self->answering_ && !self->writing_)
+            bool const is_current = self->request_number_ == number;
+            if (is_current && self->response_pending_ && !self->writing_)
             {
                 self->write(std::move(answer));
             }
@@ -236,8 +238,8 @@
 
     void on_written(beast::error_code error)
     {
-        --owner_->waiting_;
-        answering_ = false;
+        --owner_->pending_requests_;
+        response_pending_ = false;
         writing_ = false;
         if (error || draining_ || !keep_alive_)
         {
@@ -248,7 +250,7 @@
     }
 
     tcp::socket stream_;
-    runtime::timer idle_;
+    runtime::timer idle_timer_;
     std::shared_ptr<listener> owner_;
     std::string remote_address_;
     beast::flat_buffer buffer_;
@@ -258,7 +260,7 @@
     std::uint64_t request_number_ = 0;
     bool keep_alive_ = true;
     bool draining_ = false;
-    bool answering_ = false;
+    bool response_pending_ = false;
     bool writing_ = false;
 };
 
@@ -267,17 +269,17 @@
     acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
-            if (self->open_ < self->limits_.connections)
+            if (self->open_connections_ < self->limits_.connections)
             {
-                auto const made =
+                auto const new_connection =
                     std::make_shared<connection>(std::move(socket), self);
                 self->connections_.remove_if(
                     [](auto const& weak)
                     {
                         return weak.expired();
                     });
-                self->connections_.push_back(made);
-                made->read();
+                self->connections_.push_back(new_connection);
+                new_connection->read();
             }
             self->accept();
         });
@@ -288,9 +290,9 @@
     acceptor_.close();
     for (auto const& weak : connections_)
     {
-        if (auto const open = weak.lock())
+        if (auto const current = weak.lock())
         {
-            open->drain();
+            current->drain();
         }
     }
 }
@@ -300,9 +302,9 @@
     acceptor_.close();
     for (auto const& weak : connections_)
     {
-        if (auto const open = weak.lock())
+        if (auto const current = weak.lock())
         {
-            open->close();
+            current->close();
         }
     }
 }
@@ -319,10 +321,11 @@
     listener_->close();
 }
 
-std::optional<ports::endpoint> server::listen(ports::endpoint const& where,
-                                              core::common::failure& reason)
+std::optional<ports::endpoint>
+server::listen(ports::endpoint const& local_endpoint,
+               core::common::failure& reason)
 {
-    return listener_->listen(where, reason);
+    return listener_->listen(local_endpoint, reason);
 }
 
 void server::close_after_answers() noexcept
--- a/src/adapters/http/server.hpp
+++ b/src/adapters/http/server.hpp
@@ -11,25 +11,26 @@
 namespace fuchsia::adapters::http
 {
 
-/// Bounds of one server; what exceeds them is answered and closed.
+/// Limits of one server. A message above its size limit is answered with an
+/// error, and its connection is closed.
 struct server_limits
 {
-    std::uint32_t header_bytes = 16 * 1024;
-    std::uint64_t body_bytes = 1024 * 1024;
-    std::uint32_t connections = 4096;
-    /// A connection on which nothing moves for this long is closed. Time that
-    /// a request waits for its answer does not count.
+    std::uint32_t header_bytes = 16 * 1024; ///< Maximum size of a header.
+    std::uint64_t body_bytes = 1024 * 1024; ///< Maximum size of a body.
+    std::uint32_t connections = 4096;       ///< Maximum number of connections.
+    /// Maximum time to receive the next request, after which the connection is
+    /// closed. The time that a request waits for its response does not count.
     core::common::duration idle = std::chrono::seconds(60);
 };
 
-/// Sends the answer of one request; to be called once, on the server's own
-/// `io_context`. A further call is ignored.
+/// Sends the response to one request. It must be called once, on the
+/// `io_context` of the server; further calls are ignored.
 using responder = std::function<void(response)>;
 using request_handler = std::function<void(request, responder)>;
 
-/// HTTP/1.1 server with kept connections, one request at a time on each.
-/// Malformed or oversize messages are answered with a numbered code and never
-/// reach the handler.
+/// HTTP/1.1 server with persistent connections and one request at a time on
+/// each connection. Malformed or oversize messages are answered with a numbered
+/// result code and never reach the handler.
 class server
 {
 public:
@@ -38,20 +39,21 @@
            request_handler handle);
     ~server();
 
-    /// Starts to accept; port 0 takes a free one. Empty, with the reason, where
-    /// the address can't be bound.
-    std::optional<ports::endpoint> listen(ports::endpoint const& where,
+    /// Starts accepting connections and returns the bound address; port 0
+    /// selects a free port. If the address cannot be bound, the result is empty
+    /// and `reason` is set.
+    std::optional<ports::endpoint> listen(ports::endpoint const& local_endpoint,
                                           core::common::failure& reason);
 
-    /// From now on every answer closes its connection; new ones are still
-    /// taken.
+    /// Closes each connection after its next response; new connections are
+    /// still accepted.
     void close_after_answers() noexcept;
-    /// Takes no new connection, closes those without a request, and closes
-    /// each other after its answer.
+    /// Stops accepting connections, closes the connections without a pending
+    /// request, and closes the others after their response.
     void drain();
-    /// Requests that wait for their answer.
+    /// Returns the number of requests that wait for their response.
     std::uint32_t waiting() const noexcept;
-    /// Closes everything at once.
+    /// Closes the listening socket and all connections at once.
     void close();
 
 private:
