--- a/src/adapters/peer/codec.cpp
+++ b/src/adapters/peer/codec.cpp
@@ -18,7 +18,7 @@
 using core::common::outcome;
 using core::common::result_code;
 
-// HTTP has no status of four digits.
+// Maximum HTTP status; a status has three digits.
 constexpr std::uint16_t max_status = 999;
 
 std::string text_of(flatbuffers::String const* value)
@@ -32,19 +32,19 @@
                             : std::string(value->begin(), value->end());
 }
 
-offset<flatbuffers::Vector<std::uint8_t>> bytes_to(builder& out,
-                                                   std::string const& value)
+offset<flatbuffers::Vector<std::uint8_t>> write_bytes(builder& fbb,
+                                                      std::string const& value)
 {
     auto const* const data =
         reinterpret_cast<std::uint8_t const*>(value.data());
-    return out.CreateVector(data, value.size());
+    return fbb.CreateVector(data, value.size());
 }
 
-offset<schema::identity> write(builder& out,
+offset<schema::identity> write(builder& fbb,
                                ports::member_identity const& value)
 {
     return schema::Createidentity(
-        out, out.CreateString(value.name), value.incarnation);
+        fbb, fbb.CreateString(value.name), value.incarnation);
 }
 
 ports::member_identity read(schema::identity const* value)
@@ -56,17 +56,17 @@
     return {text_of(value->name()), value->incarnation()};
 }
 
-auto write(builder& out, std::vector<ports::header> const& headers)
+auto write(builder& fbb, std::vector<ports::header> const& headers)
 {
-    std::vector<offset<schema::header>> written;
-    written.reserve(headers.size());
+    std::vector<offset<schema::header>> offsets;
+    offsets.reserve(headers.size());
     for (auto const& header : headers)
     {
-        written.push_back(schema::Createheader(out,
-                                               out.CreateString(header.name),
-                                               out.CreateString(header.value)));
+        offsets.push_back(schema::Createheader(fbb,
+                                               fbb.CreateString(header.name),
+                                               fbb.CreateString(header.value)));
     }
-    return out.CreateVector(written);
+    return fbb.CreateVector(offsets);
 }
 
 std::vector<ports::header>
@@ -84,16 +84,16 @@
     return result;
 }
 
-offset<schema::caller_request> write(builder& out,
+offset<schema::caller_request> write(builder& fbb,
                                      ports::caller_request const& value)
 {
-    auto const customer = out.CreateString(value.customer);
-    auto const method = out.CreateString(value.method);
-    auto const target = out.CreateString(value.target);
-    auto const headers = write(out, value.headers);
-    auto const body = bytes_to(out, value.body);
-    auto const key = out.CreateString(value.idempotency_key);
-    return schema::Createcaller_request(out,
+    auto const customer = fbb.CreateString(value.customer);
+    auto const method = fbb.CreateString(value.method);
+    auto const target = fbb.CreateString(value.target);
+    auto const headers = write(fbb, value.headers);
+    auto const body = write_bytes(fbb, value.body);
+    auto const key = fbb.CreateString(value.idempotency_key);
+    return schema::Createcaller_request(fbb,
                                         customer,
                                         static_cast<std::uint8_t>(value.kind),
                                         method,
@@ -125,12 +125,12 @@
     return result;
 }
 
-offset<schema::caller_answer> write(builder& out,
+offset<schema::caller_answer> write(builder& fbb,
                                     ports::caller_answer const& value)
 {
-    auto const headers = write(out, value.headers);
-    auto const body = bytes_to(out, value.body);
-    return schema::Createcaller_answer(out,
+    auto const headers = write(fbb, value.headers);
+    auto const body = write_bytes(fbb, value.body);
+    return schema::Createcaller_answer(fbb,
                                        value.status,
                                        headers,
                                        body,
@@ -158,63 +158,63 @@
 
 struct message_writer
 {
-    builder& out;
+    builder& fbb;
 
     auto operator()(ports::promise_request const& m) const
     {
         return schema::Createpromise_request(
-                   out, m.round, m.record_version, m.config_revision)
+                   fbb, m.round, m.record_version, m.config_revision)
             .Union();
     }
     auto operator()(ports::promise_reply const& m) const
     {
         return schema::Createpromise_reply(
-                   out, m.round, m.granted, m.config_revision)
+                   fbb, m.round, m.granted, m.config_revision)
             .Union();
     }
     auto operator()(ports::consent_request const& m) const
     {
         return schema::Createconsent_request(
-                   out, write(out, m.subject), m.record_version)
+                   fbb, write(fbb, m.subject), m.record_version)
             .Union();
     }
     auto operator()(ports::consent_reply const& m) const
     {
         return schema::Createconsent_reply(
-                   out, write(out, m.subject), m.record_version, m.granted)
+                   fbb, write(fbb, m.subject), m.record_version, m.granted)
             .Union();
     }
     auto operator()(ports::config_offer const& m) const
     {
         return schema::Createconfig_offer(
-                   out, m.revision, out.CreateString(m.document))
+                   fbb, m.revision, fbb.CreateString(m.document))
             .Union();
     }
     auto operator()(ports::config_request const& m) const
     {
-        return schema::Createconfig_request(out, m.revision).Union();
+        return schema::Createconfig_request(fbb, m.revision).Union();
     }
     auto operator()(ports::load_report const& m) const
     {
-        return schema::Createload_report(out, m.free_slots, m.queued).Union();
+        return schema::Createload_report(fbb, m.free_slots, m.queued).Union();
     }
     auto operator()(ports::forwarded_request const& m) const
     {
         return schema::Createforwarded_request(
-                   out, m.id, m.spill, write(out, m.request), m.epoch)
+                   fbb, m.id, m.spill, write(fbb, m.request), m.epoch)
             .Union();
     }
     auto operator()(ports::forwarded_answer const& m) const
     {
         return schema::Createforwarded_answer(
-                   out, m.id, write(out, m.answer), m.free_slots, m.queued)
+                   fbb, m.id, write(fbb, m.answer), m.free_slots, m.queued)
             .Union();
     }
     auto operator()(ports::slice_request const& m) const
     {
-        return schema::Createslice_request(out,
+        return schema::Createslice_request(fbb,
                                            m.round,
-                                           out.CreateString(m.customer),
+                                           fbb.CreateString(m.customer),
                                            m.in_use,
                                            m.wanted,
                                            m.wanted_rate)
@@ -222,9 +222,9 @@
     }
     auto operator()(ports::slice_grant const& m) const
     {
-        return schema::Createslice_grant(out,
+        return schema::Createslice_grant(fbb,
                                          m.round,
-                                         out.CreateString(m.customer),
+                                         fbb.CreateString(m.customer),
                                          m.in_flight,
                                          m.rate,
                                          m.valid_us,
@@ -237,10 +237,10 @@
         keys.reserve(m.keys.size());
         for (auto const& key : m.keys)
         {
-            auto const customer = out.CreateString(key.customer);
-            auto const name = out.CreateString(key.key);
-            auto const answer = write(out, key.answer);
-            keys.push_back(schema::Createremembered_key(out,
+            auto const customer = fbb.CreateString(key.customer);
+            auto const name = fbb.CreateString(key.key);
+            auto const answer = write(fbb, key.answer);
+            keys.push_back(schema::Createremembered_key(fbb,
                                                         customer,
                                                         name,
                                                         key.finished,
@@ -248,12 +248,12 @@
                                                         key.age_us,
                                                         key.fingerprint));
         }
-        auto const written = out.CreateVector(keys);
-        return schema::Createkey_handover(out,
+        auto const offsets = fbb.CreateVector(keys);
+        return schema::Createkey_handover(fbb,
                                           m.partition,
                                           m.epoch,
                                           m.retention_us,
-                                          written,
+                                          offsets,
                                           m.last,
                                           m.slots_idle,
                                           m.total_keys)
@@ -261,12 +261,13 @@
     }
     auto operator()(ports::key_handover_ack const& m) const
     {
-        return schema::Createkey_handover_ack(out, m.partition, m.epoch)
+        return schema::Createkey_handover_ack(fbb, m.partition, m.epoch)
             .Union();
     }
 };
 
-// The numbers of the schema's union follow the order of `peer_message`.
+// The union tags of the schema follow the order of the alternatives of
+// `peer_message`, after the tag 0 for no message.
 schema::message kind_of(ports::peer_message const& message)
 {
     return static_cast<schema::message>(message.index() + 1);
@@ -403,9 +404,9 @@
     return std::nullopt;
 }
 
-std::vector<std::uint8_t> with_length(builder const& out)
+std::vector<std::uint8_t> add_length_prefix(builder const& fbb)
 {
-    std::uint32_t const size = out.GetSize();
+    std::uint32_t const size = fbb.GetSize();
     std::vector<std::uint8_t> bytes;
     bytes.reserve(length_size + size);
     for (std::size_t index = 0; index < length_size; ++index)
@@ -413,7 +414,7 @@
         bytes.push_back(static_cast<std::uint8_t>(size >> (8 * index)));
     }
     bytes.insert(
-        bytes.end(), out.GetBufferPointer(), out.GetBufferPointer() + size);
+        bytes.end(), fbb.GetBufferPointer(), fbb.GetBufferPointer() + size);
     return bytes;
 }
 
@@ -421,20 +422,20 @@
 
 std::vector<std::uint8_t> encode(frame const& value)
 {
-    builder out;
-    auto const from = write(out, value.from);
-    auto const to = write(out, value.to);
+    builder fbb;
+    auto const from = write(fbb, value.from);
+    auto const to = write(fbb, value.to);
     auto const token = value.token.empty() ? offset<flatbuffers::String>()
-                                           : out.CreateString(value.token);
+                                           : fbb.CreateString(value.token);
     auto kind = schema::message_NONE;
     offset<void> body;
     if (value.message)
     {
         kind = kind_of(*value.message);
-        body = std::visit(message_writer{out}, *value.message);
+        body = std::visit(message_writer{fbb}, *value.message);
     }
-    out.Finish(schema::Createframe(out, from, to, token, kind, body));
-    return with_length(out);
+    fbb.Finish(schema::Createframe(fbb, from, to, token, kind, body));
+    return add_length_prefix(fbb);
 }
 
 std::optional<frame> decode(std::span<std::uint8_t const> bytes,
@@ -447,7 +448,7 @@
         return std::nullopt;
     }
     auto const& parsed = *schema::Getframe(bytes.data());
-    // The schema lets a message be absent whose kind is named.
+    // The verifier accepts a frame that has a message type but no message.
     if (parsed.body_type() != schema::message_NONE && parsed.body() == nullptr)
     {
         reason = {
--- a/src/adapters/peer/codec.hpp
+++ b/src/adapters/peer/codec.hpp
@@ -13,24 +13,25 @@
 namespace fuchsia::adapters::peer
 {
 
-/// Largest frame; a longer one closes the connection. A forwarded body of
-/// 1 MiB or a whole configuration fits.
-constexpr std::uint32_t max_frame = 4 * 1024 * 1024;
-/// Bytes of the little-endian length before each frame.
+/// Maximum size of a frame; a longer frame closes the connection. A forwarded
+/// body of 1 MiB or a complete configuration fits.
+constexpr std::uint32_t max_frame_bytes = 4 * 1024 * 1024;
+/// Number of bytes of the little-endian length before each frame.
 constexpr std::size_t length_size = 4;
 
 struct frame
 {
     ports::member_identity from;
     ports::member_identity to;
-    std::string token; ///< Only on a connection's first frame.
-    std::optional<ports::peer_message> message; ///< Absent on the first.
+    std::string token; ///< Set only in the first frame of a connection.
+    std::optional<ports::peer_message> message; ///< Absent in the first frame.
 };
 
-/// The frame with its length in front, ready to be written.
+/// Returns the encoded frame with its length prefix.
 std::vector<std::uint8_t> encode(frame const& value);
 
-/// Reads one frame without its length; every offset and field is checked.
+/// Decodes one frame without its length prefix and checks every offset and
+/// field. If the frame is malformed, the result is empty and `reason` is set.
 std::optional<frame> decode(std::span<std::uint8_t const> bytes,
                             core::common::failure& reason);
 
--- a/src/adapters/peer/transport.cpp
+++ b/src/adapters/peer/transport.cpp
@@ -27,9 +27,9 @@
 using core::common::result_code;
 using tcp = asio::ip::tcp;
 
-// After a failed connection the next try waits: a peer that is gone would
-// otherwise cost a connection attempt for each message.
-constexpr core::common::duration reconnect_pause =
+// Delay before the next attempt after a failed connection. Without it, an
+// unreachable peer would cost a connection attempt for each message.
+constexpr core::common::duration reconnect_delay =
     std::chrono::milliseconds(200);
 
 bool matches(asio::ip::address const& address, std::string const& rule)
@@ -63,7 +63,7 @@
     {
     }
 
-    std::optional<ports::endpoint> listen(ports::endpoint const& where,
+    std::optional<ports::endpoint> listen(ports::endpoint const& local_endpoint,
                                           core::common::failure& reason);
     void send(ports::peer_send message);
     void reset();
@@ -77,7 +77,7 @@
     class outbound;
 
     void accept();
-    void take(tcp::socket socket);
+    void add_inbound(tcp::socket socket);
     bool is_allowed(asio::ip::address const& address) const;
 
     asio::io_context& io_;
@@ -90,7 +90,7 @@
     bool closed_ = false;
 };
 
-// A connection that a peer opened: we only read from it.
+// A connection that was opened by a peer. It is only read from.
 class transport::state::inbound : public std::enable_shared_from_this<inbound>
 {
 public:
@@ -135,7 +135,7 @@
         {
             size |= static_cast<std::uint32_t>(length_[index]) << (8 * index);
         }
-        if (size == 0 || size > max_frame)
+        if (size == 0 || size > max_frame_bytes)
         {
             refuse();
             return;
@@ -178,22 +178,23 @@
         read_length();
     }
 
-    // A frame for another incarnation of this process was meant for one that
-    // is gone: what it asked is void.
+    // Returns whether the frame is addressed to this incarnation and comes from
+    // an authenticated peer. A request to an earlier incarnation of this
+    // process is no longer valid.
     bool accepts(frame const& frame)
     {
         if (frame.to != owner_->settings_.self)
         {
             return false;
         }
-        if (trusted_)
+        if (authenticated_)
         {
             return frame.from == peer_;
         }
-        trusted_ =
+        authenticated_ =
             http::equal_in_constant_time(frame.token, owner_->settings_.token);
         peer_ = frame.from;
-        return trusted_;
+        return authenticated_;
     }
 
     void refuse()
@@ -207,32 +208,33 @@
     std::array<std::uint8_t, length_size> length_{};
     std::vector<std::uint8_t> body_;
     ports::member_identity peer_;
-    bool trusted_ = false;
+    bool authenticated_ = false;
     bool closed_ = false;
 };
 
-// Our connection to one peer: we only write to it. It is given up as a whole
-// when anything fails, and opened anew by the next message.
+// The connection to one peer. It is only written to. Any failure closes it,
+// and the next message opens a new connection.
 class transport::state::outbound : public std::enable_shared_from_this<outbound>
 {
 public:
     outbound(std::shared_ptr<state> owner,
-             ports::endpoint where,
-             ports::member_identity to)
+             ports::endpoint remote_endpoint,
+             ports::member_identity peer)
         : socket_(owner->io_), deadline_(owner->io_), owner_(std::move(owner)),
-          where_(std::move(where)), to_(std::move(to))
+          remote_endpoint_(std::move(remote_endpoint)), peer_(std::move(peer))
     {
     }
 
-    ports::member_identity const& to() const noexcept
+    ports::member_identity const& peer() const noexcept
     {
-        return to_;
+        return peer_;
     }
 
     void start()
     {
         error_code error;
-        auto const address = asio::ip::make_address(where_.address, error);
+        auto const address =
+            asio::ip::make_address(remote_endpoint_.address, error);
         if (error)
         {
             close();
@@ -240,10 +242,10 @@
         }
         arm(owner_->settings_.connect_timeout);
         push(encode({owner_->settings_.self,
-                     to_,
+                     peer_,
                      owner_->settings_.token,
                      std::nullopt}));
-        socket_.async_connect({address, where_.port},
+        socket_.async_connect({address, remote_endpoint_.port},
                               [self = shared_from_this()](error_code failed)
                               {
                                   if (self->closed_)
@@ -252,7 +254,7 @@
                                   }
                                   if (failed)
                                   {
-                                      self->rest();
+                                      self->start_backoff();
                                       return;
                                   }
                                   error_code ignored;
@@ -260,7 +262,7 @@
                                                            ignored);
                                   self->deadline_.cancel();
                                   self->connected_ = true;
-                                  self->watch();
+                                  self->watch_for_close();
                                   self->write();
                               });
     }
@@ -268,10 +270,11 @@
     void send(ports::peer_message message)
     {
         auto bytes =
-            encode({owner_->settings_.self, to_, {}, std::move(message)});
+            encode({owner_->settings_.self, peer_, {}, std::move(message)});
         bool const fits =
             queued_bytes_ + bytes.size() <= owner_->settings_.queue_bytes;
-        if (resting_ || !fits || bytes.size() > max_frame + length_size)
+        if (backing_off_ || !fits ||
+            bytes.size() > max_frame_bytes + length_size)
         {
             ++owner_->counts.dropped;
             return;
@@ -298,9 +301,9 @@
         queue_.push_back(std::move(bytes));
     }
 
-    void arm(core::common::duration after)
+    void arm(core::common::duration delay)
     {
-        deadline_.expires_after(after);
+        deadline_.expires_after(delay);
         deadline_.async_wait(
             [self = shared_from_this()](error_code error)
             {
@@ -308,25 +311,26 @@
                 {
                     return;
                 }
-                if (self->resting_)
+                if (self->backing_off_)
                 {
-                    self->give_up();
+                    self->fail();
                     return;
                 }
-                self->rest();
+                self->start_backoff();
             });
     }
 
-    // The peer never writes here: whatever arrives is the end, which is then
-    // known before the next message is written into nothing.
-    void watch()
+    // The peer never writes to this connection, so it becomes readable only
+    // when it ends. Detecting the end here keeps the next message from being
+    // written to a closed connection.
+    void watch_for_close()
     {
         socket_.async_wait(tcp::socket::wait_read,
                            [self = shared_from_this()](error_code)
                            {
                                if (!self->closed_)
                                {
-                                   self->give_up();
+                                   self->fail();
                                }
                            });
     }
@@ -352,7 +356,7 @@
         }
         if (error)
         {
-            give_up();
+            fail();
             return;
         }
         ++owner_->counts.sent;
@@ -365,48 +369,49 @@
         }
     }
 
-    // Holds the place of a peer that can't be reached for a moment.
-    void rest()
+    // Drops the queue and stays in the list of connections without a socket
+    // until the reconnect delay has passed.
+    void start_backoff()
     {
         owner_->counts.dropped += queue_.size() - 1;
         queue_.clear();
         queued_bytes_ = 0;
-        resting_ = true;
+        backing_off_ = true;
         error_code ignored;
         socket_.close(ignored);
-        arm(reconnect_pause);
+        arm(reconnect_delay);
     }
 
-    void give_up()
+    void fail()
     {
         owner_->counts.dropped += queue_.size();
         auto const self = shared_from_this();
         close();
-        auto const found = owner_->outbound_.find(where_);
-        if (found != owner_->outbound_.end() && found->second == self)
+        auto const it = owner_->outbound_.find(remote_endpoint_);
+        if (it != owner_->outbound_.end() && it->second == self)
         {
-            owner_->outbound_.erase(found);
+            owner_->outbound_.erase(it);
         }
     }
 
     tcp::socket socket_;
     runtime::timer deadline_;
     std::shared_ptr<state> owner_;
-    ports::endpoint where_;
-    ports::member_identity to_;
+    ports::endpoint remote_endpoint_;
+    ports::member_identity peer_;
     std::deque<std::vector<std::uint8_t>> queue_;
     std::size_t queued_bytes_ = 0;
     bool connected_ = false;
     bool writing_ = false;
-    bool resting_ = false;
+    bool backing_off_ = false;
     bool closed_ = false;
 };
 
 std::optional<ports::endpoint>
-transport::state::listen(ports::endpoint const& where,
+transport::state::listen(ports::endpoint const& local_endpoint,
                          core::common::failure& reason)
 {
-    auto bound = acceptor_.listen(where, reason);
+    auto bound = acceptor_.listen(local_endpoint, reason);
     if (bound)
     {
         accept();
@@ -419,12 +424,12 @@
     acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
-            self->take(std::move(socket));
+            self->add_inbound(std::move(socket));
             self->accept();
         });
 }
 
-void transport::state::take(tcp::socket socket)
+void transport::state::add_inbound(tcp::socket socket)
 {
     error_code error;
     auto const peer = socket.remote_endpoint(error);
@@ -434,15 +439,15 @@
         ++counts.refused;
         return;
     }
-    auto const made =
+    auto const connection =
         std::make_shared<inbound>(std::move(socket), shared_from_this());
     inbound_.remove_if(
         [](auto const& weak)
         {
             return weak.expired();
         });
-    inbound_.push_back(made);
-    made->read_length();
+    inbound_.push_back(connection);
+    connection->read_length();
 }
 
 bool transport::state::is_allowed(asio::ip::address const& address) const
@@ -464,7 +469,7 @@
         return;
     }
     auto& connection = outbound_[message.remote_endpoint];
-    if (connection && connection->to() != message.to)
+    if (connection && connection->peer() != message.to)
     {
         connection->close();
         connection.reset();
@@ -481,7 +486,7 @@
 void transport::state::reset()
 {
     auto const outbound = std::exchange(outbound_, {});
-    for (auto const& [where, connection] : outbound)
+    for (auto const& [endpoint, connection] : outbound)
     {
         connection->close();
     }
@@ -521,10 +526,11 @@
     state_->close();
 }
 
-std::optional<ports::endpoint> transport::listen(ports::endpoint const& where,
-                                                 core::common::failure& reason)
+std::optional<ports::endpoint>
+transport::listen(ports::endpoint const& local_endpoint,
+                  core::common::failure& reason)
 {
-    return state_->listen(where, reason);
+    return state_->listen(local_endpoint, reason);
 }
 
 void transport::send(ports::peer_send message)
--- a/src/adapters/peer/transport.hpp
+++ b/src/adapters/peer/transport.hpp
@@ -15,16 +15,17 @@
 
 struct transport_settings
 {
-    ports::member_identity self;
-    std::string token;
-    /// Addresses that may connect, as IP numbers or prefixes such as
+    ports::member_identity self; ///< Identity of this process.
+    std::string token;           ///< Shared secret of the members.
+    /// Addresses that may connect, as IP addresses or prefixes such as
     /// "127.0.0.0/8".
     std::vector<std::string> allowed;
     core::common::duration connect_timeout = std::chrono::seconds(1);
-    /// What waits for one peer beyond this is dropped with its connection; the
-    /// sender's own time-outs answer for the loss, as for a lost packet.
+    /// Maximum size of the send queue of one peer. Messages beyond it are
+    /// dropped; the timeouts of the sender handle the loss like that of a
+    /// packet.
     std::size_t queue_bytes = 8 * 1024 * 1024;
-    std::uint32_t connections = 512;
+    std::uint32_t connections = 512; ///< Maximum number of inbound connections.
 };
 
 struct transport_counts
@@ -37,14 +38,15 @@
     std::uint64_t refused = 0;
 };
 
-/// Framed FlatBuffers over TCP. Each member connects to each peer that it has
-/// something for; answers come over the peer's own connection back. Messages
-/// may be lost with a connection, never torn, repeated or reordered on one.
+/// Transport of FlatBuffers frames over TCP. Each member opens a connection to
+/// each peer that it sends messages to; replies arrive on the connection that
+/// the peer opens in the other direction. Messages may be lost with a
+/// connection, but are never truncated, duplicated or reordered on one.
 class transport
 {
 public:
-    /// Calls back on `io`; false where the message could not be taken and its
-    /// connection is to be closed.
+    /// Called on `io` for each message. Returns false if the message could not
+    /// be accepted and its connection must be closed.
     using handler = std::function<bool(ports::peer_receive)>;
 
     transport(boost::asio::io_context& io,
@@ -52,14 +54,18 @@
               handler handle);
     ~transport();
 
-    std::optional<ports::endpoint> listen(ports::endpoint const& where,
+    /// Starts accepting connections and returns the bound address; port 0
+    /// selects a free port. If the address cannot be bound, the result is empty
+    /// and `reason` is set.
+    std::optional<ports::endpoint> listen(ports::endpoint const& local_endpoint,
                                           core::common::failure& reason);
     void send(ports::peer_send message);
 
-    /// Closes every connection and drops what waits in its buffers: after a
-    /// pause, frames of before it must be neither sent nor read.
+    /// Closes every connection and drops its buffered frames. After a pause of
+    /// this process, frames from before the pause must be neither sent nor
+    /// read.
     void reset();
-    /// This process goes on as another incarnation; implies `reset`.
+    /// Continues as another incarnation of this process; implies `reset`.
     void rename(ports::member_identity self);
     void close();
 
