--- a/src/adapters/runtime/acceptor.cpp
+++ b/src/adapters/runtime/acceptor.cpp
@@ -12,9 +12,10 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// After a failed accept (such as: no file descriptor left) the next try waits,
-// since an immediate one would fail again and take the whole thread.
-constexpr core::common::duration accept_pause = std::chrono::milliseconds(50);
+// Delay after a failed accept, for example for lack of file descriptors. An
+// immediate retry would fail again and keep the thread busy.
+constexpr core::common::duration accept_retry_delay =
+    std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -22,15 +23,16 @@
 {
 }
 
-std::optional<ports::endpoint> acceptor::listen(ports::endpoint const& where,
-                                                core::common::failure& reason)
+std::optional<ports::endpoint>
+acceptor::listen(ports::endpoint const& local_endpoint,
+                 core::common::failure& reason)
 {
     error_code error;
-    auto const address = asio::ip::make_address(where.address, error);
-    tcp::endpoint const target(address, where.port);
+    auto const address = asio::ip::make_address(local_endpoint.address, error);
+    tcp::endpoint const endpoint(address, local_endpoint.port);
     if (!error)
     {
-        socket_.open(target.protocol(), error);
+        socket_.open(endpoint.protocol(), error);
     }
     if (!error)
     {
@@ -38,7 +40,7 @@
     }
     if (!error)
     {
-        socket_.bind(target, error);
+        socket_.bind(endpoint, error);
     }
     if (!error)
     {
@@ -47,17 +49,19 @@
     if (error)
     {
         reason = {core::common::result_code::out_of_range,
-                  where.address + " port " + std::to_string(where.port),
+                  local_endpoint.address + " port " +
+                      std::to_string(local_endpoint.port),
                   "can't listen: " + error.message()};
         return std::nullopt;
     }
-    return ports::endpoint{where.address, socket_.local_endpoint().port()};
+    return ports::endpoint{local_endpoint.address,
+                           socket_.local_endpoint().port()};
 }
 
-void acceptor::accept_next(handler take)
+void acceptor::accept_next(handler handle)
 {
     socket_.async_accept(
-        [this, take = std::move(take)](error_code error, tcp::socket socket)
+        [this, handle = std::move(handle)](error_code error, tcp::socket socket)
         {
             if (closed_ || error == asio::error::operation_aborted)
             {
@@ -65,16 +69,16 @@
             }
             if (!error)
             {
-                take(std::move(socket));
+                handle(std::move(socket));
                 return;
             }
-            retry_.expires_after(accept_pause);
+            retry_.expires_after(accept_retry_delay);
             retry_.async_wait(
-                [this, take](error_code stopped)
+                [this, handle](error_code wait_error)
                 {
-                    if (!stopped)
+                    if (!wait_error)
                     {
-                        accept_next(take);
+                        accept_next(handle);
                     }
                 });
         });
--- a/src/adapters/runtime/acceptor.hpp
+++ b/src/adapters/runtime/acceptor.hpp
@@ -12,7 +12,7 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// Listens at an address and hands over the connections made to it.
+/// Listens on an address and passes the accepted connections to a handler.
 class acceptor
 {
 public:
@@ -20,13 +20,14 @@
 
     explicit acceptor(boost::asio::io_context& io);
 
-    /// Binds an IP number and port; port 0 takes a free one. The address as
-    /// bound; empty, with the reason, where it can't be had.
-    std::optional<ports::endpoint> listen(ports::endpoint const& where,
+    /// Binds an IP address and port and returns the bound address; port 0
+    /// selects a free port. If the address cannot be bound, the result is empty
+    /// and `reason` is set.
+    std::optional<ports::endpoint> listen(ports::endpoint const& local_endpoint,
                                           core::common::failure& reason);
-    /// Calls `take` with the next connection; not after `close`. `take` keeps
-    /// this object alive.
-    void accept_next(handler take);
+    /// Calls `handle` with the next connection, but not after `close`. `handle`
+    /// must keep this object alive.
+    void accept_next(handler handle);
     void close();
 
 private:
--- a/src/adapters/runtime/child.cpp
+++ b/src/adapters/runtime/child.cpp
@@ -14,16 +14,17 @@
 namespace
 {
 
-int status_of(int raw)
+int exit_status_of(int wait_status)
 {
-    return WIFSIGNALED(raw) ? -WTERMSIG(raw) : WEXITSTATUS(raw);
+    return WIFSIGNALED(wait_status) ? -WTERMSIG(wait_status)
+                                    : WEXITSTATUS(wait_status);
 }
 
 } // namespace
 
 child::child(std::string const& path,
              std::vector<std::string> const& arguments,
-             std::string const& log)
+             std::string const& log_path)
 {
     std::vector<char*> argv{const_cast<char*>(path.c_str())};
     for (auto const& argument : arguments)
@@ -35,11 +36,12 @@
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions,
                                      STDOUT_FILENO,
-                                     log.c_str(),
+                                     log_path.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND,
                                      0644);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // Else a connection that we close stays open in the child.
+    // Without this, connections closed by this process would stay open in the
+    // child.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     int const error = posix_spawn(
         &pid_, path.c_str(), &actions, nullptr, argv.data(), environ);
@@ -63,20 +65,20 @@
     }
 }
 
-void child::signal(int number) const
+void child::signal(int signal_number) const
 {
     if (!status_)
     {
-        ::kill(pid_, number);
+        ::kill(pid_, signal_number);
     }
 }
 
 bool child::running()
 {
-    int raw = 0;
-    if (!status_ && waitpid(pid_, &raw, WNOHANG) == pid_)
+    int wait_status = 0;
+    if (!status_ && waitpid(pid_, &wait_status, WNOHANG) == pid_)
     {
-        status_ = status_of(raw);
+        status_ = exit_status_of(wait_status);
     }
     return !status_;
 }
@@ -89,10 +91,10 @@
 
 int child::wait()
 {
-    int raw = 0;
-    if (!status_ && waitpid(pid_, &raw, 0) == pid_)
+    int wait_status = 0;
+    if (!status_ && waitpid(pid_, &wait_status, 0) == pid_)
     {
-        status_ = status_of(raw);
+        status_ = exit_status_of(wait_status);
     }
     return status_.value_or(0);
 }
--- a/src/adapters/runtime/child.hpp
+++ b/src/adapters/runtime/child.hpp
@@ -9,29 +9,31 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// A child process, killed at the end of its scope. It inherits no file but
-/// its log.
+/// A child process, killed by the destructor. It inherits no file except its
+/// log.
 class child
 {
 public:
-    /// Starts the program at `path`; its output goes to `log`.
+    /// Starts the program at `path` and appends its output to `log_path`.
     child(std::string const& path,
           std::vector<std::string> const& arguments,
-          std::string const& log);
+          std::string const& log_path);
     ~child();
     child(child&& other) noexcept;
     child& operator=(child&&) = delete;
     child(child const&) = delete;
     child& operator=(child const&) = delete;
 
-    /// Does nothing once the end was seen: the id may be another's by then.
-    void signal(int number) const;
+    /// Sends a signal. Does nothing after the end of the child was observed,
+    /// because the process id may have been reused.
+    void signal(int signal_number) const;
     bool running();
-    /// As `wait`; empty while it runs.
+    /// Returns the same value as `wait`; empty while the child runs.
     std::optional<int> status();
-    /// Waits for the end; the exit status, or -N where signal N ended it.
+    /// Waits for the end of the child. Returns its exit status, or -N if it was
+    /// terminated by signal N.
     int wait();
-    /// kill -9, and waits until the process is gone.
+    /// Sends SIGKILL and waits for the end of the process.
     void kill();
 
 private:
--- a/src/adapters/runtime/io_thread.cpp
+++ b/src/adapters/runtime/io_thread.cpp
@@ -8,12 +8,12 @@
 
 namespace
 {
-// The kernel's bound on a thread's name, without the closing zero.
+// Maximum length of a thread name in Linux, without the terminating null.
 constexpr std::size_t max_thread_name = 15;
 } // namespace
 
 io_thread::io_thread(std::string name)
-    : name_(std::move(name)), io_(1), work_(io_.get_executor())
+    : name_(std::move(name)), io_(1), work_guard_(io_.get_executor())
 {
 }
 
--- a/src/adapters/runtime/io_thread.hpp
+++ b/src/adapters/runtime/io_thread.hpp
@@ -8,21 +8,21 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// One thread with one job: it runs the handlers of its own `io` and touches
-/// no other duty's state. Duties talk through rings.
+/// A thread that runs the handlers of its own `io_context`. It does not access
+/// the state of other threads; threads exchange values through `ring` queues.
 class io_thread
 {
 public:
     explicit io_thread(std::string name);
-    /// Stops and joins.
+    /// Stops and joins the thread.
     ~io_thread();
     io_thread(io_thread const&) = delete;
     io_thread& operator=(io_thread const&) = delete;
 
     boost::asio::io_context& io() noexcept;
     void start();
-    /// Ends the thread after the handler that runs now; pending work is
-    /// dropped. Safe to call twice, and from any thread but the duty's own.
+    /// Ends the thread after the current handler and drops pending work. Safe
+    /// to call twice, and from any thread except this one.
     void stop();
 
 private:
@@ -31,7 +31,7 @@
     std::string name_;
     boost::asio::io_context io_;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        work_;
+        work_guard_;
     std::thread thread_;
 };
 
--- a/src/adapters/runtime/ring.hpp
+++ b/src/adapters/runtime/ring.hpp
@@ -12,9 +12,10 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// Bounded queue from one duty to another: one thread pushes, the consumer's
-/// thread handles. A full ring says so, and the producer refuses the work it
-/// stood for; nothing waits and nothing is dropped unseen.
+/// Bounded queue from one thread to another: a single producer thread pushes
+/// values, and the consumer thread handles them. A push to a full ring fails
+/// and the producer refuses the corresponding work, so that no thread blocks
+/// and no value is dropped silently.
 template<class T>
 class ring
 {
@@ -26,7 +27,7 @@
     {
     }
 
-    /// False where the ring is full; `value` is then left as it was.
+    /// Returns false and leaves `value` unchanged if the ring is full.
     bool try_push(T& value)
     {
         if (queue_.write_available() == 0)
@@ -34,7 +35,7 @@
             return false;
         }
         queue_.push(std::move(value));
-        wake();
+        schedule_drain();
         return true;
     }
 
@@ -44,10 +45,10 @@
     }
 
 private:
-    // Handlers of other sources get their turn after this many values.
-    static constexpr std::size_t batch = 64;
+    // Maximum number of values handled before other handlers of the thread run.
+    static constexpr std::size_t max_batch = 64;
 
-    void wake()
+    void schedule_drain()
     {
         if (!scheduled_.exchange(true))
         {
@@ -61,20 +62,21 @@
 
     void drain()
     {
-        // Cleared before the queue is looked at: a push that comes after the
-        // last look then schedules a new turn instead of being forgotten.
-        // An exchange, since a plain store may pass the look at the queue.
+        // The flag is cleared before the queue is read, so that a push after
+        // the last read schedules another drain and its value is not missed.
+        // This is an exchange because a plain store could be reordered after
+        // the read of the queue.
         scheduled_.exchange(false);
         T value;
         std::size_t handled = 0;
-        while (handled < batch && queue_.pop(value))
+        while (handled < max_batch && queue_.pop(value))
         {
             handle_(value);
             ++handled;
         }
-        if (handled == batch)
+        if (handled == max_batch)
         {
-            wake();
+            schedule_drain();
         }
     }
 
--- a/src/adapters/runtime/signals.hpp
+++ b/src/adapters/runtime/signals.hpp
@@ -6,11 +6,11 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// Calls `stop` once, on `io`, for the first SIGTERM or SIGINT. A second one
-/// ends the process at once, with the signal's own status.
+/// Calls `stop` once, on `io`, for the first SIGTERM or SIGINT. A second signal
+/// terminates the process at once with the default action of the signal.
 void on_stop_signal(boost::asio::io_context& io, std::function<void()> stop);
 
-/// Calls `reload`, on `io`, for every SIGHUP.
+/// Calls `reload` on `io` for every SIGHUP.
 void on_reload_signal(boost::asio::io_context& io,
                       std::function<void()> const& reload);
 
--- a/src/adapters/runtime/timer.hpp
+++ b/src/adapters/runtime/timer.hpp
@@ -7,8 +7,8 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// Asio timer on the runtime's clock, so that a test which pauses the clock
-/// pauses the timers too.
+/// Asio timer on `core::common::clock`, so that a test that pauses the clock
+/// also pauses the timers.
 using timer = boost::asio::basic_waitable_timer<core::common::clock>;
 
 } // namespace fuchsia::adapters::runtime
