--- a/src/adapters/peer/transport.cpp
+++ b/src/adapters/peer/transport.cpp
@@ -369,8 +369,8 @@
         }
     }
 
-    // Drops the queue and stays in the list of connections without a socket
-    // until the reconnect delay has passed.
+    // Drops the queue and stays in `outbound_` without a socket until the
+    // reconnect delay has passed.
     void start_backoff()
     {
         owner_->counts.dropped += queue_.size() - 1;
--- a/src/adapters/runtime/clock.cpp
+++ b/src/adapters/runtime/clock.cpp
@@ -18,9 +18,10 @@
 constexpr clock::rep nanoseconds_in_microsecond = 1'000;
 
 // Returns the time since boot in microseconds. The steady clock stops while a
-// virtual machine is suspended: a member that resumes would consider its lease
-// recent and act concurrently with its successor. The boot-time clock includes
-// the time in suspension, so the member detects the pause.
+// virtual machine is suspended: a member that resumes would consider its last
+// proof of membership recent and act concurrently with its successor. The
+// boot-time clock includes the time in suspension, so the member detects the
+// pause.
 clock::rep read_boot_time() noexcept
 {
     timespec ts{};
