--- a/tests/contract/adapters/flowing_answer_test.cpp
+++ b/tests/contract/adapters/flowing_answer_test.cpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <thread>
 
-// A large answer over a thin link: it keeps coming, and is far from whole when
-// the call's time limit passes.
+// A large response over a slow link: data keeps arriving, but most of the
+// response is missing when the call times out.
 using namespace fuchsia;
 using namespace std::chrono_literals;
 using ports::exchange_status;
@@ -23,33 +23,33 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t piece_bytes = 32 * 1024;
-constexpr auto piece_interval = 20ms;
+constexpr std::size_t chunk_bytes = 32 * 1024;
+constexpr auto chunk_interval = 20ms;
 constexpr auto timeout = 200ms;
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
 
-class flowing_answer : public testing::Test
+class slow_response : public testing::Test
 {
 protected:
-    void ask(core::common::duration reading_limit)
+    void start_call(core::common::duration late_read_limit)
     {
         core::common::failure reason;
-        auto const where = acceptor_.listen({"127.0.0.1", 0}, reason);
-        ASSERT_TRUE(where) << to_string(reason);
+        auto const bound = acceptor_.listen({"127.0.0.1", 0}, reason);
+        ASSERT_TRUE(bound) << to_string(reason);
         acceptor_.accept_next(
             [this](tcp::socket socket)
             {
                 peer_.emplace(std::move(socket));
             });
-        where_ = *where;
+        server_endpoint_ = *bound;
         client_.emplace(io_, adapters::http::client_settings{});
         call(timeout,
-             reading_limit,
+             late_read_limit,
              [this](exchange_status status,
                     adapters::http::response const& answer)
              {
-                 ended = status;
+                 final_status = status;
                  body_bytes = answer.body.size();
                  if (on_end)
                  {
@@ -59,54 +59,55 @@
     }
 
     void call(core::common::duration limit,
-              core::common::duration reading_limit,
+              core::common::duration late_read_limit,
               adapters::http::client::handler handle)
     {
-        adapters::http::client_call made;
-        made.remote_endpoint = where_;
-        made.message = {"GET", "/x", {}, "", {}};
-        made.timeout = limit;
-        made.late_read_limit = reading_limit;
-        client_->send(std::move(made), std::move(handle));
+        adapters::http::client_call request;
+        request.remote_endpoint = server_endpoint_;
+        request.message = {"GET", "/x", {}, "", {}};
+        request.timeout = limit;
+        request.late_read_limit = late_read_limit;
+        client_->send(std::move(request), std::move(handle));
     }
 
-    // Takes the request in and says how long its answer is.
-    void begin_answer(std::size_t length)
+    // Reads the request and sends the response header with the body length.
+    void start_response(std::size_t length)
     {
         run_until(
             [this]
             {
                 return peer_.has_value();
             });
-        std::string in;
-        bool asked = false;
+        std::string received;
+        bool request_received = false;
         asio::async_read_until(*peer_,
-                               asio::dynamic_buffer(in),
+                               asio::dynamic_buffer(received),
                                "\r\n\r\n",
-                               [&asked](auto error, auto)
+                               [&request_received](auto error, auto)
                                {
-                                   asked = !error;
+                                   request_received = !error;
                                });
         run_until(
-            [&asked]
+            [&request_received]
             {
-                return asked;
+                return request_received;
             });
         send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(length) +
              "\r\n\r\n");
     }
 
-    // The next piece has arrived before the client's timers are looked at, so
-    // that no stall of this process looks like one of the server.
-    void flow(std::size_t bytes)
+    // Sends data, polls once and sleeps. The next chunk has thus arrived before
+    // the client's timers are checked again, so that a stall of this process
+    // does not look like a stall of the server.
+    void send_chunk(std::size_t bytes)
     {
         send(std::string(bytes, 'x'));
         io_.poll();
-        std::this_thread::sleep_for(piece_interval);
+        std::this_thread::sleep_for(chunk_interval);
     }
 
-    // Nothing arrives, and timers run.
-    void idle(core::common::duration length)
+    // Runs the client's timers while no data arrives.
+    void run_without_data(core::common::duration length)
     {
         auto const end = std::chrono::steady_clock::now() + length;
         while (std::chrono::steady_clock::now() < end)
@@ -126,18 +127,18 @@
         run_until(
             [this]
             {
-                return ended.has_value();
+                return final_status.has_value();
             });
     }
 
-    std::optional<exchange_status> ended;
+    std::optional<exchange_status> final_status;
     std::function<void()> on_end;
     std::size_t body_bytes = 0;
 
 private:
     void run_until(std::function<bool()> const& done)
     {
-        auto const end = std::chrono::steady_clock::now() + patience;
+        auto const end = std::chrono::steady_clock::now() + test_timeout;
         while (!done() && std::chrono::steady_clock::now() < end)
         {
             io_.run_one_for(1ms);
@@ -146,7 +147,7 @@
     }
 
     asio::io_context io_;
-    ports::endpoint where_;
+    ports::endpoint server_endpoint_;
     adapters::runtime::acceptor acceptor_{io_};
     std::optional<tcp::socket> peer_;
     std::optional<adapters::http::client> client_;
@@ -154,107 +155,112 @@
 
 } // namespace
 
-// A page that took longer than its time limit was thrown away and asked for
-// again without end, which filled the link and told the instance nothing.
-TEST_F(flowing_answer, is_read_to_its_end_beyond_the_time_limit)
+// A page that took longer than its timeout was discarded and requested again
+// in an endless loop, which saturated the link while the instance never
+// received the page.
+TEST_F(slow_response, completes_after_the_timeout_if_data_keeps_arriving)
 {
-    constexpr std::size_t pieces = 100;
-    ask(patience);
-    begin_answer(pieces * piece_bytes);
-    for (std::size_t sent = 0; sent < pieces; ++sent)
+    constexpr std::size_t chunk_count = 100;
+    start_call(test_timeout);
+    start_response(chunk_count * chunk_bytes);
+    for (std::size_t sent_chunks = 0; sent_chunks < chunk_count; ++sent_chunks)
     {
-        flow(piece_bytes);
+        send_chunk(chunk_bytes);
     }
     wait_for_end();
-    EXPECT_EQ(ended, exchange_status::answered);
-    EXPECT_EQ(body_bytes, pieces * piece_bytes);
+    EXPECT_EQ(final_status, exchange_status::answered);
+    EXPECT_EQ(body_bytes, chunk_count * chunk_bytes);
 }
 
-// One that falls silent on its way is given up, however long it might be read.
-TEST_F(flowing_answer, is_given_up_once_it_falls_silent)
+// A response that stops arriving must time out, however large the late read
+// limit is.
+TEST_F(slow_response, times_out_when_data_stops_arriving)
 {
-    ask(1h);
-    begin_answer(100 * piece_bytes);
-    for (std::size_t sent = 0; sent < 20; ++sent)
+    start_call(1h);
+    start_response(100 * chunk_bytes);
+    for (std::size_t sent_chunks = 0; sent_chunks < 20; ++sent_chunks)
     {
-        flow(piece_bytes);
+        send_chunk(chunk_bytes);
     }
-    EXPECT_FALSE(ended.has_value());
+    EXPECT_FALSE(final_status.has_value());
     wait_for_end();
-    EXPECT_EQ(ended, exchange_status::timed_out);
+    EXPECT_EQ(final_status, exchange_status::timed_out);
 }
 
-// One lost packet, sent again after 200 ms, made a page begin from its start.
-TEST_F(flowing_answer, is_read_on_behind_a_retransmission)
+// A single lost packet, retransmitted after 200 ms, made the client abort a
+// page and request it from the start.
+TEST_F(slow_response, continues_after_a_retransmission)
 {
-    constexpr std::size_t pieces = 40;
+    constexpr std::size_t chunk_count = 40;
     constexpr auto retransmission = 250ms;
-    ask(patience);
-    begin_answer(pieces * piece_bytes);
-    for (std::size_t sent = 0; sent < pieces; ++sent)
+    start_call(test_timeout);
+    start_response(chunk_count * chunk_bytes);
+    for (std::size_t sent_chunks = 0; sent_chunks < chunk_count; ++sent_chunks)
     {
-        flow(piece_bytes);
-        if (sent == pieces - 5)
+        send_chunk(chunk_bytes);
+        if (sent_chunks == chunk_count - 5)
         {
-            idle(retransmission);
+            run_without_data(retransmission);
         }
     }
     wait_for_end();
-    EXPECT_EQ(ended, exchange_status::answered);
+    EXPECT_EQ(final_status, exchange_status::answered);
 }
 
-// An answer that lies here whole was given up as this process had stood still
-// when the limit for reading it passed.
-TEST_F(flowing_answer, that_came_whole_during_a_stall_is_read)
+// A response that had been received completely was discarded because this
+// process was stalled when the late read limit passed.
+TEST_F(slow_response, is_read_if_it_completed_during_a_stall)
 {
-    constexpr auto reading_limit = 300ms;
-    constexpr std::size_t pieces = 20;
-    ask(reading_limit);
-    begin_answer((pieces + 1) * piece_bytes);
-    for (std::size_t sent = 0; sent < pieces; ++sent)
+    constexpr auto late_read_limit = 300ms;
+    constexpr std::size_t chunk_count = 20;
+    start_call(late_read_limit);
+    start_response((chunk_count + 1) * chunk_bytes);
+    for (std::size_t sent_chunks = 0; sent_chunks < chunk_count; ++sent_chunks)
     {
-        flow(piece_bytes);
+        send_chunk(chunk_bytes);
     }
-    ASSERT_FALSE(ended.has_value());
-    flow(piece_bytes);
-    std::this_thread::sleep_for(2 * reading_limit);
+    ASSERT_FALSE(final_status.has_value());
+    send_chunk(chunk_bytes);
+    std::this_thread::sleep_for(2 * late_read_limit);
     wait_for_end();
-    EXPECT_EQ(ended, exchange_status::answered);
+    EXPECT_EQ(final_status, exchange_status::answered);
 }
 
-// After a stall the deadline of a call that had its answer ended the next one.
-TEST_F(flowing_answer, and_its_deadline_after_a_stall_spare_the_next_call)
+// After a stall, the deadline of a completed call ended the next call on the
+// same connection.
+TEST_F(slow_response, earlier_deadline_does_not_end_the_next_call_after_a_stall)
 {
-    ask(patience);
-    begin_answer(2);
+    start_call(test_timeout);
+    start_response(2);
     send("ok");
     std::this_thread::sleep_for(2 * timeout);
-    std::optional<exchange_status> next;
-    on_end = [this, &next]
+    std::optional<exchange_status> next_status;
+    on_end = [this, &next_status]
     {
         call(1h,
              1h,
-             [&next](exchange_status status, auto const&)
+             [&next_status](exchange_status status, auto const&)
              {
-                 next = status;
+                 next_status = status;
              });
     };
     wait_for_end();
-    EXPECT_EQ(ended, exchange_status::answered);
-    idle(50ms);
-    EXPECT_FALSE(next.has_value());
+    EXPECT_EQ(final_status, exchange_status::answered);
+    run_without_data(50ms);
+    EXPECT_FALSE(next_status.has_value());
 }
 
-// Nor may a server hold a call for ever by sending a little now and then.
-TEST_F(flowing_answer, is_given_up_at_the_reading_limit)
+// A server must not keep a call open indefinitely by sending a few bytes from
+// time to time.
+TEST_F(slow_response, times_out_at_the_late_read_limit)
 {
-    constexpr auto reading_limit = 300ms;
-    ask(reading_limit);
-    begin_answer(100 * piece_bytes);
-    auto const end = std::chrono::steady_clock::now() + patience;
-    while (!ended && std::chrono::steady_clock::now() < end)
+    constexpr auto late_read_limit = 300ms;
+    start_call(late_read_limit);
+    start_response(100 * chunk_bytes);
+    auto const end = std::chrono::steady_clock::now() + test_timeout;
+    while (!final_status && std::chrono::steady_clock::now() < end)
     {
-        flow(1);
+        send_chunk(1);
     }
-    EXPECT_EQ(ended, exchange_status::timed_out);
+    EXPECT_EQ(final_status, exchange_status::timed_out);
 }
--- a/tests/contract/adapters/http_test.cpp
+++ b/tests/contract/adapters/http_test.cpp
@@ -20,12 +20,12 @@
 namespace
 {
 
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
 
 void run_until(boost::asio::io_context& io, std::function<bool()> const& done)
 {
-    auto const end = std::chrono::steady_clock::now() + patience;
+    auto const end = std::chrono::steady_clock::now() + test_timeout;
     while (!done() && std::chrono::steady_clock::now() < end)
     {
         io.run_one_for(50ms);
@@ -39,32 +39,33 @@
     adapters::http::response last;
 };
 
-class http_test : public testing::Test
+class http_exchange : public testing::Test
 {
 protected:
-    ports::endpoint serve(adapters::http::request_handler handle,
-                          adapters::http::server_limits limits = {})
+    ports::endpoint start_server(adapters::http::request_handler handle,
+                                 adapters::http::server_limits limits = {})
     {
-        served.emplace(io, limits, std::move(handle));
+        http_server.emplace(io, limits, std::move(handle));
         core::common::failure reason;
-        auto const where = served->listen({"127.0.0.1", 0}, reason);
-        EXPECT_TRUE(where) << to_string(reason);
-        return where.value_or(ports::endpoint{});
+        auto const remote_endpoint =
+            http_server->listen({"127.0.0.1", 0}, reason);
+        EXPECT_TRUE(remote_endpoint) << to_string(reason);
+        return remote_endpoint.value_or(ports::endpoint{});
     }
 
-    exchange_result& send(client& from,
-                          ports::endpoint where,
+    exchange_result& send(client& http_client,
+                          ports::endpoint remote_endpoint,
                           std::string body,
                           core::common::duration timeout = 10s,
                           bool drain = false)
     {
         auto& result = results.emplace_back();
         adapters::http::client_call call;
-        call.remote_endpoint = std::move(where);
+        call.remote_endpoint = std::move(remote_endpoint);
         call.message = {"POST", "/x", {}, std::move(body), {}};
         call.timeout = timeout;
         call.drain = drain;
-        from.send(
+        http_client.send(
             std::move(call),
             [&result](exchange_status status, adapters::http::response answer)
             {
@@ -75,27 +76,27 @@
     }
 
     boost::asio::io_context io;
-    std::optional<server> served;
+    std::optional<server> http_server;
     std::list<exchange_result> results;
 };
 
 } // namespace
 
-TEST_F(http_test, kept_connection_carries_whole_answers_in_turn)
+TEST_F(http_exchange, persistent_connection_carries_consecutive_responses)
 {
-    auto const where = serve(
+    auto const remote_endpoint = start_server(
         [](adapters::http::request const& request, auto respond)
         {
             respond(adapters::http::json_response(200, request.body));
         });
-    client from(io, {});
-    auto& first = send(from, where, "one");
+    client http_client(io, {});
+    auto& first = send(http_client, remote_endpoint, "one");
     run_until(io,
               [&]
               {
                   return !first.statuses.empty();
               });
-    auto& second = send(from, where, "two");
+    auto& second = send(http_client, remote_endpoint, "two");
     run_until(io,
               [&]
               {
@@ -105,24 +106,25 @@
     EXPECT_EQ(second.last.body, "two");
 }
 
-// An upstream answers after its caller's deadline, on a connection that is
-// kept. If the late answer stayed in the connection, the next caller would be
-// given somebody else's bid.
-TEST_F(http_test, late_answer_is_drained_and_never_given_to_the_next_call)
+// An upstream responds after the deadline of its caller on a persistent
+// connection. If the late response stayed in the connection, the next caller
+// would receive the bid of another caller.
+TEST_F(http_exchange,
+       late_response_is_drained_and_not_returned_to_the_next_call)
 {
-    adapters::http::responder held;
-    auto const where = serve(
+    adapters::http::responder delayed_response;
+    auto const remote_endpoint = start_server(
         [&](adapters::http::request const& request, auto respond)
         {
             if (request.body == "slow")
             {
-                held = respond;
+                delayed_response = respond;
                 return;
             }
             respond(adapters::http::json_response(200, request.body));
         });
-    client from(io, {});
-    auto& slow = send(from, where, "slow", 30ms, true);
+    client http_client(io, {});
+    auto& slow = send(http_client, remote_endpoint, "slow", 30ms, true);
     run_until(io,
               [&]
               {
@@ -130,7 +132,7 @@
               });
     EXPECT_EQ(slow.statuses[0], exchange_status::timed_out);
 
-    auto& other = send(from, where, "other");
+    auto& other = send(http_client, remote_endpoint, "other");
     run_until(io,
               [&]
               {
@@ -138,7 +140,7 @@
               });
     EXPECT_EQ(other.last.body, "other");
 
-    held(adapters::http::json_response(200, "late"));
+    delayed_response(adapters::http::json_response(200, "late"));
     run_until(io,
               [&]
               {
@@ -146,7 +148,7 @@
               });
     EXPECT_EQ(slow.statuses[1], exchange_status::drained);
 
-    auto& next = send(from, where, "next");
+    auto& next = send(http_client, remote_endpoint, "next");
     run_until(io,
               [&]
               {
@@ -155,14 +157,14 @@
     EXPECT_EQ(next.last.body, "next");
 }
 
-// Nobody listens: the request provably never ran, and the caller may be told
-// so.
-TEST_F(http_test, refused_connection_is_not_sent)
+// No process listens on the port, so the request provably never ran and the
+// caller may be told so.
+TEST_F(http_exchange, refused_connection_reports_not_sent)
 {
-    auto const where = serve([](auto, auto) {});
-    served.reset();
-    client from(io, {});
-    auto& result = send(from, where, "x");
+    auto const remote_endpoint = start_server([](auto, auto) {});
+    http_server.reset();
+    client http_client(io, {});
+    auto& result = send(http_client, remote_endpoint, "x");
     run_until(io,
               [&]
               {
@@ -171,19 +173,19 @@
     EXPECT_EQ(result.statuses[0], exchange_status::not_sent);
 }
 
-// The upstream dies with the request in its hands: it may have run, and the
-// client must not send it again.
-TEST_F(http_test, connection_closed_before_the_answer_is_lost)
+// The upstream fails after receiving the request. The request may have run, so
+// the client must not send it again.
+TEST_F(http_exchange, connection_closed_before_the_response_reports_lost)
 {
     int received = 0;
-    auto const where = serve(
+    auto const remote_endpoint = start_server(
         [&](auto, auto)
         {
             ++received;
-            served->close();
+            http_server->close();
         });
-    client from(io, {});
-    auto& result = send(from, where, "x");
+    client http_client(io, {});
+    auto& result = send(http_client, remote_endpoint, "x");
     run_until(io,
               [&]
               {
@@ -193,16 +195,17 @@
     EXPECT_EQ(received, 1);
 }
 
-TEST_F(http_test, bad_messages_get_a_numbered_answer_and_the_server_lives)
+TEST_F(http_exchange,
+       malformed_messages_get_a_numbered_error_and_the_server_continues)
 {
-    struct fault_case
+    struct malformed_message
     {
         std::string name;
-        std::string bytes;
+        std::string message;
         std::string status;
         std::string code;
     };
-    std::vector<fault_case> const cases{
+    std::vector<malformed_message> const cases{
         {"no HTTP", "hello\r\n\r\n", "400", "1001 malformed_http"},
         {"oversize header",
          "GET / HTTP/1.1\r\nA: " + std::string(5000, 'a') + "\r\n\r\n",
@@ -216,18 +219,18 @@
     adapters::http::server_limits limits;
     limits.header_bytes = 1000;
     limits.body_bytes = 1000;
-    auto const where = serve(
+    auto const remote_endpoint = start_server(
         [](auto, auto respond)
         {
             respond({200, {}, "fine"});
         },
         limits);
-    for (auto const& fault : cases)
+    for (auto const& test_case : cases)
     {
         boost::asio::ip::tcp::socket socket(io);
-        socket.connect(
-            {boost::asio::ip::make_address(where.address), where.port});
-        boost::asio::write(socket, boost::asio::buffer(fault.bytes));
+        socket.connect({boost::asio::ip::make_address(remote_endpoint.address),
+                        remote_endpoint.port});
+        boost::asio::write(socket, boost::asio::buffer(test_case.message));
         std::string answer;
         bool done = false;
         boost::asio::async_read_until(socket,
@@ -242,13 +245,14 @@
                   {
                       return done;
                   });
-        EXPECT_TRUE(answer.starts_with("HTTP/1.1 " + fault.status))
-            << fault.name << ": " << answer;
-        EXPECT_NE(answer.find("Fuchsia-Code: " + fault.code), std::string::npos)
-            << fault.name << ": " << answer;
+        EXPECT_TRUE(answer.starts_with("HTTP/1.1 " + test_case.status))
+            << test_case.name << ": " << answer;
+        EXPECT_NE(answer.find("Fuchsia-Code: " + test_case.code),
+                  std::string::npos)
+            << test_case.name << ": " << answer;
     }
-    client from(io, {});
-    auto& result = send(from, where, "x");
+    client http_client(io, {});
+    auto& result = send(http_client, remote_endpoint, "x");
     run_until(io,
               [&]
               {
@@ -257,20 +261,20 @@
     EXPECT_EQ(result.last.body, "fine");
 }
 
-TEST(http_endpoint, takes_ip_numbers_only)
+TEST(http_endpoint, accepts_only_ip_addresses_with_a_port)
 {
     using adapters::http::parse_endpoint;
     EXPECT_EQ(parse_endpoint("127.0.0.1:80"),
               (ports::endpoint{"127.0.0.1", 80}));
     EXPECT_EQ(parse_endpoint("[::1]:80"), (ports::endpoint{"::1", 80}));
-    for (auto const* wrong :
+    for (auto const* text :
          {"localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ""})
     {
-        EXPECT_FALSE(parse_endpoint(wrong)) << wrong;
+        EXPECT_FALSE(parse_endpoint(text)) << text;
     }
 }
 
-TEST(http_token, comparison_needs_every_character)
+TEST(http_token, comparison_checks_every_character)
 {
     using adapters::http::equal_in_constant_time;
     EXPECT_TRUE(equal_in_constant_time("secret", "secret"));
--- a/tests/contract/adapters/late_reader_test.cpp
+++ b/tests/contract/adapters/late_reader_test.cpp
@@ -15,34 +15,34 @@
 namespace
 {
 
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
-// Longer than one read takes in.
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
+// Larger than a single read.
 constexpr std::size_t body_bytes = 20'000;
 constexpr auto timeout = 200ms;
 
-/// A client that stands still while its server, on an io_context of its own,
-/// goes on.
-class late_reader : public testing::Test
+/// A client that is stalled while its server continues on a separate
+/// io_context.
+class stalled_client : public testing::Test
 {
 protected:
-    late_reader()
+    stalled_client()
     {
         core::common::failure reason;
-        where_ = served_.listen({"127.0.0.1", 0}, reason).value();
+        remote_endpoint_ = server_.listen({"127.0.0.1", 0}, reason).value();
     }
 
     void send(core::common::duration timeout)
     {
         adapters::http::client_call call;
-        call.remote_endpoint = where_;
+        call.remote_endpoint = remote_endpoint_;
         call.message = {"GET", "/x", {}, "", {}};
         call.timeout = timeout;
         client_.send(std::move(call),
                      [this](exchange_status status,
                             adapters::http::response const& answer)
                      {
-                         ended = status;
+                         final_status = status;
                          body = answer.body;
                      });
     }
@@ -50,7 +50,7 @@
     template<class Done>
     void run(boost::asio::io_context& io, Done const& done)
     {
-        auto const end = std::chrono::steady_clock::now() + patience;
+        auto const end = std::chrono::steady_clock::now() + test_timeout;
         while (!done() && std::chrono::steady_clock::now() < end)
         {
             io.run_one_for(1ms);
@@ -58,72 +58,73 @@
         ASSERT_TRUE(done());
     }
 
-    // Until the request lies with the server, which has not answered.
-    void reach_server()
+    // Runs until the server has received the request, without a response.
+    void wait_for_request()
     {
-        auto const end = std::chrono::steady_clock::now() + patience;
-        while (!asked && std::chrono::steady_clock::now() < end)
+        auto const end = std::chrono::steady_clock::now() + test_timeout;
+        while (!respond && std::chrono::steady_clock::now() < end)
         {
             io.run_for(1ms);
             server_io.run_for(1ms);
         }
-        ASSERT_TRUE(asked.has_value());
+        ASSERT_TRUE(respond.has_value());
     }
 
     void answer()
     {
-        (*asked)({200, {}, std::string(body_bytes, 'x')});
+        (*respond)({200, {}, std::string(body_bytes, 'x')});
         server_io.run_for(20ms);
     }
 
     boost::asio::io_context io;
     boost::asio::io_context server_io;
-    std::optional<adapters::http::responder> asked;
-    std::optional<exchange_status> ended;
+    std::optional<adapters::http::responder> respond;
+    std::optional<exchange_status> final_status;
     std::string body;
 
 private:
-    adapters::http::server served_{server_io,
-                                   {},
-                                   [this](adapters::http::request const&,
-                                          adapters::http::responder const& to)
-                                   {
-                                       asked = to;
-                                   }};
-    ports::endpoint where_;
+    adapters::http::server server_{
+        server_io,
+        {},
+        [this](adapters::http::request const&,
+               adapters::http::responder const& responder)
+        {
+            respond = responder;
+        }};
+    ports::endpoint remote_endpoint_;
     adapters::http::client client_{io, {}};
 };
 
 } // namespace
 
-// An instance that got no processor took answers that had come in time for
-// silence, and ran elsewhere what its workers had ended.
-TEST_F(late_reader, reads_what_came_while_it_stood_still)
+// An instance that got no CPU time treated responses that had arrived in time
+// as timeouts, and reran tasks elsewhere that its workers had finished.
+TEST_F(stalled_client, reads_response_that_arrived_during_the_stall)
 {
     clock::pause();
     send(timeout);
-    reach_server();
+    wait_for_request();
     answer();
     clock::resume();
     std::this_thread::sleep_for(2 * timeout);
     run(io,
         [this]
         {
-            return ended.has_value();
+            return final_status.has_value();
         });
-    EXPECT_EQ(ended, exchange_status::answered);
+    EXPECT_EQ(final_status, exchange_status::answered);
     EXPECT_EQ(body.size(), body_bytes);
 }
 
-// A server that is silent must not be waited for any longer.
-TEST_F(late_reader, gives_a_silent_server_up_at_its_deadline)
+// The allowance for stalls must not extend the wait for an unresponsive server.
+TEST_F(stalled_client, times_out_on_a_silent_server_at_the_deadline)
 {
     send(timeout);
-    reach_server();
+    wait_for_request();
     run(io,
         [this]
         {
-            return ended.has_value();
+            return final_status.has_value();
         });
-    EXPECT_EQ(ended, exchange_status::timed_out);
+    EXPECT_EQ(final_status, exchange_status::timed_out);
 }
--- a/tests/contract/adapters/peer_test.cpp
+++ b/tests/contract/adapters/peer_test.cpp
@@ -17,12 +17,13 @@
 namespace
 {
 
-constexpr auto patience = 20s;
-constexpr auto* good_token = "a token of some length";
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
+constexpr auto* valid_token = "a token of some length";
 
 void run_until(boost::asio::io_context& io, std::function<bool()> const& done)
 {
-    auto const end = std::chrono::steady_clock::now() + patience;
+    auto const end = std::chrono::steady_clock::now() + test_timeout;
     while (!done() && std::chrono::steady_clock::now() < end)
     {
         io.run_one_for(50ms);
@@ -30,7 +31,7 @@
     ASSERT_TRUE(done());
 }
 
-ports::caller_answer some_answer()
+ports::caller_answer sample_answer()
 {
     return {200,
             {{"Content-Type", "text/plain"}},
@@ -40,7 +41,7 @@
             1500ms};
 }
 
-ports::caller_request some_request()
+ports::caller_request sample_request()
 {
     return {"estate-owners",
             ports::request_class::batch,
@@ -53,7 +54,7 @@
             250ms};
 }
 
-std::vector<ports::peer_message> one_of_each()
+std::vector<ports::peer_message> sample_messages()
 {
     return {ports::promise_request{1, 2, 3},
             ports::promise_reply{4, true, 5},
@@ -62,15 +63,15 @@
             ports::config_offer{8, "{}"},
             ports::config_request{9},
             ports::load_report{10, 11},
-            ports::forwarded_request{12, true, some_request(), 29},
-            ports::forwarded_answer{13, some_answer(), 32, 33},
+            ports::forwarded_request{12, true, sample_request(), 29},
+            ports::forwarded_answer{13, sample_answer(), 32, 33},
             ports::slice_request{14, "estate-owners", 15, 16, 17},
             ports::slice_grant{18, "estate-owners", 19, 20, 21, 22},
             ports::key_handover{
                 23,
                 24,
                 25,
-                {{"estate-owners", "key-1", true, some_answer(), 26, 30}},
+                {{"estate-owners", "key-1", true, sample_answer(), 26, 30}},
                 false,
                 true,
                 31},
@@ -85,29 +86,30 @@
 
 } // namespace
 
-// What is encoded again after decoding must be the same bytes: no field is
-// lost on the way.
-TEST(peer_codec, every_message_survives_the_frame)
+// Encoding a decoded frame must give the same bytes, so that no field of a
+// message is lost.
+TEST(peer_codec, every_message_round_trips)
 {
-    for (auto const& message : one_of_each())
+    for (auto const& message : sample_messages())
     {
         auto const bytes = encode({{"a", 1}, {"b", 2}, "", message});
         core::common::failure reason;
-        auto const back = decode(without_length(bytes), reason);
-        ASSERT_TRUE(back) << message.index() << to_string(reason);
-        ASSERT_TRUE(back->message);
-        EXPECT_EQ(back->message->index(), message.index());
-        EXPECT_EQ(back->from, (ports::member_identity{"a", 1}));
-        EXPECT_EQ(back->to, (ports::member_identity{"b", 2}));
-        EXPECT_EQ(encode(*back), bytes) << message.index();
+        auto const decoded = decode(without_length(bytes), reason);
+        ASSERT_TRUE(decoded) << message.index() << to_string(reason);
+        ASSERT_TRUE(decoded->message);
+        EXPECT_EQ(decoded->message->index(), message.index());
+        EXPECT_EQ(decoded->from, (ports::member_identity{"a", 1}));
+        EXPECT_EQ(decoded->to, (ports::member_identity{"b", 2}));
+        EXPECT_EQ(encode(*decoded), bytes) << message.index();
     }
 }
 
-// A frame that was cut or damaged on its way must be refused, never read as
-// another message: a part of an answer would reach a caller as the whole.
-TEST(peer_codec, damaged_frames_never_crash_and_truncated_ones_are_refused)
+// A truncated or corrupted frame must be refused and not decoded as another
+// message. Otherwise a caller could receive part of an answer as the complete
+// answer.
+TEST(peer_codec, corrupted_frames_do_not_crash_and_truncated_frames_are_refused)
 {
-    for (auto const& message : one_of_each())
+    for (auto const& message : sample_messages())
     {
         auto const bytes = encode({{"a", 1}, {"b", 2}, "", message});
         auto const body = without_length(bytes);
@@ -115,17 +117,19 @@
         for (std::size_t size = 0; size < body.size();
              size += 1 + body.size() / 50)
         {
-            std::vector<std::uint8_t> cut(
+            std::vector<std::uint8_t> truncated(
                 body.begin(), body.begin() + static_cast<long>(size));
-            // Only padding that no field uses may be missing unnoticed.
-            auto const back = decode(cut, reason);
-            EXPECT_TRUE(!back || encode(*back) == bytes) << size;
+            // A truncated frame may be accepted only if the missing bytes are
+            // padding.
+            auto const decoded = decode(truncated, reason);
+            EXPECT_TRUE(!decoded || encode(*decoded) == bytes) << size;
         }
-        for (std::size_t at = 0; at < body.size(); at += 1 + body.size() / 200)
+        for (std::size_t index = 0; index < body.size();
+             index += 1 + body.size() / 200)
         {
-            std::vector<std::uint8_t> damaged(body.begin(), body.end());
-            damaged[at] ^= 0x55U;
-            (void)decode(damaged, reason);
+            std::vector<std::uint8_t> corrupted(body.begin(), body.end());
+            corrupted[index] ^= 0x55U;
+            (void)decode(corrupted, reason);
         }
     }
 }
@@ -136,136 +140,142 @@
 class peer_transport : public testing::Test
 {
 protected:
-    struct side
+    struct member
     {
         ports::member_identity self;
-        std::vector<ports::peer_receive> got;
-        std::unique_ptr<transport> link;
-        ports::endpoint where;
+        std::vector<ports::peer_receive> received;
+        std::unique_ptr<transport> member_transport;
+        ports::endpoint listen_endpoint;
     };
 
-    void open(side& at, std::string token = good_token)
+    void start(member& m, std::string token = valid_token)
     {
         adapters::peer::transport_settings settings;
-        settings.self = at.self;
+        settings.self = m.self;
         settings.token = std::move(token);
         settings.allowed = {"127.0.0.0/8"};
-        at.link = std::make_unique<transport>(io,
-                                              settings,
-                                              [&at](ports::peer_receive message)
-                                              {
-                                                  at.got.push_back(
-                                                      std::move(message));
-                                                  return true;
-                                              });
+        m.member_transport = std::make_unique<transport>(
+            io,
+            settings,
+            [&m](ports::peer_receive message)
+            {
+                m.received.push_back(std::move(message));
+                return true;
+            });
         core::common::failure reason;
-        auto const where = at.link->listen({"127.0.0.1", 0}, reason);
-        ASSERT_TRUE(where) << to_string(reason);
-        at.where = *where;
+        auto const bound = m.member_transport->listen({"127.0.0.1", 0}, reason);
+        ASSERT_TRUE(bound) << to_string(reason);
+        m.listen_endpoint = *bound;
     }
 
     boost::asio::io_context io;
-    side a{{"a", 1}, {}, nullptr, {}};
-    side b{{"b", 2}, {}, nullptr, {}};
+    member a{{"a", 1}, {}, nullptr, {}};
+    member b{{"b", 2}, {}, nullptr, {}};
 };
 
 } // namespace
 
-TEST_F(peer_transport, messages_arrive_whole_and_in_order)
+TEST_F(peer_transport, messages_arrive_complete_and_in_order)
 {
-    open(a);
-    open(b);
-    for (auto const& message : one_of_each())
+    start(a);
+    start(b);
+    for (auto const& message : sample_messages())
     {
-        a.link->send({b.self, b.where, message});
+        a.member_transport->send({b.self, b.listen_endpoint, message});
     }
     run_until(io,
               [&]
               {
-                  return b.got.size() == one_of_each().size();
+                  return b.received.size() == sample_messages().size();
               });
-    for (std::size_t index = 0; index < b.got.size(); ++index)
+    for (std::size_t index = 0; index < b.received.size(); ++index)
     {
-        EXPECT_EQ(b.got[index].message.index(), index);
-        EXPECT_EQ(b.got[index].from, a.self);
+        EXPECT_EQ(b.received[index].message.index(), index);
+        EXPECT_EQ(b.received[index].from, a.self);
     }
 }
 
-// A process was restarted under the same name and address. Messages for its
-// former self must not be answered by the new one, which knows nothing of what
-// the former promised.
+// A process was restarted under the same name and address. The new incarnation
+// must not answer messages for the previous one, because it does not know the
+// promises that the previous one made.
 TEST_F(peer_transport, frames_for_another_incarnation_are_refused)
 {
-    open(a);
-    open(b);
-    a.link->send({{"b", 3}, b.where, ports::config_request{1}});
+    start(a);
+    start(b);
+    a.member_transport->send(
+        {{"b", 3}, b.listen_endpoint, ports::config_request{1}});
     run_until(io,
               [&]
               {
-                  return b.link->counts().refused == 1;
+                  return b.member_transport->counts().refused == 1;
               });
-    EXPECT_TRUE(b.got.empty());
+    EXPECT_TRUE(b.received.empty());
 }
 
 TEST_F(peer_transport, wrong_token_is_refused)
 {
-    open(a, "another token of some length");
-    open(b);
-    a.link->send({b.self, b.where, ports::config_request{1}});
+    start(a, "another token of some length");
+    start(b);
+    a.member_transport->send(
+        {b.self, b.listen_endpoint, ports::config_request{1}});
     run_until(io,
               [&]
               {
-                  return b.link->counts().refused == 1;
+                  return b.member_transport->counts().refused == 1;
               });
-    EXPECT_TRUE(b.got.empty());
+    EXPECT_TRUE(b.received.empty());
 }
 
-TEST_F(peer_transport, garbage_and_oversize_lengths_close_the_connection)
+TEST_F(peer_transport, invalid_frames_and_lengths_close_the_connection)
 {
-    open(b);
+    start(b);
     for (std::vector<std::uint8_t> const& bytes :
          {std::vector<std::uint8_t>{0xff, 0xff, 0xff, 0xff},
           std::vector<std::uint8_t>{0, 0, 0, 0},
           std::vector<std::uint8_t>{4, 0, 0, 0, 1, 2, 3, 4}})
     {
-        auto const before = b.link->counts().refused;
+        auto const before = b.member_transport->counts().refused;
         boost::asio::ip::tcp::socket socket(io);
         socket.connect(
-            {boost::asio::ip::make_address(b.where.address), b.where.port});
+            {boost::asio::ip::make_address(b.listen_endpoint.address),
+             b.listen_endpoint.port});
         boost::asio::write(socket, boost::asio::buffer(bytes));
         run_until(io,
                   [&]
                   {
-                      return b.link->counts().refused > before;
+                      return b.member_transport->counts().refused > before;
                   });
     }
-    open(a);
-    a.link->send({b.self, b.where, ports::config_request{1}});
+    start(a);
+    a.member_transport->send(
+        {b.self, b.listen_endpoint, ports::config_request{1}});
     run_until(io,
               [&]
               {
-                  return b.got.size() == 1;
+                  return b.received.size() == 1;
               });
 }
 
-// A peer dies and comes back: the first message after that opens a new
+// After a peer has failed and restarted, the first message opens a new
 // connection.
-TEST_F(peer_transport, connection_is_opened_anew_after_a_reset)
+TEST_F(peer_transport, connection_is_reopened_after_a_reset)
 {
-    open(a);
-    open(b);
-    a.link->send({b.self, b.where, ports::config_request{1}});
+    start(a);
+    start(b);
+    a.member_transport->send(
+        {b.self, b.listen_endpoint, ports::config_request{1}});
     run_until(io,
               [&]
               {
-                  return b.got.size() == 1;
+                  return b.received.size() == 1;
               });
-    b.link->reset();
-    a.link->reset();
-    a.link->send({b.self, b.where, ports::config_request{2}});
+    b.member_transport->reset();
+    a.member_transport->reset();
+    a.member_transport->send(
+        {b.self, b.listen_endpoint, ports::config_request{2}});
     run_until(io,
               [&]
               {
-                  return b.got.size() == 2;
+                  return b.received.size() == 2;
               });
 }
--- a/tests/contract/adapters/silent_connections_test.cpp
+++ b/tests/contract/adapters/silent_connections_test.cpp
@@ -20,12 +20,12 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
-constexpr std::size_t at_once = 6;
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
+constexpr std::size_t call_count = 6;
 
-// Answers on every connection until it falls silent on those it has; on newer
-// ones it goes on answering.
+// A server that responds on every connection until `stop_answering` is called.
+// After that it responds only on connections opened later.
 class server
 {
 public:
@@ -34,22 +34,22 @@
         core::common::failure reason;
         auto const bound = acceptor_.listen({"127.0.0.1", 0}, reason);
         EXPECT_TRUE(bound) << to_string(reason);
-        where = bound.value_or(ports::endpoint{});
+        remote_endpoint = bound.value_or(ports::endpoint{});
         accept();
     }
 
-    void fall_silent()
+    void stop_answering()
     {
         ++generation_;
     }
 
-    ports::endpoint where;
+    ports::endpoint remote_endpoint;
 
 private:
     struct connection
     {
         tcp::socket socket;
-        std::string in;
+        std::string input;
         std::size_t generation = 0;
     };
 
@@ -58,93 +58,97 @@
         acceptor_.accept_next(
             [this](tcp::socket socket)
             {
-                open_.push_back(std::make_unique<connection>(
+                connections_.push_back(std::make_unique<connection>(
                     connection{std::move(socket), "", generation_}));
-                read(*open_.back());
+                read(*connections_.back());
                 accept();
             });
     }
 
-    void read(connection& from)
+    void read(connection& conn)
     {
         asio::async_read_until(
-            from.socket,
-            asio::dynamic_buffer(from.in),
+            conn.socket,
+            asio::dynamic_buffer(conn.input),
             "\r\n\r\n",
-            [this, &from](boost::system::error_code error, std::size_t)
+            [this, &conn](boost::system::error_code error, std::size_t)
             {
-                if (error || from.generation != generation_)
+                if (error || conn.generation != generation_)
                 {
                     return;
                 }
-                from.in.clear();
+                conn.input.clear();
                 static std::string const answer =
                     "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
                 asio::async_write(
-                    from.socket,
+                    conn.socket,
                     asio::buffer(answer),
-                    [this, &from](boost::system::error_code failed, std::size_t)
+                    [this, &conn](boost::system::error_code failed, std::size_t)
                     {
                         if (!failed)
                         {
-                            read(from);
+                            read(conn);
                         }
                     });
             });
     }
 
     adapters::runtime::acceptor acceptor_;
-    std::vector<std::unique_ptr<connection>> open_;
+    std::vector<std::unique_ptr<connection>> connections_;
     std::size_t generation_ = 0;
 };
 
-// Sends `count` calls at once and waits for all of their ends.
+// Sends `count` concurrent calls and waits until all have ended.
 std::vector<exchange_status> exchange(asio::io_context& io,
-                                      adapters::http::client& from,
-                                      ports::endpoint const& where,
+                                      adapters::http::client& http_client,
+                                      ports::endpoint const& remote_endpoint,
                                       std::size_t count)
 {
-    std::vector<exchange_status> ends;
+    std::vector<exchange_status> statuses;
     for (std::size_t number = 0; number < count; ++number)
     {
         adapters::http::client_call call;
-        call.remote_endpoint = where;
+        call.remote_endpoint = remote_endpoint;
         call.message = {"GET", "/x", {}, "", {}};
         call.timeout = 100ms;
-        from.send(
+        http_client.send(
             std::move(call),
-            [&ends](exchange_status status, adapters::http::response const&)
+            [&statuses](exchange_status status, adapters::http::response const&)
             {
-                ends.push_back(status);
+                statuses.push_back(status);
             });
     }
-    auto const end = std::chrono::steady_clock::now() + patience;
-    while (ends.size() < count && std::chrono::steady_clock::now() < end)
+    auto const end = std::chrono::steady_clock::now() + test_timeout;
+    while (statuses.size() < count && std::chrono::steady_clock::now() < end)
     {
         io.run_one_for(50ms);
     }
-    return ends;
+    return statuses;
 }
 
 } // namespace
 
-// Kept connections fell silent together, and each of them cost one more call.
-TEST(silent_connections, one_lost_call_is_enough_to_leave_them_all)
+// Persistent connections became unresponsive together, and each of them cost
+// one more call.
+TEST(silent_connections, one_timed_out_call_closes_all_idle_connections)
 {
     asio::io_context io;
-    server served(io);
+    server test_server(io);
     adapters::http::client_settings settings;
     settings.close_idle_on_timeout = true;
-    adapters::http::client from(io, settings);
-    auto const before = exchange(io, from, served.where, at_once);
-    ASSERT_EQ(before,
-              std::vector<exchange_status>(at_once, exchange_status::answered));
-    served.fall_silent();
-    std::size_t lost = 0;
-    while (lost <= at_once && exchange(io, from, served.where, 1).front() !=
-                                  exchange_status::answered)
+    adapters::http::client http_client(io, settings);
+    auto const before =
+        exchange(io, http_client, test_server.remote_endpoint, call_count);
+    ASSERT_EQ(
+        before,
+        std::vector<exchange_status>(call_count, exchange_status::answered));
+    test_server.stop_answering();
+    std::size_t failed_calls = 0;
+    while (failed_calls <= call_count &&
+           exchange(io, http_client, test_server.remote_endpoint, 1).front() !=
+               exchange_status::answered)
     {
-        ++lost;
+        ++failed_calls;
     }
-    EXPECT_EQ(lost, 1U);
+    EXPECT_EQ(failed_calls, 1U);
 }
