--- a/tests/contract/inputs/http_inputs_test.cpp
+++ b/tests/contract/inputs/http_inputs_test.cpp
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-// Bytes that are hardly HTTP, in pieces, on real connections.
+// Mutated HTTP messages, sent in chunks over real connections.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -27,18 +27,18 @@
 using namespace std::chrono_literals;
 using tcp = asio::ip::tcp;
 
-// Far beyond what any test needs; only a hang reaches it.
-constexpr auto patience = 20s;
+// Far longer than any test needs; reached only if a test hangs.
+constexpr auto test_timeout = 20s;
 constexpr std::uint64_t cases = 400;
-constexpr std::size_t at_once = 20;
-constexpr std::size_t most_of_a_body = 10'000;
+constexpr std::size_t batch_size = 20;
+constexpr std::size_t max_body_bytes = 10'000;
 
-// One connection: sends its bytes piece by piece, then nothing more, and reads
-// until the server closes.
+// A connection that sends its bytes in chunks, shuts down sending, and reads
+// until the server closes the connection.
 struct sender : std::enable_shared_from_this<sender>
 {
-    sender(asio::io_context& io, ports::endpoint const& where, std::string what)
-        : socket(io), bytes(std::move(what))
+    sender(asio::io_context& io, ports::endpoint const& where, std::string data)
+        : socket(io), bytes(std::move(data))
     {
         socket.connect({asio::ip::make_address(where.address), where.port});
         socket.set_option(tcp::no_delay(true));
@@ -52,7 +52,7 @@
             socket.shutdown(tcp::socket::shutdown_send, ignored);
             return;
         }
-        auto const length = std::min(piece, bytes.size() - from);
+        auto const length = std::min(chunk_bytes, bytes.size() - from);
         asio::async_write(socket,
                           asio::buffer(bytes.data() + from, length),
                           [self = shared_from_this(), next = from + length](
@@ -79,7 +79,7 @@
     tcp::socket socket;
     std::string bytes;
     std::string answer;
-    std::size_t piece = 1;
+    std::size_t chunk_bytes = 1;
     bool closed = false;
 };
 
@@ -96,81 +96,85 @@
             "GET / HTTP/1.0\r\n\r\n"};
 }
 
-// A request that reached the handler is whole and within the bounds.
-std::string fault_of(adapters::http::request const& taken)
+// Returns how a request passed to the handler violates the guarantees of the
+// server; empty if it is complete and within the limits.
+std::string find_violation(adapters::http::request const& request)
 {
-    if (taken.method.empty() || taken.target.empty())
+    if (request.method.empty() || request.target.empty())
     {
-        return "a request without method or target";
+        return "request without method or target";
     }
-    return taken.body.size() > most_of_a_body ? "a body beyond its bound" : "";
+    return request.body.size() > max_body_bytes ? "body larger than the limit"
+                                                : "";
 }
 
 } // namespace
 
-// A client that sends anything at all, in pieces of any size, keeps no
-// connection waiting and ends no process.
-TEST(http_inputs, odd_bytes_are_answered_or_closed)
+// A client that sends arbitrary bytes in chunks of any size must neither leave
+// a connection open nor crash the server.
+TEST(http_inputs, mutated_requests_are_answered_or_closed)
 {
     asio::io_context io;
-    std::string fault;
+    std::string violation;
     adapters::http::server_limits limits;
-    limits.body_bytes = most_of_a_body;
-    adapters::http::server served(
+    limits.body_bytes = max_body_bytes;
+    adapters::http::server http_server(
         io,
         limits,
-        [&fault](adapters::http::request const& taken, auto respond)
+        [&violation](adapters::http::request const& request, auto respond)
         {
-            fault = fault.empty() ? fault_of(taken) : fault;
+            violation = violation.empty() ? find_violation(request) : violation;
             adapters::http::response answer;
-            auto const made = platform::decode_submission(taken, answer);
-            respond(made ? adapters::http::json_response(200, "{}") : answer);
+            auto const result = platform::decode_submission(request, answer);
+            respond(result ? adapters::http::json_response(200, "{}") : answer);
         });
     core::common::failure reason;
-    auto const where = served.listen({"127.0.0.1", 0}, reason);
+    auto const where = http_server.listen({"127.0.0.1", 0}, reason);
     ASSERT_TRUE(where) << to_string(reason);
     auto const samples = request_samples();
-    std::vector<std::shared_ptr<sender>> open;
-    auto const all_closed = [&open]
+    std::vector<std::shared_ptr<sender>> connections;
+    auto const all_connections_closed = [&connections]
     {
-        return std::all_of(open.begin(),
-                           open.end(),
-                           [](auto const& each)
+        return std::all_of(connections.begin(),
+                           connections.end(),
+                           [](auto const& connection)
                            {
-                               return each->closed;
+                               return connection->closed;
                            });
     };
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
-        auto const made = std::make_shared<sender>(
+        auto const connection = std::make_shared<sender>(
             io, *where, mutator.mutated(samples[seed % samples.size()]));
-        // From one byte to all at once.
-        made->piece = seed % 5 == 0 ? 1 : 1 + seed * seed % 4000;
-        made->piece =
-            made->bytes.size() > 1000 ? made->piece + 1000 : made->piece;
-        made->read();
-        made->send(0);
-        open.push_back(made);
-        if (open.size() < at_once && seed != cases)
+        // The chunk size ranges from one byte to the complete message.
+        connection->chunk_bytes = seed % 5 == 0 ? 1 : 1 + seed * seed % 4000;
+        connection->chunk_bytes = connection->bytes.size() > 1000
+                                      ? connection->chunk_bytes + 1000
+                                      : connection->chunk_bytes;
+        connection->read();
+        connection->send(0);
+        connections.push_back(connection);
+        if (connections.size() < batch_size && seed != cases)
         {
             continue;
         }
-        auto const end = std::chrono::steady_clock::now() + patience;
-        while (!all_closed() && std::chrono::steady_clock::now() < end)
+        auto const end = std::chrono::steady_clock::now() + test_timeout;
+        while (!all_connections_closed() &&
+               std::chrono::steady_clock::now() < end)
         {
             io.run_one_for(50ms);
         }
-        ASSERT_TRUE(all_closed()) << "by seed " << seed;
-        ASSERT_EQ(fault, "") << "by seed " << seed;
-        open.clear();
+        ASSERT_TRUE(all_connections_closed()) << "seed " << seed;
+        ASSERT_EQ(violation, "") << "seed " << seed;
+        connections.clear();
     }
-    EXPECT_EQ(served.waiting(), 0U);
+    EXPECT_EQ(http_server.waiting(), 0U);
 }
 
-// Whatever an answer is, the call ends once, and its connection brings nothing
-// of it to the next one.
-TEST(http_inputs, odd_answers_end_each_call_once)
+// Whatever bytes a response contains, the call ends exactly once, and no bytes
+// of the response reach the next call.
+TEST(http_inputs, mutated_responses_end_each_call_once)
 {
     std::string const body = R"({"items":[],"hasMore":false,"atRevision":3})";
     std::vector<std::string> const samples{
@@ -182,28 +186,28 @@
         "0\r\n\r\n",
         "HTTP/1.1 503 No\r\nConnection: close\r\n\r\n"};
     asio::io_context io;
-    tcp::acceptor accepting(io, {asio::ip::make_address("127.0.0.1"), 0});
-    ports::endpoint const where{"127.0.0.1", accepting.local_endpoint().port()};
-    std::size_t ended = 0;
-    platform::kv_client asked(io,
-                              where,
-                              [&ended](ports::kv_reply const&)
-                              {
-                                  ++ended;
-                              });
+    tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
+    ports::endpoint const where{"127.0.0.1", acceptor.local_endpoint().port()};
+    std::size_t completed_calls = 0;
+    platform::kv_client kv(io,
+                           where,
+                           [&completed_calls](ports::kv_reply const&)
+                           {
+                               ++completed_calls;
+                           });
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
         auto const answer = mutator.mutated(samples[seed % samples.size()]);
-        std::string taken;
+        std::string request;
         tcp::socket socket(io);
-        accepting.async_accept(
+        acceptor.async_accept(
             socket,
             [&](boost::system::error_code)
             {
                 asio::async_read_until(
                     socket,
-                    asio::dynamic_buffer(taken),
+                    asio::dynamic_buffer(request),
                     "\r\n\r\n",
                     [&](boost::system::error_code, std::size_t)
                     {
@@ -213,47 +217,51 @@
                     });
             });
         io.restart();
-        asked.send({seed, ports::kv_range{"pool/", ""}, 10s});
-        auto const end = std::chrono::steady_clock::now() + patience;
-        while (ended < seed && std::chrono::steady_clock::now() < end)
+        kv.send({seed, ports::kv_range{"pool/", ""}, 10s});
+        auto const end = std::chrono::steady_clock::now() + test_timeout;
+        while (completed_calls < seed && std::chrono::steady_clock::now() < end)
         {
             io.run_one_for(50ms);
         }
-        ASSERT_EQ(ended, seed) << testing::PrintToString(answer.substr(0, 300));
+        ASSERT_EQ(completed_calls, seed)
+            << testing::PrintToString(answer.substr(0, 300));
         boost::system::error_code ignored;
-        accepting.cancel(ignored);
+        acceptor.cancel(ignored);
         socket.close(ignored);
         io.poll();
-        ASSERT_EQ(ended, seed);
+        ASSERT_EQ(completed_calls, seed);
     }
 }
 
-// A caller's headers are taken within their bounds or refused by name.
-TEST(http_inputs, odd_headers_of_callers_are_refused_by_name)
+// The headers of a caller are either accepted within their limits or refused
+// with the name of the header.
+TEST(http_inputs, mutated_caller_headers_are_refused_by_name)
 {
-    std::vector<ports::header> const good{{"Fuchsia-Customer", "c"},
-                                          {"Fuchsia-Class", "batch"},
-                                          {"Fuchsia-Deadline-Ms", "3000"},
-                                          {"Idempotency-Key", "k-1"},
-                                          {"Fuchsia-Attempt", "2"}};
+    std::vector<ports::header> const valid_headers{
+        {"Fuchsia-Customer", "c"},
+        {"Fuchsia-Class", "batch"},
+        {"Fuchsia-Deadline-Ms", "3000"},
+        {"Idempotency-Key", "k-1"},
+        {"Fuchsia-Attempt", "2"}};
     for (std::uint64_t seed = 1; seed <= 10 * cases; ++seed)
     {
         input_mutator mutator(seed);
-        auto headers = good;
+        auto headers = valid_headers;
         auto& chosen = headers[seed % headers.size()];
         chosen.value = mutator.mutated(chosen.value);
         adapters::http::request message{"POST", "/x", headers, "", ""};
         core::common::failure reason;
-        auto const made =
+        auto const result =
             adapters::callers::parse_caller_request(message, reason);
-        if (!made)
+        if (!result)
         {
             ASSERT_FALSE(reason.where.empty()) << seed;
             continue;
         }
-        ASSERT_TRUE(made->deadline >= 1ms && made->deadline <= 1h) << seed;
-        ASSERT_TRUE(made->attempt >= 1 && made->attempt <= 1'000'000) << seed;
-        ASSERT_FALSE(made->customer.empty()) << seed;
+        ASSERT_TRUE(result->deadline >= 1ms && result->deadline <= 1h) << seed;
+        ASSERT_TRUE(result->attempt >= 1 && result->attempt <= 1'000'000)
+            << seed;
+        ASSERT_FALSE(result->customer.empty()) << seed;
     }
 }
 
--- a/tests/contract/inputs/peer_inputs_test.cpp
+++ b/tests/contract/inputs/peer_inputs_test.cpp
@@ -5,14 +5,14 @@
 #include <gtest/gtest.h>
 #include <span>
 
-// Odd frames of peers that were believed once.
+// Malformed frames that were once accepted from peers.
 namespace fuchsia::tests::contract::inputs
 {
 
 namespace
 {
 
-// A frame that names the kind of its message and has none.
+// Returns a frame that has a message type but no message.
 std::vector<std::uint8_t> frame_without_body(schema::message kind)
 {
     flatbuffers::FlatBufferBuilder out;
@@ -24,9 +24,9 @@
 
 } // namespace
 
-// Whoever reached the port could end the process with one frame: it says what
-// it holds, and holds nothing.
-TEST(peer_inputs, a_frame_without_its_message_is_refused)
+// Anyone who could connect to the port could crash the process with a single
+// frame that has a message type but no message.
+TEST(peer_inputs, frame_without_message_is_refused)
 {
     for (auto kind = static_cast<int>(schema::message_NONE) + 1;
          kind <= static_cast<int>(schema::message_MAX);
@@ -40,12 +40,12 @@
     }
 }
 
-// A status that HTTP has not, or a code that the table has not, ended the
-// member that passed the answer on.
-TEST(peer_inputs, answers_are_what_a_caller_can_be_told)
+// An answer with an invalid HTTP status, or with a result code that is not in
+// the table, crashed the member that forwarded it.
+TEST(peer_inputs, forwarded_answer_with_invalid_status_is_refused)
 {
     using core::common::result_code;
-    auto const answered = [](ports::caller_answer const& answer)
+    auto const is_accepted = [](ports::caller_answer const& answer)
     {
         auto const bytes = adapters::peer::encode(
             {{"a", 1}, {"b", 2}, "", ports::forwarded_answer{1, answer, 0, 0}});
@@ -56,11 +56,13 @@
             .has_value();
     };
     using namespace std::chrono_literals;
-    auto const says = core::common::outcome::not_run;
-    EXPECT_TRUE(answered({503, {}, "", result_code::no_free_slot, says, 1s}));
+    auto const request_outcome = core::common::outcome::not_run;
+    EXPECT_TRUE(is_accepted(
+        {503, {}, "", result_code::no_free_slot, request_outcome, 1s}));
     for (std::uint16_t const status : {1000, 65535})
     {
-        EXPECT_FALSE(answered({status, {}, "", result_code::ok, says, 1s}))
+        EXPECT_FALSE(
+            is_accepted({status, {}, "", result_code::ok, request_outcome, 1s}))
             << status;
     }
 }
