--- a/src/adapters/peer/transport.cpp
+++ b/src/adapters/peer/transport.cpp
@@ -212,8 +212,9 @@
     bool closed_ = false;
 };
 
-// The connection to one peer. It is only written to. Any failure closes it,
-// and the next message opens a new connection.
+// The connection to one peer. It is only written to. Any failure closes it, and
+// the next message opens a new connection. After a failed connection attempt,
+// messages are dropped until the reconnect delay has passed.
 class transport::state::outbound : public std::enable_shared_from_this<outbound>
 {
 public:
