--- a/tests/contract/inputs/http_inputs_test.cpp
+++ b/tests/contract/inputs/http_inputs_test.cpp
@@ -104,7 +104,7 @@
     {
         return "request without method or target";
     }
-    return request.body.size() > max_body_bytes ? "body larger than the limit"
+    return request.body.size() > max_body_bytes ? "body larger than its bound"
                                                 : "";
 }
 
