--- a/src/core/tasks/cell_context.hpp
+++ b/src/core/tasks/cell_context.hpp
@@ -19,44 +19,58 @@
 
 struct cell_settings
 {
-    /// A lease that was renewed just before its planner died must outlast the
-    /// planner's burial and the takeover, or every failed planner would end
-    /// the services of its cells.
+    /// Lease of an attempt. A lease renewed just before its planner failed must
+    /// outlast the fencing of that planner and the takeover of its cells, or
+    /// every planner failure would end the services of its cells.
     common::duration lease_duration = std::chrono::seconds(15);
+    /// Time between two renewals of the leases on one worker.
     common::duration renew_interval = std::chrono::seconds(4);
-    /// Added to a lease before it counts as run out.
+    /// Added to a lease before it counts as expired.
     common::duration lease_margin = std::chrono::milliseconds(500);
+    /// Bound on how much faster or slower a worker's clock runs than the
+    /// planner's.
     std::uint32_t clock_drift_permille = 30;
-    /// From the decision to the last moment at which the worker takes it; the
-    /// lag of its reports comes on top.
+    /// Time from the decision to start an attempt until the last moment at
+    /// which the worker accepts the start. The report lag of the worker is
+    /// added.
     common::duration start_window = std::chrono::seconds(4);
-    /// The same from when the start is sent; bounds how late a delayed start
-    /// can come into a data centre that went out meanwhile.
+    /// Time from sending a start until the last moment at which the worker
+    /// accepts it. Bounds how late a delayed start can take effect in a data
+    /// centre that has been taken out of service meanwhile.
     common::duration send_window = std::chrono::seconds(1);
+    /// Time between two attempts of a worker call.
     common::duration retry_interval = std::chrono::milliseconds(300);
+    /// Maximum number of checkpoint calls before an attempt is stopped without
+    /// a checkpoint.
     std::uint32_t checkpoint_tries = 5;
-    /// A stopped batch attempt waits this long for a report that says whether
-    /// it had finished before it was stopped.
+    /// Maximum time that a stopped batch attempt waits for a report that shows
+    /// whether it had finished before it was stopped.
     common::duration final_report_timeout = std::chrono::seconds(10);
-    /// A task that finds no room here moves on after this, doubled with each
-    /// move up to the limit.
+    /// Time after which a task that does not fit on any worker of the cell is
+    /// moved to another cell. Doubles with each move, up to `max_move_delay`.
     common::duration move_delay = std::chrono::milliseconds(400);
     common::duration max_move_delay = std::chrono::seconds(30);
+    /// Maximum number of tasks in one inbox message.
     std::uint32_t max_tasks_per_message = 64;
-    /// A task that failed on all workers with room waits this long for another
-    /// cell before it is tried on one of them again.
+    /// Time for which a task that failed on all workers with free capacity
+    /// waits to be moved before it is started on one of these workers again.
     common::duration avoid_time = std::chrono::seconds(5);
-    /// An ended job stays in the list this long.
+    /// Time for which an ended job stays in the job list.
     common::duration retention = std::chrono::hours(1);
+    /// Maximum number of jobs in one cell, ended jobs included.
     std::size_t max_jobs = 4000;
-    /// Evictions under way in one cell while its data centre is out.
+    /// Maximum number of concurrent evictions in one cell while its data centre
+    /// is out of service.
     std::uint32_t max_draining = 64;
-    /// After a data centre comes back: starts a second at first, and how long
-    /// until there is no bound.
+    /// Starts per second that are allowed at first when a data centre returns
+    /// to service.
     double ramp_up_starts_per_second = 4;
+    /// Time from the return of a data centre until starts are unlimited.
     common::duration ramp_up_duration = std::chrono::seconds(20);
-    /// A job that failed on this many different workers is at fault itself.
+    /// Number of different workers on which a job must fail before it is
+    /// stopped as the cause of its failures.
     std::uint32_t failed_workers_before_stop = 3;
+    /// Maximum number of starts decided in one tick of a cell.
     std::uint32_t max_starts_per_tick = 64;
     placement::policy policy = placement::least_interference{};
     placement::placement_limits limits;
@@ -64,7 +78,7 @@
     cell_log_settings log;
 };
 
-/// Counts of one planner since its start, for the metrics.
+/// Event counts of one planner since its start, for the metrics.
 struct task_counters
 {
     std::uint64_t started = 0;
@@ -84,13 +98,16 @@
     std::uint64_t takeovers = 0;
 };
 
-/// What a cell works with; all of it belongs to the planner's engine.
+/// Time, permissions and shared modules passed to a cell. The planner engine
+/// owns all referenced objects.
 struct cell_context
 {
     common::time_point now;
-    /// A proof of membership stands, and the claim is this member's.
+    /// Whether the membership proof is valid and this planner holds the claim
+    /// on the cell.
     bool may_act = false;
-    /// And the configuration was confirmed within the hold time.
+    /// Whether attempts may be started: `may_act` holds, the configuration is
+    /// fresh and the planner is not stopping.
     bool may_start = false;
     cell_settings const& settings;
     config::configuration const& config;
--- a/src/core/tasks/cell_inbox.cpp
+++ b/src/core/tasks/cell_inbox.cpp
@@ -5,11 +5,11 @@
 #include <algorithm>
 #include <utility>
 
-// Jobs that come into the cell and leave it, as parcels in inboxes.
+// Transfer of jobs into and out of the cell by inbox messages.
 namespace fuchsia::core::tasks
 {
 
-void cell_runner::on_inbox(cell_context& with,
+void cell_runner::on_inbox(cell_context& context,
                            std::vector<stored_inbox_message> items)
 {
     inbox_messages_.clear();
@@ -25,23 +25,26 @@
     for (auto const& [name, item] : inbox_messages_)
     {
         auto const part = log_.state().jobs.find(item.message.definition.id);
-        bool const known = part != log_.state().jobs.end() &&
-                           part->second.accepted_messages.count(name) != 0;
-        if (known || log_.state().jobs.size() >= with.settings.max_jobs)
+        bool const already_accepted =
+            part != log_.state().jobs.end() &&
+            part->second.accepted_messages.count(name) != 0;
+        if (already_accepted ||
+            log_.state().jobs.size() >= context.settings.max_jobs)
         {
             continue;
         }
         bool const urgent = item.message.definition.urgent ||
                             item.message.definition.kind == job_kind::service;
-        if (commit(with, message_accepted{item.message}, urgent))
+        if (commit(context, message_accepted{item.message}, urgent))
         {
             accepting_.insert(name);
-            auto const& what = item.message.definition;
-            if (!with.workers.all().empty() &&
-                !with.workers.ever_fits(what.declared, what.data_centre))
+            auto const& definition = item.message.definition;
+            if (!context.workers.all().empty() &&
+                !context.workers.ever_fits(definition.declared,
+                                           definition.data_centre))
             {
-                stop_job(with,
-                         what.id,
+                stop_job(context,
+                         definition.id,
                          common::result_code::job_never_fits,
                          "larger than any worker");
             }
@@ -49,32 +52,35 @@
     }
 }
 
-// A parcel stays in the inbox until its record is in the log: were it erased
-// before, a planner that died between the two would lose the job.
-void cell_runner::erase_inbox(cell_context& with)
+// Erases accepted messages. A message stays in the inbox until its record is in
+// the log: if it were erased before, a planner that fails in between would lose
+// the job.
+void cell_runner::erase_inbox(cell_context& context)
 {
     for (auto const& [name, item] : inbox_messages_)
     {
         auto const part = log_.state().jobs.find(item.message.definition.id);
-        bool const known = part != log_.state().jobs.end() &&
-                           part->second.accepted_messages.count(name) != 0;
-        if (!known || accepting_.count(name) != 0 || erasing_.count(name) != 0)
+        bool const already_accepted =
+            part != log_.state().jobs.end() &&
+            part->second.accepted_messages.count(name) != 0;
+        if (!already_accepted || accepting_.count(name) != 0 ||
+            erasing_.count(name) != 0)
         {
             continue;
         }
-        if (!with.calls.may_write(with.now))
+        if (!context.calls.may_write(context.now))
         {
             return;
         }
         erasing_[name] =
-            with.calls.send(call_owner::erase,
-                            cell_,
-                            ports::store_erase{item.key, item.version},
-                            with.out);
+            context.calls.send(call_owner::erase,
+                               cell_,
+                               ports::store_erase{item.key, item.version},
+                               context.out);
     }
 }
 
-void cell_runner::send_messages(cell_context& with)
+void cell_runner::send_messages(cell_context& context)
 {
     for (auto const& name : ready_to_send_)
     {
@@ -83,27 +89,28 @@
         {
             continue;
         }
-        if (!with.calls.may_write(with.now))
+        if (!context.calls.may_write(context.now))
         {
             return;
         }
-        sending_[name] = with.calls.send(
+        sending_[name] = context.calls.send(
             call_owner::inbox_message,
             cell_,
             ports::store_write{inbox_key(found->second.target_cell, name),
                                to_json(found->second.message),
                                0},
-            with.out);
+            context.out);
     }
 }
 
-void cell_runner::on_store_reply(cell_context& with,
+void cell_runner::on_store_reply(cell_context& context,
                                  call_tag const& tag,
                                  ports::store_reply const& reply)
 {
     if (tag.owner == call_owner::log || tag.owner == call_owner::snapshot)
     {
-        log_.on_store_reply(with.now, tag, reply, with.calls, with.out);
+        log_.on_store_reply(
+            context.now, tag, reply, context.calls, context.out);
         return;
     }
     auto& calls = tag.owner == call_owner::erase ? erasing_ : sending_;
@@ -129,10 +136,10 @@
         inbox_messages_.erase(name);
         return;
     }
-    // A conflict: it is there already, since an answer was lost. The name is
-    // this parcel's alone.
+    // A conflict shows that an earlier write of this message took effect and
+    // its reply was lost: no other message has this name.
     ready_to_send_.erase(name);
-    commit(with, transfer_completed{name}, false);
+    commit(context, transfer_completed{name}, false);
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/cell_log.cpp
+++ b/src/core/tasks/cell_log.cpp
@@ -23,8 +23,8 @@
     std::size_t slot = 0;
     auto const* const end = key.data() + key.size();
     auto const parsed = std::from_chars(key.data(), end, slot);
-    bool const whole = parsed.ec == std::errc{} && parsed.ptr == end;
-    return whole && slot < log_slots ? std::optional(slot) : std::nullopt;
+    bool const valid = parsed.ec == std::errc{} && parsed.ptr == end;
+    return valid && slot < log_slots ? std::optional(slot) : std::nullopt;
 }
 
 } // namespace
@@ -155,9 +155,10 @@
                            out);
         }
     }
-    bool const room =
+    bool const slot_free =
         stored_.state.last_record + 1 < stored_.snapshot_record + log_slots;
-    if (step_ == step::ready && room && commit_due(now) && calls.may_write(now))
+    if (step_ == step::ready && slot_free && commit_due(now) &&
+        calls.may_write(now))
     {
         begin_append(calls, out);
     }
@@ -185,22 +186,24 @@
         pending_changes_.begin() + static_cast<std::ptrdiff_t>(count);
     record_.changes.assign(pending_changes_.begin(), last);
     pending_changes_.erase(pending_changes_.begin(), last);
-    value_ = to_json(record_);
+    record_bytes_ = to_json(record_);
     if (pending_changes_.empty())
     {
         pending_since_.reset();
         urgent_ = false;
-        // Only now does the state hold the changes up to this record and no
-        // others, so a snapshot of it is one of exactly this record.
-        auto const every = std::min<std::uint64_t>(
+        // A snapshot must match one record exactly. Only while no change is
+        // pending does the state contain the changes up to this record and no
+        // others.
+        auto const snapshot_interval = std::min<std::uint64_t>(
             settings_.records_per_snapshot, log_slots / 2);
-        bool const due = record_.number >= stored_.snapshot_record + every;
-        if (due && next_snapshot_.empty())
+        bool const snapshot_due =
+            record_.number >= stored_.snapshot_record + snapshot_interval;
+        if (snapshot_due && next_snapshot_.empty())
         {
-            auto whole = stored_.state;
-            whole.last_record = record_.number;
-            whole.epoch = epoch_;
-            next_snapshot_ = to_json(whole);
+            auto snapshot_state = stored_.state;
+            snapshot_state.last_record = record_.number;
+            snapshot_state.epoch = epoch_;
+            next_snapshot_ = to_json(snapshot_state);
             next_snapshot_record_ = record_.number;
         }
     }
@@ -214,7 +217,7 @@
         call_owner::log,
         cell_,
         ports::store_write{record_key(cell_, record_.number),
-                           value_,
+                           record_bytes_,
                            stored_.versions[record_.number % log_slots]},
         out);
 }
@@ -229,14 +232,14 @@
 }
 
 bool cell_log::submit_change(common::time_point now,
-                             tasks::change what,
+                             tasks::change new_change,
                              bool urgent)
 {
-    if (!active() || !apply_change(stored_.state, what))
+    if (!active() || !apply_change(stored_.state, new_change))
     {
         return false;
     }
-    pending_changes_.push_back(std::move(what));
+    pending_changes_.push_back(std::move(new_change));
     urgent_ = urgent_ || urgent;
     if (!pending_since_)
     {
--- a/src/core/tasks/cell_log.hpp
+++ b/src/core/tasks/cell_log.hpp
@@ -16,26 +16,26 @@
 
 struct cell_log_settings
 {
-    /// Changes wait at most this long for others to share their record.
+    /// Maximum time that a change waits to share a record with later changes.
     common::duration commit_interval = std::chrono::milliseconds(40);
-    /// Pause before an unanswered call is made again.
+    /// Time before a failed store call is retried.
     common::duration retry_interval = std::chrono::milliseconds(200);
-    /// A snapshot is due after this many records.
+    /// Number of records after which a snapshot is due.
     std::uint32_t records_per_snapshot = 24;
-    /// Changes in one record at most; some 300 KB.
+    /// Maximum number of changes in one record, about 300 KB.
     std::size_t max_changes = 512;
 };
 
-/// Records kept at a time. A record's key is its number modulo this, so that
-/// old records are overwritten and never need a call to be erased.
+/// Number of log records kept in the store. The key of a record is its number
+/// modulo this value, so old records are overwritten and need no erase call.
 constexpr std::uint64_t log_slots = 64;
 
 std::string cell_prefix(std::string const& cell);
 std::string record_key(std::string const& cell, std::uint64_t number);
 std::string snapshot_key(std::string const& cell);
 
-/// The state that the entries below a cell's prefix add up to, the version of
-/// each slot of the log and of the snapshot. Empty where a value is damaged.
+/// State of a cell as replayed from its stored entries, with the versions of
+/// the log slots and of the snapshot.
 struct stored_cell
 {
     cell_state state;
@@ -44,17 +44,20 @@
     std::uint64_t snapshot_record = 0;
 };
 
+/// Returns the state that results from the entries below the prefix of a cell;
+/// empty if a value is damaged.
 std::optional<stored_cell>
 replay(std::string const& cell,
        std::vector<ports::store_entry> const& entries,
        common::failure& reason);
 
-/// The log of one cell that this planner owns: takes it over, appends change
-/// records one at a time, and writes snapshots.
+/// Log of one cell that this planner owns. Takes the log over, appends change
+/// records one at a time and writes snapshots.
 ///
 /// Fencing: each append is a compare-and-swap of the slot of the next record.
-/// A new owner first appends a record with its epoch; an old owner that still
-/// believes in its claim then finds its slot taken and stops.
+/// A new owner first appends a record with its epoch. The next append of an old
+/// owner that has not noticed the loss of its claim then conflicts, and the old
+/// owner stops.
 class cell_log
 {
 public:
@@ -71,21 +74,25 @@
                         store_calls& calls,
                         ports::actions& out);
 
-    /// Applies the change to `state` at once and queues it for the store. The
-    /// world must not be told before `take_committed` has it. False: it does
-    /// not fit the state, and nothing happened.
-    bool submit_change(common::time_point now, tasks::change what, bool urgent);
+    /// Applies the change to `state` at once and queues it for the store.
+    /// Nothing outside the planner may depend on the change before
+    /// `take_committed` returns it. Returns false, without effect, if the
+    /// change does not fit the state.
+    bool submit_change(common::time_point now,
+                       tasks::change new_change,
+                       bool urgent);
 
-    /// Changes that the store holds for certain, since the last call.
+    /// Returns the changes confirmed by the store since the last call.
     std::vector<tasks::change> take_committed();
 
-    /// Taken over: `state` may be acted on.
+    /// Whether the log has been taken over, so that `state` may be acted on.
     bool active() const noexcept;
-    /// Another owner's record was found; this object is of no more use.
+    /// Whether a record of a newer owner was found. Final: the log accepts no
+    /// more changes.
     bool ownership_lost() const noexcept;
-    /// Nothing waits and nothing is in flight.
+    /// Whether no change is pending and no call is in flight.
     bool idle() const noexcept;
-    /// Changes that wait; the caller stops making more at a bound of its own.
+    /// Number of changes not yet sent to the store. The caller bounds it.
     std::size_t pending_changes() const noexcept;
     cell_state const& state() const noexcept;
     common::failure const& last_failure() const noexcept;
@@ -94,21 +101,21 @@
     enum class step : std::uint8_t
     {
         reading,
-        compacting, ///< A snapshot comes before the takeover's record.
+        compacting, ///< Writes a snapshot before the record of the takeover.
         ready,
         appending,
-        checking, ///< Reads back a slot that answered "conflict".
+        checking, ///< Reads back a slot whose append conflicted.
         ownership_lost,
     };
 
-    // cell_log.cpp: what is written, and when.
+    // cell_log.cpp: reading, appending and snapshots.
     void read(store_calls& calls, ports::actions& out);
     void send_append(store_calls& calls, ports::actions& out);
     void begin_append(store_calls& calls, ports::actions& out);
     void send_snapshot(store_calls& calls, ports::actions& out);
     bool commit_due(common::time_point now) const noexcept;
 
-    // cell_log_replies.cpp: what the store answers.
+    // cell_log_replies.cpp: replies of the store.
     void on_listed(common::time_point now,
                    ports::store_reply const& reply,
                    store_calls& calls,
@@ -144,13 +151,16 @@
     std::deque<tasks::change> pending_changes_;
     std::optional<common::time_point> pending_since_;
     bool urgent_ = false;
-    log_record record_; ///< In flight.
-    std::string value_; ///< Its bytes: a repeated append is the same write.
+    log_record record_; ///< Record being appended.
+    /// Serialized `record_`, so that a retried append writes the same bytes.
+    std::string record_bytes_;
     std::vector<tasks::change> committed_;
     std::uint64_t snapshot_call_ = 0;
-    bool snapshot_checking_ = false; ///< Reads back after a conflict.
+    bool snapshot_checking_ =
+        false; ///< Reads the snapshot back after a conflict.
     std::optional<common::time_point> snapshot_retry_at_;
-    std::string next_snapshot_; ///< State at `next_snapshot_record_`.
+    std::string
+        next_snapshot_; ///< Serialized state at `next_snapshot_record_`.
     std::uint64_t next_snapshot_record_ = 0;
     common::failure failure_;
 };
--- a/src/core/tasks/cell_log_replies.cpp
+++ b/src/core/tasks/cell_log_replies.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-// What the store answers, and what then stands.
+// Replies of the store to calls of the cell log.
 namespace fuchsia::core::tasks
 {
 
@@ -54,7 +54,7 @@
     auto stored = replay(cell_, reply.entries, failure_);
     if (!stored)
     {
-        // Damage: acting on half a log could run tasks twice.
+        // The log is damaged. Acting on part of it could run tasks twice.
         retry_at_ = now + settings_.retry_interval * 10;
         return;
     }
@@ -70,8 +70,9 @@
     snapshot_checking_ = false;
     if (stored_.state.last_record + 1 >= stored_.snapshot_record + log_slots)
     {
-        // The takeover's record would overwrite one that no snapshot holds:
-        // owners that die before their first snapshot bring this about.
+        // The record of the takeover would overwrite a record that no snapshot
+        // contains. This happens when several owners in a row fail before their
+        // first snapshot.
         step_ = step::compacting;
         stored_.state.epoch = epoch_;
         next_snapshot_ = to_json(stored_.state);
@@ -92,8 +93,8 @@
         complete_append(reply.index);
         break;
     case ports::store_status::conflict:
-        // Either another owner took the slot, or an earlier send of this very
-        // record took effect and its answer was lost.
+        // Either another owner wrote the slot, or an earlier append of this
+        // same record took effect and its reply was lost.
         step_ = step::checking;
         call_ = calls.send(call_owner::log,
                            cell_,
@@ -102,7 +103,8 @@
         break;
     case ports::store_status::unavailable:
     case ports::store_status::unclear:
-        // The same bytes at the same version: at most one send takes effect.
+        // The retry writes the same bytes at the same version, so at most one
+        // append takes effect.
         retry_at_ = now + settings_.retry_interval;
         break;
     }
@@ -130,7 +132,7 @@
         }
         if (entry.version == stored_.versions[record_.number % log_slots])
         {
-            // A read older than the conflict: ask again.
+            // Stale read from before the conflict; retry it.
             retry_at_ = now + settings_.retry_interval;
             return;
         }
@@ -138,8 +140,9 @@
     on_slot_conflict(calls, out);
 }
 
-// The slot holds another's record. While taking over that may be the last
-// append of the old owner: read again. Afterwards it is a newer owner's.
+// Handles a slot that contains a record of another owner. During the takeover
+// it may be the last append of the previous owner, so the log is read again.
+// After the takeover it was written by a newer owner.
 void cell_log::on_slot_conflict(store_calls& calls, ports::actions& out)
 {
     if (taken_over_)
@@ -171,7 +174,8 @@
     snapshot_retry_at_ = now + settings_.retry_interval;
     if (reply.status == ports::store_status::conflict)
     {
-        // An earlier send took effect unseen, or another owner wrote one.
+        // Either an earlier write of the snapshot took effect and its reply was
+        // lost, or another owner wrote a snapshot.
         snapshot_checking_ = true;
         snapshot_retry_at_ = now;
         return;
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-// On to another cell, and away from a data centre that is out.
+// Moves of queued tasks to other cells, and the draining of a data centre that
+// is out of service.
 namespace fuchsia::core::tasks
 {
 
@@ -10,75 +11,77 @@
 {
 
 constexpr common::duration move_interval = std::chrono::milliseconds(100);
-constexpr std::size_t max_parcels_a_round = 8;
+constexpr std::size_t max_messages_per_round =
+    8; ///< Per cell and `move_interval`.
 
 } // namespace
 
-bool cell_runner::should_move(cell_context& with,
+bool cell_runner::should_move(cell_context& context,
                               job_part const& part,
                               queued_task const& task) const
 {
-    auto const& workers = with.workers.in_rack(cell_);
-    bool const never_here =
+    auto const& workers = context.workers.in_rack(cell_);
+    bool const fits_no_worker =
         std::none_of(workers.begin(),
                      workers.end(),
                      [&](std::string const& id)
                      {
-                         return with.workers.find(id)->info.capacity.covers(
+                         return context.workers.find(id)->info.capacity.covers(
                              part.definition.declared);
                      });
-    bool const elsewhere =
+    bool const wrong_data_centre =
         !part.definition.data_centre.empty() &&
-        part.definition.data_centre != with.workers.data_centre_of(cell_);
-    if (data_centre_out(with) || never_here || elsewhere)
+        part.definition.data_centre != context.workers.data_centre_of(cell_);
+    if (data_centre_out(context) || fits_no_worker || wrong_data_centre)
     {
         return true;
     }
     auto const doublings = std::min<std::uint32_t>(part.moves, 10);
-    auto const patience = std::min(with.settings.move_delay * (1 << doublings),
-                                   with.settings.max_move_delay);
+    auto const delay = std::min(context.settings.move_delay * (1 << doublings),
+                                context.settings.max_move_delay);
     return waiting_for_capacity_.count(task.key) != 0 &&
-           with.now - task.since >= patience;
+           context.now - task.since >= delay;
 }
 
-void cell_runner::move_tasks(cell_context& with)
+void cell_runner::move_tasks(cell_context& context)
 {
-    if (with.now < next_move_ || with.workers.all().empty() ||
+    if (context.now < next_move_ || context.workers.all().empty() ||
         log_.pending_changes() >= max_waiting_changes)
     {
         return;
     }
-    next_move_ = with.now + move_interval;
-    bool const must = data_centre_out(with);
-    std::map<std::string, std::vector<std::uint32_t>> leaving;
+    next_move_ = context.now + move_interval;
+    bool const forced = data_centre_out(context);
+    std::map<std::string, std::vector<std::uint32_t>> tasks_by_job;
     for (auto const& task : queue_)
     {
         auto const& part = log_.state().jobs.at(task.key.job);
         auto const* record = log_.state().find(task.key);
-        bool const full = leaving.size() >= max_parcels_a_round &&
-                          leaving.count(task.key.job) == 0;
-        if (full || record->status != task_status::queued ||
-            !should_move(with, part, task))
+        bool const message_limit_reached =
+            tasks_by_job.size() >= max_messages_per_round &&
+            tasks_by_job.count(task.key.job) == 0;
+        if (message_limit_reached || record->status != task_status::queued ||
+            !should_move(context, part, task))
         {
             continue;
         }
-        auto& tasks = leaving[task.key.job];
-        if (tasks.size() < with.settings.max_tasks_per_message)
+        auto& tasks = tasks_by_job[task.key.job];
+        if (tasks.size() < context.settings.max_tasks_per_message)
         {
             tasks.push_back(task.key.index);
         }
     }
-    for (auto const& [id, tasks] : leaving)
+    for (auto const& [id, tasks] : tasks_by_job)
     {
         auto const& part = log_.state().jobs.at(id);
-        auto const to = with.loads.choose_cell(
+        auto const target_cell = context.loads.choose_cell(
             {part.definition.declared,
              part.definition.data_centre,
              cell_,
-             !must && !with.workers.in_rack(cell_).empty(),
-             with.config.data_centres_out_of_service},
-            with.workers);
-        if (!to)
+             !forced && !context.workers.in_rack(cell_).empty(),
+             context.config.data_centres_out_of_service},
+            context.workers);
+        if (!target_cell)
         {
             continue;
         }
@@ -86,32 +89,34 @@
                           std::to_string(log_.state().messages_sent + 1);
         for (std::size_t count = 0; count < tasks.size(); ++count)
         {
-            with.loads.reserve(*to, part.definition.declared);
+            context.loads.reserve(*target_cell, part.definition.declared);
         }
-        if (commit(with,
-                   transfer_started{name, *to, id, tasks, part.moves + 1},
-                   part.definition.urgent || must))
+        if (commit(
+                context,
+                transfer_started{name, *target_cell, id, tasks, part.moves + 1},
+                part.definition.urgent || forced))
         {
-            with.counters.moved += tasks.size();
+            context.counters.moved += tasks.size();
         }
     }
 }
 
-void cell_runner::drain_data_centre(cell_context& with)
+void cell_runner::drain_data_centre(cell_context& context)
 {
-    bool const out = data_centre_out(with);
-    if (data_centre_was_out_ && !out)
+    bool const out_of_service = data_centre_out(context);
+    if (data_centre_was_out_ && !out_of_service)
     {
-        data_centre_back_since_ = with.now;
+        data_centre_back_since_ = context.now;
         starts_since_data_centre_back_ = 0;
     }
-    data_centre_was_out_ = out;
-    if (!out)
+    data_centre_was_out_ = out_of_service;
+    if (!out_of_service)
     {
         return;
     }
-    // Those that only wait for a report to tell their end burden nobody.
-    auto under_way = static_cast<std::uint32_t>(std::count_if(
+    // Attempts that only await their final report no longer run and cause no
+    // load, so they do not count against the limit.
+    auto evictions_in_progress = static_cast<std::uint32_t>(std::count_if(
         active_attempts_.begin(),
         active_attempts_.end(),
         [](auto const& item)
@@ -121,15 +126,15 @@
         }));
     for (auto const& [key, run] : active_attempts_)
     {
-        if (under_way >= with.settings.max_draining)
+        if (evictions_in_progress >= context.settings.max_draining)
         {
             return;
         }
         if (run.eviction_reason.empty())
         {
-            ++under_way;
-            ++with.counters.evicted_data_centre;
-            evict(with, key, "data_centre_out");
+            ++evictions_in_progress;
+            ++context.counters.evicted_data_centre;
+            evict(context, key, "data_centre_out");
         }
     }
 }
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -3,31 +3,32 @@
 #include <algorithm>
 #include <utility>
 
-// From the queue to a worker; and back from it where a contract no longer
-// allows the task.
+// Placement of queued tasks on workers, and eviction of attempts that a
+// contract no longer allows.
 namespace fuchsia::core::tasks
 {
 
 namespace
 {
 
-constexpr std::size_t max_misses = 64; ///< Tasks in a row without room.
+constexpr std::size_t max_consecutive_misses =
+    64; ///< Per tick; bounds the search.
 
-void add(allowance& sum, job const& what)
+void add(allowance& sum, job const& definition)
 {
-    sum.total += what.declared;
-    if (what.kind == job_kind::batch)
+    sum.total += definition.declared;
+    if (definition.kind == job_kind::batch)
     {
-        sum.batch += what.declared;
+        sum.batch += definition.declared;
     }
 }
 
-void take_off(allowance& sum, job const& what)
+void subtract(allowance& sum, job const& definition)
 {
-    sum.total -= what.declared;
-    if (what.kind == job_kind::batch)
+    sum.total -= definition.declared;
+    if (definition.kind == job_kind::batch)
     {
-        sum.batch -= what.declared;
+        sum.batch -= definition.declared;
     }
 }
 
@@ -43,34 +44,34 @@
                      static_cast<double>(capacity.millicores);
 }
 
-bool has_room(cell_context& with,
-              job const& what,
-              std::vector<placement::candidate> const& workers)
+bool has_capacity(cell_context& context,
+                  job const& definition,
+                  std::vector<placement::candidate> const& workers)
 {
     placement::placement_task const task{
-        0, what.kind == job_kind::service, what.declared};
+        0, definition.kind == job_kind::service, definition.declared};
     return std::any_of(workers.begin(),
                        workers.end(),
                        [&](placement::candidate const& worker)
                        {
                            return placement::fits(
-                               worker, task, with.settings.limits);
+                               worker, task, context.settings.limits);
                        });
 }
 
-std::uint32_t rank_of(job const& what) noexcept
+std::uint32_t rank_of(job const& definition) noexcept
 {
-    if (what.urgent)
+    if (definition.urgent)
     {
         return 0;
     }
-    return what.kind == job_kind::service ? 1 : 2;
+    return definition.kind == job_kind::service ? 1 : 2;
 }
 
 } // namespace
 
-// Urgent first, then services, then batch; within each the oldest first.
-void cell_runner::rebuild_queue(cell_context& with)
+// Sorts urgent tasks first, then services, then batch, each oldest first.
+void cell_runner::rebuild_queue(cell_context& context)
 {
     queue_.clear();
     std::map<task_key, common::time_point> since;
@@ -83,180 +84,186 @@
                 continue;
             }
             task_key key{id, index};
-            auto const before = queued_since_.find(key);
-            auto const at =
-                before == queued_since_.end() ? with.now : before->second;
-            since.emplace(key, at);
-            queue_.push_back({std::move(key), rank_of(part.definition), at});
+            auto const previous = queued_since_.find(key);
+            auto const queued_at = previous == queued_since_.end()
+                                       ? context.now
+                                       : previous->second;
+            since.emplace(key, queued_at);
+            queue_.push_back(
+                {std::move(key), rank_of(part.definition), queued_at});
         }
     }
     queued_since_ = std::move(since);
     std::sort(queue_.begin(),
               queue_.end(),
-              [](queued_task const& one, queued_task const& other)
+              [](queued_task const& lhs, queued_task const& rhs)
               {
-                  return std::tie(one.rank, one.since, one.key) <
-                         std::tie(other.rank, other.since, other.key);
+                  return std::tie(lhs.rank, lhs.since, lhs.key) <
+                         std::tie(rhs.rank, rhs.since, rhs.key);
               });
 }
 
-// Tells the quota book what each customer uses and could use here: no more
-// than the cell has room for, so that no grant is held for work that waits.
-void cell_runner::compute_usage(cell_context& with)
+// Reports to the quota manager what each customer uses and could use in this
+// cell. The demand is limited to the cell's free capacity, so that no grant is
+// held for tasks that have to wait.
+void cell_runner::compute_usage(cell_context& context)
 {
-    for (auto& [customer, use] : customer_usage_)
+    for (auto& [customer, usage] : customer_usage_)
     {
-        use = {};
+        usage = {};
     }
     ports::resources free;
-    for (auto const& id : with.workers.in_rack(cell_))
+    for (auto const& id : context.workers.in_rack(cell_))
     {
-        free += with.workers.find(id)->info.capacity;
+        free += context.workers.find(id)->info.capacity;
     }
     for (auto const& [key, run] : active_attempts_)
     {
-        auto const& what = run.part->definition;
-        auto& use = customer_usage_[what.customer];
-        add(use.in_use, what);
+        auto const& definition = run.part->definition;
+        auto& usage = customer_usage_[definition.customer];
+        add(usage.in_use, definition);
         if (run.eviction_reason.empty())
         {
-            add(use.retained, what);
+            add(usage.retained, definition);
         }
-        free -= what.declared;
+        free -= definition.declared;
     }
-    bool const open =
-        with.may_start && !handing_over_ && !data_centre_out(with);
+    bool const may_place =
+        context.may_start && !handing_over_ && !data_centre_out(context);
     for (auto const& task : queue_)
     {
-        auto const& what = log_.state().jobs.at(task.key.job).definition;
-        if (!open || !free.covers(what.declared))
+        auto const& definition = log_.state().jobs.at(task.key.job).definition;
+        if (!may_place || !free.covers(definition.declared))
         {
             continue;
         }
-        free -= what.declared;
-        auto& use = customer_usage_[what.customer];
-        add(use.queued, what);
-        if (!std::exchange(use.has_queued, true))
+        free -= definition.declared;
+        auto& usage = customer_usage_[definition.customer];
+        add(usage.queued, definition);
+        if (!std::exchange(usage.has_queued, true))
         {
-            add(use.next_task, what);
+            add(usage.next_task, definition);
         }
     }
-    for (auto const& [customer, use] : customer_usage_)
+    for (auto const& [customer, usage] : customer_usage_)
     {
-        cell_need need{epoch_, use.in_use, use.in_use, use.next_task};
-        need.requested.total += use.queued.total;
-        need.requested.batch += use.queued.batch;
-        with.quotas.set_need(customer, cell_, need);
+        cell_need need{epoch_, usage.in_use, usage.in_use, usage.next_task};
+        need.requested.total += usage.queued.total;
+        need.requested.batch += usage.queued.batch;
+        context.quotas.set_need(customer, cell_, need);
     }
 }
 
 std::vector<placement::candidate>
-cell_runner::candidates(cell_context& with) const
+cell_runner::candidates(cell_context& context) const
 {
     std::vector<placement::candidate> out;
-    std::map<std::string_view, std::size_t> places;
-    for (auto const& id : with.workers.in_rack(cell_))
+    std::map<std::string_view, std::size_t> index_by_worker;
+    for (auto const& id : context.workers.in_rack(cell_))
     {
-        auto const* view = with.workers.find(id);
-        if (with.workers.may_start(with.now, *view))
+        auto const* view = context.workers.find(id);
+        if (context.workers.may_start(context.now, *view))
         {
             placement::candidate next;
             next.worker = &view->info.id;
             next.capacity = view->info.capacity;
             next.memory_over_declared = view->memory_over_declared;
-            places.emplace(view->info.id, out.size());
+            index_by_worker.emplace(view->info.id, out.size());
             out.push_back(std::move(next));
         }
     }
     for (auto const& [key, run] : active_attempts_)
     {
-        auto const place = places.find(run.worker);
-        if (place == places.end())
+        auto const found = index_by_worker.find(run.worker);
+        if (found == index_by_worker.end())
         {
             continue;
         }
-        auto& on = out[place->second];
-        auto const& what = run.part->definition;
-        bool const service = what.kind == job_kind::service;
-        on.committed += what.declared;
-        on.batch_millicores += service ? 0 : what.declared.millicores;
-        on.residents.push_back(
-            {with.interference_estimates.class_index(what.task_class),
+        auto& target = out[found->second];
+        auto const& definition = run.part->definition;
+        bool const service = definition.kind == job_kind::service;
+        target.committed += definition.declared;
+        target.batch_millicores += service ? 0 : definition.declared.millicores;
+        target.residents.push_back(
+            {context.interference_estimates.class_index(definition.task_class),
              service,
-             what.declared,
-             share_of(run, what.declared, on.capacity)});
+             definition.declared,
+             share_of(run, definition.declared, target.capacity)});
     }
     std::erase_if(out,
-                  [&with](placement::candidate const& one)
+                  [&context](placement::candidate const& worker)
                   {
-                      return with.workers.find(*one.worker)->probing &&
-                             !one.residents.empty();
+                      return context.workers.find(*worker.worker)->probing &&
+                             !worker.residents.empty();
                   });
     return out;
 }
 
-bool cell_runner::quota_allows(cell_context& with, job const& what)
+bool cell_runner::quota_allows(cell_context& context, job const& definition)
 {
-    auto const contract = with.config.contracts.find(what.customer);
-    if (contract == with.config.contracts.end())
+    auto const contract = context.config.contracts.find(definition.customer);
+    if (contract == context.config.contracts.end())
     {
         return false;
     }
-    auto next = customer_usage_[what.customer].in_use;
-    add(next, what);
-    return covers(with.quotas.allowed(what.customer, cell_, contract->second),
-                  next);
+    auto next = customer_usage_[definition.customer].in_use;
+    add(next, definition);
+    return covers(
+        context.quotas.allowed(definition.customer, cell_, contract->second),
+        next);
 }
 
-// After a data centre came back everybody would start there at once; a slow
-// rise lets the grants, reports and neighbours follow.
-bool cell_runner::ramp_allows(cell_context& with) const
+// Whether the ramp-up after a data centre's return to service allows a start.
+// Without the ramp-up all cells would start tasks there at once; a slow
+// increase lets grants, reports and interference estimates keep up.
+bool cell_runner::ramp_allows(cell_context& context) const
 {
-    if (!data_centre_back_since_ ||
-        with.now - *data_centre_back_since_ >= with.settings.ramp_up_duration)
+    if (!data_centre_back_since_ || context.now - *data_centre_back_since_ >=
+                                        context.settings.ramp_up_duration)
     {
         return true;
     }
     double const seconds =
-        std::chrono::duration<double>(with.now - *data_centre_back_since_)
+        std::chrono::duration<double>(context.now - *data_centre_back_since_)
             .count();
     double const allowed =
-        with.settings.ramp_up_starts_per_second * seconds * (1 + seconds);
+        context.settings.ramp_up_starts_per_second * seconds * (1 + seconds);
     return static_cast<double>(starts_since_data_centre_back_) < allowed;
 }
 
-void cell_runner::place(cell_context& with)
+void cell_runner::place(cell_context& context)
 {
     waiting_for_capacity_.clear();
-    if (!with.may_start || data_centre_out(with) || queue_.empty())
+    if (!context.may_start || data_centre_out(context) || queue_.empty())
     {
         return;
     }
-    auto workers = candidates(with);
+    auto workers = candidates(context);
     std::uint32_t starts = 0;
     std::size_t misses = 0;
     for (auto const& task : queue_)
     {
-        if (starts >= with.settings.max_starts_per_tick ||
-            misses >= max_misses ||
-            log_.pending_changes() >= max_waiting_changes || !ramp_allows(with))
+        if (starts >= context.settings.max_starts_per_tick ||
+            misses >= max_consecutive_misses ||
+            log_.pending_changes() >= max_waiting_changes ||
+            !ramp_allows(context))
         {
             return;
         }
-        auto const& what = log_.state().jobs.at(task.key.job).definition;
-        if (!what.data_centre.empty() &&
-            what.data_centre != with.workers.data_centre_of(cell_))
+        auto const& definition = log_.state().jobs.at(task.key.job).definition;
+        if (!definition.data_centre.empty() &&
+            definition.data_centre != context.workers.data_centre_of(cell_))
         {
             continue;
         }
-        // Room before quota: no grant is asked for work that has no room here,
-        // and it must move on all the same.
-        bool const room = has_room(with, what, workers);
-        if (room && !quota_allows(with, what))
+        // Capacity is checked before quota: a task that does not fit here needs
+        // no grant, and must be moved to another cell in any case.
+        bool const fits_here = has_capacity(context, definition, workers);
+        if (fits_here && !quota_allows(context, definition))
         {
             continue;
         }
-        if (room && place_one(with, task.key, workers))
+        if (fits_here && place_one(context, task.key, workers))
         {
             ++starts;
             ++starts_since_data_centre_back_;
@@ -269,14 +276,14 @@
     }
 }
 
-bool cell_runner::place_one(cell_context& with,
+bool cell_runner::place_one(cell_context& context,
                             task_key const& key,
                             std::vector<placement::candidate>& workers)
 {
     auto const& part = log_.state().jobs.at(key.job);
     auto const& task = part.tasks.at(key.index);
     placement::placement_task const wanted{
-        with.interference_estimates.class_index(part.definition.task_class),
+        context.interference_estimates.class_index(part.definition.task_class),
         part.definition.kind == job_kind::service,
         part.definition.declared};
     for (auto& worker : workers)
@@ -286,34 +293,35 @@
                       task.failed_workers.end(),
                       *worker.worker) != task.failed_workers.end();
     }
-    auto const chosen = placement::choose_worker(with.settings.policy,
+    auto const chosen = placement::choose_worker(context.settings.policy,
                                                  workers,
                                                  wanted,
-                                                 with.interference_estimates,
-                                                 with.settings.limits);
-    bool const tired =
+                                                 context.interference_estimates,
+                                                 context.settings.limits);
+    bool const avoided =
         chosen && workers[*chosen].failed_before &&
-        with.now - queued_since_.at(key) < with.settings.avoid_time;
-    if (!chosen || tired)
+        context.now - queued_since_.at(key) < context.settings.avoid_time;
+    if (!chosen || avoided)
     {
         return false;
     }
-    auto& on = workers[*chosen];
-    auto const* view = with.workers.find(*on.worker);
-    auto const clock = with.workers.clock_lower_bound(with.now, *view);
-    auto const in = [clock](common::duration length)
+    auto& target = workers[*chosen];
+    auto const* view = context.workers.find(*target.worker);
+    auto const clock = context.workers.clock_lower_bound(context.now, *view);
+    auto const clock_after = [clock](common::duration length)
     {
         return clock +
                static_cast<std::uint64_t>(common::to_milliseconds(length));
     };
     active_attempt run;
     run.attempt = task.attempt + 1;
-    run.worker = *on.worker;
+    run.worker = *target.worker;
     run.part = &part;
-    run.start_before_ms = in(with.settings.start_window + view->report_lag);
-    run.lease_until_ms = in(with.settings.lease_duration);
+    run.start_before_ms =
+        clock_after(context.settings.start_window + view->report_lag);
+    run.lease_until_ms = clock_after(context.settings.lease_duration);
     bool const urgent = part.definition.urgent || wanted.is_service;
-    if (!commit(with,
+    if (!commit(context,
                 attempt_started{key,
                                 run.attempt,
                                 run.worker,
@@ -323,12 +331,14 @@
     {
         return false;
     }
-    on.committed += wanted.declared;
-    on.batch_millicores += wanted.is_service ? 0 : wanted.declared.millicores;
-    on.residents.push_back({wanted.task_class,
-                            wanted.is_service,
-                            wanted.declared,
-                            share_of(run, wanted.declared, on.capacity)});
+    target.committed += wanted.declared;
+    target.batch_millicores +=
+        wanted.is_service ? 0 : wanted.declared.millicores;
+    target.residents.push_back(
+        {wanted.task_class,
+         wanted.is_service,
+         wanted.declared,
+         share_of(run, wanted.declared, target.capacity)});
     add(customer_usage_[part.definition.customer].in_use, part.definition);
     active_attempts_[key] = std::move(run);
     if (view->probing)
@@ -338,21 +348,21 @@
     return true;
 }
 
-void cell_runner::enforce_contracts(cell_context& with)
+void cell_runner::enforce_contracts(cell_context& context)
 {
-    if (with.config.revision == 0)
+    if (context.config.revision == 0)
     {
         return;
     }
-    for (auto const& [customer, use] : customer_usage_)
+    for (auto const& [customer, usage] : customer_usage_)
     {
-        if (with.config.withdrawn.count(customer) != 0)
+        if (context.config.withdrawn.count(customer) != 0)
         {
             for (auto const& [id, part] : log_.state().jobs)
             {
                 if (part.definition.customer == customer && !part.stopped)
                 {
-                    stop_job(with,
+                    stop_job(context,
                              id,
                              common::result_code::contract_withdrawn,
                              "the contract was withdrawn");
@@ -360,64 +370,65 @@
             }
             continue;
         }
-        auto const contract = with.config.contracts.find(customer);
-        if (contract != with.config.contracts.end() &&
-            with.quotas.grant_known(customer, cell_))
+        auto const contract = context.config.contracts.find(customer);
+        if (contract != context.config.contracts.end() &&
+            context.quotas.grant_known(customer, cell_))
         {
             evict_overage(
-                with,
+                context,
                 customer,
-                with.quotas.allowed(customer, cell_, contract->second));
+                context.quotas.allowed(customer, cell_, contract->second));
         }
     }
 }
 
-// Batch first, and of batch the attempts with least work behind them.
-void cell_runner::evict_overage(cell_context& with,
+// Evicts batch before services, and within each the attempts with the least
+// work done first.
+void cell_runner::evict_overage(cell_context& context,
                                 std::string const& customer,
                                 allowance const& allowed)
 {
-    auto staying = customer_usage_[customer].retained;
-    if (covers(allowed, staying))
+    auto remaining = customer_usage_[customer].retained;
+    if (covers(allowed, remaining))
     {
         return;
     }
-    std::vector<std::pair<task_key, job const*>> own;
+    std::vector<std::pair<task_key, job const*>> customer_attempts;
     for (auto const& [key, run] : active_attempts_)
     {
-        auto const& what = run.part->definition;
-        if (what.customer == customer && run.eviction_reason.empty())
+        auto const& definition = run.part->definition;
+        if (definition.customer == customer && run.eviction_reason.empty())
         {
-            own.emplace_back(key, &what);
+            customer_attempts.emplace_back(key, &definition);
         }
     }
     std::sort(
-        own.begin(),
-        own.end(),
-        [this](auto const& one, auto const& other)
+        customer_attempts.begin(),
+        customer_attempts.end(),
+        [this](auto const& lhs, auto const& rhs)
         {
-            auto const order = [this](auto const& item)
+            auto const sort_key = [this](auto const& item)
             {
                 bool const service = item.second->kind == job_kind::service;
                 return std::tuple(service,
                                   active_attempts_.at(item.first).work_done_ms,
                                   item.first);
             };
-            return order(one) < order(other);
+            return sort_key(lhs) < sort_key(rhs);
         });
-    for (auto const& [key, what] : own)
+    for (auto const& [key, definition] : customer_attempts)
     {
-        if (covers(allowed, staying))
+        if (covers(allowed, remaining))
         {
             return;
         }
-        bool const helps = !allowed.total.covers(staying.total) ||
-                           what->kind == job_kind::batch;
-        if (helps)
+        bool const reduces_overage = !allowed.total.covers(remaining.total) ||
+                                     definition->kind == job_kind::batch;
+        if (reduces_overage)
         {
-            take_off(staying, *what);
-            ++with.counters.evicted_contract;
-            evict(with, key, "over_contract");
+            subtract(remaining, *definition);
+            ++context.counters.evicted_contract;
+            evict(context, key, "over_contract");
         }
     }
 }
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -1,16 +1,16 @@
 #include "core/tasks/cell_runner.hpp"
 
-// What workers answer to calls about attempts.
+// Replies of workers to calls for attempts.
 namespace fuchsia::core::tasks
 {
 
-void cell_runner::on_worker_reply(cell_context& with,
+void cell_runner::on_worker_reply(cell_context& context,
                                   worker_call_tag const& tag,
                                   ports::worker_reply const& reply)
 {
     if (tag.kind == worker_call_kind::renew)
     {
-        on_renewed(with, tag, reply);
+        on_renewed(context, tag, reply);
         return;
     }
     auto const found = active_attempts_.find(tag.task);
@@ -22,17 +22,17 @@
     }
     auto& run = found->second;
     run.call_in_flight = 0;
-    run.next_retry_at = with.now + with.settings.retry_interval;
+    run.next_retry_at = context.now + context.settings.retry_interval;
     switch (tag.kind)
     {
     case worker_call_kind::start:
-        on_start_reply(with, tag.task, run, reply);
+        on_start_reply(context, tag.task, run, reply);
         break;
     case worker_call_kind::stop:
-        on_stop_reply(with, tag.task, run, reply);
+        on_stop_reply(context, tag.task, run, reply);
         break;
     case worker_call_kind::checkpoint:
-        on_checkpoint_reply(with, tag.task, run, reply);
+        on_checkpoint_reply(context, tag.task, run, reply);
         break;
     case worker_call_kind::throttle:
         if (reply.status == ports::worker_status::done)
@@ -50,37 +50,38 @@
     }
 }
 
-void cell_runner::on_start_reply(cell_context& with,
+void cell_runner::on_start_reply(cell_context& context,
                                  task_key const& key,
                                  active_attempt& run,
                                  ports::worker_reply const& reply)
 {
     if (run.phase != attempt_phase::starting)
     {
-        return; // A report was faster.
+        return; // A report arrived before the reply.
     }
     switch (reply.status)
     {
     case ports::worker_status::done:
         apply_event(run, attempt_event::running_observed);
-        with.workers.record_acceptance(run.worker);
-        ++with.counters.started;
+        context.workers.record_acceptance(run.worker);
+        ++context.counters.started;
         if (!log_.state().find(key)->checkpoint.empty())
         {
-            ++with.counters.resumed;
+            ++context.counters.resumed;
         }
         break;
     case ports::worker_status::refused:
-        // A refusal of a repeated start says nothing of the first: it may
-        // have come after the window, or the attempt may have ended.
+        // The refusal of a retried start tells nothing about the first one: the
+        // retry may have arrived after the start window, or the attempt may
+        // have ended already.
         if (run.tries > 1)
         {
             apply_event(run, attempt_event::stop);
-            send_stop(with, key, run);
+            send_stop(context, key, run);
             return;
         }
-        with.workers.record_refusal(with.now, run.worker);
-        end_attempt(with, key, attempt_outcome::refused, reply.reason);
+        context.workers.record_refusal(context.now, run.worker);
+        end_attempt(context, key, attempt_outcome::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
         if (run.tries == 1)
@@ -94,7 +95,7 @@
     }
 }
 
-void cell_runner::on_stop_reply(cell_context& with,
+void cell_runner::on_stop_reply(cell_context& context,
                                 task_key const& key,
                                 active_attempt& run,
                                 ports::worker_reply const& reply)
@@ -108,19 +109,20 @@
     auto const& part = *run.part;
     if (part.definition.kind == job_kind::service || part.stopped)
     {
-        end_attempt(with, key, attempt_outcome::stopped, run.eviction_reason);
+        end_attempt(
+            context, key, attempt_outcome::stopped, run.eviction_reason);
         return;
     }
-    // It may have finished before the stop came in; running it again would
-    // do the work twice. A report of the worker tells.
+    // The attempt may have finished before the stop arrived, and running the
+    // task again would do the work twice. A report of the worker shows which.
     if (apply_event(run, attempt_event::stop_confirmed))
     {
         run.final_report_deadline =
-            with.now + with.settings.final_report_timeout;
+            context.now + context.settings.final_report_timeout;
     }
 }
 
-void cell_runner::on_checkpoint_reply(cell_context& with,
+void cell_runner::on_checkpoint_reply(cell_context& context,
                                       task_key const& key,
                                       active_attempt& run,
                                       ports::worker_reply const& reply)
@@ -133,7 +135,7 @@
     {
         if (apply_event(run, attempt_event::checkpoint_made))
         {
-            commit(with,
+            commit(context,
                    checkpoint_taken{key, run.attempt, reply.checkpoint},
                    true);
         }
@@ -143,12 +145,12 @@
     {
         if (apply_event(run, attempt_event::checkpoint_impossible))
         {
-            send_stop(with, key, run);
+            send_stop(context, key, run);
         }
     }
 }
 
-void cell_runner::on_renewed(cell_context& with,
+void cell_runner::on_renewed(cell_context& context,
                              worker_call_tag const& tag,
                              ports::worker_reply const& reply)
 {
@@ -160,19 +162,20 @@
     found->second.call = 0;
     if (reply.status != ports::worker_status::done)
     {
-        found->second.next = with.now + with.settings.retry_interval;
+        found->second.next = context.now + context.settings.retry_interval;
         return;
     }
     found->second.acknowledged = true;
-    for (auto const& gone : reply.unknown_attempts)
+    for (auto const& unknown : reply.unknown_attempts)
     {
-        auto const key = parse_task_name(gone.task);
+        auto const key = parse_task_name(unknown.task);
         auto const run =
             key ? active_attempts_.find(*key) : active_attempts_.end();
         if (run != active_attempts_.end() &&
-            run->second.attempt == gone.attempt)
+            run->second.attempt == unknown.attempt)
         {
-            // A report says how it ended; without one its lease runs out.
+            // A report shows how the attempt ended; without one its lease
+            // expires.
             run->second.unknown_to_worker = true;
         }
     }
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -3,16 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-// What a worker's report tells: ends of attempts, usage, interference.
+// Evaluation of worker reports: ends of attempts, resource usage, interference.
 namespace fuchsia::core::tasks
 {
 
 namespace
 {
 
-/// Reports of a running attempt before its worker counts as able to run.
+/// Number of reports of a running attempt after which its worker counts as
+/// healthy.
 constexpr std::uint32_t reports_to_prove = 3;
-/// Memory in use on a worker beyond which the largest overdraft is evicted.
+/// Share of a worker's memory in use beyond which the batch attempt that
+/// exceeds its declared memory most is evicted.
 constexpr std::int64_t memory_limit_permille = 980;
 
 double share(ports::resources const& used, ports::resources const& capacity)
@@ -25,55 +27,56 @@
 
 } // namespace
 
-void cell_runner::on_report(cell_context& with,
+void cell_runner::on_report(cell_context& context,
                             ports::worker_report const& report)
 {
     if (!attempts_restored_ || log_.ownership_lost())
     {
         return;
     }
-    for (auto const& said : report.attempts)
+    for (auto const& reported : report.attempts)
     {
-        on_attempt_report(with, report, said);
+        on_attempt_report(context, report, reported);
     }
-    end_absent(with, report);
-    auto const* view = with.workers.find(report.worker);
+    end_absent(context, report);
+    auto const* view = context.workers.find(report.worker);
     auto const present = reported_attempts(report.worker);
-    check_memory_use(with, *view, present);
-    learn_interference(with, *view, present);
-    guard_services(with, *view, present);
+    check_memory_use(context, *view, present);
+    learn_interference(context, *view, present);
+    guard_services(context, *view, present);
 }
 
-void cell_runner::on_attempt_report(cell_context& with,
+void cell_runner::on_attempt_report(cell_context& context,
                                     ports::worker_report const& report,
-                                    ports::attempt_report const& said)
+                                    ports::attempt_report const& reported)
 {
-    auto const key = parse_task_name(said.attempt_id.task);
+    auto const key = parse_task_name(reported.attempt_id.task);
     if (!key)
     {
         return;
     }
     auto const found = active_attempts_.find(*key);
-    bool const running = said.state == ports::attempt_state::running;
+    bool const running = reported.state == ports::attempt_state::running;
     if (found == active_attempts_.end() ||
-        found->second.attempt != said.attempt_id.attempt ||
+        found->second.attempt != reported.attempt_id.attempt ||
         found->second.worker != report.worker)
     {
         auto const* task = log_.state().find(*key);
-        // Over by the log, and running by a report: an attempt whose lease
-        // counted as run out on a worker that could not be reached.
+        // The attempt has ended in the log but runs according to the report:
+        // its lease counted as expired while the worker was unreachable.
         bool const over =
-            task == nullptr || said.attempt_id.attempt <= task->attempt;
-        if (running && over && with.may_act)
+            task == nullptr || reported.attempt_id.attempt <= task->attempt;
+        if (running && over && context.may_act)
         {
-            with.calls_to_workers.send({worker_call_kind::stray_stop,
-                                        cell_,
-                                        report.worker,
-                                        *key,
-                                        said.attempt_id.attempt,
-                                        0},
-                                       ports::worker_stop{said.attempt_id},
-                                       with.out);
+            context.calls_to_workers.send(
+                {worker_call_kind::stray_stop,
+                 cell_,
+                 report.worker,
+                 *key,
+                 reported.attempt_id.attempt,
+                 0},
+                ports::worker_stop{reported.attempt_id},
+                context.out);
         }
         return;
     }
@@ -82,35 +85,37 @@
     {
         return;
     }
-    switch (said.state)
+    switch (reported.state)
     {
     case ports::attempt_state::running:
         apply_event(run, attempt_event::running_observed);
-        run.used = said.used;
-        run.latency_p99_us = said.latency_p99_us;
+        run.used = reported.used;
+        run.latency_p99_us = reported.latency_p99_us;
         if (++run.report_count == reports_to_prove)
         {
-            with.workers.record_success(run.worker);
+            context.workers.record_success(run.worker);
         }
         break;
     case ports::attempt_state::finished:
-        end_attempt(with, *key, attempt_outcome::finished, said.reason);
+        end_attempt(context, *key, attempt_outcome::finished, reported.reason);
         break;
     case ports::attempt_state::failed:
-        end_attempt(with, *key, attempt_outcome::failed, said.reason);
+        end_attempt(context, *key, attempt_outcome::failed, reported.reason);
         break;
     case ports::attempt_state::stopped:
-        end_attempt(with, *key, attempt_outcome::stopped, run.eviction_reason);
+        end_attempt(
+            context, *key, attempt_outcome::stopped, run.eviction_reason);
         break;
     case ports::attempt_state::lease_expired:
-        end_attempt(with, *key, attempt_outcome::lost, "its lease ran out");
+        end_attempt(context, *key, attempt_outcome::lost, "its lease ran out");
         break;
     }
 }
 
-// A report made after the last moment at which the start could be taken, and
-// that does not list the attempt, shows that it neither runs nor will.
-void cell_runner::end_absent(cell_context& with,
+// Ends the attempts that a report does not list although it was made after the
+// last moment at which their start could be accepted: they neither run nor will
+// run.
+void cell_runner::end_absent(cell_context& context,
                              ports::worker_report const& report)
 {
     std::vector<std::pair<task_key, attempt_phase>> absent;
@@ -122,13 +127,13 @@
         {
             continue;
         }
-        ports::task_attempt const what{task_name(key), run.attempt};
+        ports::task_attempt const attempt_id{task_name(key), run.attempt};
         bool const listed =
             std::any_of(report.attempts.begin(),
                         report.attempts.end(),
-                        [&what](ports::attempt_report const& said)
+                        [&attempt_id](ports::attempt_report const& reported)
                         {
-                            return said.attempt_id == what;
+                            return reported.attempt_id == attempt_id;
                         });
         if (!listed)
         {
@@ -139,7 +144,7 @@
     {
         bool const stopped = phase == attempt_phase::awaiting_final_report ||
                              phase == attempt_phase::stopping;
-        end_attempt(with,
+        end_attempt(context,
                     key,
                     stopped ? attempt_outcome::stopped : attempt_outcome::lost,
                     "not on its worker");
@@ -160,8 +165,8 @@
     return out;
 }
 
-void cell_runner::check_memory_use(cell_context& with,
-                                   worker_view const& on,
+void cell_runner::check_memory_use(cell_context& context,
+                                   worker_view const& worker,
                                    std::vector<reported_attempt> const& present)
 {
     std::int64_t used = 0;
@@ -170,38 +175,38 @@
     task_key const* worst = nullptr;
     for (auto const& [key, run] : present)
     {
-        auto const& what = run->part->definition;
-        auto const excess = run->used.memory_mb - what.declared.memory_mb;
+        auto const& definition = run->part->definition;
+        auto const excess = run->used.memory_mb - definition.declared.memory_mb;
         used += run->used.memory_mb;
         over += std::max<std::int64_t>(0, excess);
-        if (what.kind == job_kind::batch && excess > most &&
+        if (definition.kind == job_kind::batch && excess > most &&
             run->eviction_reason.empty())
         {
             most = excess;
             worst = key;
         }
     }
-    with.workers.set_memory_over_declared(on.info.id, over);
+    context.workers.set_memory_over_declared(worker.info.id, over);
     if (worst != nullptr &&
-        used * 1000 > on.info.capacity.memory_mb * memory_limit_permille)
+        used * 1000 > worker.info.capacity.memory_mb * memory_limit_permille)
     {
-        ++with.counters.evicted_memory;
-        evict(with, *worst, "memory_pressure");
+        ++context.counters.evicted_memory;
+        evict(context, *worst, "memory_pressure");
     }
 }
 
 void cell_runner::learn_interference(
-    cell_context& with,
-    worker_view const& on,
+    cell_context& context,
+    worker_view const& worker,
     std::vector<reported_attempt> const& present)
 {
     std::vector<placement::neighbour> all;
     all.reserve(present.size());
     for (auto const& [key, run] : present)
     {
-        all.push_back({with.interference_estimates.class_index(
+        all.push_back({context.interference_estimates.class_index(
                            run->part->definition.task_class),
-                       share(run->used, on.info.capacity)});
+                       share(run->used, worker.info.capacity)});
     }
     for (std::size_t self = 0; self < present.size(); ++self)
     {
@@ -214,40 +219,41 @@
         auto beside = all;
         beside.erase(beside.begin() + static_cast<std::ptrdiff_t>(self));
         auto const victim = all[self].task_class;
-        with.interference_estimates.record_slowdown(
+        context.interference_estimates.record_slowdown(
             victim,
             beside,
-            with.interference_estimates.record_latency(victim,
-                                                       run.latency_p99_us));
+            context.interference_estimates.record_latency(victim,
+                                                          run.latency_p99_us));
     }
 }
 
-void cell_runner::guard_services(cell_context& with,
-                                 worker_view const& on,
+void cell_runner::guard_services(cell_context& context,
+                                 worker_view const& worker,
                                  std::vector<reported_attempt> const& present)
 {
     std::vector<placement::guarded_service> services;
     std::vector<placement::guarded_task> batch;
     for (auto const& [key, run] : present)
     {
-        auto const& what = run->part->definition;
+        auto const& definition = run->part->definition;
         if (run->phase != attempt_phase::running ||
             !run->eviction_reason.empty())
         {
             continue;
         }
         auto const number =
-            with.interference_estimates.class_index(what.task_class);
-        if (what.kind == job_kind::batch)
+            context.interference_estimates.class_index(definition.task_class);
+        if (definition.kind == job_kind::batch)
         {
             batch.push_back({task_name(*key),
                              number,
-                             share(run->used, on.info.capacity),
+                             share(run->used, worker.info.capacity),
                              run->speed_limit_permille});
             continue;
         }
-        auto const contract = with.config.contracts.find(what.customer);
-        if (contract != with.config.contracts.end())
+        auto const contract =
+            context.config.contracts.find(definition.customer);
+        if (contract != context.config.contracts.end())
         {
             services.push_back({number,
                                 run->latency_p99_us,
@@ -255,10 +261,10 @@
                                     contract->second.latency_target.count())});
         }
     }
-    auto& guard =
-        guards_.try_emplace(on.info.id, with.settings.guard).first->second;
+    auto& guard = guards_.try_emplace(worker.info.id, context.settings.guard)
+                      .first->second;
     auto const wanted =
-        guard.on_report(services, batch, with.interference_estimates);
+        guard.on_report(services, batch, context.interference_estimates);
     auto const key = wanted ? parse_task_name(wanted->task) : std::nullopt;
     if (!key)
     {
@@ -266,8 +272,8 @@
     }
     if (wanted->action == placement::guard_action::evict)
     {
-        ++with.counters.evicted_guard;
-        evict(with, *key, "guard");
+        ++context.counters.evicted_guard;
+        evict(context, *key, "guard");
         return;
     }
     active_attempts_.at(*key).requested_speed_limit_permille =
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr common::duration forget_interval = std::chrono::seconds(5);
-/// What follows from contracts and data centres is looked at this often even
-/// where nothing changed in the cell.
-constexpr common::duration count_interval = std::chrono::milliseconds(500);
+constexpr common::duration job_removal_interval = std::chrono::seconds(5);
+/// Maximum time between two evaluations of contracts and data centre states,
+/// even if nothing changed in the cell.
+constexpr common::duration usage_interval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -32,61 +32,62 @@
 {
 }
 
-void cell_runner::start(cell_context& with)
+void cell_runner::start(cell_context& context)
 {
-    log_.start(with.calls, with.out);
+    log_.start(context.calls, context.out);
 }
 
-bool cell_runner::commit(cell_context& with, change what, bool urgent)
+bool cell_runner::commit(cell_context& context, change new_change, bool urgent)
 {
-    bool const fits = log_.submit_change(with.now, std::move(what), urgent);
-    queue_dirty_ = queue_dirty_ || fits;
-    return fits;
+    bool const accepted =
+        log_.submit_change(context.now, std::move(new_change), urgent);
+    queue_dirty_ = queue_dirty_ || accepted;
+    return accepted;
 }
 
-void cell_runner::tick(cell_context& with)
+void cell_runner::tick(cell_context& context)
 {
     if (log_.active() && !attempts_restored_)
     {
-        restore_attempts(with);
+        restore_attempts(context);
     }
     if (attempts_restored_ && !log_.ownership_lost())
     {
-        process_commits(with);
-        advance_attempts(with);
-        renew_leases(with);
-        if (queue_dirty_ || with.now >= next_usage_computation_)
+        process_commits(context);
+        advance_attempts(context);
+        renew_leases(context);
+        if (queue_dirty_ || context.now >= next_usage_computation_)
         {
-            next_usage_computation_ = with.now + count_interval;
+            next_usage_computation_ = context.now + usage_interval;
             queue_dirty_ = false;
-            rebuild_queue(with);
-            compute_usage(with);
-            enforce_contracts(with);
-            drain_data_centre(with);
-            publish_load(with);
+            rebuild_queue(context);
+            compute_usage(context);
+            enforce_contracts(context);
+            drain_data_centre(context);
+            publish_load(context);
         }
         if (!handing_over_)
         {
-            place(with);
-            move_tasks(with);
+            place(context);
+            move_tasks(context);
         }
-        send_messages(with);
-        erase_inbox(with);
-        remove_expired_jobs(with);
+        send_messages(context);
+        erase_inbox(context);
+        remove_expired_jobs(context);
     }
-    log_.tick(with.now, with.calls, with.out);
+    log_.tick(context.now, context.calls, context.out);
 }
 
-// Every committed attempt is taken for running. Its lease was sent before the
-// predecessor's proof ended, so before now, and for no longer than a lease
-// from then. Whether it runs is told by the renewal that follows, by a report,
-// or by the end of that time.
-void cell_runner::restore_attempts(cell_context& with)
+// Restores every committed attempt as running. The previous owner sent its
+// lease before its membership proof expired, hence before now, and for at most
+// one lease duration. The next renewal, a report or the expiry of that time
+// shows whether the attempt runs.
+void cell_runner::restore_attempts(cell_context& context)
 {
     attempts_restored_ = true;
-    ++with.counters.takeovers;
-    auto const lease = with.settings.lease_duration *
-                       (1000 + with.settings.clock_drift_permille) / 1000;
+    ++context.counters.takeovers;
+    auto const lease = context.settings.lease_duration *
+                       (1000 + context.settings.clock_drift_permille) / 1000;
     for (auto const& [id, part] : log_.state().jobs)
     {
         for (auto const& [index, task] : part.tasks)
@@ -103,22 +104,24 @@
             run.start_before_ms = task.start_before_ms;
             run.lease_until_ms = task.lease_until_ms;
             run.lease_expired_at =
-                with.now + lease + with.settings.lease_margin;
+                context.now + lease + context.settings.lease_margin;
             run.start_possibly_sent = true;
             if (part.definition.kind == job_kind::batch)
             {
-                // It may be throttled; relaxing it is the guard's business.
-                run.speed_limit_permille = with.settings.guard.min_cpu_permille;
+                // The attempt may be throttled. The latency guard raises the
+                // limit again.
+                run.speed_limit_permille =
+                    context.settings.guard.min_cpu_permille;
                 run.requested_speed_limit_permille = run.speed_limit_permille;
             }
         }
     }
-    for (auto const& [name, leaving] : log_.state().outgoing)
+    for (auto const& [name, transfer] : log_.state().outgoing)
     {
         ready_to_send_.insert(name);
     }
     queue_dirty_ = true;
-    with.out.push_back(make_log_event(
+    context.out.push_back(make_log_event(
         ports::severity::info,
         "cell_taken_over",
         {{"cell", cell_},
@@ -127,17 +130,17 @@
          {"attempts", std::to_string(active_attempts_.size())}}));
 }
 
-void cell_runner::process_commits(cell_context& with)
+void cell_runner::process_commits(cell_context& context)
 {
     for (auto const& item : log_.take_committed())
     {
-        if (auto const* taken = std::get_if<message_accepted>(&item))
+        if (auto const* accepted = std::get_if<message_accepted>(&item))
         {
-            accepting_.erase(taken->message.name);
+            accepting_.erase(accepted->message.name);
         }
-        else if (auto const* left = std::get_if<transfer_started>(&item))
+        else if (auto const* transfer = std::get_if<transfer_started>(&item))
         {
-            ready_to_send_.insert(left->message_name);
+            ready_to_send_.insert(transfer->message_name);
         }
         else if (auto const* started = std::get_if<attempt_started>(&item))
         {
@@ -146,23 +149,23 @@
                 found->second.attempt == started->attempt &&
                 apply_event(found->second, attempt_event::start_committed))
             {
-                send_start(with, started->task, found->second);
+                send_start(context, started->task, found->second);
             }
         }
-        else if (auto const* made = std::get_if<checkpoint_taken>(&item))
+        else if (auto const* checkpoint = std::get_if<checkpoint_taken>(&item))
         {
-            auto const found = active_attempts_.find(made->task);
+            auto const found = active_attempts_.find(checkpoint->task);
             if (found != active_attempts_.end() &&
-                found->second.attempt == made->attempt &&
+                found->second.attempt == checkpoint->attempt &&
                 apply_event(found->second, attempt_event::checkpoint_committed))
             {
-                send_stop(with, made->task, found->second);
+                send_stop(context, checkpoint->task, found->second);
             }
         }
     }
 }
 
-void cell_runner::stop_job(cell_context& with,
+void cell_runner::stop_job(cell_context& context,
                            std::string const& job,
                            common::result_code code,
                            std::string const& why)
@@ -173,9 +176,9 @@
     }
     auto const part = log_.state().jobs.find(job);
     if (part != log_.state().jobs.end() && !part->second.ended() &&
-        commit(with, job_stopped{job, code, why}, false))
+        commit(context, job_stopped{job, code, why}, false))
     {
-        with.out.push_back(make_log_event(
+        context.out.push_back(make_log_event(
             ports::severity::info,
             "job_stopped",
             {{"cell", cell_},
@@ -185,16 +188,16 @@
     }
 }
 
-void cell_runner::remove_expired_jobs(cell_context& with)
+void cell_runner::remove_expired_jobs(cell_context& context)
 {
-    if (with.now < next_job_removal_)
+    if (context.now < next_job_removal_)
     {
         return;
     }
-    next_job_removal_ = with.now + forget_interval;
-    std::vector<std::string> due;
-    bool const crowded =
-        log_.state().jobs.size() >= with.settings.max_jobs * 9 / 10;
+    next_job_removal_ = context.now + job_removal_interval;
+    std::vector<std::string> expired;
+    bool const near_job_limit =
+        log_.state().jobs.size() >= context.settings.max_jobs * 9 / 10;
     for (auto const& [id, part] : log_.state().jobs)
     {
         if (!part.ended())
@@ -202,29 +205,30 @@
             ended_at_.erase(id);
             continue;
         }
-        auto const since = ended_at_.try_emplace(id, with.now).first->second;
-        auto const kept =
-            crowded ? with.settings.retention / 10 : with.settings.retention;
-        if (with.now - since >= kept)
+        auto const since = ended_at_.try_emplace(id, context.now).first->second;
+        auto const retention_time = near_job_limit
+                                        ? context.settings.retention / 10
+                                        : context.settings.retention;
+        if (context.now - since >= retention_time)
         {
-            due.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (auto const& id : due)
+    for (auto const& id : expired)
     {
         ended_at_.erase(id);
-        commit(with, job_removed{id}, false);
+        commit(context, job_removed{id}, false);
     }
 }
 
-void cell_runner::publish_load(cell_context& with)
+void cell_runner::publish_load(cell_context& context)
 {
     cell_load load;
     std::map<std::string_view, ports::resources> free;
-    for (auto const& id : with.workers.in_rack(cell_))
+    for (auto const& id : context.workers.in_rack(cell_))
     {
-        auto const* view = with.workers.find(id);
-        if (with.workers.may_start(with.now, *view))
+        auto const* view = context.workers.find(id);
+        if (context.workers.may_start(context.now, *view))
         {
             free.emplace(view->info.id, view->info.capacity);
         }
@@ -237,12 +241,12 @@
             found->second -= run.part->definition.declared;
         }
     }
-    for (auto const& [worker, room] : free)
+    for (auto const& [worker, capacity] : free)
     {
-        load.free += room;
-        if (room.millicores > load.largest_free.millicores)
+        load.free += capacity;
+        if (capacity.millicores > load.largest_free.millicores)
         {
-            load.largest_free = room;
+            load.largest_free = capacity;
         }
     }
     for (auto const& task : queue_)
@@ -255,13 +259,13 @@
     load.ended_jobs = static_cast<std::int64_t>(ended_at_.size());
     load.live_jobs =
         static_cast<std::int64_t>(log_.state().jobs.size()) - load.ended_jobs;
-    with.loads.set_own(cell_, load);
+    context.loads.set_own(cell_, load);
 }
 
-bool cell_runner::data_centre_out(cell_context const& with) const
+bool cell_runner::data_centre_out(cell_context const& context) const
 {
-    auto const name = with.workers.data_centre_of(cell_);
-    return with.config.data_centres_out_of_service.count(name) != 0;
+    auto const name = context.workers.data_centre_of(cell_);
+    return context.config.data_centres_out_of_service.count(name) != 0;
 }
 
 void cell_runner::begin_handover() noexcept
@@ -276,7 +280,7 @@
 
 bool cell_runner::idle() const noexcept
 {
-    bool const starting = std::any_of(
+    bool const start_in_progress = std::any_of(
         active_attempts_.begin(),
         active_attempts_.end(),
         [](auto const& item)
@@ -285,7 +289,8 @@
                    (item.second.phase == attempt_phase::starting &&
                     item.second.call_in_flight != 0);
         });
-    return log_.idle() && !starting && sending_.empty() && erasing_.empty();
+    return log_.idle() && !start_in_progress && sending_.empty() &&
+           erasing_.empty();
 }
 
 bool cell_runner::active() const noexcept
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -14,30 +14,35 @@
 namespace fuchsia::core::tasks
 {
 
-/// One attempt from its decision to the commit of its end.
+/// An attempt, from the decision to start it to the commit of its end.
 struct active_attempt
 {
     std::uint32_t attempt = 0;
     std::string worker;
-    /// Its job in the cell's state, which keeps a job while it has attempts.
+    /// Job of the attempt in the cell state, which keeps a job while it has
+    /// attempts.
     job_part const* part = nullptr;
     attempt_phase phase = attempt_phase::committing_start;
     std::uint64_t start_before_ms = 0;
-    std::uint64_t lease_until_ms = 0; ///< The longest that was sent.
-    /// On our clock: no lease that was sent can stand any longer.
+    std::uint64_t lease_until_ms = 0; ///< Latest end of lease that was sent.
+    /// Time on this planner's clock after which no lease that was sent can
+    /// still be valid.
     common::time_point lease_expired_at{};
-    bool start_possibly_sent =
-        false; ///< A start of it may have reached the worker.
-    bool unknown_to_worker = false;   ///< The worker does not know it any more.
-    std::uint64_t call_in_flight = 0; ///< In flight; 0: none.
+    /// Whether a start may have reached the worker.
+    bool start_possibly_sent = false;
+    /// Whether the worker answered a renewal that it does not have the attempt.
+    bool unknown_to_worker = false;
+    /// Number of the worker call in flight; 0 if there is none.
+    std::uint64_t call_in_flight = 0;
     common::time_point next_retry_at{};
-    std::uint32_t tries = 0;
+    std::uint32_t tries = 0; ///< Number of calls sent in the current phase.
+    /// Time after which the attempt is ended without a final report.
     std::optional<common::time_point> final_report_deadline;
     std::uint32_t speed_limit_permille = 1000;
     std::uint32_t requested_speed_limit_permille = 1000;
-    std::string eviction_reason; ///< Why it is being ended; empty: it is not.
+    std::string eviction_reason; ///< Empty unless the attempt is being ended.
 
-    // From the newest report.
+    // Data from the latest report.
     std::uint32_t report_count = 0;
     ports::resources used;
     std::uint64_t latency_p99_us = 0;
@@ -45,7 +50,7 @@
     std::uint64_t work_reported_at_ms = 0;
 };
 
-/// A parcel as it lies in this cell's inbox.
+/// A message in this cell's inbox, with its key and version in the store.
 struct stored_inbox_message
 {
     std::string key;
@@ -53,7 +58,7 @@
     inbox_message message;
 };
 
-/// Attempts and queued tasks, for the metrics and the status page.
+/// Numbers of tasks and jobs of a cell, for the metrics and the status page.
 struct cell_counts
 {
     std::size_t queued = 0;
@@ -62,9 +67,9 @@
     std::size_t jobs = 0;
 };
 
-/// One cell that this planner owns: takes parcels in, places and starts
-/// tasks, keeps their leases, evicts, moves and ends them. Every decision is
-/// a change in the log before the world hears of it.
+/// A cell that this planner owns. Accepts inbox messages, places and starts
+/// tasks, renews their leases, and evicts, moves and ends them. Every decision
+/// is committed to the log before it takes effect outside the planner.
 class cell_runner
 {
 public:
@@ -73,27 +78,28 @@
                 std::uint64_t epoch,
                 cell_log_settings settings);
 
-    void start(cell_context& with);
-    void tick(cell_context& with);
-    void on_store_reply(cell_context& with,
+    void start(cell_context& context);
+    void tick(cell_context& context);
+    void on_store_reply(cell_context& context,
                         call_tag const& tag,
                         ports::store_reply const& reply);
-    void on_worker_reply(cell_context& with,
+    void on_worker_reply(cell_context& context,
                          worker_call_tag const& tag,
                          ports::worker_reply const& reply);
-    /// Only reports that the worker book took for new.
-    void on_report(cell_context& with, ports::worker_report const& report);
-    /// What now lies in this cell's inbox.
-    void on_inbox(cell_context& with, std::vector<stored_inbox_message> items);
-    void stop_job(cell_context& with,
+    /// Takes only reports that the worker registry accepted as new.
+    void on_report(cell_context& context, ports::worker_report const& report);
+    /// Takes the complete current contents of this cell's inbox.
+    void on_inbox(cell_context& context,
+                  std::vector<stored_inbox_message> items);
+    void stop_job(cell_context& context,
                   std::string const& job,
                   common::result_code code,
                   std::string const& why);
 
-    /// From now on starts and moves nothing: the cell is to be handed over.
+    /// Prepares the handover of the cell: nothing is started or moved any more.
     void begin_handover() noexcept;
     bool handing_over() const noexcept;
-    /// Nothing is in commit and no call of a start is under way.
+    /// Whether no change is being committed and no start call is in flight.
     bool idle() const noexcept;
 
     bool active() const noexcept;
@@ -104,16 +110,17 @@
     std::map<task_key, active_attempt> const& active_attempts() const noexcept;
     cell_counts counts() const;
 
-    /// Jobs that this cell found to be at fault; other cells must stop them.
+    /// Returns the jobs stopped by this cell because they fail on every worker;
+    /// other cells must stop them too.
     std::vector<job_stopped> take_faulty_jobs();
 
 private:
     struct renewal
     {
-        std::uint64_t call = 0;
-        std::uint64_t until_ms = 0;
+        std::uint64_t call = 0;     ///< Call in flight; 0 if there is none.
+        std::uint64_t until_ms = 0; ///< End of the lease last sent.
         bool acknowledged = true;
-        common::time_point next{};
+        common::time_point next{}; ///< Earliest time of the next renewal.
     };
     struct queued_task
     {
@@ -124,16 +131,16 @@
     struct customer_usage
     {
         allowance in_use;
-        allowance retained; ///< Without those that are being ended.
+        allowance retained; ///< Use without attempts that are being ended.
         allowance queued;
         allowance next_task;
         bool has_queued = false;
     };
 
-    /// Changes on their way into the log; with more, none is added.
+    /// Number of pending log changes at which no more are made.
     static constexpr std::size_t max_waiting_changes = 2000;
 
-    /// An attempt on the worker whose report is looked at.
+    /// An attempt on the worker whose report is being evaluated.
     struct reported_attempt
     {
         task_key const* key = nullptr;
@@ -141,99 +148,100 @@
     };
 
     // cell_runner.cpp: the cell as a whole.
-    void restore_attempts(cell_context& with);
-    void process_commits(cell_context& with);
-    void remove_expired_jobs(cell_context& with);
-    void publish_load(cell_context& with);
-    bool data_centre_out(cell_context const& with) const;
-    bool commit(cell_context& with, change what, bool urgent);
+    void restore_attempts(cell_context& context);
+    void process_commits(cell_context& context);
+    void remove_expired_jobs(cell_context& context);
+    void publish_load(cell_context& context);
+    bool data_centre_out(cell_context const& context) const;
+    bool commit(cell_context& context, change new_change, bool urgent);
 
-    // cell_inbox.cpp: parcels that come and leave.
-    void erase_inbox(cell_context& with);
-    void send_messages(cell_context& with);
+    // cell_inbox.cpp: incoming and outgoing messages.
+    void erase_inbox(cell_context& context);
+    void send_messages(cell_context& context);
 
-    // cell_placement.cpp: from the queue to a worker, and back.
-    void rebuild_queue(cell_context& with);
-    void compute_usage(cell_context& with);
-    void place(cell_context& with);
-    bool place_one(cell_context& with,
+    // cell_placement.cpp: placement, quotas and contracts.
+    void rebuild_queue(cell_context& context);
+    void compute_usage(cell_context& context);
+    void place(cell_context& context);
+    bool place_one(cell_context& context,
                    task_key const& key,
                    std::vector<placement::candidate>& workers);
-    bool quota_allows(cell_context& with, job const& what);
-    std::vector<placement::candidate> candidates(cell_context& with) const;
-    bool ramp_allows(cell_context& with) const;
-    void evict_overage(cell_context& with,
+    bool quota_allows(cell_context& context, job const& definition);
+    std::vector<placement::candidate> candidates(cell_context& context) const;
+    bool ramp_allows(cell_context& context) const;
+    void evict_overage(cell_context& context,
                        std::string const& customer,
                        allowance const& allowed);
-    void enforce_contracts(cell_context& with);
+    void enforce_contracts(cell_context& context);
 
-    // cell_moves.cpp: on to another cell.
-    void move_tasks(cell_context& with);
-    bool should_move(cell_context& with,
+    // cell_moves.cpp: moves to other cells and draining.
+    void move_tasks(cell_context& context);
+    bool should_move(cell_context& context,
                      job_part const& part,
                      queued_task const& task) const;
-    void drain_data_centre(cell_context& with);
+    void drain_data_centre(cell_context& context);
 
-    // cell_attempts.cpp: one attempt's life.
-    void advance_attempts(cell_context& with);
-    void advance_attempt(cell_context& with,
+    // cell_attempts.cpp: start, renewal, checkpoint, stop and end of attempts.
+    void advance_attempts(cell_context& context);
+    void advance_attempt(cell_context& context,
                          task_key const& key,
                          active_attempt& run);
-    void
-    end_expired(cell_context& with, task_key const& key, active_attempt& run);
-    void advance_running_attempt(cell_context& with,
+    void end_expired(cell_context& context,
+                     task_key const& key,
+                     active_attempt& run);
+    void advance_running_attempt(cell_context& context,
                                  task_key const& key,
                                  active_attempt& run,
-                                 bool saves);
+                                 bool can_checkpoint);
     void
-    send_start(cell_context& with, task_key const& key, active_attempt& run);
-    bool start_allowed(cell_context& with, active_attempt const& run);
+    send_start(cell_context& context, task_key const& key, active_attempt& run);
+    bool start_allowed(cell_context& context, active_attempt const& run);
     void
-    send_stop(cell_context& with, task_key const& key, active_attempt& run);
-    void send_checkpoint(cell_context& with,
+    send_stop(cell_context& context, task_key const& key, active_attempt& run);
+    void send_checkpoint(cell_context& context,
                          task_key const& key,
                          active_attempt& run);
-    void renew_leases(cell_context& with);
-    void evict(cell_context& with, task_key const& key, std::string why);
-    void end_attempt(cell_context& with,
+    void renew_leases(cell_context& context);
+    void evict(cell_context& context, task_key const& key, std::string why);
+    void end_attempt(cell_context& context,
                      task_key const& key,
-                     attempt_outcome how,
+                     attempt_outcome outcome,
                      std::string why);
-    void handle_failure(cell_context& with, task_key const& key);
+    void handle_failure(cell_context& context, task_key const& key);
     static bool apply_event(active_attempt& run, attempt_event event);
 
-    // cell_replies.cpp: what workers answer.
-    void on_start_reply(cell_context& with,
+    // cell_replies.cpp: replies of workers.
+    void on_start_reply(cell_context& context,
                         task_key const& key,
                         active_attempt& run,
                         ports::worker_reply const& reply);
-    void on_stop_reply(cell_context& with,
+    void on_stop_reply(cell_context& context,
                        task_key const& key,
                        active_attempt& run,
                        ports::worker_reply const& reply);
-    void on_checkpoint_reply(cell_context& with,
+    void on_checkpoint_reply(cell_context& context,
                              task_key const& key,
                              active_attempt& run,
                              ports::worker_reply const& reply);
-    void on_renewed(cell_context& with,
+    void on_renewed(cell_context& context,
                     worker_call_tag const& tag,
                     ports::worker_reply const& reply);
 
-    // cell_reports.cpp: what reports tell.
-    void on_attempt_report(cell_context& with,
+    // cell_reports.cpp: reports of workers.
+    void on_attempt_report(cell_context& context,
                            ports::worker_report const& report,
-                           ports::attempt_report const& said);
-    void end_absent(cell_context& with, ports::worker_report const& report);
-    /// Attempts on the worker that a report has told of.
+                           ports::attempt_report const& reported);
+    void end_absent(cell_context& context, ports::worker_report const& report);
+    /// Returns the attempts on the worker that at least one report has listed.
     std::vector<reported_attempt> reported_attempts(std::string const& worker);
-    void learn_interference(cell_context& with,
-                            worker_view const& on,
+    void learn_interference(cell_context& context,
+                            worker_view const& worker,
                             std::vector<reported_attempt> const& present);
-    void guard_services(cell_context& with,
-                        worker_view const& on,
+    void guard_services(cell_context& context,
+                        worker_view const& worker,
                         std::vector<reported_attempt> const& present);
-    void check_memory_use(cell_context& with,
-                          worker_view const& on,
+    void check_memory_use(cell_context& context,
+                          worker_view const& worker,
                           std::vector<reported_attempt> const& present);
 
     std::string cell_;
@@ -246,21 +254,25 @@
     std::map<std::string, placement::latency_guard> guards_;
 
     std::vector<queued_task> queue_;
-    /// The queue, or who uses what, may have changed.
+    /// Whether the queue or the use of resources may have changed.
     bool queue_dirty_ = true;
     common::time_point next_usage_computation_{};
     std::map<task_key, common::time_point> queued_since_;
     std::map<std::string, customer_usage> customer_usage_;
-    std::set<task_key>
-        waiting_for_capacity_; ///< Waits for room, not for quota.
+    /// Queued tasks that wait for free capacity rather than for quota.
+    std::set<task_key> waiting_for_capacity_;
 
-    std::map<std::string, stored_inbox_message>
-        inbox_messages_;                           ///< By parcel name.
-    std::set<std::string> accepting_;              ///< In commit.
-    std::map<std::string, std::uint64_t> erasing_; ///< Parcel to call.
-    std::set<std::string>
-        ready_to_send_; ///< Parcels whose leaving is committed.
+    /// Contents of the inbox by message name.
+    std::map<std::string, stored_inbox_message> inbox_messages_;
+    /// Names of messages whose acceptance is being committed.
+    std::set<std::string> accepting_;
+    /// Numbers of the erase calls in flight by message name.
+    std::map<std::string, std::uint64_t> erasing_;
+    /// Names of messages whose transfer start is committed.
+    std::set<std::string> ready_to_send_;
+    /// Numbers of the write calls in flight by message name.
     std::map<std::string, std::uint64_t> sending_;
+    /// Times at which jobs were first found ended.
     std::map<std::string, common::time_point> ended_at_;
     common::time_point next_job_removal_{};
     common::time_point next_move_{};
--- a/src/core/tasks/cell_state.cpp
+++ b/src/core/tasks/cell_state.cpp
@@ -22,8 +22,8 @@
     return const_cast<task_record*>(std::as_const(state).find(key));
 }
 
-// Where a task goes that has no running attempt and no more to do here.
-task_status at_rest(job_part const& part) noexcept
+// Status of an unfinished task that has no attempt.
+task_status idle_status(job_part const& part) noexcept
 {
     if (!part.stopped)
     {
@@ -35,7 +35,7 @@
 }
 
 task_record*
-started(cell_state& state, task_key const& key, std::uint32_t attempt)
+find_started(cell_state& state, task_key const& key, std::uint32_t attempt)
 {
     auto* task = find(state, key);
     bool const fits = task != nullptr && task->status == task_status::started &&
@@ -43,109 +43,110 @@
     return fits ? task : nullptr;
 }
 
-bool take(cell_state& state, message_accepted const& what)
+bool accept(cell_state& state, message_accepted const& new_change)
 {
-    auto& part = state.jobs[what.message.definition.id];
-    if (!part.accepted_messages.insert(what.message.name).second)
+    auto& part = state.jobs[new_change.message.definition.id];
+    if (!part.accepted_messages.insert(new_change.message.name).second)
     {
         return false;
     }
-    part.definition = what.message.definition;
-    part.moves = std::max(part.moves, what.message.moves);
-    for (auto const& carried : what.message.tasks)
+    part.definition = new_change.message.definition;
+    part.moves = std::max(part.moves, new_change.message.moves);
+    for (auto const& transferred : new_change.message.tasks)
     {
-        auto& task = part.tasks[carried.index];
+        auto& task = part.tasks[transferred.index];
         task = {};
-        task.status = at_rest(part);
-        task.attempt = carried.attempt;
-        task.checkpoint = carried.checkpoint;
-        task.failed_workers = carried.failed_workers;
+        task.status = idle_status(part);
+        task.attempt = transferred.attempt;
+        task.checkpoint = transferred.checkpoint;
+        task.failed_workers = transferred.failed_workers;
     }
     return true;
 }
 
-bool start(cell_state& state, attempt_started const& what)
+bool start(cell_state& state, attempt_started const& new_change)
 {
-    auto* task = find(state, what.task);
+    auto* task = find(state, new_change.task);
     if (task == nullptr || task->status != task_status::queued ||
-        what.attempt != task->attempt + 1)
+        new_change.attempt != task->attempt + 1)
     {
         return false;
     }
     task->status = task_status::started;
-    task->attempt = what.attempt;
-    task->worker = what.worker;
-    task->start_before_ms = what.start_before_ms;
-    task->lease_until_ms = what.lease_until_ms;
+    task->attempt = new_change.attempt;
+    task->worker = new_change.worker;
+    task->start_before_ms = new_change.start_before_ms;
+    task->lease_until_ms = new_change.lease_until_ms;
     return true;
 }
 
-bool end(cell_state& state, attempt_ended const& what)
+bool end(cell_state& state, attempt_ended const& new_change)
 {
-    auto* task = started(state, what.task, what.attempt);
+    auto* task = find_started(state, new_change.task, new_change.attempt);
     if (task == nullptr)
     {
         return false;
     }
-    task->why = what.why;
-    bool const known = std::find(task->failed_workers.begin(),
-                                 task->failed_workers.end(),
-                                 task->worker) != task->failed_workers.end();
-    if (what.outcome == attempt_outcome::failed && !known)
+    task->why = new_change.why;
+    bool const already_listed =
+        std::find(task->failed_workers.begin(),
+                  task->failed_workers.end(),
+                  task->worker) != task->failed_workers.end();
+    if (new_change.outcome == attempt_outcome::failed && !already_listed)
     {
         task->failed_workers.push_back(task->worker);
     }
-    task->status = what.outcome == attempt_outcome::finished
+    task->status = new_change.outcome == attempt_outcome::finished
                        ? task_status::finished
-                       : at_rest(state.jobs.at(what.task.job));
+                       : idle_status(state.jobs.at(new_change.task.job));
     return true;
 }
 
-bool checkpoint(cell_state& state, checkpoint_taken const& what)
+bool checkpoint(cell_state& state, checkpoint_taken const& new_change)
 {
-    auto* task = started(state, what.task, what.attempt);
+    auto* task = find_started(state, new_change.task, new_change.attempt);
     if (task != nullptr)
     {
-        task->checkpoint = what.checkpoint;
+        task->checkpoint = new_change.checkpoint;
     }
     return task != nullptr;
 }
 
-bool stop(cell_state& state, job_stopped const& what)
+bool stop(cell_state& state, job_stopped const& new_change)
 {
-    auto const found = state.jobs.find(what.job);
+    auto const found = state.jobs.find(new_change.job);
     if (found == state.jobs.end() || found->second.stopped)
     {
         return false;
     }
     auto& part = found->second;
     part.stopped = true;
-    part.stop_code = what.code;
-    part.stop_why = what.why;
+    part.stop_code = new_change.code;
+    part.stop_why = new_change.why;
     for (auto& [index, task] : part.tasks)
     {
         if (task.status == task_status::queued)
         {
-            task.status = at_rest(part);
+            task.status = idle_status(part);
         }
     }
     return true;
 }
 
-bool leave(cell_state& state, transfer_started const& what)
+bool start_transfer(cell_state& state, transfer_started const& new_change)
 {
-    auto const found = state.jobs.find(what.job);
+    auto const found = state.jobs.find(new_change.job);
     if (found == state.jobs.end() ||
-        state.outgoing.count(what.message_name) != 0)
+        state.outgoing.count(new_change.message_name) != 0)
     {
         return false;
     }
-    outgoing_transfer leaving;
-    leaving.target_cell = what.target_cell;
-    leaving.message.name = what.message_name;
-    leaving.message.definition = found->second.definition;
-    leaving.message.moves = what.moves;
-    for (auto const index : what.tasks)
+    outgoing_transfer transfer;
+    transfer.target_cell = new_change.target_cell;
+    transfer.message.name = new_change.message_name;
+    transfer.message.definition = found->second.definition;
+    transfer.message.moves = new_change.moves;
+    for (auto const index : new_change.tasks)
     {
         auto const task = found->second.tasks.find(index);
         if (task == found->second.tasks.end() ||
@@ -153,31 +154,31 @@
         {
             return false;
         }
-        leaving.message.tasks.push_back({index,
-                                         task->second.attempt,
-                                         task->second.checkpoint,
-                                         task->second.failed_workers});
+        transfer.message.tasks.push_back({index,
+                                          task->second.attempt,
+                                          task->second.checkpoint,
+                                          task->second.failed_workers});
     }
-    for (auto const index : what.tasks)
+    for (auto const index : new_change.tasks)
     {
         found->second.tasks[index].status = task_status::moving;
     }
     ++state.messages_sent;
-    state.outgoing.emplace(what.message_name, std::move(leaving));
+    state.outgoing.emplace(new_change.message_name, std::move(transfer));
     return true;
 }
 
-bool arrive(cell_state& state, transfer_completed const& what)
+bool complete_transfer(cell_state& state, transfer_completed const& new_change)
 {
-    auto const found = state.outgoing.find(what.message_name);
+    auto const found = state.outgoing.find(new_change.message_name);
     if (found == state.outgoing.end())
     {
         return false;
     }
-    for (auto const& carried : found->second.message.tasks)
+    for (auto const& transferred : found->second.message.tasks)
     {
-        auto* task =
-            find(state, {found->second.message.definition.id, carried.index});
+        auto* task = find(
+            state, {found->second.message.definition.id, transferred.index});
         if (task != nullptr && task->status == task_status::moving)
         {
             task->status = task_status::moved;
@@ -187,9 +188,9 @@
     return true;
 }
 
-bool forget(cell_state& state, job_removed const& what)
+bool remove_job(cell_state& state, job_removed const& new_change)
 {
-    auto const found = state.jobs.find(what.job);
+    auto const found = state.jobs.find(new_change.job);
     if (found == state.jobs.end() || !found->second.ended())
     {
         return false;
@@ -200,10 +201,10 @@
 
 json::object encoded(task_record const& task)
 {
-    json::array failed_on;
+    json::array failed_workers;
     for (auto const& worker : task.failed_workers)
     {
-        failed_on.emplace_back(worker);
+        failed_workers.emplace_back(worker);
     }
     return {{"s", static_cast<int>(task.status)},
             {"a", task.attempt},
@@ -211,7 +212,7 @@
             {"b", task.start_before_ms},
             {"l", task.lease_until_ms},
             {"c", task.checkpoint},
-            {"f", std::move(failed_on)},
+            {"f", std::move(failed_workers)},
             {"y", task.why}};
 }
 
@@ -222,15 +223,15 @@
     {
         tasks.emplace(std::to_string(index), encoded(task));
     }
-    json::array parcels;
+    json::array accepted_messages;
     for (auto const& name : part.accepted_messages)
     {
-        parcels.emplace_back(name);
+        accepted_messages.emplace_back(name);
     }
     return {{"job", json::parse(to_json(part.definition))},
             {"moves", part.moves},
             {"tasks", std::move(tasks)},
-            {"parcels", std::move(parcels)},
+            {"parcels", std::move(accepted_messages)},
             {"stopped", part.stopped},
             {"code", static_cast<std::uint16_t>(part.stop_code)},
             {"why", part.stop_why}};
@@ -271,12 +272,12 @@
                                   common::failure& reason)
 {
     job_part part;
-    auto what = parse_job(json::serialize(object.at("job")), reason);
-    if (!what)
+    auto definition = parse_job(json::serialize(object.at("job")), reason);
+    if (!definition)
     {
         return std::nullopt;
     }
-    part.definition = std::move(*what);
+    part.definition = std::move(*definition);
     part.moves = object.at("moves").to_number<std::uint32_t>();
     for (auto const& item : object.at("tasks").as_object())
     {
@@ -313,15 +314,16 @@
     for (auto const& item : object.at("leaving").as_object())
     {
         auto const& inner = item.value().as_object();
-        auto what = parse_inbox_message(json::serialize(inner.at("p")), reason);
-        if (!what)
+        auto message =
+            parse_inbox_message(json::serialize(inner.at("p")), reason);
+        if (!message)
         {
             return std::nullopt;
         }
         state.outgoing.emplace(
             std::string(item.key()),
             outgoing_transfer{std::string(inner.at("to").as_string()),
-                              std::move(*what)});
+                              std::move(*message)});
     }
     return state;
 }
@@ -357,14 +359,14 @@
     return task == part->second.tasks.end() ? nullptr : &task->second;
 }
 
-bool apply_change(cell_state& state, change const& what)
+bool apply_change(cell_state& state, change const& new_change)
 {
     struct visitor
     {
         cell_state& state;
         bool operator()(message_accepted const& item) const
         {
-            return take(state, item);
+            return accept(state, item);
         }
         bool operator()(attempt_started const& item) const
         {
@@ -384,18 +386,18 @@
         }
         bool operator()(transfer_started const& item) const
         {
-            return leave(state, item);
+            return start_transfer(state, item);
         }
         bool operator()(transfer_completed const& item) const
         {
-            return arrive(state, item);
+            return complete_transfer(state, item);
         }
         bool operator()(job_removed const& item) const
         {
-            return forget(state, item);
+            return remove_job(state, item);
         }
     };
-    return std::visit(visitor{state}, what);
+    return std::visit(visitor{state}, new_change);
 }
 
 std::string to_json(cell_state const& state)
@@ -405,19 +407,20 @@
     {
         jobs.emplace(id, encoded(part));
     }
-    json::object leaving;
+    json::object outgoing_transfers;
     for (auto const& [name, item] : state.outgoing)
     {
-        leaving.emplace(
+        outgoing_transfers.emplace(
             name,
             json::object{{"to", item.target_cell},
                          {"p", json::parse(to_json(item.message))}});
     }
-    return json::serialize(json::object{{"n", state.last_record},
-                                        {"e", state.epoch},
-                                        {"sent", state.messages_sent},
-                                        {"jobs", std::move(jobs)},
-                                        {"leaving", std::move(leaving)}});
+    return json::serialize(
+        json::object{{"n", state.last_record},
+                     {"e", state.epoch},
+                     {"sent", state.messages_sent},
+                     {"jobs", std::move(jobs)},
+                     {"leaving", std::move(outgoing_transfers)}});
 }
 
 std::optional<cell_state> parse_cell_state(std::string_view json,
@@ -428,8 +431,9 @@
     {
         return std::nullopt;
     }
-    // Snapshots are written by this file alone, so a value of another shape
-    // is damage, not input: one message for all of it is enough.
+    // Only to_json above writes snapshots, so a value of another shape is
+    // damaged data rather than wrong input, and one error for all cases is
+    // enough.
     try
     {
         return read_state(*object, reason);
--- a/src/core/tasks/cell_state.hpp
+++ b/src/core/tasks/cell_state.hpp
@@ -12,14 +12,14 @@
 namespace fuchsia::core::tasks
 {
 
-/// Where a task stands by the log; what happens to a started attempt between
-/// two records is the business of life_cycle.hpp.
+/// Status of a task in the log. The phases of a started attempt between two
+/// records are defined in attempt_lifecycle.hpp.
 enum class task_status : std::uint8_t
 {
     queued,
-    started, ///< An attempt is committed and its end is not.
-    moving,  ///< On its way to another cell's inbox.
-    moved,   ///< The other cell has it.
+    started, ///< The start of an attempt is committed, its end is not.
+    moving,  ///< Being transferred to the inbox of another cell.
+    moved,   ///< Stored in the inbox of the other cell.
     finished,
     failed,
     cancelled,
@@ -27,27 +27,30 @@
 
 std::string_view name_of(task_status value) noexcept;
 
+/// A task as recorded in the log of its cell.
 struct task_record
 {
     task_status status = task_status::queued;
-    std::uint32_t attempt = 0; ///< The newest; 0: never tried.
-    std::string worker;        ///< Of the newest attempt.
+    std::uint32_t attempt =
+        0;              ///< Number of the latest attempt; 0 before the first.
+    std::string worker; ///< Worker of the latest attempt.
     std::uint64_t start_before_ms = 0;
     std::uint64_t lease_until_ms = 0;
-    std::string checkpoint; ///< Where the next attempt resumes.
+    std::string
+        checkpoint; ///< Id of the checkpoint to resume from; may be empty.
     std::vector<std::string> failed_workers;
-    std::string why; ///< Of the last end.
+    std::string why; ///< Reason of the latest attempt's end.
 
     bool operator==(task_record const&) const = default;
 };
 
-/// The tasks of one job that this cell has, or had.
+/// The tasks of one job that are or were in this cell.
 struct job_part
 {
     job definition;
     std::uint32_t moves = 0;
     std::map<std::uint32_t, task_record> tasks;
-    /// Parcels taken in, so that a repeated one changes nothing.
+    /// Names of the accepted messages, so that a repeated one has no effect.
     std::set<std::string> accepted_messages;
     bool stopped = false;
     common::result_code stop_code = common::result_code::ok;
@@ -55,11 +58,11 @@
 
     bool operator==(job_part const&) const = default;
 
-    /// No task will change any more.
+    /// Whether no task of the job can change its status any more.
     bool ended() const noexcept;
 };
 
-/// A parcel that left and is not yet known to be in the other cell's inbox.
+/// A message to another cell that is not yet confirmed to be in its inbox.
 struct outgoing_transfer
 {
     std::string target_cell;
@@ -68,11 +71,11 @@
     bool operator==(outgoing_transfer const&) const = default;
 };
 
-/// What the log of one cell adds up to.
+/// State of a cell that results from its log.
 struct cell_state
 {
-    std::uint64_t last_record = 0; ///< Number of the newest record in it.
-    std::uint64_t epoch = 0;       ///< Of that record's writer.
+    std::uint64_t last_record = 0; ///< Number of the latest record applied.
+    std::uint64_t epoch = 0;       ///< Epoch of that record's writer.
     std::uint64_t messages_sent = 0;
     std::map<std::string, job_part> jobs;
     std::map<std::string, outgoing_transfer> outgoing;
@@ -82,11 +85,12 @@
     task_record const* find(task_key const& key) const noexcept;
 };
 
-/// Applies one change; a change that does not fit the state (a repeated
-/// parcel, an end of an attempt that is over) changes nothing and gives false.
-bool apply_change(cell_state& state, change const& what);
+/// Applies one change. Returns false, without effect, if the change does not
+/// fit the state, such as a repeated message or the end of an attempt that has
+/// ended.
+bool apply_change(cell_state& state, change const& new_change);
 
-/// A snapshot, and back.
+/// Serialization of a cell state as a snapshot.
 std::string to_json(cell_state const& state);
 std::optional<cell_state> parse_cell_state(std::string_view json,
                                            common::failure& reason);
