--- a/src/core/tasks/attempt_lifecycle.cpp
+++ b/src/core/tasks/attempt_lifecycle.cpp
@@ -40,7 +40,7 @@
 {
 };
 
-// The life cycle, one row a step.
+// The state machine, one row per transition.
 struct machine_definition
     : public msm::front::state_machine_def<machine_definition>
 {
@@ -79,26 +79,27 @@
 using machine = msm::back::state_machine<machine_definition>;
 
 template<attempt_event Event>
-bool feed(machine& target)
+bool process(machine& target)
 {
     return target.process_event(on<Event>{}) == msm::back::HANDLED_TRUE;
 }
 
-using feeder = bool (*)(machine&);
-constexpr std::array<feeder, event_count> feeders{
-    feed<attempt_event::start_committed>,
-    feed<attempt_event::running_observed>,
-    feed<attempt_event::evict>,
-    feed<attempt_event::stop>,
-    feed<attempt_event::checkpoint_made>,
-    feed<attempt_event::checkpoint_committed>,
-    feed<attempt_event::checkpoint_impossible>,
-    feed<attempt_event::stop_confirmed>,
-    feed<attempt_event::ended>,
+using event_processor = bool (*)(machine&);
+constexpr std::array<event_processor, event_count> event_processors{
+    process<attempt_event::start_committed>,
+    process<attempt_event::running_observed>,
+    process<attempt_event::evict>,
+    process<attempt_event::stop>,
+    process<attempt_event::checkpoint_made>,
+    process<attempt_event::checkpoint_committed>,
+    process<attempt_event::checkpoint_impossible>,
+    process<attempt_event::stop_confirmed>,
+    process<attempt_event::ended>,
 };
 
-// MSM numbers its states in the order of the table; this reads the phase by
-// its type instead, so that the order of the rows does not matter.
+// Returns the phase by the type of the current state. MSM numbers its states in
+// the order of the table, so a phase taken from the number would depend on the
+// order of the rows.
 template<attempt_phase... Phase>
 attempt_phase phase_of(machine& target)
 {
@@ -129,44 +130,45 @@
     std::array<std::array<std::optional<attempt_phase>, event_count>,
                phase_count>;
 
-machine after(std::vector<std::size_t> const& events)
+machine machine_after(std::vector<std::size_t> const& events)
 {
     machine target;
     target.start();
     for (auto const event : events)
     {
-        feeders[event](target);
+        event_processors[event](target);
     }
     return target;
 }
 
-// Ten thousand attempts keep one byte each rather than a machine each: the
-// machine is walked once, breadth first, and its steps are noted in a table.
-phase_table walk()
+// Builds the transition table by a breadth-first search over the state machine.
+// With the table, each of ten thousand attempts stores one byte instead of a
+// machine.
+phase_table build_table()
 {
     phase_table table;
-    std::array<bool, phase_count> seen{};
+    std::array<bool, phase_count> visited{};
     std::deque<std::vector<std::size_t>> paths{{}};
     while (!paths.empty())
     {
         auto const path = paths.front();
         paths.pop_front();
-        auto here = after(path);
-        auto const from = static_cast<std::size_t>(current_phase(here));
-        if (seen[from])
+        auto current = machine_after(path);
+        auto const from = static_cast<std::size_t>(current_phase(current));
+        if (visited[from])
         {
             continue;
         }
-        seen[from] = true;
+        visited[from] = true;
         for (std::size_t event = 0; event < event_count; ++event)
         {
-            auto target = after(path);
-            if (feeders[event](target))
+            auto target = machine_after(path);
+            if (event_processors[event](target))
             {
                 table[from][event] = current_phase(target);
-                auto longer = path;
-                longer.push_back(event);
-                paths.push_back(std::move(longer));
+                auto extended = path;
+                extended.push_back(event);
+                paths.push_back(std::move(extended));
             }
         }
     }
@@ -183,7 +185,7 @@
 std::optional<attempt_phase> next_phase(attempt_phase from,
                                         attempt_event event) noexcept
 {
-    static phase_table const table = walk();
+    static phase_table const table = build_table();
     return table[static_cast<std::size_t>(from)]
                 [static_cast<std::size_t>(event)];
 }
--- a/src/core/tasks/store_calls.cpp
+++ b/src/core/tasks/store_calls.cpp
@@ -33,10 +33,11 @@
 
 bool store_calls::may_write(common::time_point now)
 {
-    double const seconds = std::chrono::duration<double>(now - filled_).count();
+    double const seconds =
+        std::chrono::duration<double>(now - refilled_at_).count();
     tokens_ = std::min(settings_.write_burst,
                        tokens_ + seconds * settings_.writes_per_second);
-    filled_ = now;
+    refilled_at_ = now;
     if (tokens_ < 1)
     {
         return false;
@@ -51,7 +52,7 @@
                                 ports::actions& out)
 {
     std::uint64_t const number = ++last_number_;
-    waiting_[number] = {owner, std::move(name), number};
+    in_flight_calls_[number] = {owner, std::move(name), number};
     ++counts_[static_cast<std::size_t>(owner)];
     out.push_back(ports::store_call{{ports::store_requester::tasks, number},
                                     std::move(operation)});
@@ -60,13 +61,13 @@
 
 std::optional<call_tag> store_calls::take(ports::call_id id)
 {
-    auto const found = waiting_.find(id.number);
-    if (found == waiting_.end())
+    auto const found = in_flight_calls_.find(id.number);
+    if (found == in_flight_calls_.end())
     {
         return std::nullopt;
     }
     auto tag = std::move(found->second);
-    waiting_.erase(found);
+    in_flight_calls_.erase(found);
     return tag;
 }
 
@@ -77,7 +78,7 @@
 
 std::size_t store_calls::in_flight() const noexcept
 {
-    return waiting_.size();
+    return in_flight_calls_.size();
 }
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/worker_calls.cpp
+++ b/src/core/tasks/worker_calls.cpp
@@ -12,19 +12,19 @@
     std::uint64_t const number = ++last_number_;
     out.push_back(ports::worker_call{number, tag.worker, std::move(operation)});
     tag.number = number;
-    waiting_.emplace(number, std::move(tag));
+    in_flight_.emplace(number, std::move(tag));
     return number;
 }
 
 std::optional<worker_call_tag> worker_calls::take(std::uint64_t number)
 {
-    auto const found = waiting_.find(number);
-    if (found == waiting_.end())
+    auto const found = in_flight_.find(number);
+    if (found == in_flight_.end())
     {
         return std::nullopt;
     }
     auto tag = std::move(found->second);
-    waiting_.erase(found);
+    in_flight_.erase(found);
     return tag;
 }
 
--- a/src/core/tasks/worker_calls.hpp
+++ b/src/core/tasks/worker_calls.hpp
@@ -18,10 +18,10 @@
     throttle,
     checkpoint,
     stop,
-    stray_stop, ///< Of an attempt that should not be there.
+    stray_stop, ///< Stop of an attempt that has ended in the log.
 };
 
-/// What a worker call was about; the task is empty for a renewal.
+/// Identifies the purpose of a worker call. The task is empty for a renewal.
 struct worker_call_tag
 {
     worker_call_kind kind = worker_call_kind::start;
@@ -32,19 +32,21 @@
     std::uint64_t number = 0;
 };
 
-/// Numbers the calls to workers and remembers what each was about. Bounded by
-/// the attempts: each has at most one call in flight, each worker one renewal.
+/// Numbers the calls to workers and keeps the tag of each call in flight. Their
+/// number is bounded: each attempt has at most one call in flight and each
+/// worker one renewal.
 class worker_calls
 {
 public:
     std::uint64_t send(worker_call_tag tag,
                        ports::worker_operation operation,
                        ports::actions& out);
+    /// Removes and returns the tag of an answered call; empty if unknown.
     std::optional<worker_call_tag> take(std::uint64_t number);
 
 private:
     std::uint64_t last_number_ = 0;
-    std::unordered_map<std::uint64_t, worker_call_tag> waiting_;
+    std::unordered_map<std::uint64_t, worker_call_tag> in_flight_;
 };
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/worker_registry.cpp
+++ b/src/core/tasks/worker_registry.cpp
@@ -106,23 +106,23 @@
 
 std::uint64_t
 worker_registry::clock_lower_bound(common::time_point now,
-                                   worker_view const& of) const noexcept
+                                   worker_view const& worker) const noexcept
 {
-    auto const passed = common::to_milliseconds(now - of.report_received);
-    auto const sure =
-        std::max<std::int64_t>(0, passed) *
+    auto const elapsed = common::to_milliseconds(now - worker.report_received);
+    auto const certain_ms =
+        std::max<std::int64_t>(0, elapsed) *
         (1000 - static_cast<std::int64_t>(settings_.clock_drift_permille)) /
         1000;
-    return of.clock_ms + static_cast<std::uint64_t>(sure);
+    return worker.clock_ms + static_cast<std::uint64_t>(certain_ms);
 }
 
 bool worker_registry::may_start(common::time_point now,
-                                worker_view const& of) const noexcept
+                                worker_view const& worker) const noexcept
 {
-    return of.listed && of.info.state == ports::instance_state::live &&
-           of.clock_ms != 0 &&
-           now - of.report_received < settings_.report_age_limit &&
-           (!of.quarantined_until || now >= *of.quarantined_until);
+    return worker.listed && worker.info.state == ports::instance_state::live &&
+           worker.clock_ms != 0 &&
+           now - worker.report_received < settings_.report_age_limit &&
+           (!worker.quarantined_until || now >= *worker.quarantined_until);
 }
 
 bool worker_registry::ever_fits(ports::resources const& declared,
--- a/src/core/tasks/worker_registry.hpp
+++ b/src/core/tasks/worker_registry.hpp
@@ -15,91 +15,102 @@
 
 struct worker_registry_settings
 {
-    /// Bound on how much faster or slower a worker's clock runs than ours.
+    /// Bound on how much faster or slower a worker's clock runs than the
+    /// planner's.
     std::uint32_t clock_drift_permille = 30;
-    /// Without a report this young nothing is started on a worker.
+    /// Maximum age of a worker's latest report for starts on the worker.
     common::duration report_age_limit = std::chrono::seconds(15);
-    /// Failures in a row, with no success between, that quarantine a worker.
+    /// Number of consecutive failures after which a worker is quarantined.
     std::uint32_t failures_to_quarantine = 4;
+    /// Length of the first quarantine. Doubles with each further quarantine
+    /// without a success in between, up to `max_quarantine_duration`.
     common::duration quarantine_duration = std::chrono::seconds(20);
     common::duration max_quarantine_duration = std::chrono::minutes(10);
-    /// A report is taken to be at least this old when it comes in: what a
-    /// worker's clock certainly passed lies that far behind its true reading.
-    /// Grows for a worker that refuses starts, since they may come too late.
+    /// Assumed age of a report when it arrives: the lower bound of a worker's
+    /// clock lies this far behind its true reading. Grows for a worker that
+    /// refuses starts, since the starts may arrive too late.
     common::duration report_lag = std::chrono::seconds(3);
     common::duration max_report_lag = std::chrono::seconds(10);
-    /// A worker that refused a start gets none for this long, doubled with
-    /// each refusal in a row.
+    /// Time without starts for a worker that refused a start. Doubles with each
+    /// consecutive refusal, up to `max_refusal_pause`.
     common::duration refusal_pause = std::chrono::milliseconds(500);
     common::duration max_refusal_pause = std::chrono::seconds(30);
-    /// After this many reports with a lower number the worker is taken to
-    /// have restarted its count.
+    /// Number of reports with a lower sequence number after which the worker is
+    /// assumed to have restarted its numbering.
     std::uint32_t stale_reports_before_reset = 10;
 };
 
-/// What is known of one worker.
+/// State of one worker as known to the planner.
 struct worker_view
 {
     ports::worker_instance info;
-    bool listed = false;
-    std::uint64_t sequence = 0;
-    std::uint64_t clock_ms = 0; ///< Of the newest report.
+    bool listed = false;        ///< Contained in the latest worker list.
+    std::uint64_t sequence = 0; ///< Sequence number of the latest report.
+    std::uint64_t clock_ms = 0; ///< Worker clock in the latest report.
     common::time_point report_received{};
+    /// Number of consecutive reports with a lower sequence number.
     std::uint32_t stale_reports = 0;
-    /// Memory its attempts were seen to use beyond what they declared.
+    /// Memory in MB that its attempts use beyond what they declared, by the
+    /// latest report.
     std::int64_t memory_over_declared = 0;
 
-    common::duration report_lag{}; ///< Allowed for when a start is sent.
-    std::uint32_t consecutive_refusals = 0; ///< In a row.
-    common::time_point closed_until{};
+    common::duration report_lag{};          ///< Added to the start window.
+    std::uint32_t consecutive_refusals = 0; ///< Refused starts.
+    common::time_point closed_until{}; ///< End of the pause after a refusal.
 
-    // Its own failure rate.
-    std::uint32_t consecutive_failures = 0; ///< In a row, of different jobs.
+    // Failure detection.
+    std::uint32_t consecutive_failures = 0; ///< Failures of different jobs.
     std::string last_failed_job;
-    bool proven = false; ///< Ran something well since it was listed.
-    std::uint32_t quarantines = 0;
+    bool proven = false; ///< Success since it was listed or last quarantined.
+    std::uint32_t quarantines = 0; ///< Number since the last success.
     std::optional<common::time_point> quarantined_until;
     bool probing = false; ///< After a quarantine: one attempt at a time.
 };
 
-/// The platform's workers, their clocks and how far each is to be trusted.
+/// Registry of the platform's workers with their clocks and failure history.
 class worker_registry
 {
 public:
     explicit worker_registry(worker_registry_settings settings);
 
     void on_list(ports::worker_list const& list);
-    /// False: the report is older than one already seen.
+    /// Returns false if the report is not newer than the latest one or the
+    /// worker is unknown.
     bool on_report(common::time_point now, ports::worker_report const& report);
 
     worker_view const* find(std::string const& worker) const noexcept;
     std::map<std::string, worker_view> const& all() const noexcept;
     std::vector<std::string> racks() const;
     std::vector<std::string> const& in_rack(std::string const& rack) const;
-    /// Data centre of the rack; empty where no worker of it is known.
+    /// Returns the data centre of the rack; empty if the rack has no known
+    /// worker.
     std::string data_centre_of(std::string const& rack) const;
 
-    /// A reading that the worker's clock has certainly passed: its last
-    /// report's, moved on by the time since then less the drift.
+    /// Returns a reading that the worker's clock has certainly passed: that of
+    /// its latest report plus the time since then, reduced by the clock drift.
     std::uint64_t clock_lower_bound(common::time_point now,
-                                    worker_view const& of) const noexcept;
-    /// Whether anything may be started there, its room aside.
+                                    worker_view const& worker) const noexcept;
+    /// Whether attempts may be started on the worker, regardless of its free
+    /// capacity.
     bool may_start(common::time_point now,
-                   worker_view const& of) const noexcept;
-    /// Whether a worker exists, in whatever state, that could hold `declared`.
+                   worker_view const& worker) const noexcept;
+    /// Whether any worker, in whatever state, has the total capacity for
+    /// `declared`.
     bool ever_fits(ports::resources const& declared,
                    std::string const& data_centre) const noexcept;
 
     void record_refusal(common::time_point now, std::string const& worker);
-    /// It took a start.
+    /// Records that the worker accepted a start.
     void record_acceptance(std::string const& worker);
-    /// It ran something well.
+    /// Records that the worker ran an attempt well.
     void record_success(std::string const& worker);
-    /// A job that fails again and again counts once: it may be its own fault.
+    /// Records a failed attempt. Consecutive failures of the same job count
+    /// once, since the job itself may be the cause.
     void record_failure(common::time_point now,
                         std::string const& worker,
                         std::string const& job);
-    /// Whether a failure there says more of the worker than of the job.
+    /// Whether a failure on the worker is more likely caused by the worker than
+    /// by the job.
     bool suspect(common::time_point now, std::string const& worker) const;
     void set_memory_over_declared(std::string const& worker, std::int64_t mb);
 
