--- a/tests/unit/tasks/fake_workers.cpp
+++ b/tests/unit/tasks/fake_workers.cpp
@@ -13,7 +13,7 @@
 using ports::attempt_state;
 using ports::worker_status;
 
-constexpr duration ended_listed = std::chrono::seconds(60);
+constexpr duration ended_retention = std::chrono::seconds(60);
 constexpr duration report_interval = std::chrono::seconds(1);
 
 } // namespace
@@ -25,43 +25,43 @@
 
 void fake_workers::add(ports::worker_instance info)
 {
-    auto& at = workers[info.id];
-    at.clock_offset_ms = random_() % 3'600'000;
-    at.info = std::move(info);
+    auto& w = workers[info.id];
+    w.clock_offset_ms = random_() % 3'600'000;
+    w.info = std::move(info);
 }
 
 ports::worker_list fake_workers::list() const
 {
     ports::worker_list out;
-    for (auto const& [id, at] : workers)
+    for (auto const& [id, w] : workers)
     {
-        out.workers.push_back(at.info);
+        out.workers.push_back(w.info);
     }
     return out;
 }
 
 void fake_workers::cut(std::string const& worker, bool is_cut)
 {
-    auto& at = workers.at(worker);
-    advance(at);
-    at.faults.cut = is_cut;
+    auto& w = workers.at(worker);
+    advance(w);
+    w.faults.cut = is_cut;
     std::erase_if(finished_at,
                   [&worker](auto const& item)
                   {
                       return item.second.first == worker;
                   });
-    for (auto& [name, point] : checkpoints_)
+    for (auto& [name, checkpoint] : checkpoints_)
     {
-        if (point.resumer_worker == worker)
+        if (checkpoint.resumer_worker == worker)
         {
-            point.resumer_finished = false;
+            checkpoint.resumer_finished = false;
         }
     }
 }
 
-std::uint64_t fake_workers::clock_ms(worker const& at) const
+std::uint64_t fake_workers::clock_ms(worker const& w) const
 {
-    return at.clock_offset_ms +
+    return w.clock_offset_ms +
            static_cast<std::uint64_t>(
                core::common::to_milliseconds(time_.now().time_since_epoch()));
 }
@@ -71,7 +71,7 @@
     return permille != 0 && random_() % 1000 < permille;
 }
 
-duration fake_workers::way()
+duration fake_workers::message_delay()
 {
     return chance(faults.late_permille)
                ? duration(static_cast<std::int64_t>(
@@ -80,23 +80,25 @@
                : faults.delay;
 }
 
-void fake_workers::note(std::string const& what)
+void fake_workers::record_violation(std::string const& text)
 {
     if (violation.empty())
     {
-        violation = what;
+        violation = text;
     }
 }
 
-void fake_workers::call(ports::worker_call const& what, answer const& back)
+void fake_workers::call(ports::worker_call const& request,
+                        reply_handler const& on_reply)
 {
     auto const done = std::make_shared<bool>(false);
-    auto const finish = [done, back, id = what.id](ports::worker_reply reply)
+    auto const finish =
+        [done, on_reply, id = request.id](ports::worker_reply reply)
     {
         if (!std::exchange(*done, true))
         {
             reply.id = id;
-            back(reply);
+            on_reply(reply);
         }
     };
     time_.after(faults.timeout,
@@ -108,18 +110,18 @@
     {
         return;
     }
-    time_.after(way(),
-                [this, what, finish]
+    time_.after(message_delay(),
+                [this, request, finish]
                 {
-                    auto const found = workers.find(what.worker);
+                    auto const found = workers.find(request.worker);
                     if (found == workers.end() || found->second.faults.cut)
                     {
                         return;
                     }
-                    auto const reply = run(found->second, what.operation);
+                    auto const reply = run(found->second, request.operation);
                     if (!chance(faults.lose_reply_permille))
                     {
-                        time_.after(way(),
+                        time_.after(message_delay(),
                                     [finish, reply]
                                     {
                                         finish(reply);
@@ -128,18 +130,18 @@
                 });
 }
 
-ports::worker_reply fake_workers::start(worker& at,
+ports::worker_reply fake_workers::start(worker& w,
                                         ports::worker_start const& call)
 {
     ports::worker_reply reply;
     reply.status = worker_status::done;
-    if (at.attempts.count(call.attempt_id) != 0)
+    if (w.attempts.count(call.attempt_id) != 0)
     {
         return reply;
     }
-    auto const clock = clock_ms(at);
-    if (at.barred.count(call.attempt_id) != 0 || clock > call.start_before_ms ||
-        clock >= call.lease_until_ms)
+    auto const clock = clock_ms(w);
+    if (w.stopped_before_start.count(call.attempt_id) != 0 ||
+        clock > call.start_before_ms || clock >= call.lease_until_ms)
     {
         reply.status = worker_status::refused;
         reply.reason = "too late, or stopped before";
@@ -147,7 +149,7 @@
     }
     if (on_start)
     {
-        on_start(at.info.id, call);
+        on_start(w.info.id, call);
     }
     for (auto& [id, other] : workers)
     {
@@ -155,95 +157,98 @@
     }
     if (!places_of(call.attempt_id.task).empty())
     {
-        note(call.attempt_id.task + " runs in two places");
+        record_violation(call.attempt_id.task + " runs in two places");
     }
-    ports::resources use = call.declared;
-    for (auto const& [what, which] : at.attempts)
+    ports::resources committed = call.declared;
+    for (auto const& [attempt_id, record] : w.attempts)
     {
-        if (which.state == attempt_state::running)
+        if (record.state == attempt_state::running)
         {
-            use += which.call.declared;
+            committed += record.call.declared;
         }
     }
-    if (!at.info.capacity.covers(use))
+    if (!w.info.capacity.covers(committed))
     {
-        note(at.info.id + " over its capacity");
+        record_violation(w.info.id + " over its capacity");
     }
-    auto const out = out_of_service_since.find(at.info.data_centre);
-    if (out != out_of_service_since.end() && time_.now() - out->second > grace)
+    auto const outage = out_of_service_since.find(w.info.data_centre);
+    if (outage != out_of_service_since.end() &&
+        time_.now() - outage->second > out_of_service_grace)
     {
-        note(call.attempt_id.task + " started in a data centre that is out");
+        record_violation(call.attempt_id.task +
+                         " started in a data centre that is out");
     }
     attempt next;
     next.call = call;
     next.lease_until_ms = call.lease_until_ms;
-    next.began_ms = clock;
-    auto const kept = checkpoints_.find(call.checkpoint);
-    if (kept != checkpoints_.end())
+    next.started_at_ms = clock;
+    auto const found_checkpoint = checkpoints_.find(call.checkpoint);
+    if (found_checkpoint != checkpoints_.end())
     {
         ++resumed;
-        auto& point = kept->second;
-        if (point.resumer && *point.resumer != call.attempt_id &&
-            point.resumer_finished)
+        auto& checkpoint = found_checkpoint->second;
+        if (checkpoint.resumer && *checkpoint.resumer != call.attempt_id &&
+            checkpoint.resumer_finished)
         {
-            note(call.attempt_id.task + " resumed twice from one checkpoint");
+            record_violation(call.attempt_id.task +
+                             " resumed twice from one checkpoint");
         }
-        point.resumer = call.attempt_id;
-        point.resumer_finished = false;
-        point.resumer_worker = at.info.id;
-        next.base_work_ms = point.work_ms;
+        checkpoint.resumer = call.attempt_id;
+        checkpoint.resumer_finished = false;
+        checkpoint.resumer_worker = w.info.id;
+        next.resumed_work_ms = checkpoint.work_ms;
     }
     ++starts;
-    auto& stored = at.attempts[call.attempt_id] = next;
-    if (at.faults.fail_starts || broken_classes.count(call.task_class) != 0)
+    auto& stored = w.attempts[call.attempt_id] = next;
+    if (w.faults.fail_starts || broken_classes.count(call.task_class) != 0)
     {
-        end(at, stored, attempt_state::failed);
+        end(w, stored, attempt_state::failed);
     }
     return reply;
 }
 
-ports::worker_reply fake_workers::run(worker& at,
-                                      ports::worker_operation const& what)
+ports::worker_reply fake_workers::run(worker& w,
+                                      ports::worker_operation const& operation)
 {
-    advance(at);
+    advance(w);
     ports::worker_reply reply;
     reply.status = worker_status::done;
-    auto const running = [&at](ports::task_attempt const& which) -> attempt*
+    auto const running = [&w](ports::task_attempt const& attempt_id) -> attempt*
     {
-        auto const found = at.attempts.find(which);
-        return found != at.attempts.end() &&
+        auto const found = w.attempts.find(attempt_id);
+        return found != w.attempts.end() &&
                        found->second.state == attempt_state::running
                    ? &found->second
                    : nullptr;
     };
-    if (auto const* call = std::get_if<ports::worker_start>(&what))
+    if (auto const* call = std::get_if<ports::worker_start>(&operation))
     {
-        return start(at, *call);
+        return start(w, *call);
     }
-    if (auto const* call = std::get_if<ports::worker_renew>(&what))
+    if (auto const* call = std::get_if<ports::worker_renew>(&operation))
     {
-        for (auto const& which : call->attempts)
+        for (auto const& attempt_id : call->attempts)
         {
-            if (auto* found = running(which))
+            if (auto* found = running(attempt_id))
             {
                 found->lease_until_ms =
                     std::max(found->lease_until_ms, call->lease_until_ms);
             }
             else
             {
-                reply.unknown_attempts.push_back(which);
+                reply.unknown_attempts.push_back(attempt_id);
             }
         }
         return reply;
     }
-    if (auto const* call = std::get_if<ports::worker_throttle>(&what))
+    if (auto const* call = std::get_if<ports::worker_throttle>(&operation))
     {
         auto* found = running(call->attempt_id);
         reply.status =
             found == nullptr ? worker_status::refused : worker_status::done;
         return reply;
     }
-    if (auto const* call = std::get_if<ports::worker_checkpoint>(&what))
+    if (auto const* call = std::get_if<ports::worker_checkpoint>(&operation))
     {
         auto* found = running(call->attempt_id);
         if (found == nullptr)
@@ -252,117 +257,119 @@
             return reply;
         }
         reply.checkpoint = "cp-" + std::to_string(checkpoints_.size() + 1);
-        checkpoints_[reply.checkpoint].work_ms = work_of(at, *found);
+        checkpoints_[reply.checkpoint].work_ms = work_done_ms(w, *found);
         return reply;
     }
-    auto const& call = std::get<ports::worker_stop>(what);
+    auto const& call = std::get<ports::worker_stop>(operation);
     if (auto* found = running(call.attempt_id))
     {
-        end(at, *found, attempt_state::stopped);
+        end(w, *found, attempt_state::stopped);
     }
-    else if (at.attempts.count(call.attempt_id) == 0)
+    else if (w.attempts.count(call.attempt_id) == 0)
     {
-        at.barred.insert(call.attempt_id);
+        w.stopped_before_start.insert(call.attempt_id);
     }
     return reply;
 }
 
-std::uint64_t fake_workers::work_of(worker const& at,
-                                    attempt const& which) const
+std::uint64_t fake_workers::work_done_ms(worker const& w,
+                                         attempt const& record) const
 {
-    return which.base_work_ms + clock_ms(at) - which.began_ms;
+    return record.resumed_work_ms + clock_ms(w) - record.started_at_ms;
 }
 
-void fake_workers::end(worker const& at, attempt& which, attempt_state state)
+void fake_workers::end(worker const& w, attempt& record, attempt_state state)
 {
-    which.state = state;
-    which.ended = time_.now();
-    auto const kept = checkpoints_.find(which.call.checkpoint);
+    record.state = state;
+    record.ended_at = time_.now();
+    auto const found_checkpoint = checkpoints_.find(record.call.checkpoint);
     if (state == attempt_state::finished)
     {
-        note_finished(at, which.call.attempt_id.task);
-        if (kept != checkpoints_.end() && !at.faults.cut)
+        record_finished(w, record.call.attempt_id.task);
+        if (found_checkpoint != checkpoints_.end() && !w.faults.cut)
         {
-            kept->second.resumer_finished = true;
+            found_checkpoint->second.resumer_finished = true;
         }
     }
 }
 
-// Work that was done once must not be done again, unless nobody could know:
-// its worker was cut off, or had listed its end for as long as it does.
-void fake_workers::note_finished(worker const& at, std::string const& task)
+// Checks that finished work is not done again. This is allowed only if the
+// planner could not know of the end: the worker was cut off, or the retention
+// of the end in its reports is over.
+void fake_workers::record_finished(worker const& w, std::string const& task)
 {
     ++finished[task];
-    auto const before = finished_at.find(task);
-    if (before != finished_at.end() &&
-        time_.now() - before->second.second < ended_listed)
+    auto const previous = finished_at.find(task);
+    if (previous != finished_at.end() &&
+        time_.now() - previous->second.second < ended_retention)
     {
-        note(task + " was finished twice");
+        record_violation(task + " was finished twice");
     }
-    if (!at.faults.cut)
+    if (!w.faults.cut)
     {
-        finished_at[task] = {at.info.id, time_.now()};
+        finished_at[task] = {w.info.id, time_.now()};
     }
 }
 
-void fake_workers::advance(worker& at)
+void fake_workers::advance(worker& w)
 {
-    for (auto& [what, which] : at.attempts)
+    for (auto& [attempt_id, record] : w.attempts)
     {
-        if (which.state != attempt_state::running)
+        if (record.state != attempt_state::running)
         {
             continue;
         }
-        if (clock_ms(at) >= which.lease_until_ms)
+        if (clock_ms(w) >= record.lease_until_ms)
         {
-            end(at, which, attempt_state::lease_expired);
+            end(w, record, attempt_state::lease_expired);
         }
-        else if (!which.call.service &&
-                 work_of(at, which) >= which.call.work_ms)
+        else if (!record.call.service &&
+                 work_done_ms(w, record) >= record.call.work_ms)
         {
-            end(at, which, attempt_state::finished);
+            end(w, record, attempt_state::finished);
         }
     }
 }
 
-void fake_workers::report(worker& at)
+void fake_workers::report(worker& w)
 {
     ports::worker_report next;
-    next.worker = at.info.id;
-    next.sequence = ++at.sequence;
-    next.clock_ms = clock_ms(at);
-    for (auto const& [what, which] : at.attempts)
-    {
-        ports::attempt_report said;
-        said.attempt_id = what;
-        said.state = which.state;
-        said.used = which.call.declared;
-        said.work_done_ms = work_of(at, which);
-        said.latency_p99_us = which.call.service ? 1000 : 0;
-        next.attempts.push_back(said);
+    next.worker = w.info.id;
+    next.sequence = ++w.sequence;
+    next.clock_ms = clock_ms(w);
+    for (auto const& [attempt_id, record] : w.attempts)
+    {
+        ports::attempt_report reported;
+        reported.attempt_id = attempt_id;
+        reported.state = record.state;
+        reported.used = record.call.declared;
+        reported.work_done_ms = work_done_ms(w, record);
+        reported.latency_p99_us = record.call.service ? 1000 : 0;
+        next.attempts.push_back(reported);
     }
-    at.history.emplace_back(time_.now(), std::move(next));
-    if (at.history.size() > 8)
+    w.history.emplace_back(time_.now(), std::move(next));
+    if (w.history.size() > 8)
     {
-        at.history.erase(at.history.begin());
+        w.history.erase(w.history.begin());
     }
 }
 
 void fake_workers::tick()
 {
-    for (auto& [id, at] : workers)
+    for (auto& [id, w] : workers)
     {
-        advance(at);
-        std::erase_if(at.attempts,
+        advance(w);
+        std::erase_if(w.attempts,
                       [this](auto const& item)
                       {
                           return item.second.state != attempt_state::running &&
-                                 time_.now() - item.second.ended > ended_listed;
+                                 time_.now() - item.second.ended_at >
+                                     ended_retention;
                       });
-        if (at.history.empty() ||
-            time_.now() - at.history.back().first >= report_interval)
+        if (w.history.empty() ||
+            time_.now() - w.history.back().first >= report_interval)
         {
-            report(at);
+            report(w);
         }
     }
 }
@@ -371,20 +378,20 @@
 fake_workers::reports(std::string const& rack) const
 {
     std::vector<ports::worker_report> out;
-    for (auto const& [id, at] : workers)
+    for (auto const& [id, w] : workers)
     {
-        if (at.info.rack != rack || at.faults.cut)
+        if (w.info.rack != rack || w.faults.cut)
         {
             continue;
         }
         auto const found =
-            std::find_if(at.history.rbegin(),
-                         at.history.rend(),
+            std::find_if(w.history.rbegin(),
+                         w.history.rend(),
                          [this](auto const& item)
                          {
                              return time_.now() - item.first >= report_lag;
                          });
-        if (found != at.history.rend())
+        if (found != w.history.rend())
         {
             out.push_back(found->second);
         }
@@ -395,11 +402,12 @@
 std::vector<std::string> fake_workers::places_of(std::string const& task) const
 {
     std::vector<std::string> out;
-    for (auto const& [id, at] : workers)
+    for (auto const& [id, w] : workers)
     {
-        for (auto const& [what, which] : at.attempts)
+        for (auto const& [attempt_id, record] : w.attempts)
         {
-            if (what.task == task && which.state == attempt_state::running)
+            if (attempt_id.task == task &&
+                record.state == attempt_state::running)
             {
                 out.push_back(id);
             }
@@ -412,13 +420,13 @@
     std::function<std::string(std::string const&)> const& customer_of) const
 {
     std::map<std::string, ports::resources> out;
-    for (auto const& [id, at] : workers)
+    for (auto const& [id, w] : workers)
     {
-        for (auto const& [what, which] : at.attempts)
+        for (auto const& [attempt_id, record] : w.attempts)
         {
-            if (which.state == attempt_state::running)
+            if (record.state == attempt_state::running)
             {
-                out[customer_of(what.task)] += which.call.declared;
+                out[customer_of(attempt_id.task)] += record.call.declared;
             }
         }
     }
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -13,7 +13,9 @@
 #include <string>
 #include <vector>
 
-// Workers in memory, with faults, that keep books of what must never happen.
+// In-memory workers with fault injection that check invariants: a task never
+// runs in two places, is never finished twice, and no worker exceeds its
+// capacity.
 namespace fuchsia::tests::unit::tasks
 {
 
@@ -23,7 +25,7 @@
 
 struct worker_faults
 {
-    bool cut = false;         ///< Calls and reports are lost; tasks run on.
+    bool cut = false; ///< Calls and reports are lost; attempts keep running.
     bool fail_starts = false; ///< Every attempt fails at once.
 };
 
@@ -40,19 +42,22 @@
 class fake_workers
 {
 public:
-    using answer = std::function<void(ports::worker_reply const&)>;
+    using reply_handler = std::function<void(ports::worker_reply const&)>;
 
     fake_workers(virtual_clock& time, std::uint64_t seed);
 
     void add(ports::worker_instance info);
-    /// What ends on a worker that can't be heard is known to nobody: running
-    /// it again after its lease is right, and no second resume.
+    /// Cuts a worker off or reconnects it. Nobody learns of an attempt that
+    /// ends on a worker that is cut off, so running its task again after the
+    /// lease has expired is correct and does not count as a second resume.
     void cut(std::string const& worker, bool is_cut);
     ports::worker_list list() const;
-    void call(ports::worker_call const& what, answer const& back);
-    /// The newest report of each worker of the rack that is old enough.
+    void call(ports::worker_call const& request, reply_handler const& on_reply);
+    /// Returns for each worker of the rack its latest report that is at least
+    /// `report_lag` old.
     std::vector<ports::worker_report> reports(std::string const& rack) const;
-    /// Brings work, leases and reports up to now; wanted every 100 ms.
+    /// Advances work, leases and reports to the current time. To be called
+    /// every 100 ms.
     void tick();
 
     struct attempt
@@ -60,10 +65,10 @@
         ports::worker_start call;
         ports::attempt_state state = ports::attempt_state::running;
         std::uint64_t lease_until_ms = 0;
-        std::uint64_t began_ms = 0;
-        std::uint64_t base_work_ms = 0;
-        std::uint32_t permille = 1000;
-        time_point ended{};
+        std::uint64_t started_at_ms = 0;
+        std::uint64_t resumed_work_ms = 0;
+        std::uint32_t speed_limit_permille = 1000;
+        time_point ended_at{};
     };
     struct worker
     {
@@ -71,60 +76,69 @@
         std::uint64_t clock_offset_ms = 0;
         worker_faults faults;
         std::map<ports::task_attempt, attempt> attempts;
-        std::set<ports::task_attempt> barred;
+        /// Attempts stopped before their start arrived; their start is refused.
+        std::set<ports::task_attempt> stopped_before_start;
         std::uint64_t sequence = 0;
         std::vector<std::pair<time_point, ports::worker_report>> history;
     };
 
-    std::uint64_t clock_ms(worker const& at) const;
-    /// Workers on which the task runs now.
+    std::uint64_t clock_ms(worker const& w) const;
+    /// Returns the workers on which the task runs now.
     std::vector<std::string> places_of(std::string const& task) const;
-    /// Sum of what runs, by a function from the task's name to its customer.
+    /// Returns the declared resources of all running attempts by customer. The
+    /// function returns the customer of a task by its name.
     std::map<std::string, ports::resources>
     in_use(std::function<std::string(std::string const&)> const&) const;
 
     call_faults faults;
     std::map<std::string, worker> workers;
-    /// What operators decided, and since when.
+    /// Data centres taken out of service by operators, with the time of the
+    /// change.
     std::map<std::string, time_point> out_of_service_since;
-    duration grace = std::chrono::seconds(5);
+    /// Time after the change during which starts there are still allowed.
+    duration out_of_service_grace = std::chrono::seconds(5);
+    /// Minimum age of the reports returned by `reports`.
     duration report_lag = std::chrono::milliseconds(1500);
-    /// Classes of tasks that fail wherever they start.
+    /// Task classes whose attempts fail on every worker.
     std::set<std::string> broken_classes;
     std::uint64_t starts = 0;
     std::uint64_t resumed = 0;
-    std::map<std::string, int> finished; ///< How often, by task.
-    /// Where and when each task finished last.
+    std::map<std::string, int>
+        finished; ///< Number of times each task finished.
+    /// Worker and time of the last time each task finished.
     std::map<std::string, std::pair<std::string, time_point>> finished_at;
+    /// Description of the first violated invariant; empty if there is none.
     std::string violation;
     /// Called before each start takes effect.
     std::function<void(std::string const& worker, ports::worker_start const&)>
         on_start;
 
 private:
-    struct kept_checkpoint
+    struct stored_checkpoint
     {
         std::uint64_t work_ms = 0;
         std::optional<ports::task_attempt> resumer;
-        /// The resumer finished, and its worker could be heard ever since.
+        /// Whether the resumer finished and its worker has been reachable
+        /// since.
         bool resumer_finished = false;
         std::string resumer_worker;
     };
 
     bool chance(std::uint32_t permille);
-    duration way();
-    ports::worker_reply run(worker& at, ports::worker_operation const& what);
-    ports::worker_reply start(worker& at, ports::worker_start const& call);
-    void end(worker const& at, attempt& which, ports::attempt_state state);
-    std::uint64_t work_of(worker const& at, attempt const& which) const;
-    void advance(worker& at);
-    void report(worker& at);
-    void note(std::string const& what);
-    void note_finished(worker const& at, std::string const& task);
+    duration message_delay();
+    ports::worker_reply run(worker& w,
+                            ports::worker_operation const& operation);
+    ports::worker_reply start(worker& w, ports::worker_start const& call);
+    void end(worker const& w, attempt& record, ports::attempt_state state);
+    std::uint64_t work_done_ms(worker const& w, attempt const& record) const;
+    void advance(worker& w);
+    void report(worker& w);
+    void record_violation(std::string const& text);
+    void record_finished(worker const& w, std::string const& task);
 
     virtual_clock& time_;
     std::mt19937_64 random_;
-    std::map<std::string, kept_checkpoint> checkpoints_;
+    std::map<std::string, stored_checkpoint> checkpoints_;
 };
 
 } // namespace fuchsia::tests::unit::tasks
--- a/tests/unit/tasks/planner_simulation.cpp
+++ b/tests/unit/tasks/planner_simulation.cpp
@@ -14,7 +14,7 @@
 
 constexpr duration tick_interval = std::chrono::milliseconds(50);
 constexpr duration poll_interval = std::chrono::milliseconds(500);
-/// Until the whole fleet is within a lowered contract.
+/// Maximum time until the use of all workers is within a lowered contract.
 constexpr duration contract_grace = std::chrono::seconds(25);
 
 std::string name_of_slot(std::size_t slot)
@@ -56,18 +56,18 @@
       link(time,
            options.seed * 3 + 1,
            [this](std::string const& address,
-                  ports::member_identity const& to,
+                  ports::member_identity const& receiver,
                   ports::peer_receive const& message)
            {
-               for (auto const& who : slots_)
+               for (auto const& target : slots_)
                {
-                   if (who && address_of_slot(who->slot) == address &&
-                       who->id == to)
+                   if (target && address_of_slot(target->slot) == address &&
+                       target->id == receiver)
                    {
-                       run_in(who,
-                              [this, who, message](ports::actions& out)
+                       run_in(target,
+                              [this, target, message](ports::actions& out)
                               {
-                                  who->engine->on_peer(
+                                  target->engine->on_peer(
                                       time.now(), message, out);
                               });
                    }
@@ -89,17 +89,17 @@
             workers.add(info);
         }
     }
-    tick_world();
+    tick_workers();
 }
 
-void planner_simulation::tick_world()
+void planner_simulation::tick_workers()
 {
     workers.tick();
     check_contracts();
     time.after(std::chrono::milliseconds(100),
                [this]
                {
-                   tick_world();
+                   tick_workers();
                });
 }
 
@@ -109,16 +109,17 @@
     {
         violation = workers.violation;
     }
-    auto const use = workers.in_use(
+    auto const usage = workers.in_use(
         [this](std::string const& task)
         {
             auto const key = core::tasks::parse_task_name(task);
             return customer_of[key->job];
         });
-    for (auto const& [customer, sum] : use)
+    for (auto const& [customer, sum] : usage)
     {
-        bool const settled = time.now() - changed_[customer] > contract_grace;
-        if (settled && !contracts_[customer].capacity.covers(sum) &&
+        bool const grace_over =
+            time.now() - changed_at_[customer] > contract_grace;
+        if (grace_over && !contracts_[customer].capacity.covers(sum) &&
             violation.empty())
         {
             violation = customer + " over its contract";
@@ -126,33 +127,33 @@
     }
 }
 
-void planner_simulation::make_engine(process& who)
+void planner_simulation::make_engine(process& target)
 {
-    who.id = {name_of_slot(who.slot), random_() | 1};
+    target.id = {name_of_slot(target.slot), random_() | 1};
     core::membership::member_info self;
-    self.id = who.id;
+    self.id = target.id;
     self.role = "planner";
-    self.data_centre = data_centre_of(who.slot);
-    self.peer_address = {address_of_slot(who.slot), 7000};
-    self.http_address = {address_of_slot(who.slot), 8000};
-    who.engine = std::make_unique<planner_engine>(
-        options_.settings, self, who.id.incarnation);
+    self.data_centre = data_centre_of(target.slot);
+    self.peer_address = {address_of_slot(target.slot), 7000};
+    self.http_address = {address_of_slot(target.slot), 8000};
+    target.engine = std::make_unique<planner_engine>(
+        options_.settings, self, target.id.incarnation);
 }
 
 void planner_simulation::start(std::size_t planner)
 {
     kill(planner);
-    auto const who = std::make_shared<process>();
-    who->slot = planner;
-    slots_[planner] = who;
-    make_engine(*who);
-    run_in(who,
-           [this, who](ports::actions& out)
+    auto const target = std::make_shared<process>();
+    target->slot = planner;
+    slots_[planner] = target;
+    make_engine(*target);
+    run_in(target,
+           [this, target](ports::actions& out)
            {
-               who->engine->start(time.now(), out);
+               target->engine->start(time.now(), out);
            });
-    tick(who);
-    poll(who);
+    tick(target);
+    poll(target);
 }
 
 void planner_simulation::kill(std::size_t planner)
@@ -170,27 +171,28 @@
 
 void planner_simulation::unfreeze(std::size_t planner)
 {
-    auto const who = slots_[planner];
-    who->frozen = false;
-    // The shell ticks first after a pause; what waited comes after it.
-    run_in(who,
-           [this, who](ports::actions& out)
+    auto const target = slots_[planner];
+    target->frozen = false;
+    // After a pause the program ticks the engine before it delivers the
+    // deferred callbacks.
+    run_in(target,
+           [this, target](ports::actions& out)
            {
-               who->engine->tick(time.now(), out);
+               target->engine->tick(time.now(), out);
            });
-    for (auto const& what : std::exchange(who->waiting, {}))
+    for (auto const& callback : std::exchange(target->deferred, {}))
     {
-        what();
+        callback();
     }
 }
 
 void planner_simulation::begin_stop(std::size_t planner)
 {
-    auto const who = slots_[planner];
-    run_in(who,
-           [this, who](ports::actions& out)
+    auto const target = slots_[planner];
+    run_in(target,
+           [this, target](ports::actions& out)
            {
-               who->engine->begin_stop(time.now(), out);
+               target->engine->begin_stop(time.now(), out);
            });
 }
 
@@ -208,8 +210,8 @@
 
 bool planner_simulation::alive(std::size_t planner) const
 {
-    auto const& who = slots_[planner];
-    return who && !who->ended && !who->frozen;
+    auto const& target = slots_[planner];
+    return target && !target->ended && !target->frozen;
 }
 
 bool planner_simulation::stopped(std::size_t planner) const
@@ -249,19 +251,19 @@
     }
 }
 
-bool planner_simulation::run_until(std::function<bool()> const& wanted,
+bool planner_simulation::run_until(std::function<bool()> const& condition,
                                    duration limit)
 {
     auto const until = time.now() + limit;
     while (time.now() < until)
     {
-        if (wanted())
+        if (condition())
         {
             return true;
         }
         run(std::chrono::milliseconds(20));
     }
-    return wanted();
+    return condition();
 }
 
 bool planner_simulation::is_stable()
@@ -277,77 +279,77 @@
 }
 
 void planner_simulation::run_in(
-    process_pointer const& who,
-    std::function<void(ports::actions&)> const& what)
+    process_pointer const& target,
+    std::function<void(ports::actions&)> const& callback)
 {
-    if (who->ended)
+    if (target->ended)
     {
         return;
     }
-    if (who->frozen)
+    if (target->frozen)
     {
-        who->waiting.push_back(
-            [this, who, what]
+        target->deferred.push_back(
+            [this, target, callback]
             {
-                run_in(who, what);
+                run_in(target, callback);
             });
         return;
     }
     ports::actions out;
-    what(out);
-    perform(who, out);
+    callback(out);
+    perform(target, out);
 }
 
-void planner_simulation::tick(process_pointer const& who)
+void planner_simulation::tick(process_pointer const& target)
 {
-    if (who->ended)
+    if (target->ended)
     {
         return;
     }
-    if (!who->frozen)
+    if (!target->frozen)
     {
-        run_in(who,
-               [this, who](ports::actions& out)
+        run_in(target,
+               [this, target](ports::actions& out)
                {
-                   who->engine->tick(time.now(), out);
+                   target->engine->tick(time.now(), out);
                });
     }
     time.after(tick_interval,
-               [this, who]
+               [this, target]
                {
-                   tick(who);
+                   tick(target);
                });
 }
 
-void planner_simulation::poll(process_pointer const& who)
+void planner_simulation::poll(process_pointer const& target)
 {
-    if (who->ended)
+    if (target->ended)
     {
         return;
     }
-    if (!who->frozen)
+    if (!target->frozen)
     {
-        run_in(who,
-               [this, who](ports::actions& out)
+        run_in(target,
+               [this, target](ports::actions& out)
                {
                    auto list = workers.list();
                    list.received = time.now();
-                   who->engine->on_workers(time.now(), list, out);
-                   who->engine->on_instances(time.now(), instances(), out);
-                   for (auto const& rack : who->engine->racks())
+                   target->engine->on_workers(time.now(), list, out);
+                   target->engine->on_instances(time.now(), instances(), out);
+                   for (auto const& rack : target->engine->racks())
                    {
                        for (auto const& report : workers.reports(rack))
                        {
-                           who->engine->on_worker_report(
+                           target->engine->on_worker_report(
                                time.now(), report, out);
                        }
                    }
                });
     }
     time.after(poll_interval,
-               [this, who]
+               [this, target]
                {
-                   poll(who);
+                   poll(target);
                });
 }
 
@@ -355,38 +357,40 @@
 {
     ports::instance_list out;
     out.received = time.now();
-    for (auto const& who : slots_)
+    for (auto const& target : slots_)
     {
-        if (who && !who->ended)
+        if (target && !target->ended)
         {
-            out.members.push_back(who->id.name);
+            out.members.push_back(target->id.name);
         }
     }
     return out;
 }
 
-void planner_simulation::perform(process_pointer const& who,
+void planner_simulation::perform(process_pointer const& target,
                                  ports::actions const& actions)
 {
-    auto const generation = who->id.incarnation;
-    auto const same = [who, generation]
+    auto const incarnation = target->id.incarnation;
+    auto const same_incarnation = [target, incarnation]
     {
-        return who->id.incarnation == generation;
+        return target->id.incarnation == incarnation;
     };
     for (auto const& action : actions)
     {
         if (auto const* call = std::get_if<ports::store_call>(&action))
         {
-            store.call(who->id.name,
+            store.call(target->id.name,
                        *call,
-                       [this, who, same](ports::store_reply const& reply)
+                       [this, target, same_incarnation](
+                           ports::store_reply const& reply)
                        {
-                           run_in(who,
-                                  [this, who, same, reply](ports::actions& out)
+                           run_in(target,
+                                  [this, target, same_incarnation, reply](
+                                      ports::actions& out)
                                   {
-                                      if (same())
+                                      if (same_incarnation())
                                       {
-                                          who->engine->on_store_reply(
+                                          target->engine->on_store_reply(
                                               time.now(), reply, out);
                                       }
                                   });
@@ -394,27 +398,28 @@
         }
         else if (auto const* send = std::get_if<ports::peer_send>(&action))
         {
-            link.send(address_of_slot(who->slot), who->id, *send);
+            link.send(address_of_slot(target->slot), target->id, *send);
         }
         else if (auto const* work = std::get_if<ports::worker_call>(&action))
         {
-            if (worker_call_filter && !worker_call_filter(who->slot, *work))
+            if (worker_call_filter && !worker_call_filter(target->slot, *work))
             {
                 continue;
             }
             workers.call(*work,
-                         [this, who, same](ports::worker_reply const& reply)
+                         [this, target, same_incarnation](
+                             ports::worker_reply const& reply)
                          {
-                             run_in(
-                                 who,
-                                 [this, who, same, reply](ports::actions& out)
-                                 {
-                                     if (same())
-                                     {
-                                         who->engine->on_worker_reply(
-                                             time.now(), reply, out);
-                                     }
-                                 });
+                             run_in(target,
+                                    [this, target, same_incarnation, reply](
+                                        ports::actions& out)
+                                    {
+                                        if (same_incarnation())
+                                        {
+                                            target->engine->on_worker_reply(
+                                                time.now(), reply, out);
+                                        }
+                                    });
                          });
         }
         else if (auto const* reply = std::get_if<ports::caller_reply>(&action))
@@ -427,25 +432,25 @@
         }
         else if (std::holds_alternative<ports::rejoin>(action))
         {
-            make_engine(*who);
+            make_engine(*target);
             ports::actions out;
-            who->engine->start(time.now(), out);
-            perform(who, out);
+            target->engine->start(time.now(), out);
+            perform(target, out);
             return;
         }
         else if (std::holds_alternative<ports::stop_complete>(action))
         {
-            who->ended = true;
-            who->stopped = true;
+            target->ended = true;
+            target->stopped = true;
         }
     }
 }
 
-// An operator's change, as the administration makes it, without its delays.
-void planner_simulation::change(core::config::change what)
+// Writes a configuration change as the administration does, without delays.
+void planner_simulation::change(core::config::change new_change)
 {
     core::config::change_request request;
-    request.requested_change = std::move(what);
+    request.requested_change = std::move(new_change);
     request.write_id = "test." + std::to_string(++changes_);
     core::config::change_writer writer({}, std::move(request));
     std::uint64_t number = 0;
@@ -478,21 +483,21 @@
     value.latency_target = std::chrono::milliseconds(250);
     value.batch_latency_target = std::chrono::seconds(10);
     contracts_[customer] = value;
-    changed_[customer] = time.now();
+    changed_at_[customer] = time.now();
     change(core::config::put_contract{value});
 }
 
 void planner_simulation::withdraw(std::string const& customer)
 {
     contracts_[customer] = {};
-    changed_[customer] = time.now();
+    changed_at_[customer] = time.now();
     change(core::config::withdraw_contract{customer});
 }
 
 void planner_simulation::set_out_of_service(std::string const& data_centre,
-                                            bool out)
+                                            bool out_of_service)
 {
-    if (out)
+    if (out_of_service)
     {
         workers.out_of_service_since.emplace(data_centre, time.now());
     }
@@ -500,7 +505,7 @@
     {
         workers.out_of_service_since.erase(data_centre);
     }
-    change(core::config::set_data_centre{data_centre, out});
+    change(core::config::set_data_centre{data_centre, out_of_service});
 }
 
 std::uint64_t planner_simulation::request(std::size_t planner,
@@ -514,13 +519,13 @@
     {
         customer_of[job->id] = job->customer;
     }
-    core::tasks::job_request const asked{
+    core::tasks::job_request const new_request{
         caller, std::move(method), std::move(target), std::move(body)};
-    auto const who = slots_[planner];
-    run_in(who,
-           [this, who, asked](ports::actions& out)
+    auto const receiver = slots_[planner];
+    run_in(receiver,
+           [this, receiver, new_request](ports::actions& out)
            {
-               who->engine->on_job_request(time.now(), asked, out);
+               receiver->engine->on_job_request(time.now(), new_request, out);
            });
     return caller;
 }
--- a/tests/unit/tasks/planner_simulation.hpp
+++ b/tests/unit/tasks/planner_simulation.hpp
@@ -12,7 +12,8 @@
 #include <string>
 #include <vector>
 
-// A few planners over one store, joined by fake links, and their workers.
+// Simulation of several planners with a shared store, fake peer links and
+// workers.
 namespace fuchsia::tests::unit::tasks
 {
 
@@ -41,45 +42,50 @@
     void freeze(std::size_t planner);
     void unfreeze(std::size_t planner);
     void begin_stop(std::size_t planner);
-    /// Cuts a planner from the store, or mends that.
+    /// Cuts a planner off from the store or reconnects it.
     void cut_store(std::size_t planner, bool is_cut);
     bool alive(std::size_t planner) const;
     bool stopped(std::size_t planner) const;
     core::tasks::planner_engine& engine(std::size_t planner);
-    /// Number of the planner that owns the cell and may act on it.
+    /// Returns the number of the planner that owns the cell and may act on it.
     std::optional<std::size_t> owner_of(std::string const& cell);
 
     void run(duration length);
-    bool run_until(std::function<bool()> const& wanted, duration limit);
-    /// All planners are joined, all cells owned and taken over.
+    /// Runs until the condition holds; returns false if the limit passes first.
+    bool run_until(std::function<bool()> const& condition, duration limit);
+    /// Whether every cell is owned and taken over.
     bool is_stable();
 
-    // What operators do. The configuration is written into the store.
+    // Actions of operators, which write the configuration into the store.
     void put_contract(std::string const& customer,
                       ports::resources capacity,
                       std::uint32_t batch_permille = 1000);
     void withdraw(std::string const& customer);
-    void set_out_of_service(std::string const& data_centre, bool out);
-    /// Sends a request to a planner; the answer's status comes to `answers`.
+    void set_out_of_service(std::string const& data_centre,
+                            bool out_of_service);
+    /// Sends a request to a planner and returns its caller number, under which
+    /// the answer is stored in `answers`.
     std::uint64_t request(std::size_t planner,
                           std::string method,
                           std::string target,
                           std::string body = {});
-    /// Sends and waits; status 0 where no answer came.
+    /// Sends a request and waits for the answer; status 0 if none arrives.
     ports::caller_answer request_and_wait(std::size_t planner,
                                           std::string method,
                                           std::string target,
                                           std::string body = {});
-    /// State of a job by the list of the first planner that lives.
+    /// Returns the state of a job as listed by the first planner that is alive.
     std::string state_of(std::string const& job);
 
     std::map<std::uint64_t, ports::caller_answer> answers;
     std::vector<ports::log_event> logs;
-    /// Worker calls are looked at before they are sent; false drops them.
+    /// Called before each worker call is sent; the call is dropped if it
+    /// returns false.
     std::function<bool(std::size_t planner, ports::worker_call const&)>
         worker_call_filter;
+    /// Description of the first violated invariant; empty if there is none.
     std::string violation;
-    std::map<std::string, std::string> customer_of; ///< By job.
+    std::map<std::string, std::string> customer_of; ///< Customer of each job.
 
 private:
     struct process
@@ -90,18 +96,19 @@
         bool frozen = false;
         bool ended = false;
         bool stopped = false;
-        std::deque<std::function<void()>> waiting;
+        /// Callbacks that arrived while the process was frozen.
+        std::deque<std::function<void()>> deferred;
     };
     using process_pointer = std::shared_ptr<process>;
 
-    void tick(process_pointer const& who);
-    void poll(process_pointer const& who);
-    void run_in(process_pointer const& who,
-                std::function<void(ports::actions&)> const& what);
-    void perform(process_pointer const& who, ports::actions const& actions);
-    void make_engine(process& who);
-    void change(core::config::change what);
-    void tick_world();
+    void tick(process_pointer const& target);
+    void poll(process_pointer const& target);
+    void run_in(process_pointer const& target,
+                std::function<void(ports::actions&)> const& callback);
+    void perform(process_pointer const& target, ports::actions const& actions);
+    void make_engine(process& target);
+    void change(core::config::change new_change);
+    void tick_workers();
     void check_contracts();
     ports::instance_list instances() const;
 
@@ -111,10 +118,10 @@
     std::uint64_t last_request_ = 0;
     std::uint64_t changes_ = 0;
     std::map<std::string, core::contracts::contract> contracts_;
-    std::map<std::string, time_point> changed_;
+    std::map<std::string, time_point> changed_at_;
 };
 
-/// A job's JSON with the defaults of the tests.
+/// Returns the JSON of a job, with defaults for the tests.
 std::string job_json(std::string const& id,
                      std::string const& customer,
                      std::string const& kind = "batch",
