--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -99,7 +99,8 @@
     /// Prepares the handover of the cell: nothing is started or moved any more.
     void begin_handover() noexcept;
     bool handing_over() const noexcept;
-    /// Whether no change is being committed and no start call is in flight.
+    /// Whether no change is being committed and no start, inbox write or inbox
+    /// erase call is in flight.
     bool idle() const noexcept;
 
     bool active() const noexcept;
@@ -110,8 +111,8 @@
     std::map<task_key, active_attempt> const& active_attempts() const noexcept;
     cell_counts counts() const;
 
-    /// Returns the jobs stopped by this cell because they fail on every worker;
-    /// other cells must stop them too.
+    /// Returns the jobs that this cell stopped because they fail on several
+    /// workers; other cells must stop them too.
     std::vector<job_stopped> take_faulty_jobs();
 
 private:
--- a/tests/unit/tasks/fake_workers.hpp
+++ b/tests/unit/tasks/fake_workers.hpp
@@ -13,9 +13,10 @@
 #include <string>
 #include <vector>
 
-// In-memory workers with fault injection that check invariants: a task never
-// runs in two places, is never finished twice, and no worker exceeds its
-// capacity.
+// In-memory workers with fault injection. They check invariants, such as that a
+// task never runs in two places and is not finished twice, that no worker
+// exceeds its capacity, and that nothing starts in a data centre that is out of
+// service.
 namespace fuchsia::tests::unit::tasks
 {
 
