--- a/src/core/membership/fencing.hpp
+++ b/src/core/membership/fencing.hpp
@@ -22,7 +22,7 @@
 {
 
 /// "Ask `witness` whether `subject` may be buried at `version`."
-struct consent_question
+struct consent_query
 {
     ports::member_identity witness;
     ports::member_identity subject;
@@ -39,7 +39,7 @@
 /// What `burial::next` decided.
 struct fencing_actions
 {
-    std::vector<consent_question> questions;
+    std::vector<consent_query> consent_queries;
     std::vector<fencing_write> writes;
 };
 
@@ -59,7 +59,7 @@
     /// Most burials pursued at once; the rest waits for its turn.
     static constexpr std::size_t max_candidates = 64;
 
-    fencing(settings const& settings, safety_rules parts);
+    fencing(settings const& settings, safety_rules rules);
 
     /// `observer` buries any member, or, while it has not joined, only
     /// `predecessor`, the earlier incarnation under its own name.
@@ -68,7 +68,7 @@
                          bool joined,
                          roster const& members,
                          platform_list const& platform,
-                         witness& own,
+                         witness& own_witness,
                          std::mt19937_64& random);
     void on_consent(ports::member_identity const& witness,
                     ports::member_identity const& subject,
@@ -88,36 +88,37 @@
         ports::member_identity subject;
         std::uint64_t version = 0;
         std::set<ports::member_identity> consents;
-        common::time_point next_question{};
-        common::duration question_interval{};
+        common::time_point next_query{};
+        common::duration query_interval{};
         common::time_point next_write{};
         bool writing = false;
     };
 
-    bool is_unchanged(seen_record const& seen, roster const& members) const;
+    bool is_unchanged(observed_record const& observed,
+                      roster const& members) const;
     common::duration rank_delay(ports::member_identity const& observer,
                                 ports::member_identity const& subject,
                                 roster const& members) const;
-    bool is_gone(common::time_point now,
-                 ports::member_identity const& witness,
-                 roster const& members,
-                 platform_list const& platform) const;
+    bool can_no_longer_promise(common::time_point now,
+                               ports::member_identity const& witness,
+                               roster const& members,
+                               platform_list const& platform) const;
     bool may_fence(common::time_point now,
-                   candidate const& subject,
+                   candidate const& target,
                    record const& value,
                    roster const& members,
                    platform_list const& platform) const;
-    void ask(common::time_point now,
-             candidate& subject,
-             record const& value,
-             ports::member_identity const& observer,
-             roster const& members,
-             witness& own,
-             fencing_actions& steps) const;
-    void drop_settled(roster const& members);
+    void request_consent(common::time_point now,
+                         candidate& target,
+                         record const& value,
+                         ports::member_identity const& observer,
+                         roster const& members,
+                         witness& own_witness,
+                         fencing_actions& actions) const;
+    void drop_outdated(roster const& members);
 
     settings settings_;
-    safety_rules parts_;
+    safety_rules rules_;
     std::map<std::string, candidate, std::less<>> candidates_;
 };
 
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -18,11 +18,11 @@
 member::member(settings settings,
                member_info self,
                std::uint64_t seed,
-               safety_rules parts)
-    : settings_(settings), random_(seed), roster_(self.role), proof_(parts),
-      witness_(settings.fencing_delay), fencing_(settings, parts),
+               safety_rules rules)
+    : settings_(settings), random_(seed), roster_(self.role), proof_(rules),
+      witness_(settings.fencing_delay), fencing_(settings, rules),
       lifecycle_(self.id.name),
-      own_(std::move(self), settings.heartbeat_interval)
+      own_record_(std::move(self), settings.heartbeat_interval)
 {
 }
 
@@ -30,13 +30,13 @@
 {
     started_ = true;
     detect_pause(now, out);
-    drive(now, out);
+    advance(now, out);
 }
 
 void member::tick(common::time_point now, ports::actions& out)
 {
     detect_pause(now, out);
-    drive(now, out);
+    advance(now, out);
 }
 
 // A frozen process wakes with its old proofs and with frames in its buffers,
@@ -44,45 +44,47 @@
 // anything shows that, before anything is decided on what it believed.
 void member::detect_pause(common::time_point now, ports::actions& out)
 {
-    bool const paused = last_seen_ && now - *last_seen_ > settings_.pause_limit;
+    bool const paused =
+        last_activity_ && now - *last_activity_ > settings_.pause_limit;
     if (paused)
     {
         ++counts_.pauses;
         proof_.invalidate_all(now);
-        witness_.after_pause(now);
-        own_.hurry(now);
+        witness_.on_pause(now);
+        own_record_.schedule_now(now);
         next_round_ = now;
         out.emplace_back(ports::reset_peers{});
-        out.emplace_back(ports::log_event{
-            ports::severity::warning,
-            "member_paused",
-            {{"member", self().id.name},
-             {"gap_ms",
-              std::to_string(common::to_milliseconds(now - *last_seen_))}}});
+        out.emplace_back(
+            ports::log_event{ports::severity::warning,
+                             "member_paused",
+                             {{"member", self().id.name},
+                              {"gap_ms",
+                               std::to_string(common::to_milliseconds(
+                                   now - *last_activity_))}}});
         update_phase_from_proof(now, out);
     }
-    last_seen_ = now;
+    last_activity_ = now;
 }
 
-void member::drive(common::time_point now, ports::actions& out)
+void member::advance(common::time_point now, ports::actions& out)
 {
     if (!started_)
     {
         return;
     }
-    drive_own(now, out);
-    if (lifecycle_.takes_part())
+    advance_own_record(now, out);
+    if (lifecycle_.is_participating())
     {
-        drive_list(now, out);
-        drive_rounds(now, out);
+        request_member_list(now, out);
+        request_promises(now, out);
         advance_fencing(now, out);
     }
     update_phase_from_proof(now, out);
 }
 
-void member::drive_own(common::time_point now, ports::actions& out)
+void member::advance_own_record(common::time_point now, ports::actions& out)
 {
-    auto operation = own_.next(now, wanted_witnesses_, random_);
+    auto operation = own_record_.next(now, next_witnesses_, random_);
     if (!operation)
     {
         return;
@@ -95,10 +97,10 @@
     {
         ++counts_.own_writes;
     }
-    call(now, call_kind::own, std::move(*operation), out);
+    call_store(now, call_kind::own_record, std::move(*operation), out);
 }
 
-void member::drive_list(common::time_point now, ports::actions& out)
+void member::request_member_list(common::time_point now, ports::actions& out)
 {
     if (list_in_flight_ || now < next_list_)
     {
@@ -107,10 +109,10 @@
     list_in_flight_ = true;
     next_list_ = now + settings_.list_interval;
     ++counts_.lists;
-    call(now,
-         call_kind::list,
-         ports::store_list{members_prefix(self().role)},
-         out);
+    call_store(now,
+               call_kind::list,
+               ports::store_list{members_prefix(self().role)},
+               out);
 }
 
 void member::update_phase_from_proof(common::time_point now,
@@ -118,14 +120,14 @@
 {
     if (proof_age(now) >= settings_.proof_lifetime)
     {
-        lifecycle_.proved(proof_source::none, out);
+        lifecycle_.on_proof(proof_source::none, out);
     }
     else
     {
-        lifecycle_.proved(proof_.newest_is_from_store()
-                              ? proof_source::store
-                              : proof_source::witnesses,
-                          out);
+        lifecycle_.on_proof(proof_.newest_is_from_store()
+                                ? proof_source::store
+                                : proof_source::witnesses,
+                            out);
     }
 }
 
@@ -134,16 +136,16 @@
                             ports::actions& out)
 {
     detect_pause(now, out);
-    auto const place = calls_.find(reply.id.number);
-    if (place == calls_.end())
+    auto const it = calls_.find(reply.id.number);
+    if (it == calls_.end())
     {
         return;
     }
-    pending_call const answered = std::move(place->second);
-    calls_.erase(place);
+    pending_call const answered = std::move(it->second);
+    calls_.erase(it);
     switch (answered.kind)
     {
-    case call_kind::own:
+    case call_kind::own_record:
         on_own_reply(now, reply, out);
         break;
     case call_kind::list:
@@ -154,33 +156,34 @@
         next_list_ = now; // Shows what became of it.
         break;
     }
-    drive(now, out);
+    advance(now, out);
 }
 
 void member::on_own_reply(common::time_point now,
                           ports::store_reply const& reply,
                           ports::actions& out)
 {
-    auto const news = own_.on_reply(now, reply);
-    if (!news.fenced_reason.empty())
+    auto const update = own_record_.on_reply(now, reply);
+    if (!update.fenced_reason.empty())
     {
-        bool const took_part = lifecycle_.takes_part();
-        lifecycle_.fenced(news.fenced_reason, out);
-        if (took_part)
+        bool const was_participating = lifecycle_.is_participating();
+        lifecycle_.on_fenced(update.fenced_reason, out);
+        if (was_participating)
         {
-            out.emplace_back(ports::rejoin{news.fenced_reason});
+            out.emplace_back(ports::rejoin{update.fenced_reason});
         }
         return;
     }
-    if (news.accepted_sent)
+    if (update.accepted_sent_at)
     {
-        lifecycle_.joined(out);
-        proof_.store_accepted(now, *news.accepted_sent);
-        roster_.note(now, own_.standing(), own_.version());
+        lifecycle_.on_joined(out);
+        proof_.on_heartbeat_accepted(now, *update.accepted_sent_at);
+        roster_.update_record(
+            now, own_record_.accepted_record(), own_record_.version());
     }
-    if (own_.removed())
+    if (own_record_.is_removed())
     {
-        lifecycle_.removed(out);
+        lifecycle_.on_removed(out);
     }
 }
 
@@ -195,7 +198,7 @@
         return;
     }
     common::failure reason;
-    bool const taken = roster_.apply(now, sent, reply, reason);
+    bool const applied = roster_.apply(now, sent, reply, reason);
     if (reason.code != common::result_code::ok)
     {
         out.emplace_back(ports::log_event{
@@ -203,36 +206,38 @@
             "member_list_unreadable",
             {{"member", self().id.name}, {"why", common::to_string(reason)}}});
     }
-    if (!taken)
+    if (!applied)
     {
         return;
     }
     next_list_ =
         std::min(next_list_, fencing_.next_read_at(now, self().id, roster_));
-    witness_.learn(now, roster_);
-    wanted_witnesses_ =
+    witness_.on_list(now, roster_);
+    next_witnesses_ =
         choose_witnesses(self().id, roster_.live(), settings_.witness_count);
     if (own_record_changed())
     {
-        own_.look_again();
+        own_record_.request_read();
     }
 }
 
 // A list is no proof of anything about the own record, but a reason to look.
 bool member::own_record_changed() const noexcept
 {
-    auto const* seen = roster_.find(self().id.name);
-    if (seen == nullptr || !seen->readable)
+    auto const* observed = roster_.find(self().id.name);
+    if (observed == nullptr || !observed->readable)
     {
-        return own_.joined() || own_.predecessor().has_value();
+        return own_record_.has_joined() ||
+               own_record_.predecessor().has_value();
     }
-    bool const own = seen->value.info.id == self().id;
-    if (own_.joined())
+    bool const own = observed->value.info.id == self().id;
+    if (own_record_.has_joined())
     {
-        return !own || seen->value.fenced || seen->value.successor != 0;
+        return !own || observed->value.fenced || observed->value.successor != 0;
     }
-    return own_.predecessor() && (own || seen->value.fenced ||
-                                  seen->value.info.id != *own_.predecessor());
+    return own_record_.predecessor() &&
+           (own || observed->value.fenced ||
+            observed->value.info.id != *own_record_.predecessor());
 }
 
 void member::on_instances(common::time_point now,
@@ -245,31 +250,31 @@
 
 void member::set_config_revision(std::uint64_t revision) noexcept
 {
-    own_.set_config_revision(revision);
+    own_record_.set_config_revision(revision);
 }
 
 void member::begin_leaving(common::time_point now, ports::actions& out)
 {
     detect_pause(now, out);
-    own_.set_leaving();
-    own_.hurry(now);
-    drive(now, out);
+    own_record_.set_leaving();
+    own_record_.schedule_now(now);
+    advance(now, out);
 }
 
 void member::remove(common::time_point now, ports::actions& out)
 {
     detect_pause(now, out);
-    if (!lifecycle_.takes_part())
+    if (!lifecycle_.is_participating())
     {
         return;
     }
-    lifecycle_.removing(out);
-    own_.remove();
-    if (own_.removed())
+    lifecycle_.on_removing(out);
+    own_record_.remove();
+    if (own_record_.is_removed())
     {
-        lifecycle_.removed(out);
+        lifecycle_.on_removed(out);
     }
-    drive(now, out);
+    advance(now, out);
 }
 
 bool member::is_removed() const noexcept
@@ -280,8 +285,8 @@
 // Asked between a wake-up and the next tick, the gap is not noticed yet.
 bool member::may_act(common::time_point now) const noexcept
 {
-    return lifecycle_.takes_part() && last_seen_ &&
-           now - *last_seen_ <= settings_.pause_limit &&
+    return lifecycle_.is_participating() && last_activity_ &&
+           now - *last_activity_ <= settings_.pause_limit &&
            proof_age(now) < settings_.proof_lifetime;
 }
 
@@ -303,7 +308,7 @@
 
 member_info const& member::self() const noexcept
 {
-    return own_.info();
+    return own_record_.info();
 }
 
 std::vector<member_info> const& member::live() const noexcept
@@ -320,7 +325,7 @@
 member_info const* member::find(std::string_view name) const noexcept
 {
     auto const& live = roster_.live();
-    auto const place =
+    auto const it =
         std::lower_bound(live.begin(),
                          live.end(),
                          name,
@@ -328,7 +333,7 @@
                          {
                              return info.id.name < wanted;
                          });
-    return place != live.end() && place->id.name == name ? &*place : nullptr;
+    return it != live.end() && it->id.name == name ? &*it : nullptr;
 }
 
 bool member::is_fenced(ports::member_identity const& id) const noexcept
@@ -343,7 +348,7 @@
 
 bool member::has_member_list() const noexcept
 {
-    return roster_.known();
+    return roster_.is_loaded();
 }
 
 member_counts const& member::counts() const noexcept
@@ -351,11 +356,11 @@
     return counts_;
 }
 
-void member::call(common::time_point now,
-                  call_kind kind,
-                  ports::store_operation operation,
-                  ports::actions& out,
-                  ports::member_identity const& subject)
+void member::call_store(common::time_point now,
+                        call_kind kind,
+                        ports::store_operation operation,
+                        ports::actions& out,
+                        ports::member_identity const& subject)
 {
     calls_.emplace(++last_call_, pending_call{kind, now, subject});
     out.emplace_back(
--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -56,7 +56,7 @@
     member(settings settings,
            member_info self,
            std::uint64_t seed,
-           safety_rules parts = {});
+           safety_rules rules = {});
 
     void start(common::time_point now, ports::actions& out);
     /// Called at least every 100 ms.
@@ -113,23 +113,23 @@
 private:
     enum class call_kind : std::uint8_t
     {
-        own,
+        own_record,
         list,
         fencing,
     };
 
     struct pending_call
     {
-        call_kind kind = call_kind::own;
+        call_kind kind = call_kind::own_record;
         common::time_point sent;
         ports::member_identity subject; ///< Of a burial.
     };
 
     // member.cpp: the own record, the list of members, the proof.
     void detect_pause(common::time_point now, ports::actions& out);
-    void drive(common::time_point now, ports::actions& out);
-    void drive_own(common::time_point now, ports::actions& out);
-    void drive_list(common::time_point now, ports::actions& out);
+    void advance(common::time_point now, ports::actions& out);
+    void advance_own_record(common::time_point now, ports::actions& out);
+    void request_member_list(common::time_point now, ports::actions& out);
     void update_phase_from_proof(common::time_point now, ports::actions& out);
     void on_own_reply(common::time_point now,
                       ports::store_reply const& reply,
@@ -139,27 +139,27 @@
                        ports::store_reply const& reply,
                        ports::actions& out);
     bool own_record_changed() const noexcept;
-    void call(common::time_point now,
-              call_kind kind,
-              ports::store_operation operation,
-              ports::actions& out,
-              ports::member_identity const& subject = {});
+    void call_store(common::time_point now,
+                    call_kind kind,
+                    ports::store_operation operation,
+                    ports::actions& out,
+                    ports::member_identity const& subject = {});
 
     // member_peers.cpp: promises and consent.
-    void drive_rounds(common::time_point now, ports::actions& out);
+    void request_promises(common::time_point now, ports::actions& out);
     void advance_fencing(common::time_point now, ports::actions& out);
-    void send(ports::member_identity const& to,
+    void send(ports::member_identity const& receiver,
               ports::peer_message message,
               ports::actions& out) const;
     void handle(common::time_point now,
-                ports::member_identity const& from,
+                ports::member_identity const& sender,
                 ports::promise_request const& request,
                 ports::actions& out);
     void handle(common::time_point now,
-                ports::member_identity const& from,
+                ports::member_identity const& sender,
                 ports::promise_reply const& reply);
     void handle(common::time_point now,
-                ports::member_identity const& from,
+                ports::member_identity const& sender,
                 ports::consent_request const& request,
                 ports::actions& out);
 
@@ -171,13 +171,13 @@
     platform_list platform_;
     fencing fencing_;
     member_lifecycle lifecycle_;
-    own_record own_;
-    witness_list wanted_witnesses_;
+    own_record own_record_;
+    witness_list next_witnesses_;
     member_counts counts_;
     /// Bounded by what is asked: one own call, one list, the burials.
     std::map<std::uint64_t, pending_call> calls_;
     std::uint64_t last_call_ = 0;
-    std::optional<common::time_point> last_seen_;
+    std::optional<common::time_point> last_activity_;
     common::time_point next_list_{};
     common::time_point next_round_{};
     bool started_ = false;
--- a/src/core/membership/member_lifecycle.cpp
+++ b/src/core/membership/member_lifecycle.cpp
@@ -17,72 +17,73 @@
 using msm::front::none;
 using msm::front::Row;
 
-struct record_stands
+struct record_accepted
 {
 };
-struct proof_by_store
+struct store_proof
 {
 };
-struct proof_by_witnesses
+struct witness_proof
 {
 };
-struct proof_over
+struct proof_ended
 {
 };
-struct remove_asked
+struct remove_requested
 {
 };
 struct record_erased
 {
 };
-struct record_taken
+struct record_overwritten
 {
 };
 
 struct joining_state : msm::front::state<>
 {
 };
-struct by_store_state : msm::front::state<>
+struct store_proof_state : msm::front::state<>
 {
 };
-struct by_witnesses_state : msm::front::state<>
+struct witness_proof_state : msm::front::state<>
 {
 };
-struct out_of_proof_state : msm::front::state<>
+struct no_proof_state : msm::front::state<>
 {
 };
 struct removing_state : msm::front::state<>
 {
 };
-struct gone_state : msm::front::state<>
+struct removed_state : msm::front::state<>
 {
 };
-struct buried_state : msm::front::state<>
+struct fenced_state : msm::front::state<>
 {
 };
 
-struct member_life : msm::front::state_machine_def<member_life>
+struct lifecycle_definition
+    : msm::front::state_machine_def<lifecycle_definition>
 {
     using initial_state = joining_state;
 
     // clang-format off
     struct transition_table : boost::mpl::vector<
-        Row<joining_state,      record_stands,      out_of_proof_state, none>,
-        Row<joining_state,      remove_asked,       removing_state,     none>,
-        Row<joining_state,      record_taken,       buried_state,       none>,
-        Row<out_of_proof_state, proof_by_store,     by_store_state,     none>,
-        Row<out_of_proof_state, proof_by_witnesses, by_witnesses_state, none>,
-        Row<out_of_proof_state, remove_asked,       removing_state,     none>,
-        Row<out_of_proof_state, record_taken,       buried_state,       none>,
-        Row<by_store_state,     proof_by_witnesses, by_witnesses_state, none>,
-        Row<by_store_state,     proof_over,         out_of_proof_state, none>,
-        Row<by_store_state,     remove_asked,       removing_state,     none>,
-        Row<by_store_state,     record_taken,       buried_state,       none>,
-        Row<by_witnesses_state, proof_by_store,     by_store_state,     none>,
-        Row<by_witnesses_state, proof_over,         out_of_proof_state, none>,
-        Row<by_witnesses_state, remove_asked,       removing_state,     none>,
-        Row<by_witnesses_state, record_taken,       buried_state,       none>,
-        Row<removing_state,     record_erased,      gone_state,         none>
+        Row<joining_state,      record_accepted,      no_proof_state, none>,
+        Row<joining_state,      remove_requested,       removing_state,     none>,
+        Row<joining_state,      record_overwritten,       fenced_state,       none>,
+        Row<no_proof_state, store_proof,     store_proof_state,     none>,
+        Row<no_proof_state, witness_proof, witness_proof_state, none>,
+        Row<no_proof_state, remove_requested,       removing_state,     none>,
+        Row<no_proof_state, record_overwritten,       fenced_state,       none>,
+        Row<store_proof_state,     witness_proof, witness_proof_state, none>,
+        Row<store_proof_state,     proof_ended,         no_proof_state, none>,
+        Row<store_proof_state,     remove_requested,       removing_state,     none>,
+        Row<store_proof_state,     record_overwritten,       fenced_state,       none>,
+        Row<witness_proof_state, store_proof,     store_proof_state,     none>,
+        Row<witness_proof_state, proof_ended,         no_proof_state, none>,
+        Row<witness_proof_state, remove_requested,       removing_state,     none>,
+        Row<witness_proof_state, record_overwritten,       fenced_state,       none>,
+        Row<removing_state,     record_erased,      removed_state,         none>
     > {};
     // clang-format on
 
@@ -94,11 +95,11 @@
     }
 };
 
-using life_machine = msm::back::state_machine<member_life>;
+using lifecycle_machine = msm::back::state_machine<lifecycle_definition>;
 
 template<class State>
 constexpr int state_number =
-    msm::back::get_state_id<life_machine::stt, State>::value;
+    msm::back::get_state_id<lifecycle_machine::stt, State>::value;
 
 struct phase_row
 {
@@ -110,17 +111,15 @@
 constexpr std::array<phase_row, 7> phase_table{{
     {member_phase::joining, state_number<joining_state>, "joining"},
     {member_phase::active_by_store_proof,
-     state_number<by_store_state>,
+     state_number<store_proof_state>,
      "active_by_store"},
     {member_phase::active_by_witness_promises,
-     state_number<by_witnesses_state>,
+     state_number<witness_proof_state>,
      "active_by_witnesses"},
-    {member_phase::proof_expired,
-     state_number<out_of_proof_state>,
-     "out_of_proof"},
+    {member_phase::proof_expired, state_number<no_proof_state>, "out_of_proof"},
     {member_phase::removing, state_number<removing_state>, "removing"},
-    {member_phase::removed, state_number<gone_state>, "gone"},
-    {member_phase::fenced, state_number<buried_state>, "buried"},
+    {member_phase::removed, state_number<removed_state>, "gone"},
+    {member_phase::fenced, state_number<fenced_state>, "buried"},
 }};
 
 } // namespace
@@ -139,13 +138,13 @@
 
 struct member_lifecycle::machine
 {
-    life_machine life;
+    lifecycle_machine states;
 };
 
 member_lifecycle::member_lifecycle(std::string member)
     : machine_(std::make_unique<machine>()), member_(std::move(member))
 {
-    machine_->life.start();
+    machine_->states.start();
 }
 
 member_lifecycle::~member_lifecycle() = default;
@@ -153,55 +152,55 @@
 member_lifecycle&
 member_lifecycle::operator=(member_lifecycle&& other) noexcept = default;
 
-void member_lifecycle::joined(ports::actions& out)
+void member_lifecycle::on_joined(ports::actions& out)
 {
-    member_phase const before = current_phase();
-    machine_->life.process_event(record_stands{});
-    log_transition(before, "record stands", out);
+    member_phase const previous = current_phase();
+    machine_->states.process_event(record_accepted{});
+    log_transition(previous, "record stands", out);
 }
 
-void member_lifecycle::proved(proof_source source, ports::actions& out)
+void member_lifecycle::on_proof(proof_source source, ports::actions& out)
 {
-    member_phase const before = current_phase();
+    member_phase const previous = current_phase();
     switch (source)
     {
     case proof_source::store:
-        machine_->life.process_event(proof_by_store{});
+        machine_->states.process_event(store_proof{});
         break;
     case proof_source::witnesses:
-        machine_->life.process_event(proof_by_witnesses{});
+        machine_->states.process_event(witness_proof{});
         break;
     case proof_source::none:
-        machine_->life.process_event(proof_over{});
+        machine_->states.process_event(proof_ended{});
         break;
     }
-    log_transition(before, "proof", out);
+    log_transition(previous, "proof", out);
 }
 
-void member_lifecycle::removing(ports::actions& out)
+void member_lifecycle::on_removing(ports::actions& out)
 {
-    member_phase const before = current_phase();
-    machine_->life.process_event(remove_asked{});
-    log_transition(before, "planned stop", out);
+    member_phase const previous = current_phase();
+    machine_->states.process_event(remove_requested{});
+    log_transition(previous, "planned stop", out);
 }
 
-void member_lifecycle::removed(ports::actions& out)
+void member_lifecycle::on_removed(ports::actions& out)
 {
-    member_phase const before = current_phase();
-    machine_->life.process_event(record_erased{});
-    log_transition(before, "planned stop", out);
+    member_phase const previous = current_phase();
+    machine_->states.process_event(record_erased{});
+    log_transition(previous, "planned stop", out);
 }
 
-void member_lifecycle::fenced(std::string const& why, ports::actions& out)
+void member_lifecycle::on_fenced(std::string const& reason, ports::actions& out)
 {
-    member_phase const before = current_phase();
-    machine_->life.process_event(record_taken{});
-    log_transition(before, why, out);
+    member_phase const previous = current_phase();
+    machine_->states.process_event(record_overwritten{});
+    log_transition(previous, reason, out);
 }
 
 member_phase member_lifecycle::current_phase() const noexcept
 {
-    int const state = machine_->life.current_state()[0];
+    int const state = machine_->states.current_state()[0];
     for (auto const& row : phase_table)
     {
         if (row.state == state)
@@ -212,31 +211,31 @@
     return member_phase::fenced;
 }
 
-bool member_lifecycle::takes_part() const noexcept
+bool member_lifecycle::is_participating() const noexcept
 {
-    member_phase const here = current_phase();
-    return here != member_phase::removing && here != member_phase::removed &&
-           here != member_phase::fenced;
+    member_phase const phase = current_phase();
+    return phase != member_phase::removing && phase != member_phase::removed &&
+           phase != member_phase::fenced;
 }
 
-void member_lifecycle::log_transition(member_phase before,
-                                      std::string const& why,
+void member_lifecycle::log_transition(member_phase previous,
+                                      std::string const& reason,
                                       ports::actions& out) const
 {
-    member_phase const after = current_phase();
-    if (after == before)
+    member_phase const current = current_phase();
+    if (current == previous)
     {
         return;
     }
-    bool const bad =
-        after == member_phase::proof_expired || after == member_phase::fenced;
+    bool const bad = current == member_phase::proof_expired ||
+                     current == member_phase::fenced;
     out.emplace_back(
         ports::log_event{bad ? ports::severity::warning : ports::severity::info,
                          "member_phase",
                          {{"member", member_},
-                          {"from", std::string(name_of(before))},
-                          {"to", std::string(name_of(after))},
-                          {"why", why}}});
+                          {"from", std::string(name_of(previous))},
+                          {"to", std::string(name_of(current))},
+                          {"why", reason}}});
 }
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/member_lifecycle.hpp
+++ b/src/core/membership/member_lifecycle.hpp
@@ -47,26 +47,26 @@
     member_lifecycle& operator=(member_lifecycle const&) = delete;
 
     /// The record stands.
-    void joined(ports::actions& out);
+    void on_joined(ports::actions& out);
     /// The proof comes from here now.
-    void proved(proof_source source, ports::actions& out);
+    void on_proof(proof_source source, ports::actions& out);
     /// A planned stop erases the record.
-    void removing(ports::actions& out);
-    void removed(ports::actions& out);
+    void on_removing(ports::actions& out);
+    void on_removed(ports::actions& out);
     /// Another wrote the record.
-    void fenced(std::string const& why, ports::actions& out);
+    void on_fenced(std::string const& reason, ports::actions& out);
 
     member_phase current_phase() const noexcept;
     /// Whether this incarnation still takes part: not removing, gone, buried.
-    bool takes_part() const noexcept;
+    bool is_participating() const noexcept;
 
 private:
     struct machine;
     std::unique_ptr<machine> machine_;
     std::string member_;
 
-    void log_transition(member_phase before,
-                        std::string const& why,
+    void log_transition(member_phase previous,
+                        std::string const& reason,
                         ports::actions& out) const;
 };
 
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -8,22 +8,22 @@
 namespace fuchsia::core::membership
 {
 
-void member::drive_rounds(common::time_point now, ports::actions& out)
+void member::request_promises(common::time_point now, ports::actions& out)
 {
-    if (!own_.joined() || now < next_round_ ||
+    if (!own_record_.has_joined() || now < next_round_ ||
         proof_age(now) < settings_.proof_lifetime / 2)
     {
         return;
     }
     next_round_ = now + settings_.proof_lifetime / 3;
-    std::set<ports::member_identity> asked;
-    for (auto const& list : own_.possible_lists())
+    std::set<ports::member_identity> recipients;
+    for (auto const& witnesses : own_record_.possible_witness_lists())
     {
-        asked.insert(list.begin(), list.end());
+        recipients.insert(witnesses.begin(), witnesses.end());
     }
     ports::promise_request const request{
-        proof_.begin_round(now), own_.version(), self().config_revision};
-    for (auto const& id : asked)
+        proof_.begin_round(now), own_record_.version(), self().config_revision};
+    for (auto const& id : recipients)
     {
         ++counts_.promise_requests;
         send(id, request, out);
@@ -32,16 +32,21 @@
 
 void member::advance_fencing(common::time_point now, ports::actions& out)
 {
-    auto steps = fencing_.next(
-        now, self().id, own_.joined(), roster_, platform_, witness_, random_);
-    for (auto const& question : steps.questions)
+    auto actions = fencing_.next(now,
+                                 self().id,
+                                 own_record_.has_joined(),
+                                 roster_,
+                                 platform_,
+                                 witness_,
+                                 random_);
+    for (auto const& query : actions.consent_queries)
     {
         ++counts_.consent_requests;
-        send(question.witness,
-             ports::consent_request{question.subject, question.version},
+        send(query.witness,
+             ports::consent_request{query.subject, query.version},
              out);
     }
-    for (auto& write : steps.writes)
+    for (auto& write : actions.writes)
     {
         ++counts_.fencing_writes;
         out.emplace_back(ports::log_event{
@@ -51,11 +56,11 @@
              {"subject", write.subject.name},
              {"incarnation", to_hexadecimal(write.subject.incarnation)},
              {"version", std::to_string(write.operation.expected_version)}}});
-        call(now,
-             call_kind::fencing,
-             std::move(write.operation),
-             out,
-             write.subject);
+        call_store(now,
+                   call_kind::fencing,
+                   std::move(write.operation),
+                   out,
+                   write.subject);
     }
 }
 
@@ -64,28 +69,28 @@
                      ports::actions& out)
 {
     detect_pause(now, out);
-    auto const& from = message.from;
+    auto const& sender = message.from;
     auto const& body = message.message;
-    if (auto const* asked = std::get_if<ports::promise_request>(&body))
+    if (auto const* request = std::get_if<ports::promise_request>(&body))
     {
-        handle(now, from, *asked, out);
+        handle(now, sender, *request, out);
     }
     else if (auto const* promise = std::get_if<ports::promise_reply>(&body))
     {
-        handle(now, from, *promise);
+        handle(now, sender, *promise);
         update_phase_from_proof(now, out);
     }
-    else if (auto const* question = std::get_if<ports::consent_request>(&body))
+    else if (auto const* query = std::get_if<ports::consent_request>(&body))
     {
-        handle(now, from, *question, out);
+        handle(now, sender, *query, out);
     }
     else if (auto const* consent = std::get_if<ports::consent_reply>(&body))
     {
         if (consent->granted)
         {
             fencing_.on_consent(
-                from, consent->subject, consent->record_version);
-            drive(now, out);
+                sender, consent->subject, consent->record_version);
+            advance(now, out);
         }
     }
 }
@@ -94,54 +99,55 @@
 // under its name may have been taken as a sign that it promises no more. So it
 // promises nothing until it holds a proof again.
 void member::handle(common::time_point now,
-                    ports::member_identity const& from,
+                    ports::member_identity const& sender,
                     ports::promise_request const& request,
                     ports::actions& out)
 {
-    bool const granted = lifecycle_.takes_part() &&
+    bool const granted = lifecycle_.is_participating() &&
                          proof_.newest().has_value() &&
-                         witness_.promise(now, from, roster_);
+                         witness_.promise(now, sender, roster_);
     ++(granted ? counts_.promises_given : counts_.promises_refused);
-    send(from,
+    send(sender,
          ports::promise_reply{request.round, granted, self().config_revision},
          out);
 }
 
 void member::handle(common::time_point now,
-                    ports::member_identity const& from,
+                    ports::member_identity const& sender,
                     ports::promise_reply const& reply)
 {
     if (reply.granted)
     {
-        proof_.promised(now, from, reply.round, own_.possible_lists());
+        proof_.on_promise(
+            now, sender, reply.round, own_record_.possible_witness_lists());
     }
 }
 
 void member::handle(common::time_point now,
-                    ports::member_identity const& from,
+                    ports::member_identity const& sender,
                     ports::consent_request const& request,
                     ports::actions& out)
 {
     bool const granted =
-        lifecycle_.takes_part() && request.subject != self().id &&
+        lifecycle_.is_participating() && request.subject != self().id &&
         witness_.consent(now, request.subject, request.record_version, roster_);
     counts_.consents_given += granted ? 1 : 0;
-    send(from,
+    send(sender,
          ports::consent_reply{request.subject, request.record_version, granted},
          out);
 }
 
 // The address is that of the record under the name; a receiver of another
 // incarnation drops the frame.
-void member::send(ports::member_identity const& to,
+void member::send(ports::member_identity const& receiver,
                   ports::peer_message message,
                   ports::actions& out) const
 {
-    auto const* seen = roster_.find(to.name);
-    if (seen != nullptr && seen->readable)
+    auto const* observed = roster_.find(receiver.name);
+    if (observed != nullptr && observed->readable)
     {
         out.emplace_back(ports::peer_send{
-            to, seen->value.info.peer_address, std::move(message)});
+            receiver, observed->value.info.peer_address, std::move(message)});
     }
 }
 
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -11,7 +11,7 @@
 
 /// Unclear writes that are remembered; while the store loses every answer one
 /// is added each beat, and only the newest can still give a young proof.
-constexpr std::size_t max_unsettled = 16;
+constexpr std::size_t max_unconfirmed = 16;
 
 /// Pause before a call is tried again that the store did not answer.
 constexpr common::duration retry_interval = std::chrono::milliseconds(200);
@@ -34,7 +34,7 @@
     }
     switch (step_)
     {
-    case step::looking:
+    case step::reading:
         in_flight_ = call_kind::read;
         return ports::store_read{key()};
     case step::marking:
@@ -45,7 +45,7 @@
         marked.write_id = random();
         return ports::store_write{key(), to_json(marked), predecessor_version_};
     }
-    case step::beating:
+    case step::writing:
         if (now < next_write_)
         {
             return std::nullopt;
@@ -55,7 +55,7 @@
         in_flight_ = call_kind::erase;
         return ports::store_erase{key(), version_};
     case step::waiting:
-    case step::over:
+    case step::finished:
         break;
     }
     return std::nullopt;
@@ -67,13 +67,13 @@
 {
     in_flight_ = call_kind::write;
     next_write_ = now + heartbeat_interval_;
-    if (unsettled_.size() == max_unsettled)
+    if (unconfirmed_writes_.size() == max_unconfirmed)
     {
-        unsettled_.erase(unsettled_.begin());
+        unconfirmed_writes_.erase(unconfirmed_writes_.begin());
     }
-    unsettled_.push_back({next_record(witnesses, random), now});
+    unconfirmed_writes_.push_back({next_record(witnesses, random), now});
     return ports::store_write{
-        key(), to_json(unsettled_.back().value), version_};
+        key(), to_json(unconfirmed_writes_.back().value), version_};
 }
 
 // While a write is unclear the next one carries the same witnesses: so the
@@ -84,16 +84,17 @@
     record value;
     value.info = self_;
     value.heartbeat_count = ++heartbeat_count_;
-    value.witnesses =
-        unsettled_.empty() ? witnesses : unsettled_.back().value.witnesses;
+    value.witnesses = unconfirmed_writes_.empty()
+                          ? witnesses
+                          : unconfirmed_writes_.back().value.witnesses;
     value.write_id = random();
     return value;
 }
 
-own_record_news own_record::on_reply(common::time_point now,
-                                     ports::store_reply const& reply)
+own_record_update own_record::on_reply(common::time_point now,
+                                       ports::store_reply const& reply)
 {
-    own_record_news news;
+    own_record_update update;
     call_kind const kind = std::exchange(in_flight_, call_kind::none);
     if (reply.status == ports::store_status::unavailable ||
         reply.status == ports::store_status::unclear)
@@ -103,13 +104,13 @@
     switch (kind)
     {
     case call_kind::read:
-        on_read_reply(reply, news);
+        on_read_reply(reply, update);
         break;
     case call_kind::mark:
         on_mark_reply(reply);
         break;
     case call_kind::write:
-        on_write_reply(reply, news);
+        on_write_reply(reply, update);
         break;
     case call_kind::erase:
         on_erase_reply(reply);
@@ -117,52 +118,52 @@
     case call_kind::none:
         break;
     }
-    go_on_removing();
-    return news;
+    continue_removal();
+    return update;
 }
 
 void own_record::on_write_reply(ports::store_reply const& reply,
-                                own_record_news& news)
+                                own_record_update& update)
 {
     switch (reply.status)
     {
     case ports::store_status::done:
     {
-        sent_write const write = unsettled_.back();
-        accept(write, reply.index, news);
+        sent_write const write = unconfirmed_writes_.back();
+        accept(write, reply.index, update);
         break;
     }
     case ports::store_status::unavailable:
-        unsettled_.pop_back();
+        unconfirmed_writes_.pop_back();
         break;
     case ports::store_status::conflict:
         // This write did nothing; an earlier unclear one or another writer did.
-        unsettled_.pop_back();
-        step_ = step::looking;
+        unconfirmed_writes_.pop_back();
+        step_ = step::reading;
         break;
     case ports::store_status::unclear:
-        step_ = step::looking;
+        step_ = step::reading;
         break;
     }
 }
 
 void own_record::on_read_reply(ports::store_reply const& reply,
-                               own_record_news& news)
+                               own_record_update& update)
 {
     if (reply.status != ports::store_status::done)
     {
         return;
     }
-    std::uint64_t const shown =
+    std::uint64_t const read_version =
         reply.entries.empty() ? reply.index : reply.entries.front().version;
-    if (joined_ && shown < version_)
+    if (joined_ && read_version < version_)
     {
-        step_ = step::beating; // A lagging replica's older state.
+        step_ = step::writing; // A lagging replica's older state.
         return;
     }
     if (reply.entries.empty())
     {
-        settle_absent(news);
+        resolve_absent(update);
         return;
     }
     auto const& entry = reply.entries.front();
@@ -170,83 +171,85 @@
     auto value = parse_record(self_.role, self_.id.name, entry.value, reason);
     if (!value)
     {
-        end("the own record is unreadable: " + common::to_string(reason), news);
+        finish_fenced("the own record is unreadable: " +
+                          common::to_string(reason),
+                      update);
         return;
     }
     if (value->info.id == self_.id && !value->fenced && value->successor == 0)
     {
-        settle_own(*value, entry.version, news);
+        resolve_own(*value, entry.version, update);
         return;
     }
-    settle_other(std::move(*value), entry.version, news);
+    resolve_other(std::move(*value), entry.version, update);
 }
 
-void own_record::settle_absent(own_record_news& news)
+void own_record::resolve_absent(own_record_update& update)
 {
     if (removing_)
     {
-        step_ = step::over;
+        step_ = step::finished;
         return;
     }
     if (joined_)
     {
-        end("the record was removed", news);
+        finish_fenced("the record was removed", update);
         return;
     }
     version_ = 0;
     predecessor_.reset();
-    step_ = step::beating;
+    step_ = step::writing;
 }
 
-void own_record::settle_own(record const& value,
-                            std::uint64_t version,
-                            own_record_news& news)
+void own_record::resolve_own(record const& value,
+                             std::uint64_t version,
+                             own_record_update& update)
 {
-    step_ = step::beating;
+    step_ = step::writing;
     if (version <= version_)
     {
         return; // None of the unclear writes took effect so far.
     }
     auto const write =
-        std::find_if(unsettled_.begin(),
-                     unsettled_.end(),
+        std::find_if(unconfirmed_writes_.begin(),
+                     unconfirmed_writes_.end(),
                      [&value](sent_write const& candidate)
                      {
                          return candidate.value.write_id == value.write_id;
                      });
-    if (write != unsettled_.end())
+    if (write != unconfirmed_writes_.end())
     {
         sent_write const found = *write;
-        accept(found, version, news);
+        accept(found, version, update);
         return;
     }
     joined_ = true;
-    standing_ = value;
+    accepted_record_ = value;
     version_ = version;
-    unsettled_.clear();
+    unconfirmed_writes_.clear();
 }
 
-void own_record::settle_other(record value,
-                              std::uint64_t version,
-                              own_record_news& news)
+void own_record::resolve_other(record value,
+                               std::uint64_t version,
+                               own_record_update& update)
 {
     if (removing_)
     {
-        step_ = step::over;
+        step_ = step::finished;
         return;
     }
     if (joined_ || value.info.id == self_.id)
     {
-        end(value.fenced ? "buried by another member"
-                         : "a newer process runs under this name",
-            news);
+        finish_fenced(value.fenced ? "buried by another member"
+                                   : "a newer process runs under this name",
+                      update);
         return;
     }
     if (value.fenced)
     {
         version_ = version;
         predecessor_.reset();
-        step_ = step::beating;
+        step_ = step::writing;
         return;
     }
     predecessor_ = value.info.id;
@@ -260,7 +263,7 @@
 {
     if (reply.status != ports::store_status::unavailable)
     {
-        step_ = step::looking;
+        step_ = step::reading;
     }
 }
 
@@ -269,47 +272,47 @@
     switch (reply.status)
     {
     case ports::store_status::done:
-        step_ = step::over;
+        step_ = step::finished;
         break;
     case ports::store_status::unavailable:
         break;
     case ports::store_status::conflict:
     case ports::store_status::unclear:
-        step_ = step::looking;
+        step_ = step::reading;
         break;
     }
 }
 
 void own_record::accept(sent_write const& write,
                         std::uint64_t version,
-                        own_record_news& news)
+                        own_record_update& update)
 {
     joined_ = true;
-    standing_ = write.value;
+    accepted_record_ = write.value;
     version_ = version;
-    news.accepted_sent = write.sent;
-    unsettled_.clear();
+    update.accepted_sent_at = write.sent;
+    unconfirmed_writes_.clear();
 }
 
-void own_record::end(std::string why, own_record_news& news)
+void own_record::finish_fenced(std::string reason, own_record_update& update)
 {
-    step_ = step::over;
-    news.fenced_reason = std::move(why);
+    step_ = step::finished;
+    update.fenced_reason = std::move(reason);
 }
 
-void own_record::look_again() noexcept
+void own_record::request_read() noexcept
 {
-    if (step_ == step::beating || step_ == step::waiting)
+    if (step_ == step::writing || step_ == step::waiting)
     {
         // A write in flight goes on to settle it by itself.
         if (in_flight_ == call_kind::none)
         {
-            step_ = step::looking;
+            step_ = step::reading;
         }
     }
 }
 
-void own_record::hurry(common::time_point now) noexcept
+void own_record::schedule_now(common::time_point now) noexcept
 {
     next_write_ = now;
     next_call_ = now;
@@ -330,34 +333,34 @@
     removing_ = true;
     if (in_flight_ == call_kind::none)
     {
-        go_on_removing();
+        continue_removal();
     }
 }
 
 // A member that never joined has nothing to erase; one whose first write is
 // unclear looks first.
-void own_record::go_on_removing() noexcept
+void own_record::continue_removal() noexcept
 {
-    if (!removing_ || step_ == step::over || step_ == step::erasing)
+    if (!removing_ || step_ == step::finished || step_ == step::erasing)
     {
         return;
     }
-    if (joined_ && step_ == step::beating)
+    if (joined_ && step_ == step::writing)
     {
         step_ = step::erasing;
     }
-    else if (!joined_ && step_ != step::looking)
+    else if (!joined_ && step_ != step::reading)
     {
-        step_ = unsettled_.empty() ? step::over : step::looking;
+        step_ = unconfirmed_writes_.empty() ? step::finished : step::reading;
     }
 }
 
-bool own_record::removed() const noexcept
+bool own_record::is_removed() const noexcept
 {
-    return removing_ && step_ == step::over;
+    return removing_ && step_ == step::finished;
 }
 
-bool own_record::joined() const noexcept
+bool own_record::has_joined() const noexcept
 {
     return joined_;
 }
@@ -372,20 +375,20 @@
     return self_;
 }
 
-record const& own_record::standing() const noexcept
+record const& own_record::accepted_record() const noexcept
 {
-    return standing_;
+    return accepted_record_;
 }
 
-std::vector<witness_list> own_record::possible_lists() const
+std::vector<witness_list> own_record::possible_witness_lists() const
 {
     std::vector<witness_list> lists;
     if (!joined_)
     {
         return lists;
     }
-    lists.push_back(standing_.witnesses);
-    for (auto const& write : unsettled_)
+    lists.push_back(accepted_record_.witnesses);
+    for (auto const& write : unconfirmed_writes_)
     {
         auto const& list = write.value.witnesses;
         if (std::find(lists.begin(), lists.end(), list) == lists.end())
--- a/src/core/membership/platform_list.cpp
+++ b/src/core/membership/platform_list.cpp
@@ -10,85 +10,85 @@
 {
 
 /// How much longer a name must be absent that no list ever held.
-constexpr int never_named_factor = 10;
+constexpr int never_listed_factor = 10;
 
 } // namespace
 
 void platform_list::apply(ports::instance_list const& list,
-                          std::string_view self)
+                          std::string_view self_name)
 {
-    std::set<std::string, std::less<>> const named(list.members.begin(),
-                                                   list.members.end());
-    if (named.count(self) == 0 || named.size() > max_names)
+    std::set<std::string, std::less<>> const listed_names(list.members.begin(),
+                                                          list.members.end());
+    if (listed_names.count(self_name) == 0 || listed_names.size() > max_names)
     {
-        known_ = false;
-        mentions_.clear();
+        has_list_ = false;
+        listings_.clear();
         return;
     }
-    if (known_ && list.received < newest_received_)
+    if (has_list_ && list.received < newest_received_)
     {
         return;
     }
-    for (auto& [name, mention] : mentions_)
+    for (auto& [name, listing] : listings_)
     {
-        if (!mention.absent && named.count(name) == 0)
+        if (!listing.absent && listed_names.count(name) == 0)
         {
-            mention.absent = true;
-            mention.absent_since = list.received;
+            listing.absent = true;
+            listing.absent_since = list.received;
         }
     }
-    for (auto const& name : named)
+    for (auto const& name : listed_names)
     {
-        mentions_[name] = {list.received, {}, false};
+        listings_[name] = {list.received, {}, false};
     }
-    while (mentions_.size() > max_names)
+    while (listings_.size() > max_names)
     {
-        forget_oldest();
+        evict_oldest();
     }
-    if (!known_)
+    if (!has_list_)
     {
         first_received_ = list.received;
     }
     newest_received_ = list.received;
-    known_ = true;
+    has_list_ = true;
 }
 
-void platform_list::forget_oldest()
+void platform_list::evict_oldest()
 {
-    auto const oldest = std::min_element(mentions_.begin(),
-                                         mentions_.end(),
-                                         [](auto const& left, auto const& right)
+    auto const oldest = std::min_element(listings_.begin(),
+                                         listings_.end(),
+                                         [](auto const& lhs, auto const& rhs)
                                          {
-                                             return left.second.last_named <
-                                                    right.second.last_named;
+                                             return lhs.second.last_listed <
+                                                    rhs.second.last_listed;
                                          });
-    mentions_.erase(oldest);
+    listings_.erase(oldest);
 }
 
 bool platform_list::dropped_for(std::string_view name,
                                 common::time_point since,
                                 common::duration length) const
 {
-    if (!known_)
+    if (!has_list_)
     {
         return false;
     }
-    auto const place = mentions_.find(name);
-    if (place == mentions_.end())
+    auto const it = listings_.find(name);
+    if (it == listings_.end())
     {
         return newest_received_ - std::max(since, first_received_) >=
-               length * never_named_factor;
+               length * never_listed_factor;
     }
-    auto const& mention = place->second;
-    if (!mention.absent)
+    auto const& listing = it->second;
+    if (!listing.absent)
     {
         return false;
     }
-    if (mention.last_named >= since)
+    if (listing.last_listed >= since)
     {
-        return newest_received_ - mention.absent_since >= length;
+        return newest_received_ - listing.absent_since >= length;
     }
-    return newest_received_ - since >= length * never_named_factor;
+    return newest_received_ - since >= length * never_listed_factor;
 }
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/platform_list.hpp
+++ b/src/core/membership/platform_list.hpp
@@ -21,7 +21,7 @@
 
     /// A list that does not name `self`, which runs, is wrong about who is
     /// gone: it is not taken, and what earlier lists said no longer counts.
-    void apply(ports::instance_list const& list, std::string_view self);
+    void apply(ports::instance_list const& list, std::string_view self_name);
 
     /// Whether the platform has dropped the instance that was first seen under
     /// `name` at `since`: its name stood in a list received after that, and
@@ -33,19 +33,19 @@
                      common::duration length) const;
 
 private:
-    struct mention
+    struct listing
     {
-        common::time_point last_named;
+        common::time_point last_listed;
         common::time_point absent_since; ///< Where it is absent.
         bool absent = false;
     };
 
-    void forget_oldest();
+    void evict_oldest();
 
-    std::map<std::string, mention, std::less<>> mentions_;
+    std::map<std::string, listing, std::less<>> listings_;
     common::time_point first_received_{};
     common::time_point newest_received_{};
-    bool known_ = false;
+    bool has_list_ = false;
 };
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/proof.cpp
+++ b/src/core/membership/proof.cpp
@@ -16,18 +16,21 @@
 
 } // namespace
 
-proof::proof(safety_rules parts) : parts_(parts)
+proof::proof(safety_rules rules) : rules_(rules)
 {
 }
 
-void proof::store_accepted(common::time_point now, common::time_point sent)
+void proof::on_heartbeat_accepted(common::time_point now,
+                                  common::time_point sent)
 {
-    if (sent < floor_)
+    if (sent < min_sent_at_)
     {
         return;
     }
-    common::time_point const from = parts_.count_proof_from_send ? sent : now;
-    by_store_ = by_store_ ? std::max(*by_store_, from) : from;
+    common::time_point const valid_from =
+        rules_.count_proof_from_send ? sent : now;
+    store_proof_ =
+        store_proof_ ? std::max(*store_proof_, valid_from) : valid_from;
 }
 
 std::uint64_t proof::begin_round(common::time_point now)
@@ -43,10 +46,10 @@
 // A promise to an earlier round stays good: the witness gave it no sooner than
 // that round was sent. So the proof is the time since which majorities have
 // promised, whatever rounds their answers belong to.
-void proof::promised(common::time_point now,
-                     ports::member_identity const& witness,
-                     std::uint64_t round,
-                     std::vector<witness_list> const& lists)
+void proof::on_promise(common::time_point now,
+                       ports::member_identity const& witness,
+                       std::uint64_t round,
+                       std::vector<witness_list> const& lists)
 {
     auto const sent_round = std::find_if(rounds_.begin(),
                                          rounds_.end(),
@@ -62,29 +65,29 @@
     {
         promises_.clear(); // Witnesses changed often; the next round refills.
     }
-    common::time_point const from =
-        parts_.count_proof_from_send ? sent_round->sent : now;
-    auto const [place, added] = promises_.try_emplace(witness, from);
-    place->second = std::max(place->second, from);
+    common::time_point const valid_from =
+        rules_.count_proof_from_send ? sent_round->sent : now;
+    auto const [it, added] = promises_.try_emplace(witness, valid_from);
+    it->second = std::max(it->second, valid_from);
 
     std::optional<common::time_point> since;
     for (auto const& list : lists)
     {
-        auto const here = majority_since(list);
-        if (!here)
+        auto const list_since = majority_since(list);
+        if (!list_since)
         {
             return;
         }
-        since = since ? std::min(*since, *here) : *here;
-        if (!parts_.require_both_witness_lists)
+        since = since ? std::min(*since, *list_since) : *list_since;
+        if (!rules_.require_both_witness_lists)
         {
             break;
         }
     }
     if (since)
     {
-        by_witnesses_ =
-            by_witnesses_ ? std::max(*by_witnesses_, *since) : *since;
+        witness_proof_ =
+            witness_proof_ ? std::max(*witness_proof_, *since) : *since;
     }
 }
 
@@ -94,10 +97,10 @@
     std::vector<common::time_point> times;
     for (auto const& witness : list)
     {
-        auto const place = promises_.find(witness);
-        if (place != promises_.end())
+        auto const it = promises_.find(witness);
+        if (it != promises_.end())
         {
-            times.push_back(place->second);
+            times.push_back(it->second);
         }
     }
     std::size_t const majority = list.size() / 2 + 1;
@@ -111,25 +114,26 @@
 
 void proof::invalidate_all(common::time_point now) noexcept
 {
-    floor_ = now;
-    by_store_.reset();
-    by_witnesses_.reset();
+    min_sent_at_ = now;
+    store_proof_.reset();
+    witness_proof_.reset();
     rounds_.clear();
     promises_.clear();
 }
 
 std::optional<common::time_point> proof::newest() const noexcept
 {
-    if (by_store_ && by_witnesses_)
+    if (store_proof_ && witness_proof_)
     {
-        return std::max(*by_store_, *by_witnesses_);
+        return std::max(*store_proof_, *witness_proof_);
     }
-    return by_store_ ? by_store_ : by_witnesses_;
+    return store_proof_ ? store_proof_ : witness_proof_;
 }
 
 bool proof::newest_is_from_store() const noexcept
 {
-    return by_store_ && (!by_witnesses_ || *by_store_ >= *by_witnesses_);
+    return store_proof_ &&
+           (!witness_proof_ || *store_proof_ >= *witness_proof_);
 }
 
 } // namespace fuchsia::core::membership
--- a/src/core/membership/proof.hpp
+++ b/src/core/membership/proof.hpp
@@ -23,17 +23,17 @@
 class proof
 {
 public:
-    explicit proof(safety_rules parts);
+    explicit proof(safety_rules rules);
 
     /// A beat that was sent at `sent` is known to have been accepted.
-    void store_accepted(common::time_point now, common::time_point sent);
+    void on_heartbeat_accepted(common::time_point now, common::time_point sent);
     /// A new round of promise requests goes out now; its number.
     std::uint64_t begin_round(common::time_point now);
     /// A witness granted a round. `lists` are all that the store may hold.
-    void promised(common::time_point now,
-                  ports::member_identity const& witness,
-                  std::uint64_t round,
-                  std::vector<witness_list> const& lists);
+    void on_promise(common::time_point now,
+                    ports::member_identity const& witness,
+                    std::uint64_t round,
+                    std::vector<witness_list> const& lists);
     /// Voids all proofs, and those that answers to earlier calls would give.
     void invalidate_all(common::time_point now) noexcept;
 
@@ -51,11 +51,11 @@
     std::optional<common::time_point>
     majority_since(witness_list const& list) const;
 
-    safety_rules parts_;
-    std::optional<common::time_point> by_store_;
-    std::optional<common::time_point> by_witnesses_;
+    safety_rules rules_;
+    std::optional<common::time_point> store_proof_;
+    std::optional<common::time_point> witness_proof_;
     /// Proofs sent before this do not count.
-    common::time_point floor_ = common::time_point::min();
+    common::time_point min_sent_at_ = common::time_point::min();
     std::uint64_t last_round_ = 0;
     std::deque<round_sent> rounds_;
     std::map<ports::member_identity, common::time_point> promises_;
--- a/src/core/membership/record.cpp
+++ b/src/core/membership/record.cpp
@@ -40,14 +40,15 @@
         return {};
     }
     common::json_reader inner(*object, std::string(key));
-    ports::endpoint where;
-    where.address = inner.text("address");
-    where.port = static_cast<std::uint16_t>(inner.integer("port", 0, max_port));
+    ports::endpoint endpoint;
+    endpoint.address = inner.text("address");
+    endpoint.port =
+        static_cast<std::uint16_t>(inner.integer("port", 0, max_port));
     if (!inner.ok())
     {
         reader.fail(inner.reason().code, key, inner.reason().why);
     }
-    return where;
+    return endpoint;
 }
 
 std::vector<ports::member_identity> read_witnesses(common::json_reader& reader)
@@ -81,9 +82,9 @@
     return witnesses;
 }
 
-boost::json::object endpoint_json(ports::endpoint const& where)
+boost::json::object endpoint_json(ports::endpoint const& endpoint)
 {
-    return {{"address", where.address}, {"port", where.port}};
+    return {{"address", endpoint.address}, {"port", endpoint.port}};
 }
 
 } // namespace
@@ -115,17 +116,17 @@
 
 std::optional<ports::member_identity> identity_from(std::string_view text)
 {
-    auto const mark = text.rfind('#');
-    if (mark == std::string_view::npos || mark == 0)
+    auto const separator = text.rfind('#');
+    if (separator == std::string_view::npos || separator == 0)
     {
         return std::nullopt;
     }
-    auto const incarnation = from_hexadecimal(text.substr(mark + 1));
+    auto const incarnation = from_hexadecimal(text.substr(separator + 1));
     if (!incarnation)
     {
         return std::nullopt;
     }
-    return ports::member_identity{std::string(text.substr(0, mark)),
+    return ports::member_identity{std::string(text.substr(0, separator)),
                                   *incarnation};
 }
 
--- a/src/core/membership/roster.cpp
+++ b/src/core/membership/roster.cpp
@@ -31,7 +31,7 @@
         return false;
     }
     std::string const prefix = members_prefix(role_);
-    records_by_name fresh;
+    records_by_name updated;
     for (auto const& entry : reply.entries)
     {
         if (!entry.key.starts_with(prefix))
@@ -39,83 +39,84 @@
             continue;
         }
         std::string const name = entry.key.substr(prefix.size());
-        fresh.insert_or_assign(name, read_entry(now, name, entry, reason));
+        updated.insert_or_assign(name, read_entry(now, name, entry, reason));
     }
-    for (auto& [name, before] : records_)
+    for (auto& [name, previous] : records_)
     {
-        if (before.version > reply.index)
+        if (previous.version > reply.index)
         {
-            fresh.try_emplace(name, std::move(before));
+            updated.try_emplace(name, std::move(previous));
         }
     }
-    records_ = std::move(fresh);
+    records_ = std::move(updated);
     list_sent_ = sent;
     list_index_ = reply.index;
     known_ = true;
-    renew_live();
+    rebuild_live();
     return true;
 }
 
 // A record that can't be parsed must not look like one that was removed: its
 // member may be running. What it last said stays, its version moves on.
-seen_record roster::read_entry(common::time_point now,
-                               std::string const& name,
-                               ports::store_entry const& entry,
-                               common::failure& reason) const
+observed_record roster::read_entry(common::time_point now,
+                                   std::string const& name,
+                                   ports::store_entry const& entry,
+                                   common::failure& reason) const
 {
-    seen_record const* before = find(name);
-    if (before != nullptr && before->version >= entry.version)
+    observed_record const* previous = find(name);
+    if (previous != nullptr && previous->version >= entry.version)
     {
-        return *before; // A write of ours was answered after this list.
+        return *previous; // A write of ours was answered after this list.
     }
-    seen_record seen;
-    seen.version = entry.version;
-    seen.version_seen = now;
-    seen.incarnation_seen = now;
-    seen.successor_seen = now;
+    observed_record observed;
+    observed.version = entry.version;
+    observed.version_seen = now;
+    observed.incarnation_seen = now;
+    observed.successor_seen = now;
     auto value = parse_record(role_, name, entry.value, reason);
-    seen.readable = value.has_value();
+    observed.readable = value.has_value();
     if (value)
     {
-        seen.value = std::move(*value);
+        observed.value = std::move(*value);
     }
     else
     {
         reason.where = entry.key;
-        seen.value.info.role = role_;
-        seen.value.info.id.name = name;
+        observed.value.info.role = role_;
+        observed.value.info.id.name = name;
     }
-    if (before != nullptr && before->value.info.id == seen.value.info.id)
+    if (previous != nullptr &&
+        previous->value.info.id == observed.value.info.id)
     {
-        seen.incarnation_seen = before->incarnation_seen;
-        if (before->value.successor != 0)
+        observed.incarnation_seen = previous->incarnation_seen;
+        if (previous->value.successor != 0)
         {
-            seen.successor_seen = before->successor_seen;
+            observed.successor_seen = previous->successor_seen;
         }
     }
-    return seen;
+    return observed;
 }
 
-void roster::note(common::time_point now,
-                  record const& value,
-                  std::uint64_t version)
+void roster::update_record(common::time_point now,
+                           record const& value,
+                           std::uint64_t version)
 {
-    seen_record const* before = find(value.info.id.name);
-    if (before != nullptr && before->version >= version)
+    observed_record const* previous = find(value.info.id.name);
+    if (previous != nullptr && previous->version >= version)
     {
         return;
     }
-    seen_record seen{value, version, now, now, now, true};
-    if (before != nullptr && before->value.info.id == value.info.id)
+    observed_record observed{value, version, now, now, now, true};
+    if (previous != nullptr && previous->value.info.id == value.info.id)
     {
-        seen.incarnation_seen = before->incarnation_seen;
-        seen.successor_seen = before->successor_seen;
+        observed.incarnation_seen = previous->incarnation_seen;
+        observed.successor_seen = previous->successor_seen;
     }
-    records_.insert_or_assign(value.info.id.name, std::move(seen));
-    renew_live();
+    records_.insert_or_assign(value.info.id.name, std::move(observed));
+    rebuild_live();
 }
 
-bool roster::known() const noexcept
+bool roster::is_loaded() const noexcept
 {
     return known_;
 }
@@ -135,10 +136,10 @@
     return records_;
 }
 
-seen_record const* roster::find(std::string_view name) const noexcept
+observed_record const* roster::find(std::string_view name) const noexcept
 {
-    auto const place = records_.find(name);
-    return place == records_.end() ? nullptr : &place->second;
+    auto const it = records_.find(name);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
 std::vector<member_info> const& roster::live() const noexcept
@@ -152,19 +153,21 @@
     {
         return false;
     }
-    auto const* seen = find(id.name);
-    return seen == nullptr || (seen->readable && (seen->value.info.id != id ||
-                                                  seen->value.fenced));
+    auto const* observed = find(id.name);
+    return observed == nullptr ||
+           (observed->readable &&
+            (observed->value.info.id != id || observed->value.fenced));
 }
 
-void roster::renew_live()
+void roster::rebuild_live()
 {
     live_.clear();
-    for (auto const& [name, seen] : records_)
+    for (auto const& [name, observed] : records_)
     {
-        if (seen.readable && !seen.value.fenced && seen.value.successor == 0)
+        if (observed.readable && !observed.value.fenced &&
+            observed.value.successor == 0)
         {
-            live_.push_back(seen.value.info);
+            live_.push_back(observed.value.info);
         }
     }
 }
--- a/src/core/membership/roster.hpp
+++ b/src/core/membership/roster.hpp
@@ -17,7 +17,7 @@
 {
 
 /// One record together with how long this process has seen it so.
-struct seen_record
+struct observed_record
 {
     record value;
     std::uint64_t version = 0;
@@ -37,7 +37,7 @@
 class roster
 {
 public:
-    using records_by_name = std::map<std::string, seen_record, std::less<>>;
+    using records_by_name = std::map<std::string, observed_record, std::less<>>;
 
     /// Most records that are kept; a longer list is refused as a whole, since
     /// a shortened one would show running members as removed.
@@ -53,26 +53,27 @@
                ports::store_reply const& reply,
                common::failure& reason);
     /// Takes one record known to stand at `version`, such as after a write.
-    void
-    note(common::time_point now, record const& value, std::uint64_t version);
+    void update_record(common::time_point now,
+                       record const& value,
+                       std::uint64_t version);
 
-    bool known() const noexcept;
+    bool is_loaded() const noexcept;
     /// When the newest list call was sent.
     common::time_point list_sent() const noexcept;
     /// The store's index at which the newest list was read: it shows every
     /// change up to that.
     std::uint64_t index() const noexcept;
     records_by_name const& records() const noexcept;
-    seen_record const* find(std::string_view name) const noexcept;
+    observed_record const* find(std::string_view name) const noexcept;
     std::vector<member_info> const& live() const noexcept;
     bool is_fenced(ports::member_identity const& id) const noexcept;
 
 private:
-    seen_record read_entry(common::time_point now,
-                           std::string const& name,
-                           ports::store_entry const& entry,
-                           common::failure& reason) const;
-    void renew_live();
+    observed_record read_entry(common::time_point now,
+                               std::string const& name,
+                               ports::store_entry const& entry,
+                               common::failure& reason) const;
+    void rebuild_live();
 
     std::string role_;
     records_by_name records_;
--- a/src/core/membership/witness.cpp
+++ b/src/core/membership/witness.cpp
@@ -9,12 +9,12 @@
 {
 
 /// Whether the roster shows a record of `subject` newer than `version`.
-bool knows_newer(roster const& members,
-                 ports::member_identity const& subject,
-                 std::uint64_t version)
+bool shows_newer_record(roster const& members,
+                        ports::member_identity const& subject,
+                        std::uint64_t version)
 {
-    auto const* seen = members.find(subject.name);
-    return seen != nullptr && seen->version > version;
+    auto const* observed = members.find(subject.name);
+    return observed != nullptr && observed->version > version;
 }
 
 } // namespace
@@ -47,7 +47,7 @@
                       std::uint64_t version,
                       roster const& members)
 {
-    if (knows_newer(members, subject, version))
+    if (shows_newer_record(members, subject, version))
     {
         return false; // Its burial at `version` would fail.
     }
@@ -60,17 +60,18 @@
     {
         return false;
     }
-    auto const [place, added] = consents_.try_emplace(subject, version);
-    place->second = std::max(place->second, version);
+    auto const [it, added] = consents_.try_emplace(subject, version);
+    it->second = std::max(it->second, version);
     return true;
 }
 
-void witness::learn(common::time_point now, roster const& members)
+void witness::on_list(common::time_point now, roster const& members)
 {
     std::erase_if(consents_,
                   [&members](auto const& given)
                   {
-                      return knows_newer(members, given.first, given.second);
+                      return shows_newer_record(
+                          members, given.first, given.second);
                   });
     std::erase_if(promises_,
                   [now, this](auto const& given)
@@ -79,7 +80,7 @@
                   });
 }
 
-void witness::after_pause(common::time_point now) noexcept
+void witness::on_pause(common::time_point now) noexcept
 {
     for (auto& [subject, given] : promises_)
     {
--- a/src/core/membership/witness.hpp
+++ b/src/core/membership/witness.hpp
@@ -36,10 +36,10 @@
                  std::uint64_t version,
                  roster const& members);
     /// Lets go of consents whose record is newer now, and of old promises.
-    void learn(common::time_point now, roster const& members);
+    void on_list(common::time_point now, roster const& members);
     /// After a pause it can't be told how long ago a promise was given, where
     /// the clock stood still with the process: all count as given now.
-    void after_pause(common::time_point now) noexcept;
+    void on_pause(common::time_point now) noexcept;
 
 private:
     common::duration fencing_delay_;
--- a/src/core/membership/witness_choice.cpp
+++ b/src/core/membership/witness_choice.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-struct choice
+struct candidate
 {
     ports::member_identity id;
     std::string_view data_centre;
     std::uint64_t weight = 0;
     /// How many of the same data centre are drawn before this one.
-    std::uint32_t turn = 0;
+    std::uint32_t data_centre_rank = 0;
 };
 
 } // namespace
@@ -28,41 +28,41 @@
                               std::uint32_t count)
 {
     std::uint64_t const seed = common::hash_of(self.name);
-    std::vector<choice> choices;
+    std::vector<candidate> candidates;
     for (auto const& info : live)
     {
         if (info.id.name != self.name && !info.leaving)
         {
-            choices.push_back({info.id,
-                               info.data_centre,
-                               common::hash_of(info.id.name, seed)});
+            candidates.push_back({info.id,
+                                  info.data_centre,
+                                  common::hash_of(info.id.name, seed)});
         }
     }
-    std::sort(choices.begin(),
-              choices.end(),
-              [](choice const& left, choice const& right)
+    std::sort(candidates.begin(),
+              candidates.end(),
+              [](candidate const& lhs, candidate const& rhs)
               {
-                  return left.weight > right.weight;
+                  return lhs.weight > rhs.weight;
               });
-    std::map<std::string_view, std::uint32_t> turns;
-    for (auto& each : choices)
+    std::map<std::string_view, std::uint32_t> data_centre_counts;
+    for (auto& entry : candidates)
     {
-        each.turn = turns[each.data_centre]++;
+        entry.data_centre_rank = data_centre_counts[entry.data_centre]++;
     }
-    std::stable_sort(choices.begin(),
-                     choices.end(),
-                     [](choice const& left, choice const& right)
+    std::stable_sort(candidates.begin(),
+                     candidates.end(),
+                     [](candidate const& lhs, candidate const& rhs)
                      {
-                         return left.turn < right.turn;
+                         return lhs.data_centre_rank < rhs.data_centre_rank;
                      });
     witness_list chosen;
-    for (auto const& each : choices)
+    for (auto const& entry : candidates)
     {
         if (chosen.size() == count)
         {
             break;
         }
-        chosen.push_back(each.id);
+        chosen.push_back(entry.id);
     }
     std::sort(chosen.begin(), chosen.end());
     return chosen;
--- a/src/core/placement/bench.cpp
+++ b/src/core/placement/bench.cpp
@@ -12,18 +12,19 @@
 
 constexpr std::int64_t worker_millicores = 64000;
 constexpr std::int64_t worker_memory_mb = 250000;
-constexpr std::uint32_t tries = 4; ///< Racks that a task is offered to.
+constexpr std::uint32_t max_rack_tries =
+    4; ///< Racks that a task is offered to.
 
 /// Racks of workers, filled and emptied at random.
-class fleet
+class simulated_fleet
 {
 public:
-    explicit fleet(placement_benchmark_settings const& settings)
-        : settings_(settings), random_(settings.seed), learned_({})
+    explicit simulated_fleet(placement_benchmark_settings const& settings)
+        : settings_(settings), random_(settings.seed), model_({})
     {
         for (std::uint32_t number = 0; number < settings.classes; ++number)
         {
-            learned_.class_index("class-" + std::to_string(number));
+            model_.class_index("class-" + std::to_string(number));
         }
         auto const racks = (settings.workers + settings.workers_per_rack - 1) /
                            settings.workers_per_rack;
@@ -38,16 +39,16 @@
 
     bool add(bool service)
     {
-        auto const task = draw(service);
-        for (std::uint32_t number = 0; number < tries; ++number)
+        auto const task = draw_task(service);
+        for (std::uint32_t number = 0; number < max_rack_tries; ++number)
         {
             auto& rack = racks_[random_() % racks_.size()];
             auto const chosen = choose_worker(
-                settings_.placement_policy, rack, task, learned_, {});
-            note(chosen.value_or(rack.size()));
+                settings_.placement_policy, rack, task, model_, {});
+            update_signature(chosen.value_or(rack.size()));
             if (chosen)
             {
-                put(rack[*chosen], task);
+                add_resident(rack[*chosen], task);
                 return true;
             }
         }
@@ -62,7 +63,7 @@
         {
             return;
         }
-        learn(worker);
+        record_random_slowdown(worker);
         auto const last = worker.residents.back();
         worker.residents.pop_back();
         worker.committed -= last.declared;
@@ -76,7 +77,7 @@
     }
 
 private:
-    placement_task draw(bool service)
+    placement_task draw_task(bool service)
     {
         placement_task task;
         task.task_class =
@@ -89,7 +90,7 @@
         return task;
     }
 
-    static void put(candidate& worker, placement_task const& task)
+    static void add_resident(candidate& worker, placement_task const& task)
     {
         worker.committed += task.declared;
         worker.batch_millicores +=
@@ -102,26 +103,26 @@
                  static_cast<double>(worker.capacity.millicores)});
     }
 
-    void learn(candidate const& worker)
+    void record_random_slowdown(candidate const& worker)
     {
-        std::vector<neighbour> beside;
+        std::vector<neighbour> neighbours;
         for (auto const& other : worker.residents)
         {
-            beside.push_back({other.task_class, other.cpu_share});
+            neighbours.push_back({other.task_class, other.cpu_share});
         }
         auto const victim = worker.residents.front().task_class;
-        learned_.record_slowdown(
-            victim, beside, 1 + static_cast<double>(random_() % 100) / 100);
+        model_.record_slowdown(
+            victim, neighbours, 1 + static_cast<double>(random_() % 100) / 100);
     }
 
-    void note(std::uint64_t value) noexcept
+    void update_signature(std::uint64_t value) noexcept
     {
         signature_ = (signature_ ^ value) * 1099511628211ULL;
     }
 
     placement_benchmark_settings const& settings_;
     std::mt19937_64 random_;
-    interference_model learned_;
+    interference_model model_;
     std::vector<std::vector<candidate>> racks_;
     std::uint64_t signature_ = 1469598103934665603ULL;
 };
@@ -131,24 +132,24 @@
 placement_benchmark_result
 run_placement_benchmark(placement_benchmark_settings const& settings)
 {
-    fleet all(settings);
-    placement_benchmark_result out;
+    simulated_fleet all(settings);
+    placement_benchmark_result result;
     for (std::uint32_t number = 0; number < settings.services; ++number)
     {
-        out.resident += all.add(true) ? 1 : 0;
+        result.resident += all.add(true) ? 1 : 0;
     }
     for (std::uint32_t number = 0; number < settings.batch_tasks; ++number)
     {
-        out.resident += all.add(false) ? 1 : 0;
+        result.resident += all.add(false) ? 1 : 0;
     }
     for (std::uint32_t number = 0; number < settings.decisions; ++number)
     {
         all.remove_one();
-        out.placed += all.add(number % 2 == 0) ? 1 : 0;
-        ++out.decisions;
+        result.placed += all.add(number % 2 == 0) ? 1 : 0;
+        ++result.decisions;
     }
-    out.signature = all.signature();
-    return out;
+    result.signature = all.signature();
+    return result;
 }
 
 } // namespace fuchsia::core::placement
--- a/src/core/placement/interference.hpp
+++ b/src/core/placement/interference.hpp
@@ -46,13 +46,13 @@
     /// Slowdown that `victim` is expected to suffer beside these; 1 is none.
     double
     predicted_slowdown(std::uint16_t victim,
-                       std::vector<neighbour> const& beside) const noexcept;
+                       std::vector<neighbour> const& neighbours) const noexcept;
     double weight(std::uint16_t victim, std::uint16_t aggressor) const noexcept;
 
     /// `victim` was seen at `slowdown` beside these: moves the weights of the
     /// pairs by their part in it.
     void record_slowdown(std::uint16_t victim,
-                         std::vector<neighbour> const& beside,
+                         std::vector<neighbour> const& neighbours,
                          double slowdown);
 
     /// Best tail latency of a class so far, against which a service's slowdown
@@ -62,11 +62,11 @@
     std::size_t classes() const noexcept;
 
 private:
-    std::size_t at(std::uint16_t victim,
-                   std::uint16_t aggressor) const noexcept;
+    std::size_t weight_index(std::uint16_t victim,
+                             std::uint16_t aggressor) const noexcept;
 
     interference_settings settings_;
-    std::map<std::string, std::uint16_t, std::less<>> numbers_;
+    std::map<std::string, std::uint16_t, std::less<>> class_indices_;
     std::vector<double> weights_;   ///< max_classes squared.
     std::vector<double> baselines_; ///< Of each class, in microseconds.
 };
--- a/src/core/placement/latency_guard.cpp
+++ b/src/core/placement/latency_guard.cpp
@@ -12,20 +12,20 @@
 // pair, or by size alone while nothing was.
 double disturbance(guarded_task const& task,
                    std::vector<guarded_service> const& services,
-                   interference_model const& learned)
+                   interference_model const& model)
 {
-    constexpr double unlearned = 0.05;
+    constexpr double unknown_pair_weight = 0.05;
     double sum = 0;
     for (auto const& service : services)
     {
-        sum +=
-            (learned.weight(service.task_class, task.task_class) + unlearned) *
-            task.cpu_share;
+        sum += (model.weight(service.task_class, task.task_class) +
+                unknown_pair_weight) *
+               task.cpu_share;
     }
     return sum;
 }
 
-double worst_share(std::vector<guarded_service> const& services)
+double worst_latency_ratio(std::vector<guarded_service> const& services)
 {
     double worst = 0;
     for (auto const& service : services)
@@ -50,45 +50,48 @@
 std::optional<guard_step>
 latency_guard::on_report(std::vector<guarded_service> const& services,
                          std::vector<guarded_task> const& batch,
-                         interference_model const& learned)
+                         interference_model const& model)
 {
-    double const worst = worst_share(services);
-    troubled_ = worst > settings_.throttle_threshold ? troubled_ + 1 : 0;
-    well_ = worst < settings_.relax_threshold ? well_ + 1 : 0;
+    double const worst = worst_latency_ratio(services);
+    violating_reports_ =
+        worst > settings_.throttle_threshold ? violating_reports_ + 1 : 0;
+    healthy_reports_ =
+        worst < settings_.relax_threshold ? healthy_reports_ + 1 : 0;
     if (!settings_.enabled || batch.empty())
     {
         return std::nullopt;
     }
-    if (troubled_ >= settings_.reports_to_act)
+    if (violating_reports_ >= settings_.reports_to_act)
     {
-        troubled_ = 0;
-        auto const most = std::max_element(
+        violating_reports_ = 0;
+        auto const worst_task = std::max_element(
             batch.begin(),
             batch.end(),
-            [&](guarded_task const& one, guarded_task const& other)
+            [&](guarded_task const& lhs, guarded_task const& rhs)
             {
-                return disturbance(one, services, learned) <
-                       disturbance(other, services, learned);
+                return disturbance(lhs, services, model) <
+                       disturbance(rhs, services, model);
             });
-        if (most->cpu_limit_permille <= settings_.min_cpu_permille)
+        if (worst_task->cpu_limit_permille <= settings_.min_cpu_permille)
         {
-            return guard_step{
-                guard_action::evict, most->name, most->cpu_limit_permille};
+            return guard_step{guard_action::evict,
+                              worst_task->name,
+                              worst_task->cpu_limit_permille};
         }
-        return guard_step{
-            guard_action::throttle,
-            most->name,
-            std::max(settings_.min_cpu_permille, most->cpu_limit_permille / 2)};
+        return guard_step{guard_action::throttle,
+                          worst_task->name,
+                          std::max(settings_.min_cpu_permille,
+                                   worst_task->cpu_limit_permille / 2)};
     }
-    if (well_ >= settings_.reports_to_relax)
+    if (healthy_reports_ >= settings_.reports_to_relax)
     {
-        well_ = 0;
+        healthy_reports_ = 0;
         auto const throttled = std::min_element(
             batch.begin(),
             batch.end(),
-            [](guarded_task const& one, guarded_task const& other)
+            [](guarded_task const& lhs, guarded_task const& rhs)
             {
-                return one.cpu_limit_permille < other.cpu_limit_permille;
+                return lhs.cpu_limit_permille < rhs.cpu_limit_permille;
             });
         if (throttled->cpu_limit_permille < 1000)
         {
--- a/src/core/placement/latency_guard.hpp
+++ b/src/core/placement/latency_guard.hpp
@@ -69,12 +69,12 @@
     std::optional<guard_step>
     on_report(std::vector<guarded_service> const& services,
               std::vector<guarded_task> const& batch,
-              interference_model const& learned);
+              interference_model const& model);
 
 private:
     latency_guard_settings settings_;
-    std::uint32_t troubled_ = 0; ///< Reports in a row.
-    std::uint32_t well_ = 0;
+    std::uint32_t violating_reports_ = 0; ///< Reports in a row.
+    std::uint32_t healthy_reports_ = 0;
 };
 
 } // namespace fuchsia::core::placement
--- a/src/core/placement/policy.cpp
+++ b/src/core/placement/policy.cpp
@@ -12,8 +12,8 @@
 constexpr std::array<std::string_view, 2> policy_names{"first-fit",
                                                        "least-interference"};
 
-double share_of(ports::resources const& declared,
-                ports::resources const& capacity) noexcept
+double core_share(ports::resources const& declared,
+                  ports::resources const& capacity) noexcept
 {
     return capacity.millicores == 0
                ? 0
@@ -23,44 +23,46 @@
 
 // Sum of the slowdowns that the task adds to its neighbours and suffers
 // itself, services weighing more, and a little for how full the worker is.
-double cost(least_interference const& by,
-            candidate const& on,
-            placement_task const& task,
-            interference_model const& learned) noexcept
+double placement_cost(least_interference const& weights,
+                      candidate const& worker,
+                      placement_task const& task,
+                      interference_model const& model) noexcept
 {
-    double const own_share = share_of(task.declared, on.capacity);
-    double const own_weight = task.is_service ? by.service_weight : 1;
+    double const own_share = core_share(task.declared, worker.capacity);
+    double const own_weight = task.is_service ? weights.service_weight : 1;
     double sum = 0;
-    for (auto const& other : on.residents)
+    for (auto const& other : worker.residents)
     {
-        double const weight = other.is_service ? by.service_weight : 1;
-        sum += weight * learned.weight(other.task_class, task.task_class) *
+        double const weight = other.is_service ? weights.service_weight : 1;
+        sum += weight * model.weight(other.task_class, task.task_class) *
                own_share;
-        sum += own_weight * learned.weight(task.task_class, other.task_class) *
+        sum += own_weight * model.weight(task.task_class, other.task_class) *
                other.cpu_share;
     }
-    return sum + by.utilisation_weight * share_of(on.committed, on.capacity);
+    return sum + weights.utilisation_weight *
+                     core_share(worker.committed, worker.capacity);
 }
 
-struct chooser
+struct worker_chooser
 {
     std::vector<candidate> const& workers;
-    std::vector<std::size_t> const& able;
+    std::vector<std::size_t> const& eligible;
     placement_task const& task;
-    interference_model const& learned;
+    interference_model const& model;
 
     std::size_t operator()(first_fit const&) const
     {
-        return able.front();
+        return eligible.front();
     }
 
-    std::size_t operator()(least_interference const& by) const
+    std::size_t operator()(least_interference const& weights) const
     {
-        std::size_t best = able.front();
-        double best_cost = cost(by, workers[best], task, learned);
-        for (auto const index : able)
+        std::size_t best = eligible.front();
+        double best_cost = placement_cost(weights, workers[best], task, model);
+        for (auto const index : eligible)
         {
-            double const value = cost(by, workers[index], task, learned);
+            double const value =
+                placement_cost(weights, workers[index], task, model);
             if (value < best_cost)
             {
                 best = index;
@@ -91,48 +93,50 @@
     return std::nullopt;
 }
 
-bool fits(candidate const& on,
+bool fits(candidate const& worker,
           placement_task const& task,
-          placement_limits const& bounds) noexcept
+          placement_limits const& limits) noexcept
 {
-    auto room = on.capacity;
-    room -= on.committed;
-    room.memory_mb -= std::max<std::int64_t>(0, on.memory_over_declared);
-    if (!room.covers(task.declared))
+    auto available = worker.capacity;
+    available -= worker.committed;
+    available.memory_mb -=
+        std::max<std::int64_t>(0, worker.memory_over_declared);
+    if (!available.covers(task.declared))
     {
         return false;
     }
-    auto const batch_most =
-        on.capacity.millicores * bounds.batch_guard_permille / 1000;
+    auto const max_batch_millicores =
+        worker.capacity.millicores * limits.batch_guard_permille / 1000;
     return task.is_service ||
-           on.batch_millicores + task.declared.millicores <= batch_most;
+           worker.batch_millicores + task.declared.millicores <=
+               max_batch_millicores;
 }
 
-std::optional<std::size_t> choose_worker(policy const& by,
+std::optional<std::size_t> choose_worker(policy const& selected,
                                          std::vector<candidate> const& workers,
                                          placement_task const& task,
-                                         interference_model const& learned,
-                                         placement_limits const& bounds)
+                                         interference_model const& model,
+                                         placement_limits const& limits)
 {
-    std::vector<std::size_t> able;
-    std::vector<std::size_t> avoided;
+    std::vector<std::size_t> eligible;
+    std::vector<std::size_t> fallback;
     for (std::size_t index = 0; index < workers.size(); ++index)
     {
-        if (fits(workers[index], task, bounds))
+        if (fits(workers[index], task, limits))
         {
-            auto& list = workers[index].failed_before ? avoided : able;
+            auto& list = workers[index].failed_before ? fallback : eligible;
             list.push_back(index);
         }
     }
-    if (able.empty())
+    if (eligible.empty())
     {
-        able.swap(avoided);
+        eligible.swap(fallback);
     }
-    if (able.empty())
+    if (eligible.empty())
     {
         return std::nullopt;
     }
-    return std::visit(chooser{workers, able, task, learned}, by);
+    return std::visit(worker_chooser{workers, eligible, task, model}, selected);
 }
 
 } // namespace fuchsia::core::placement
--- a/src/core/placement/policy.hpp
+++ b/src/core/placement/policy.hpp
@@ -77,15 +77,15 @@
 
 /// Whether the worker holds one more task like this, never more than its
 /// declared capacity.
-bool fits(candidate const& on,
+bool fits(candidate const& worker,
           placement_task const& task,
-          placement_limits const& bounds) noexcept;
+          placement_limits const& limits) noexcept;
 
 /// Index of the worker to take; empty where none holds the task.
-std::optional<std::size_t> choose_worker(policy const& by,
+std::optional<std::size_t> choose_worker(policy const& selected,
                                          std::vector<candidate> const& workers,
                                          placement_task const& task,
-                                         interference_model const& learned,
-                                         placement_limits const& bounds);
+                                         interference_model const& model,
+                                         placement_limits const& limits);
 
 } // namespace fuchsia::core::placement
--- a/tests/unit/membership/parts_test.cpp
+++ b/tests/unit/membership/parts_test.cpp
@@ -120,9 +120,9 @@
 {
     witness own(3s);
     EXPECT_TRUE(own.consent(start, subject, 5, shows(5)));
-    own.learn(start, shows(5));
+    own.on_list(start, shows(5));
     EXPECT_FALSE(own.promise(start, subject, shows(5)));
-    own.learn(start, shows(6));
+    own.on_list(start, shows(6));
     EXPECT_TRUE(own.promise(start, subject, shows(6)));
 }
 
@@ -138,7 +138,7 @@
     roster const members = shows(5);
     witness own(3s);
     EXPECT_TRUE(own.promise(start, subject, members));
-    own.after_pause(start + 3s);
+    own.on_pause(start + 3s);
     EXPECT_FALSE(own.consent(start + 4s, subject, 5, members));
 }
 
