--- a/src/core/membership/fencing.cpp
+++ b/src/core/membership/fencing.cpp
@@ -11,23 +11,26 @@
 namespace
 {
 
-/// Each rank in the hash order waits this much longer than the one before.
+/// Additional wait of each rank in the hash order of the observers.
 constexpr common::duration rank_delay_step = std::chrono::milliseconds(400);
-/// Ranks beyond this wait no longer: nobody depends on many others.
+/// Rank from which on the wait no longer grows, so that a takeover does not
+/// depend on many other members.
 constexpr std::size_t max_delayed_rank = 6;
 
-/// Consent is asked for again after the first of these, and ever more rarely
-/// up to the last: a member that lost only the store goes on for long by the
-/// promises of those that are asked.
+/// Minimum and maximum interval between consent requests. The interval doubles
+/// with each request: a member that lost only the store keeps running for a
+/// long time on the promises of the witnesses that receive these requests.
 constexpr common::duration min_query_interval = std::chrono::milliseconds(500);
 constexpr common::duration max_query_interval = std::chrono::seconds(4);
 
-/// A burial whose write failed or was unclear is tried again after this.
+/// Time after which a fencing write is retried that failed or whose outcome is
+/// unknown.
 constexpr common::duration write_retry_interval =
     std::chrono::milliseconds(500);
 
-/// A record that has stood still for `bury` is read this often for this long,
-/// so that all learn of its burial at once; then at the regular interval.
+/// Interval at which the records are read, for `watch_duration`, once a record
+/// has been unchanged for `fencing_delay`, so that all members learn of the
+/// fencing at once. After that the regular list interval applies.
 constexpr common::duration watch_interval = std::chrono::milliseconds(500);
 constexpr common::duration watch_duration = std::chrono::seconds(10);
 
@@ -99,8 +102,8 @@
     return actions;
 }
 
-// What is no longer as it was when pursued ends here; a write under way is
-// waited for, so that its answer finds its candidate.
+// Drops candidates whose record was fenced or removed or has changed. A
+// candidate with a write in flight is kept until its reply has arrived.
 void fencing::drop_outdated(roster const& members)
 {
     std::erase_if(candidates_,
@@ -113,9 +116,10 @@
                   });
 }
 
-// A beat that was applied before the first list was sent before it, so its
-// proof ends within `bury` of that list; one that was applied after it changed
-// the version. The first list's answer came in at `version_seen`.
+// A heartbeat that was applied before the first list was also sent before it,
+// so its proof ends within `fencing_delay` of that list. A heartbeat that was
+// applied after the first list has changed the version. `version_seen` is the
+// time at which the reply to the first list arrived.
 bool fencing::is_unchanged(observed_record const& observed,
                            roster const& members) const
 {
@@ -188,7 +192,7 @@
 {
     if (!rules_.require_consent || value.witnesses.empty())
     {
-        return true; // Without witnesses only the store gives proofs.
+        return true; // Without witnesses all proofs come from the store.
     }
     auto const consenting = std::count_if(
         value.witnesses.begin(),
@@ -201,10 +205,11 @@
     return static_cast<std::size_t>(consenting) > value.witnesses.size() / 2;
 }
 
-// A witness that is gone gave its last promise before it went, so `bury` after
-// its going was seen its promises are over. That its record stands still or is
-// buried is no proof that it is gone: it may have lost only the store, and go
-// on promising. Nor is a record that was removed: an operator may be wrong.
+// A terminated witness gave its last promise before it terminated, so its
+// promises have expired `fencing_delay` after its termination was observed. An
+// unchanged or fenced record does not show that the witness has terminated: it
+// may have lost only the store and still give promises. A removed record does
+// not show it either, because an operator may have removed it by mistake.
 bool fencing::can_no_longer_promise(common::time_point now,
                                     ports::member_identity const& witness,
                                     roster const& members,
@@ -233,7 +238,8 @@
     {
         return true;
     }
-    // Whoever still beats runs, whatever a list says that lags.
+    // A member that still sends heartbeats is running, even if a lagging
+    // platform list does not contain it.
     bool const sends_heartbeats =
         now - observed->version_seen < settings_.fencing_delay;
     return !sends_heartbeats && platform.dropped_for(witness.name,
@@ -253,8 +259,8 @@
     }
 }
 
-// A record that did not change since an earlier list is read again just when
-// it will have stood still for `bury`: lists may then be rare in calm times.
+// Schedules the next read for the time at which a record will have been
+// unchanged for `fencing_delay`, so that the regular lists can be rare.
 common::time_point fencing::next_read_at(common::time_point now,
                                          ports::member_identity const& observer,
                                          roster const& members) const
--- a/src/core/membership/fencing.hpp
+++ b/src/core/membership/fencing.hpp
@@ -17,11 +17,11 @@
 #include <string>
 #include <vector>
 
-// Finds members whose record stands still, and buries them.
+// Detects members that no longer renew their record and fences them.
 namespace fuchsia::core::membership
 {
 
-/// "Ask `witness` whether `subject` may be buried at `version`."
+/// Request to `witness` for its consent to fence `subject` at `version`.
 struct consent_query
 {
     ports::member_identity witness;
@@ -29,40 +29,42 @@
     std::uint64_t version = 0;
 };
 
-/// "Write `operation`; its answer belongs to the burial of `subject`."
+/// Store write that fences `subject`.
 struct fencing_write
 {
     ports::member_identity subject;
     ports::store_write operation;
 };
 
-/// What `burial::next` decided.
+/// Requests and writes that `fencing::next` wants sent.
 struct fencing_actions
 {
     std::vector<consent_query> consent_queries;
     std::vector<fencing_write> writes;
 };
 
-/// The observer's part of a takeover. Three conditions bury member X:
-/// 1. two lists answered by the store, the second sent at least `bury` after
-///    the first came in, show X's record at the same version v;
-/// 2. a majority of the witnesses named in v consents, or is gone: the
-///    platform's list has dropped them for `bury`, or a newer process has run
-///    under their names for `bury` (both only with `list_stands_in`);
-/// 3. a compare-and-swap of X's record from v to buried succeeds.
+/// Observer's part of a takeover. Member X is fenced under three conditions:
+/// 1. two lists from the store, the second sent at least `fencing_delay` after
+///    the reply to the first arrived, show X's record at the same version v;
+/// 2. a majority of the witnesses named in v consents or has terminated: they
+///    have been absent from the platform's list for `fencing_delay`, or a newer
+///    process has run under their names for `fencing_delay` (both only with
+///    `platform_list_replaces_consent`);
+/// 3. a compare-and-swap of X's record from v to fenced succeeds.
 ///
-/// Any member may observe. So that not all ask and write at once, each waits
-/// longer by its rank in a hash order drawn for the subject.
+/// Any member may be an observer. Each one waits longer according to its rank
+/// in a hash order that depends on the subject, so that not all of them send
+/// requests and writes at the same time.
 class fencing
 {
 public:
-    /// Most burials pursued at once; the rest waits for its turn.
+    /// Maximum number of members that are being fenced at the same time.
     static constexpr std::size_t max_candidates = 64;
 
     fencing(settings const& settings, safety_rules rules);
 
-    /// `observer` buries any member, or, while it has not joined, only
-    /// `predecessor`, the earlier incarnation under its own name.
+    /// Decides what to send now. `observer` fences any member or, while it has
+    /// not joined, only the earlier incarnation under its own name.
     fencing_actions next(common::time_point now,
                          ports::member_identity const& observer,
                          bool joined,
@@ -73,12 +75,12 @@
     void on_consent(ports::member_identity const& witness,
                     ports::member_identity const& subject,
                     std::uint64_t version);
-    /// When the records should be read again to find or follow a burial, were
-    /// it sooner than the next regular list.
+    /// Time at which the records should be read again to detect or follow a
+    /// fencing. It counts only if it is earlier than the next regular list.
     common::time_point next_read_at(common::time_point now,
                                     ports::member_identity const& observer,
                                     roster const& members) const;
-    /// The answer to a `burial_write` came.
+    /// Handles the reply to a `fencing_write`.
     void on_write_reply(common::time_point now,
                         ports::member_identity const& subject);
 
--- a/src/core/membership/member.cpp
+++ b/src/core/membership/member.cpp
@@ -39,9 +39,10 @@
     advance(now, out);
 }
 
-// A frozen process wakes with its old proofs and with frames in its buffers,
-// while others may have buried it and taken over. The gap since it last did
-// anything shows that, before anything is decided on what it believed.
+// A paused process resumes with its old proofs and with frames in its buffers,
+// while other members may have fenced it and taken over its claims. The time
+// since its last activity reveals the pause before any decision is based on
+// outdated state.
 void member::detect_pause(common::time_point now, ports::actions& out)
 {
     bool const paused =
@@ -141,19 +142,19 @@
     {
         return;
     }
-    pending_call const answered = std::move(it->second);
+    pending_call const finished_call = std::move(it->second);
     calls_.erase(it);
-    switch (answered.kind)
+    switch (finished_call.kind)
     {
     case call_kind::own_record:
         on_own_reply(now, reply, out);
         break;
     case call_kind::list:
-        on_list_reply(now, answered.sent, reply, out);
+        on_list_reply(now, finished_call.sent_at, reply, out);
         break;
     case call_kind::fencing:
-        fencing_.on_write_reply(now, answered.subject);
-        next_list_ = now; // Shows what became of it.
+        fencing_.on_write_reply(now, finished_call.subject);
+        next_list_ = now; // The list shows whether the write took effect.
         break;
     }
     advance(now, out);
@@ -188,7 +189,7 @@
 }
 
 void member::on_list_reply(common::time_point now,
-                           common::time_point sent,
+                           common::time_point sent_at,
                            ports::store_reply const& reply,
                            ports::actions& out)
 {
@@ -198,7 +199,7 @@
         return;
     }
     common::failure reason;
-    bool const applied = roster_.apply(now, sent, reply, reason);
+    bool const applied = roster_.apply(now, sent_at, reply, reason);
     if (reason.code != common::result_code::ok)
     {
         out.emplace_back(ports::log_event{
@@ -221,7 +222,8 @@
     }
 }
 
-// A list is no proof of anything about the own record, but a reason to look.
+// A list may be outdated and proves nothing about this member's own record, but
+// a difference in it is a reason to read the record.
 bool member::own_record_changed() const noexcept
 {
     auto const* observed = roster_.find(self().id.name);
@@ -282,7 +284,8 @@
     return lifecycle_.current_phase() == member_phase::removed;
 }
 
-// Asked between a wake-up and the next tick, the gap is not noticed yet.
+// Checks the time since the last activity as well: between the end of a pause
+// and the next tick the pause has not been detected yet.
 bool member::may_act(common::time_point now) const noexcept
 {
     return lifecycle_.is_participating() && last_activity_ &&
--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -25,11 +25,11 @@
 namespace fuchsia::core::membership
 {
 
-/// What a member asked of the store and its peers since it was made.
+/// Number of requests and pauses of a member since its construction.
 struct member_counts
 {
-    std::uint64_t own_writes = 0; ///< Beats, the first write, removal.
-    std::uint64_t own_reads = 0;  ///< Read backs, and the first look.
+    std::uint64_t own_writes = 0; ///< First write, heartbeats and removal.
+    std::uint64_t own_reads = 0;  ///< First read and all later reads.
     std::uint64_t lists = 0;
     std::uint64_t fencing_writes = 0;
     std::uint64_t promise_requests = 0;
@@ -40,28 +40,31 @@
     std::uint64_t pauses = 0;
 };
 
-/// One process's membership: beats its record, collects promises, gives
-/// promises and consent as a witness, buries members that are gone.
+/// Membership of one process. It renews the process's record by heartbeats,
+/// collects promises from its witnesses, gives promises and consent as a
+/// witness of others, and fences failed members.
 ///
-/// Promises are asked for only once the newest proof is `hold / 2` old, which
-/// is when a beat was missed. Safety needs no more, and neither does failover:
-/// half of `hold` is left to get them, hundreds of round trips. Asking always
-/// would add to each node's traffic in calm times, which is bounded. While the
-/// store is silent a round goes out every `hold / 3`: with 5 witnesses 7.5
-/// requests and as many replies a second are sent by each member.
+/// Promises are requested only when the newest proof is `proof_lifetime / 2`
+/// old, that is, when a heartbeat was missed. This is sufficient for safety and
+/// for failover: the remaining half of `proof_lifetime` is hundreds of round
+/// trips. Constant requests would add to the traffic of each node in normal
+/// operation, which is bounded. While the store does not answer, a round of
+/// requests is sent every `proof_lifetime / 3`: with 5 witnesses each member
+/// sends 7.5 requests and as many replies per second.
 class member
 {
 public:
-    /// `seed` draws write ids. `parts` is for tests only.
+    /// `seed` initialises the generator of write ids. `rules` is for tests
+    /// only.
     member(settings settings,
            member_info self,
            std::uint64_t seed,
            safety_rules rules = {});
 
     void start(common::time_point now, ports::actions& out);
-    /// Called at least every 100 ms.
+    /// Must be called at least every 100 ms.
     void tick(common::time_point now, ports::actions& out);
-    /// Only replies of `store_user::membership`.
+    /// Handles replies to requests of `store_requester::membership` only.
     void on_store_reply(common::time_point now,
                         ports::store_reply const& reply,
                         ports::actions& out);
@@ -73,38 +76,40 @@
                       ports::instance_list const& list,
                       ports::actions& out);
 
-    /// The revision that beats and promises carry from now on.
+    /// Sets the configuration revision that heartbeats and promises carry.
     void set_config_revision(std::uint64_t revision) noexcept;
 
-    /// Marks the record as leaving: others take no new claim for this member.
+    /// Marks the record as leaving: other members assign it no new claims.
     void begin_leaving(common::time_point now, ports::actions& out);
-    /// Writes the record away after the claims were handed over; `gone` tells
-    /// when the store has it. The member acts on nothing from now on.
+    /// Removes the record after the claims were handed over; `is_removed`
+    /// tells when the store has removed it. The member no longer acts.
     void remove(common::time_point now, ports::actions& out);
     bool is_removed() const noexcept;
 
-    /// Whether a proof stands that is younger than `hold`.
+    /// Whether the newest proof is younger than `proof_lifetime`.
     bool may_act(common::time_point now) const noexcept;
-    /// Age of the newest proof; very large where there is none.
+    /// Age of the newest proof; one year if there is none.
     common::duration proof_age(common::time_point now) const noexcept;
     /// Whether the newest proof came from the store rather than witnesses.
     bool proved_by_store() const noexcept;
-    /// Where this member stands in its life, for logs, metrics and status.
+    /// Phase of this member, for logs, metrics and status.
     member_phase current_phase() const noexcept;
 
     member_info const& self() const noexcept;
-    /// Live members of this role, this one included once its record stands,
-    /// sorted by name. Leaving ones are included; buried ones are not.
+    /// Live members of this role, sorted by name. This member is included once
+    /// the store has accepted its record. Leaving members are included, fenced
+    /// ones are not.
     std::vector<member_info> const& live() const noexcept;
-    /// The live member with this name and incarnation; null where none is.
+    /// Live member with this name and incarnation; null if there is none.
     member_info const* find(ports::member_identity const& id) const noexcept;
     member_info const* find(std::string_view name) const noexcept;
-    /// Whether the store shows this incarnation as buried or removed: what it
-    /// owned may be claimed. An incarnation that joined after the newest list
-    /// was read looks removed too: who learns of one elsewhere, as from a claim
-    /// at some version, may only ask once `records().index()` has reached that.
+    /// Whether the store shows this incarnation as fenced or removed, so that
+    /// its claims may be taken over. An incarnation that joined after the
+    /// newest list was read looks removed too. A caller that learned of it
+    /// elsewhere, such as from a claim at some version, must not call this
+    /// before `records().index()` has reached that version.
     bool is_fenced(ports::member_identity const& id) const noexcept;
-    /// All records of the role as the newest list showed them.
+    /// Records of all members of the role, as of the newest list.
     roster const& records() const noexcept;
     /// Whether the record list has been read at least once.
     bool has_member_list() const noexcept;
@@ -121,11 +126,12 @@
     struct pending_call
     {
         call_kind kind = call_kind::own_record;
-        common::time_point sent;
-        ports::member_identity subject; ///< Of a burial.
+        common::time_point sent_at;
+        /// Member that a fencing write concerns.
+        ports::member_identity subject;
     };
 
-    // member.cpp: the own record, the list of members, the proof.
+    // member.cpp: this member's record, the list of members and the proof.
     void detect_pause(common::time_point now, ports::actions& out);
     void advance(common::time_point now, ports::actions& out);
     void advance_own_record(common::time_point now, ports::actions& out);
@@ -135,7 +141,7 @@
                       ports::store_reply const& reply,
                       ports::actions& out);
     void on_list_reply(common::time_point now,
-                       common::time_point sent,
+                       common::time_point sent_at,
                        ports::store_reply const& reply,
                        ports::actions& out);
     bool own_record_changed() const noexcept;
@@ -145,7 +151,7 @@
                     ports::actions& out,
                     ports::member_identity const& subject = {});
 
-    // member_peers.cpp: promises and consent.
+    // member_peers.cpp: promises and consents.
     void request_promises(common::time_point now, ports::actions& out);
     void advance_fencing(common::time_point now, ports::actions& out);
     void send(ports::member_identity const& receiver,
@@ -174,7 +180,8 @@
     own_record own_record_;
     witness_list next_witnesses_;
     member_counts counts_;
-    /// Bounded by what is asked: one own call, one list, the burials.
+    /// Store calls in flight. At most one concerns the own record and one is a
+    /// list; the others are fencing writes.
     std::map<std::uint64_t, pending_call> calls_;
     std::uint64_t last_call_ = 0;
     std::optional<common::time_point> last_activity_;
--- a/src/core/membership/member_info.hpp
+++ b/src/core/membership/member_info.hpp
@@ -8,7 +8,7 @@
 namespace fuchsia::core::membership
 {
 
-/// How one member appears to the others.
+/// Description of a member that other members can read.
 struct member_info
 {
     ports::member_identity id;
@@ -17,7 +17,7 @@
     ports::endpoint peer_address;
     ports::endpoint http_address;
     bool leaving = false;
-    std::uint64_t config_revision = 0; ///< The newest it has in force.
+    std::uint64_t config_revision = 0; ///< Newest revision in force there.
 
     bool operator==(member_info const&) const = default;
 };
--- a/src/core/membership/member_lifecycle.cpp
+++ b/src/core/membership/member_lifecycle.cpp
@@ -87,8 +87,7 @@
     > {};
     // clang-format on
 
-    // What arrives late, such as a proof while the record is being erased,
-    // changes nothing.
+    // Ignores late events, such as a proof while the record is being erased.
     template<class Machine, class Event>
     void no_transition(Event const&, Machine&, int)
     {
@@ -104,7 +103,7 @@
 struct phase_row
 {
     member_phase value;
-    int state; ///< MSM's number of the state.
+    int state; ///< State number assigned by Boost.MSM.
     std::string_view name;
 };
 
@@ -156,7 +155,7 @@
 {
     member_phase const previous = current_phase();
     machine_->states.process_event(record_accepted{});
-    log_transition(previous, "record stands", out);
+    log_transition(previous, "own record accepted by the store", out);
 }
 
 void member_lifecycle::on_proof(proof_source source, ports::actions& out)
--- a/src/core/membership/member_lifecycle.hpp
+++ b/src/core/membership/member_lifecycle.hpp
@@ -10,22 +10,28 @@
 namespace fuchsia::core::membership
 {
 
-/// What a member may do at present.
+/// Phase of a member, which decides what it may do.
 enum class member_phase : std::uint8_t
 {
-    joining,                    ///< Its record does not stand yet.
-    active_by_store_proof,      ///< Its newest proof is an accepted beat.
-    active_by_witness_promises, ///< The store is silent; its witnesses
-                                ///< promised.
-    proof_expired,              ///< Alive, but acts on nothing.
-    removing,                   ///< Planned stop: the record is being erased.
-    removed, ///< Planned stop: the store has no record any more.
-    fenced,  ///< Over: the store shows another in its place.
+    /// The store has not accepted its record yet.
+    joining,
+    /// Its newest proof is a heartbeat that the store accepted.
+    active_by_store_proof,
+    /// The store does not answer; a majority of its witnesses has promised.
+    active_by_witness_promises,
+    /// It runs, but may not act because its newest proof has expired.
+    proof_expired,
+    /// Planned stop: the record is being erased.
+    removing,
+    /// Planned stop: the record has been erased.
+    removed,
+    /// Final: its record was fenced, removed or replaced by another process.
+    fenced,
 };
 
 std::string_view name_of(member_phase value) noexcept;
 
-/// Where the newest proof comes from.
+/// Source of the newest proof.
 enum class proof_source : std::uint8_t
 {
     none,
@@ -33,9 +39,9 @@
     witnesses,
 };
 
-/// The life of one member as a state machine (Boost.MSM, in the .cpp). It
-/// holds no rule of safety of its own; it keeps the phases in their order, so
-/// that nothing leads out of `gone` or `buried`, and logs each change.
+/// Lifecycle of one member as a state machine (Boost.MSM, in the .cpp). It
+/// implements no safety rule. It enforces the order of the phases, so that
+/// `removed` and `fenced` are final, and logs each transition.
 class member_lifecycle
 {
 public:
@@ -46,18 +52,18 @@
     member_lifecycle(member_lifecycle const&) = delete;
     member_lifecycle& operator=(member_lifecycle const&) = delete;
 
-    /// The record stands.
+    /// Handles that the store accepted the record.
     void on_joined(ports::actions& out);
-    /// The proof comes from here now.
+    /// Sets the source of the newest proof.
     void on_proof(proof_source source, ports::actions& out);
-    /// A planned stop erases the record.
+    /// Handles that a planned stop begins to erase the record.
     void on_removing(ports::actions& out);
     void on_removed(ports::actions& out);
-    /// Another wrote the record.
+    /// Handles that another process has changed or removed the record.
     void on_fenced(std::string const& reason, ports::actions& out);
 
     member_phase current_phase() const noexcept;
-    /// Whether this incarnation still takes part: not removing, gone, buried.
+    /// Whether this incarnation is neither removing, removed nor fenced.
     bool is_participating() const noexcept;
 
 private:
--- a/src/core/membership/member_peers.cpp
+++ b/src/core/membership/member_peers.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-// What members ask of each other: promises, and consent to a burial.
+// Messages between members: requests for promises and for consent to fencing.
 namespace fuchsia::core::membership
 {
 
@@ -95,9 +95,9 @@
     }
 }
 
-// A witness that was paused may itself be buried by now, and a newer process
-// under its name may have been taken as a sign that it promises no more. So it
-// promises nothing until it holds a proof again.
+// A witness that was paused may have been fenced meanwhile, and observers may
+// have concluded from a newer process under its name that it gives no more
+// promises. So it refuses promises until it has a proof again.
 void member::handle(common::time_point now,
                     ports::member_identity const& sender,
                     ports::promise_request const& request,
@@ -137,8 +137,8 @@
          out);
 }
 
-// The address is that of the record under the name; a receiver of another
-// incarnation drops the frame.
+// Sends to the address in the record under the receiver's name. If another
+// incarnation receives the frame, it drops it.
 void member::send(ports::member_identity const& receiver,
                   ports::peer_message message,
                   ports::actions& out) const
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -9,17 +9,18 @@
 namespace
 {
 
-/// Unclear writes that are remembered; while the store loses every answer one
-/// is added each beat, and only the newest can still give a young proof.
+/// Maximum number of unconfirmed writes that are kept. While the store loses
+/// every reply, each heartbeat adds one, and only the newest of them can still
+/// give a proof that has not expired.
 constexpr std::size_t max_unconfirmed = 16;
 
-/// Pause before a call is tried again that the store did not answer.
+/// Delay before a store call is retried that got no reply.
 constexpr common::duration retry_interval = std::chrono::milliseconds(200);
 
 } // namespace
 
-own_record::own_record(member_info self, common::duration beat_interval)
-    : self_(std::move(self)), heartbeat_interval_(beat_interval)
+own_record::own_record(member_info self, common::duration heartbeat_interval)
+    : self_(std::move(self)), heartbeat_interval_(heartbeat_interval)
 {
 }
 
@@ -76,8 +77,8 @@
         key(), to_json(unconfirmed_writes_.back().value), version_};
 }
 
-// While a write is unclear the next one carries the same witnesses: so the
-// store holds one of two lists, never one of many.
+// While the outcome of a write is unknown, the next write carries the same
+// witnesses, so that the store holds one of at most two lists.
 record own_record::next_record(witness_list const& witnesses,
                                std::mt19937_64& random)
 {
@@ -137,7 +138,8 @@
         unconfirmed_writes_.pop_back();
         break;
     case ports::store_status::conflict:
-        // This write did nothing; an earlier unclear one or another writer did.
+        // This write had no effect: an earlier unconfirmed write or another
+        // writer has changed the record.
         unconfirmed_writes_.pop_back();
         step_ = step::reading;
         break;
@@ -158,7 +160,7 @@
         reply.entries.empty() ? reply.index : reply.entries.front().version;
     if (joined_ && read_version < version_)
     {
-        step_ = step::writing; // A lagging replica's older state.
+        step_ = step::writing; // A lagging replica returned an older state.
         return;
     }
     if (reply.entries.empty())
@@ -171,8 +173,7 @@
     auto value = parse_record(self_.role, self_.id.name, entry.value, reason);
     if (!value)
     {
-        finish_fenced("the own record is unreadable: " +
-                          common::to_string(reason),
+        finish_fenced("own record is unreadable: " + common::to_string(reason),
                       update);
         return;
     }
@@ -193,7 +194,7 @@
     }
     if (joined_)
     {
-        finish_fenced("the record was removed", update);
+        finish_fenced("own record was removed from the store", update);
         return;
     }
     version_ = 0;
@@ -208,7 +209,7 @@
     step_ = step::writing;
     if (version <= version_)
     {
-        return; // None of the unclear writes took effect so far.
+        return; // No unconfirmed write has taken effect so far.
     }
     auto const write =
         std::find_if(unconfirmed_writes_.begin(),
@@ -240,7 +241,7 @@
     }
     if (joined_ || value.info.id == self_.id)
     {
-        finish_fenced(value.fenced ? "buried by another member"
+        finish_fenced(value.fenced ? "fenced by another member"
                                    : "a newer process runs under this name",
                       update);
         return;
@@ -258,7 +259,8 @@
     predecessor_record_ = std::move(value);
 }
 
-// Any unclear mark is settled by reading: whoever's mark stands will do.
+// Reads the record after a mark with an unknown outcome or a conflict. It does
+// not matter which process wrote the mark that the record now has.
 void own_record::on_mark_reply(ports::store_reply const& reply)
 {
     if (reply.status != ports::store_status::unavailable)
@@ -290,7 +292,7 @@
     joined_ = true;
     accepted_record_ = write.value;
     version_ = version;
-    update.accepted_sent_at = write.sent;
+    update.accepted_sent_at = write.sent_at;
     unconfirmed_writes_.clear();
 }
 
@@ -304,7 +306,7 @@
 {
     if (step_ == step::writing || step_ == step::waiting)
     {
-        // A write in flight goes on to settle it by itself.
+        // The reply to a call in flight resolves the state of the record.
         if (in_flight_ == call_kind::none)
         {
             step_ = step::reading;
@@ -337,8 +339,8 @@
     }
 }
 
-// A member that never joined has nothing to erase; one whose first write is
-// unclear looks first.
+// A member that has not joined has no record to erase. If the outcome of its
+// first write is unknown, it reads the record first.
 void own_record::continue_removal() noexcept
 {
     if (!removing_ || step_ == step::finished || step_ == step::erasing)
--- a/src/core/membership/own_record.hpp
+++ b/src/core/membership/own_record.hpp
@@ -10,71 +10,75 @@
 #include <string>
 #include <vector>
 
-// This process's own record: joins, beats, settles unclear answers, leaves.
+// Record of this process in the store: joining, heartbeats, resolution of
+// writes with an unknown outcome, and removal.
 namespace fuchsia::core::membership
 {
 
 using witness_list = std::vector<ports::member_identity>;
 
-/// What an answer about the own record means.
+/// Result of a store reply about the own record.
 struct own_record_update
 {
-    /// Set where a write is now known to have been accepted: when it was sent.
+    /// Time at which a write was sent that is now known to have been accepted.
     std::optional<common::time_point> accepted_sent_at;
-    /// Not empty: another wrote the record, this incarnation is over.
+    /// Reason why this incarnation has ended, such as that another process
+    /// changed the record; empty while it has not ended.
     std::string fenced_reason;
 };
 
-/// Decides the next store call about the own record, one at a time.
+/// Decides the next store call about the own record; one call is in flight at
+/// a time.
 ///
-/// A beat whose answer is lost may have taken effect, or may yet: the record
-/// is read back, and every write id sent since the last known version is kept,
-/// so that a later read tells which of them stands. A new write expects the
-/// last known version, so of all unclear writes one at most takes effect.
+/// A heartbeat whose reply is lost may have taken effect or may still do so.
+/// The record is then read, and all write ids sent since the last known version
+/// are kept, so that a later read shows which write took effect. A new write
+/// expects the last known version, so at most one of the unconfirmed writes
+/// takes effect.
 class own_record
 {
 public:
-    own_record(member_info self, common::duration beat_interval);
+    own_record(member_info self, common::duration heartbeat_interval);
 
-    /// The call to send now; nothing where one is under way or none is due.
-    /// `witnesses` goes into the next write, unless an unclear write is out.
+    /// Call to send now; empty if one is in flight or none is due. The next
+    /// write names `witnesses`, unless there are unconfirmed writes.
     std::optional<ports::store_operation> next(common::time_point now,
                                                witness_list const& witnesses,
                                                std::mt19937_64& random);
     own_record_update on_reply(common::time_point now,
                                ports::store_reply const& reply);
 
-    /// Another look at the record is due: a list showed it changed.
+    /// Requests a read of the record, because a list showed a change.
     void request_read() noexcept;
-    /// The next write is due now.
+    /// Makes the next write due immediately.
     void schedule_now(common::time_point now) noexcept;
     void set_config_revision(std::uint64_t revision) noexcept;
     void set_leaving() noexcept;
-    /// Erases the record, once what is under way is settled.
+    /// Erases the record once the outcome of the call in flight is known.
     void remove() noexcept;
     /// Whether `remove` is complete.
     bool is_removed() const noexcept;
 
     /// Whether a write of this incarnation is known to have been accepted.
     bool has_joined() const noexcept;
-    /// The newest version known to be this incarnation's; 0 before it joined.
+    /// Newest known version written by this incarnation; 0 before it joined.
     std::uint64_t version() const noexcept;
     member_info const& info() const noexcept;
-    /// The record as last known to stand.
+    /// Newest record that the store is known to have accepted.
     record const& accepted_record() const noexcept;
-    /// Every witness list that the store may hold now, each once: the one
-    /// known to stand and those of unclear writes. Empty before it joined.
+    /// Distinct witness lists that the store may hold now: the list of the
+    /// accepted record and those of unconfirmed writes. Empty before it joined.
     std::vector<witness_list> possible_witness_lists() const;
-    /// An earlier incarnation's record that must be buried first.
+    /// Earlier incarnation under this name that must be fenced first.
     std::optional<ports::member_identity> const& predecessor() const noexcept;
 
 private:
     enum class step : std::uint8_t
     {
-        reading, ///< The record has to be read.
-        marking, ///< A predecessor stands: tell that a successor waits.
-        waiting, ///< The predecessor is being buried.
-        writing, ///< Write, from the known version.
+        reading, ///< The record must be read.
+        marking, ///< The predecessor's record must name its successor.
+        waiting, ///< The predecessor is being fenced.
+        writing, ///< Heartbeats are written, from the known version.
         erasing,
         finished,
     };
@@ -91,7 +95,7 @@
     struct sent_write
     {
         record value;
-        common::time_point sent;
+        common::time_point sent_at;
     };
 
     record next_record(witness_list const& witnesses, std::mt19937_64& random);
@@ -129,7 +133,7 @@
     std::uint64_t version_ = 0;
     std::uint64_t heartbeat_count_ = 0;
     record accepted_record_;
-    /// Writes whose effect is not known, the one in flight last.
+    /// Writes with an unknown outcome; the one in flight is the last.
     std::vector<sent_write> unconfirmed_writes_;
     record predecessor_record_;
     std::uint64_t predecessor_version_ = 0;
--- a/src/core/membership/platform_list.cpp
+++ b/src/core/membership/platform_list.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// How much longer a name must be absent that no list ever held.
+/// Factor on the required time of absence for a name that no list has
+/// contained.
 constexpr int never_listed_factor = 10;
 
 } // namespace
--- a/src/core/membership/platform_list.hpp
+++ b/src/core/membership/platform_list.hpp
@@ -11,23 +11,25 @@
 namespace fuchsia::core::membership
 {
 
-/// How long the platform's lagging list has been naming an instance no more.
+/// Tracks how long instances have been absent from the platform's list, which
+/// lags behind the actual state.
 class platform_list
 {
 public:
-    /// Most names that are kept, absent ones included; beyond it those absent
-    /// the longest are forgotten, and a longer list is not taken.
+    /// Maximum number of names that are kept, including absent ones. Beyond it
+    /// the names that were listed least recently are evicted, and a longer list
+    /// is ignored.
     static constexpr std::size_t max_names = 4096;
 
-    /// A list that does not name `self`, which runs, is wrong about who is
-    /// gone: it is not taken, and what earlier lists said no longer counts.
+    /// Applies a new list. A list without `self_name` is wrong, because this
+    /// instance is running: it is ignored and discards the earlier lists.
     void apply(ports::instance_list const& list, std::string_view self_name);
 
-    /// Whether the platform has dropped the instance that was first seen under
-    /// `name` at `since`: its name stood in a list received after that, and
-    /// has been absent for `length` up to the newest list. A list that lags
-    /// does not name what has just started, and that is no sign of its going;
-    /// so a name that never stood there must be absent much longer.
+    /// Whether the platform has dropped the instance first seen under `name` at
+    /// `since`: a list received after that contained the name, and it has been
+    /// absent for `length` as of the newest list. A lagging list does not
+    /// contain an instance that has just started, which does not mean that it
+    /// has terminated, so a name never listed must be absent much longer.
     bool dropped_for(std::string_view name,
                      common::time_point since,
                      common::duration length) const;
@@ -36,7 +38,7 @@
     struct listing
     {
         common::time_point last_listed;
-        common::time_point absent_since; ///< Where it is absent.
+        common::time_point absent_since; ///< Valid if `absent`.
         bool absent = false;
     };
 
--- a/src/core/membership/proof.cpp
+++ b/src/core/membership/proof.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-/// Rounds whose answers still count; older ones would prove nothing young.
+/// Maximum number of rounds whose replies still count. Older rounds could only
+/// give proofs that have expired.
 constexpr std::size_t max_rounds = 8;
-/// Witnesses whose promises are kept: two lists of 32.
+/// Maximum number of witnesses whose promises are kept: two lists of 32.
 constexpr std::size_t max_promises = 64;
 
 } // namespace
@@ -21,14 +22,14 @@
 }
 
 void proof::on_heartbeat_accepted(common::time_point now,
-                                  common::time_point sent)
+                                  common::time_point sent_at)
 {
-    if (sent < min_sent_at_)
+    if (sent_at < min_sent_at_)
     {
         return;
     }
     common::time_point const valid_from =
-        rules_.count_proof_from_send ? sent : now;
+        rules_.count_proof_from_send ? sent_at : now;
     store_proof_ =
         store_proof_ ? std::max(*store_proof_, valid_from) : valid_from;
 }
@@ -43,9 +44,9 @@
     return last_round_;
 }
 
-// A promise to an earlier round stays good: the witness gave it no sooner than
-// that round was sent. So the proof is the time since which majorities have
-// promised, whatever rounds their answers belong to.
+// A promise for an earlier round stays valid, because the witness gave it after
+// that round was sent. So promises of different rounds count together: the
+// proof is the latest time since which a majority of each list has promised.
 void proof::on_promise(common::time_point now,
                        ports::member_identity const& witness,
                        std::uint64_t round,
@@ -53,7 +54,7 @@
 {
     auto const sent_round = std::find_if(rounds_.begin(),
                                          rounds_.end(),
-                                         [round](round_sent const& candidate)
+                                         [round](promise_round const& candidate)
                                          {
                                              return candidate.number == round;
                                          });
@@ -63,10 +64,10 @@
     }
     if (promises_.size() == max_promises && promises_.count(witness) == 0)
     {
-        promises_.clear(); // Witnesses changed often; the next round refills.
+        promises_.clear(); // The next round of requests restores them.
     }
     common::time_point const valid_from =
-        rules_.count_proof_from_send ? sent_round->sent : now;
+        rules_.count_proof_from_send ? sent_round->sent_at : now;
     auto const [it, added] = promises_.try_emplace(witness, valid_from);
     it->second = std::max(it->second, valid_from);
 
--- a/src/core/membership/proof.hpp
+++ b/src/core/membership/proof.hpp
@@ -10,42 +10,48 @@
 #include <map>
 #include <optional>
 
-// What lets this member act: accepted beats, and promises of its witnesses.
+// Proofs that allow this member to act: accepted heartbeats and the promises of
+// its witnesses.
 namespace fuchsia::core::membership
 {
 
-/// The proofs that this member holds. A proof is a time of sending, of a beat
-/// that the store accepted or of a round of promise requests that majorities
-/// of the witnesses granted; it lets the member act for `hold` from then.
+/// Proofs of this member. A proof is the time at which a heartbeat was sent
+/// that the store accepted, or a round of promise requests that majorities of
+/// the witnesses granted. It allows the member to act for `proof_lifetime` from
+/// that time on.
 ///
-/// Counting from the answer instead would let a slow network stretch the proof
-/// beyond the time after which others may bury this member: two would act.
+/// If it counted from the reply instead, a slow network could extend the proof
+/// beyond the time after which others may fence this member, and two members
+/// would act for the same claim.
 class proof
 {
 public:
     explicit proof(safety_rules rules);
 
-    /// A beat that was sent at `sent` is known to have been accepted.
-    void on_heartbeat_accepted(common::time_point now, common::time_point sent);
-    /// A new round of promise requests goes out now; its number.
+    /// Handles that the store accepted a heartbeat that was sent at `sent_at`.
+    void on_heartbeat_accepted(common::time_point now,
+                               common::time_point sent_at);
+    /// Starts a new round of promise requests at `now` and returns its number.
     std::uint64_t begin_round(common::time_point now);
-    /// A witness granted a round. `lists` are all that the store may hold.
+    /// Handles a promise of `witness`. `lists` are all witness lists that the
+    /// store may hold.
     void on_promise(common::time_point now,
                     ports::member_identity const& witness,
                     std::uint64_t round,
                     std::vector<witness_list> const& lists);
-    /// Voids all proofs, and those that answers to earlier calls would give.
+    /// Invalidates all proofs, including those that replies to earlier calls
+    /// would give.
     void invalidate_all(common::time_point now) noexcept;
 
-    /// When the newest proof was sent; nothing where there is none.
+    /// Time at which the newest proof was sent; empty if there is none.
     std::optional<common::time_point> newest() const noexcept;
     bool newest_is_from_store() const noexcept;
 
 private:
-    struct round_sent
+    struct promise_round
     {
         std::uint64_t number = 0;
-        common::time_point sent;
+        common::time_point sent_at;
     };
 
     std::optional<common::time_point>
@@ -54,10 +60,10 @@
     safety_rules rules_;
     std::optional<common::time_point> store_proof_;
     std::optional<common::time_point> witness_proof_;
-    /// Proofs sent before this do not count.
+    /// Proofs that were sent before this time do not count.
     common::time_point min_sent_at_ = common::time_point::min();
     std::uint64_t last_round_ = 0;
-    std::deque<round_sent> rounds_;
+    std::deque<promise_round> rounds_;
     std::map<ports::member_identity, common::time_point> promises_;
 };
 
--- a/src/core/membership/record.cpp
+++ b/src/core/membership/record.cpp
@@ -74,7 +74,7 @@
         {
             reader.fail(common::result_code::wrong_type,
                         "witnesses",
-                        "each witness is a string, name#incarnation");
+                        "each witness must be a string name#incarnation");
             return witnesses;
         }
         witnesses.push_back(*witness);
--- a/src/core/membership/record.hpp
+++ b/src/core/membership/record.hpp
@@ -10,30 +10,31 @@
 #include <string_view>
 #include <vector>
 
-// What the store keeps of one member, under `members/<role>/<name>`.
+// Record of a member in the store, under the key `members/<role>/<name>`.
 namespace fuchsia::core::membership
 {
 
-/// One member's record. Its store version is the fence: whoever changes the
-/// record makes every write that expects the older version fail.
+/// Record of one member. Its version in the store is the fencing token: a
+/// change of the record makes every write fail that expects the older version.
 struct record
 {
     member_info info;
-    std::uint64_t heartbeat_count = 0; ///< Counts this incarnation's writes.
-    /// Whose promises may stand in for the store's answers.
+    std::uint64_t heartbeat_count = 0; ///< Number of this incarnation's writes.
+    /// Members whose promises can replace replies from the store.
     std::vector<ports::member_identity> witnesses;
-    /// This incarnation never acts again.
+    /// Whether this incarnation is fenced, so that it never acts again.
     bool fenced = false;
-    /// A newer incarnation under the same name runs and waits for this one's
-    /// burial; 0 where there is none.
+    /// Newer incarnation under the same name that waits until this one is
+    /// fenced; 0 if there is none.
     std::uint64_t successor = 0;
-    /// Drawn for each write, so that its writer knows it again on read back.
+    /// Random number of each write, by which its writer recognises it when it
+    /// reads the record.
     std::uint64_t write_id = 0;
 
     bool operator==(record const&) const = default;
 };
 
-/// Parses the value under a member's key; `role` and `name` are the key's.
+/// Parses the value under a member's key; `role` and `name` come from the key.
 std::optional<record> parse_record(std::string_view role,
                                    std::string_view name,
                                    std::string_view json,
@@ -41,19 +42,20 @@
 
 std::string to_json(record const& value);
 
-/// The record that buries `value`: the same but for the flag and the write id.
+/// Returns a copy of `value` that is marked as fenced and has a new write id.
 record make_fenced(record value, std::uint64_t write_id);
 
-/// "members/entry/".
+/// Key prefix of the records of a role, such as "members/entry/".
 std::string members_prefix(std::string_view role);
 
-/// 64-bit numbers travel as 16 hexadecimal digits: JSON's integers end at 63
-/// bits for many readers.
+/// Converts a 64-bit number to up to 16 hexadecimal digits. Many JSON parsers
+/// limit integers to 63 bits.
 std::string to_hexadecimal(std::uint64_t number);
 std::optional<std::uint64_t> from_hexadecimal(std::string_view text) noexcept;
 
-/// "entry-kochi-a-1#9f0c". One string takes fewer bytes than an object, and
-/// every member reads all records every other second.
+/// Returns an identity as text, such as "entry-kochi-a-1#9f0c". A string takes
+/// fewer bytes than an object, and every member reads all records every two
+/// seconds.
 std::string to_text(ports::member_identity const& id);
 std::optional<ports::member_identity> identity_from(std::string_view text);
 
--- a/src/core/membership/roster.cpp
+++ b/src/core/membership/roster.cpp
@@ -9,18 +9,20 @@
 {
 }
 
-// Lists are sent one at a time, but a store that answers from a replica may
-// show an older state than it did before. Going back would show members that
-// joined since as removed, and their claims would be taken from them, so an
-// answer with a lower index is not taken.
+// Only one list is in flight at a time, but a store that answers from a replica
+// may return an older state than before (stale read). That state would show
+// members that have joined since as removed, and their claims would be taken
+// over. So a reply with a lower index is rejected.
 bool roster::apply(common::time_point now,
-                   common::time_point sent,
+                   common::time_point sent_at,
                    ports::store_reply const& reply,
                    common::failure& reason)
 {
-    if (reply.index < list_index_ || (known_ && sent < list_sent_))
+    if (reply.index < list_index_ || (known_ && sent_at < list_sent_))
     {
-        reason = {common::result_code::conflict, "members", "an older list"};
+        reason = {common::result_code::conflict,
+                  "members",
+                  "the list is older than the current one"};
         return false;
     }
     if (reply.entries.size() > max_records)
@@ -49,15 +51,15 @@
         }
     }
     records_ = std::move(updated);
-    list_sent_ = sent;
+    list_sent_ = sent_at;
     list_index_ = reply.index;
     known_ = true;
     rebuild_live();
     return true;
 }
 
-// A record that can't be parsed must not look like one that was removed: its
-// member may be running. What it last said stays, its version moves on.
+// A record that cannot be parsed must not look like a removed one, because its
+// member may be running. It is kept under its new version as unreadable.
 observed_record roster::read_entry(common::time_point now,
                                    std::string const& name,
                                    ports::store_entry const& entry,
@@ -66,7 +68,8 @@
     observed_record const* previous = find(name);
     if (previous != nullptr && previous->version >= entry.version)
     {
-        return *previous; // A write of ours was answered after this list.
+        return *previous; // Unchanged, or a later own write was confirmed
+                          // before.
     }
     observed_record observed;
     observed.version = entry.version;
--- a/src/core/membership/roster.hpp
+++ b/src/core/membership/roster.hpp
@@ -12,56 +12,57 @@
 #include <string_view>
 #include <vector>
 
-// What the store last showed of all members of one role.
+// Records of all members of one role, as of the newest list from the store.
 namespace fuchsia::core::membership
 {
 
-/// One record together with how long this process has seen it so.
+/// Record together with the times at which this process first observed it.
 struct observed_record
 {
     record value;
     std::uint64_t version = 0;
-    /// When an answer first showed this version.
+    /// Time of the first reply with this version.
     common::time_point version_seen;
-    /// When an answer first showed this incarnation.
+    /// Time of the first reply with this incarnation.
     common::time_point incarnation_seen;
-    /// When an answer first showed it with a successor; where it has one.
+    /// Time of the first reply with a successor; valid if the record has one.
     common::time_point successor_seen;
-    /// False where the value could not be parsed: the key is there, but says
-    /// nothing of who is live or buried.
+    /// False if the value could not be parsed: the key exists, but does not
+    /// tell whether the member is live or fenced.
     bool readable = true;
 };
 
-/// The newest list of records and what follows from it. It remembers nothing
-/// of earlier lists but the times since when things are as they are.
+/// Newest list of records and the state derived from it. Of earlier lists it
+/// keeps only the times at which the current values were first observed.
 class roster
 {
 public:
     using records_by_name = std::map<std::string, observed_record, std::less<>>;
 
-    /// Most records that are kept; a longer list is refused as a whole, since
-    /// a shortened one would show running members as removed.
+    /// Maximum number of records. A longer list is rejected as a whole, because
+    /// a truncated list would show running members as removed.
     static constexpr std::size_t max_records = 1024;
 
     explicit roster(std::string role);
 
-    /// Takes the answer to a list call sent at `sent`. False, with nothing
-    /// changed, where it is older than what is known or too long. `reason`
-    /// also tells of records that could not be parsed.
+    /// Applies the reply to a list call that was sent at `sent_at`. Returns
+    /// false and changes nothing if the list is older than the current one or
+    /// too long. `reason` also reports records that could not be parsed.
     bool apply(common::time_point now,
-               common::time_point sent,
+               common::time_point sent_at,
                ports::store_reply const& reply,
                common::failure& reason);
-    /// Takes one record known to stand at `version`, such as after a write.
+    /// Applies a single record that the store is known to hold at `version`,
+    /// such as after a write.
     void update_record(common::time_point now,
                        record const& value,
                        std::uint64_t version);
 
     bool is_loaded() const noexcept;
-    /// When the newest list call was sent.
+    /// Time at which the newest list call was sent.
     common::time_point list_sent() const noexcept;
-    /// The store's index at which the newest list was read: it shows every
-    /// change up to that.
+    /// Store index at which the newest list was read: the list contains every
+    /// change up to this index.
     std::uint64_t index() const noexcept;
     records_by_name const& records() const noexcept;
     observed_record const* find(std::string_view name) const noexcept;
--- a/src/core/membership/settings.hpp
+++ b/src/core/membership/settings.hpp
@@ -7,42 +7,49 @@
 namespace fuchsia::core::membership
 {
 
-/// Timing that the safety of every claim rests on; checked against each other
-/// by the settings: beat_interval < hold, and hold with drift < bury.
+/// Timing on which the safety of every claim depends. `is_consistent` checks
+/// the values against each other: two heartbeat intervals must be shorter than
+/// the proof lifetime, and the proof lifetime with clock drift shorter than the
+/// fencing delay.
 ///
-/// Store calls a second, by role of n members: 2n beats (one write each
-/// beat_interval) and n/2 lists (one read each list_interval). Two roles of 9:
-/// 36 writes and 9 reads. Two roles of 33 (11 data centres x 3): 132 writes
-/// and 33 reads. Both are far below several hundred writes and 2,000 reads.
-/// A test counts them.
+/// Store calls per second of a role with n members: 2n heartbeats (one write
+/// per heartbeat_interval) and n/2 lists (one read per list_interval). Two
+/// roles of 9: 36 writes and 9 reads. Two roles of 33 (11 data centres x 3):
+/// 132 writes and 33 reads. Both are far below the limits of several hundred
+/// writes and 2,000 reads. A test counts the calls.
 struct settings
 {
+    /// Time between two heartbeats.
     common::duration heartbeat_interval = std::chrono::milliseconds(500);
-    /// A proof lets its member act this long, counted from when the beat or
-    /// promise request was sent.
+    /// Time for which a proof allows its member to act, counted from the time
+    /// at which the heartbeat or promise request was sent.
     common::duration proof_lifetime = std::chrono::seconds(2);
-    /// A record must stand still, and promises must be silent, this long
-    /// before their member may be buried.
+    /// Time for which the record must be unchanged and no promise given before
+    /// a member may be fenced.
     common::duration fencing_delay = std::chrono::seconds(3);
-    /// A longer gap between two ticks is a pause: it voids all proofs.
+    /// Maximum time without activity. A longer gap counts as a pause of the
+    /// process and invalidates all proofs.
     common::duration pause_limit = std::chrono::milliseconds(800);
+    /// Maximum number of witnesses that a member names.
     std::uint32_t witness_count = 5;
-    /// Whether the platform may stand in for the consent of witnesses that
-    /// are gone: its list no longer names them, or it runs a newer process
-    /// under their name. Off, an operator has to remove such a member.
+    /// Whether information from the platform may replace the consent of
+    /// terminated witnesses: its list no longer contains them, or it runs a
+    /// newer process under their name. If false, an operator must remove a
+    /// member whose witnesses have terminated.
     bool platform_list_replaces_consent = true;
-    /// The records of the role are read this often, and more often while one
-    /// of them stands still. A member that dies is buried about `bury` to
-    /// `bury + list_interval` after its last beat.
+    /// Time between two reads of all records of the role; reads are more
+    /// frequent while a record is unchanged. A failed member is fenced about
+    /// `fencing_delay` to `fencing_delay + list_interval` after its last
+    /// heartbeat.
     common::duration list_interval = std::chrono::seconds(2);
 };
 
-/// A clock may run this much faster or slower than another, in thousandths.
+/// Maximum difference between the speeds of two clocks, in thousandths.
 constexpr std::int64_t max_drift_permille = 30;
 
-/// Whether the times fit each other, as the proof of safety needs them to:
-/// `hold` must have ended on the slowest clock before `bury` ends on the
-/// fastest, and a member must get two tries at a beat within `hold`.
+/// Whether the values satisfy the safety conditions: `proof_lifetime` must have
+/// ended on the slowest clock before `fencing_delay` ends on the fastest, and
+/// `proof_lifetime` must leave time for two attempts at a heartbeat.
 constexpr bool is_consistent(settings const& value) noexcept
 {
     return value.heartbeat_interval.count() > 0 &&
--- a/src/core/membership/witness.cpp
+++ b/src/core/membership/witness.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Whether the roster shows a record of `subject` newer than `version`.
+/// Whether the roster contains a record of `subject` newer than `version`.
 bool shows_newer_record(roster const& members,
                         ports::member_identity const& subject,
                         std::uint64_t version)
@@ -19,13 +19,13 @@
 
 } // namespace
 
-witness::witness(common::duration bury) : fencing_delay_(bury)
+witness::witness(common::duration fencing_delay) : fencing_delay_(fencing_delay)
 {
 }
 
-// Nothing is promised to an incarnation that the newest list does not show as
-// running: a consent is forgotten once a newer record was read, and that newer
-// record may be the burial itself.
+// Refuses a promise to an incarnation that the newest list does not show as
+// live: a consent is discarded once a newer record has been read, and that
+// newer record may be the fenced one.
 bool witness::promise(common::time_point now,
                       ports::member_identity const& subject,
                       roster const& members)
@@ -49,7 +49,7 @@
 {
     if (shows_newer_record(members, subject, version))
     {
-        return false; // Its burial at `version` would fail.
+        return false; // A fencing write at `version` would fail.
     }
     auto const promised = promises_.find(subject);
     if (promised != promises_.end() && now - promised->second < fencing_delay_)
@@ -68,23 +68,23 @@
 void witness::on_list(common::time_point now, roster const& members)
 {
     std::erase_if(consents_,
-                  [&members](auto const& given)
+                  [&members](auto const& entry)
                   {
                       return shows_newer_record(
-                          members, given.first, given.second);
+                          members, entry.first, entry.second);
                   });
     std::erase_if(promises_,
-                  [now, this](auto const& given)
+                  [now, this](auto const& entry)
                   {
-                      return now - given.second > fencing_delay_ * 2;
+                      return now - entry.second > fencing_delay_ * 2;
                   });
 }
 
 void witness::on_pause(common::time_point now) noexcept
 {
-    for (auto& [subject, given] : promises_)
+    for (auto& [subject, promised_at] : promises_)
     {
-        given = now;
+        promised_at = now;
     }
 }
 
--- a/src/core/membership/witness.hpp
+++ b/src/core/membership/witness.hpp
@@ -7,38 +7,41 @@
 #include <cstdint>
 #include <map>
 
-// What this process owes to others as their witness.
+// Obligations of this process as a witness of other members.
 namespace fuchsia::core::membership
 {
 
-/// Remembers promises ("for `bury` I consent to no burial of yours") and
-/// consents ("I promise nothing to that incarnation any more, until I have
-/// read a record newer than the one to be buried").
+/// Stores promises and consents of this witness. A promise to a member excludes
+/// consent to its fencing for `fencing_delay`. A consent excludes further
+/// promises to that incarnation until this witness has read a record newer than
+/// the one to be fenced.
 ///
-/// Both live in memory only: a witness that restarted is another incarnation,
-/// is named in no record, and what it forgot binds nobody.
+/// Both are kept in memory only: a restarted witness is another incarnation
+/// that no record names, so the lost promises and consents bind nobody.
 class witness
 {
 public:
-    /// Most promises, and most consents, that are remembered; beyond it the
-    /// answer is no.
+    /// Maximum number of promises and maximum number of consents that are
+    /// stored; further requests are refused.
     static constexpr std::size_t max_remembered = 1024;
 
-    explicit witness(common::duration bury);
+    explicit witness(common::duration fencing_delay);
 
-    /// Whether the promise is given to `subject`; notes it where it is.
+    /// Decides whether to give `subject` a promise, and stores a given one.
     bool promise(common::time_point now,
                  ports::member_identity const& subject,
                  roster const& members);
-    /// Whether `subject` may be buried at `version`; notes it where so.
+    /// Decides whether to consent to the fencing of `subject` at `version`, and
+    /// stores a given consent.
     bool consent(common::time_point now,
                  ports::member_identity const& subject,
                  std::uint64_t version,
                  roster const& members);
-    /// Lets go of consents whose record is newer now, and of old promises.
+    /// Discards expired promises and the consents for which the roster contains
+    /// a newer record.
     void on_list(common::time_point now, roster const& members);
-    /// After a pause it can't be told how long ago a promise was given, where
-    /// the clock stood still with the process: all count as given now.
+    /// Makes all promises count as given now. After a pause their age is
+    /// unknown, because the clock may have stopped together with the process.
     void on_pause(common::time_point now) noexcept;
 
 private:
--- a/src/core/membership/witness_choice.cpp
+++ b/src/core/membership/witness_choice.cpp
@@ -17,7 +17,7 @@
     ports::member_identity id;
     std::string_view data_centre;
     std::uint64_t weight = 0;
-    /// How many of the same data centre are drawn before this one.
+    /// Number of members of the same data centre with a higher weight.
     std::uint32_t data_centre_rank = 0;
 };
 
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -44,13 +44,13 @@
         EXPECT_EQ(system.violation, "");
     }
 
-    /// Runs on for `length` and tells whether `wanted` held all the while.
-    bool holds_for(duration length, std::function<bool()> const& wanted)
+    /// Runs the system for `length`; whether `condition` held all the time.
+    bool holds_for(duration length, std::function<bool()> const& condition)
     {
         return !system.run_until(
-            [&wanted]
+            [&condition]
             {
-                return !wanted();
+                return !condition();
             },
             length);
     }
@@ -74,9 +74,9 @@
 
 } // namespace
 
-// The platform's store answers nobody for a minute. Callers would notice if
-// the members stopped: every request would be refused until it is back.
-TEST_F(outage, store_down_for_a_minute_stops_nobody)
+// The platform's store does not answer for a minute. If the members stopped
+// acting, every request would be refused until the store is back.
+TEST_F(outage, store_down_for_a_minute_keeps_all_partitions_owned)
 {
     system.store.faults.down = true;
     EXPECT_TRUE(holds_for(60s,
@@ -96,10 +96,10 @@
     EXPECT_TRUE(system.at(0).member.proved_by_store());
 }
 
-// One instance has lost the store while all others have it, and another one
-// dies meanwhile. It answers on by its witnesses' promises, but what the dead
-// one owned goes to members that the store knows to be running.
-TEST_F(outage, member_alone_without_store_acts_on_and_takes_over_nothing)
+// One instance has lost its connection to the store, and another one fails. The
+// first must keep acting on its witnesses' promises, but the partitions of the
+// failed one must go to members that the store shows as running.
+TEST_F(outage, member_without_store_keeps_acting_and_takes_over_nothing)
 {
     auto const owned = system.at(0).claims.owned(system.at(0).member);
     system.cut_store(0, true);
@@ -113,11 +113,11 @@
     EXPECT_EQ(system.at(0).claims.owned(system.at(0).member), owned);
 }
 
-// One instance has lost the store and its peers. Others will take over what it
-// owned, so it has to stop first, and callers go elsewhere.
-TEST_F(outage, member_without_store_and_peers_stops_within_hold)
+// One instance has lost its connections to the store and to its peers. Others
+// will take over its partitions, so it must stop acting first.
+TEST_F(outage, member_without_store_and_peers_stops_within_proof_lifetime)
 {
-    auto const hold = three_witnesses().settings.proof_lifetime;
+    auto const proof_lifetime_limit = three_witnesses().settings.proof_lifetime;
     system.cut_store(0, true);
     isolate(0);
     EXPECT_TRUE(system.run_until(
@@ -125,7 +125,7 @@
         {
             return !acts(0);
         },
-        hold));
+        proof_lifetime_limit));
     EXPECT_TRUE(system.run_until(
         [this]
         {
@@ -135,10 +135,10 @@
     EXPECT_FALSE(acts(0));
 }
 
-// All processes are restarted at once, with nothing in their memory. Each has
-// to bury its former self, whose witnesses are gone as well; were their
-// consent waited for, the system would never come back.
-TEST_F(outage, all_members_restarted_at_once_come_back)
+// All processes are restarted at once and have lost their memory. Each must
+// fence its earlier incarnation, whose witnesses have terminated as well. If
+// their consent were required, the system would never recover.
+TEST_F(outage, all_members_restarted_at_once_recover)
 {
     for (std::size_t slot = 0; slot < member_count; ++slot)
     {
@@ -152,10 +152,10 @@
         30s));
 }
 
-// Four of five members go at once, and with them the majority of the witnesses
-// of each. The platform's list drops them, and the one that is left takes over
-// all; else callers would be refused until an operator comes.
-TEST_F(outage, list_stands_in_for_witnesses_that_are_gone)
+// Four of five members fail at once, and with them a majority of the witnesses
+// of each. The platform's list drops them, and the remaining member must take
+// over all partitions; otherwise requests are refused until an operator acts.
+TEST_F(outage, platform_list_replaces_consent_of_terminated_witnesses)
 {
     for (std::size_t slot : {1, 2, 3, 4})
     {
@@ -175,11 +175,11 @@
 class outage_without_list : public outage
 {
 protected:
-    outage_without_list() : outage(untrusted())
+    outage_without_list() : outage(without_platform_list())
     {
     }
 
-    static membership_simulation_options untrusted()
+    static membership_simulation_options without_platform_list()
     {
         auto options = three_witnesses();
         options.settings.platform_list_replaces_consent = false;
@@ -189,9 +189,9 @@
 
 } // namespace
 
-// The same where operators don't trust the platform's list: nothing is taken
-// over until they remove the members that are gone.
-TEST_F(outage_without_list, nothing_is_taken_over_without_a_majority)
+// Four of five members fail while the platform's list must not replace consent:
+// nothing may be taken over until an operator removes the failed members.
+TEST_F(outage_without_list, nothing_is_taken_over_without_witness_majority)
 {
     for (std::size_t slot : {1, 2, 3, 4})
     {
@@ -201,13 +201,13 @@
     EXPECT_FALSE(system.all_owned());
 }
 
-// A holder is stopped (a paused machine) until others have taken over, then it
-// goes on, with old frames and answers waiting for it. Were it to believe what
-// it knew before, callers would get two answers from two owners.
-TEST_F(outage, frozen_holder_wakes_and_does_not_act)
+// An owner is paused (a paused machine) until others have taken over, and then
+// resumes with old frames and replies waiting. If it acted on its old state,
+// callers would get two answers from two owners.
+TEST_F(outage, paused_owner_does_not_act_after_it_resumes)
 {
-    auto& frozen = system.at(2);
-    system.cut_store(3, true); // So that 3 asks its witnesses, 2 among them.
+    auto& paused_member = system.at(2);
+    system.cut_store(3, true); // Member 3 requests promises, also from 2.
     system.freeze(2);
     EXPECT_TRUE(system.run_until(
         [this]
@@ -215,13 +215,13 @@
             return system.all_owned();
         },
         20s));
-    EXPECT_FALSE(frozen.inbox.empty());
+    EXPECT_FALSE(paused_member.inbox.empty());
     system.unfreeze(2);
-    EXPECT_FALSE(frozen.may_act(system.time.now()));
+    EXPECT_FALSE(paused_member.may_act(system.time.now()));
     EXPECT_TRUE(system.run_until(
-        [&frozen]
+        [&paused_member]
         {
-            return frozen.ended; // It joins as a new incarnation.
+            return paused_member.ended; // It joins as a new incarnation.
         },
         5s));
     EXPECT_TRUE(system.run_until(
@@ -232,12 +232,12 @@
         20s));
 }
 
-// The observer's write that buries a frozen holder takes effect, but its
-// answer is lost; the holder wakes at that moment and beats. It must lose the
-// race, and the observer must learn that it won.
-TEST_F(outage, burial_whose_answer_was_lost_holds_against_a_late_beat)
+// The write that fences a paused owner takes effect, but its reply is lost, and
+// the owner resumes at that moment and sends a heartbeat. The heartbeat must
+// fail, and the observer must learn that its write succeeded.
+TEST_F(outage, fencing_with_lost_reply_wins_over_late_heartbeat)
 {
-    auto& frozen = system.at(2);
+    auto& paused_member = system.at(2);
     system.freeze(2);
     EXPECT_TRUE(system.run_until(
         [this]
@@ -252,7 +252,7 @@
     EXPECT_TRUE(system.run_until(
         [&]
         {
-            return frozen.ended && system.all_owned();
+            return paused_member.ended && system.all_owned();
         },
         15s));
     EXPECT_EQ(system.store.faults.lose_next_replies, 0U);
@@ -261,31 +261,31 @@
 namespace
 {
 
-/// Cuts member 0 off from the store and from all that could promise it
-/// something but `friends`.
-void leave_only(membership_simulation& system,
-                std::vector<std::size_t> const& friends)
+/// Disconnects member 0 from the store and from all members but `reachable`.
+void isolate_from_all_but(membership_simulation& system,
+                          std::vector<std::size_t> const& reachable)
 {
     system.cut_store(0, true);
     for (std::size_t slot = 1; slot < member_count; ++slot)
     {
-        bool const stays =
-            std::count(friends.begin(), friends.end(), slot) != 0;
-        system.cut(0, slot, !stays);
-        system.cut(slot, 0, !stays);
+        bool const stays_connected =
+            std::count(reachable.begin(), reachable.end(), slot) != 0;
+        system.cut(0, slot, !stays_connected);
+        system.cut(slot, 0, !stays_connected);
     }
 }
 
-/// Member 0 names witnesses a, b and c. A new member d takes the place of c,
-/// and the answer to the beat that says so is lost, with the store and the
-/// links to a and d. So b and c promise, a majority of the old list, while a
-/// and d know nothing of it, a majority of the new one. What is violated.
-std::string change_witnesses_unclearly(bool both_lists)
+/// Member 0 names the witnesses a, b and c. A new member d replaces c, and the
+/// reply to the heartbeat with the new list is lost, together with the store
+/// and the links to a and d. So b and c promise, a majority of the old list,
+/// while a and d, a majority of the new list, know nothing of it. Returns the
+/// violation.
+std::string run_witness_change_with_lost_reply(bool require_both_lists)
 {
     membership_simulation_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
-    options.parts.require_both_witness_lists = both_lists;
+    options.parts.require_both_witness_lists = require_both_lists;
     membership_simulation system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
@@ -294,25 +294,27 @@
         system.start(slot);
     }
     system.run(20s);
-    auto const old = system.stored_witnesses(0);
+    auto const previous_witnesses = system.stored_witnesses(0);
     system.start(added);
     system.run_until(
         [&]
         {
-            return system.stored_witnesses(0) != old;
+            return system.stored_witnesses(0) != previous_witnesses;
         },
         20s);
-    auto const now = system.stored_witnesses(0);
-    std::vector<std::size_t> friends{kept};
+    auto const current_witnesses = system.stored_witnesses(0);
+    std::vector<std::size_t> reachable{kept};
     for (std::size_t slot : {3, 4})
     {
-        if (std::count(now.begin(), now.end(), system.at(slot).id) == 0)
+        if (std::count(current_witnesses.begin(),
+                       current_witnesses.end(),
+                       system.at(slot).id) == 0)
         {
-            friends.push_back(slot);
+            reachable.push_back(slot);
         }
     }
-    EXPECT_EQ(friends.size(), 2U) << "nobody was displaced";
-    leave_only(system, friends);
+    EXPECT_EQ(reachable.size(), 2U) << "no witness was replaced";
+    isolate_from_all_but(system, reachable);
     auto& subject = system.at(0);
     EXPECT_TRUE(system.run_until(
         [&]
@@ -326,16 +328,19 @@
 
 } // namespace
 
-// A member can't know which of two witness lists the store holds. Were
-// promises from the old one enough, the new one's witnesses would let others
-// bury it while it acts, and two would answer for one key.
-TEST(witness_list_change, lost_answer_opens_no_gap)
+// A member cannot know which of two witness lists the store holds. If promises
+// from the old list were sufficient, the witnesses of the new list could
+// consent to its fencing while it acts, and two members would answer for one
+// key.
+TEST(witness_list_change, lost_reply_is_safe_with_both_lists_required)
 {
-    EXPECT_EQ(change_witnesses_unclearly(true), "");
+    EXPECT_EQ(run_witness_change_with_lost_reply(true), "");
 }
 
-TEST(witness_list_change, lost_answer_opens_a_gap_without_both_lists)
+// The same lost reply with the check of both lists turned off: the simulation
+// must detect that a fenced member acts.
+TEST(witness_list_change, lost_reply_lets_fenced_member_act_without_both_lists)
 {
-    EXPECT_EQ(change_witnesses_unclearly(false),
+    EXPECT_EQ(run_witness_change_with_lost_reply(false),
               "entry-0 acts though it is buried");
 }
--- a/tests/unit/membership/parts_test.cpp
+++ b/tests/unit/membership/parts_test.cpp
@@ -17,7 +17,7 @@
 time_point const start{1h};
 ports::member_identity const subject{"entry-1", 7};
 
-record describe(ports::member_identity const& id)
+record make_record(ports::member_identity const& id)
 {
     record value;
     value.info.id = id;
@@ -29,11 +29,12 @@
     return value;
 }
 
-/// What a list shows: `subject` at `version`.
-ports::store_reply list_at(std::uint64_t version, bool is_buried = false)
+/// Reply to a list call that contains `subject` at `version`.
+ports::store_reply make_list_reply(std::uint64_t version,
+                                   bool is_fenced_record = false)
 {
-    record value = describe(subject);
-    value.fenced = is_buried;
+    record value = make_record(subject);
+    value.fenced = is_fenced_record;
     ports::store_reply reply;
     reply.status = ports::store_status::done;
     reply.index = version;
@@ -41,20 +42,20 @@
     return reply;
 }
 
-roster shows(std::uint64_t version, bool is_buried = false)
+roster roster_with(std::uint64_t version, bool is_fenced_record = false)
 {
     roster members("entry");
     core::common::failure reason;
-    EXPECT_TRUE(
-        members.apply(start, start, list_at(version, is_buried), reason));
+    EXPECT_TRUE(members.apply(
+        start, start, make_list_reply(version, is_fenced_record), reason));
     return members;
 }
 
 } // namespace
 
-TEST(record, reads_back_what_it_wrote)
+TEST(record, json_round_trip_preserves_all_fields)
 {
-    record value = describe(subject);
+    record value = make_record(subject);
     value.heartbeat_count = 12;
     value.witnesses = {{"entry-2", 0xfedcba9876543210}, {"a#b", 1}};
     value.info.leaving = true;
@@ -64,9 +65,9 @@
     EXPECT_EQ(parse_record("entry", "entry-1", to_json(value), reason), value);
 }
 
-TEST(record, bad_values_are_refused_with_the_place)
+TEST(record, invalid_values_are_refused_with_their_path)
 {
-    std::map<std::string, std::string> const places{
+    std::map<std::string, std::string> const expected_paths{
         {"[]", "member"},
         {"{}", "member.incarnation"},
         {R"({"incarnation":"x"})", "member.incarnation"},
@@ -76,21 +77,21 @@
         {R"({"incarnation":"1","data_centre":"a","peer":{"address":"b"}})",
          "member.peer"},
     };
-    for (auto const& [json, place] : places)
+    for (auto const& [json, path] : expected_paths)
     {
         core::common::failure reason;
         EXPECT_FALSE(parse_record("entry", "a", json, reason)) << json;
-        EXPECT_EQ(reason.where, place) << json;
+        EXPECT_EQ(reason.where, path) << json;
     }
 }
 
-// Somebody writes nonsense under a member's key. Were it taken for a removed
-// record, a running member's partitions would be taken from it.
-TEST(roster, unreadable_record_shows_nobody_as_buried)
+// An invalid value is written under a member's key. If it were treated as a
+// removed record, the partitions of a running member would be taken over.
+TEST(roster, unreadable_record_does_not_count_as_fenced)
 {
     roster members("entry");
     core::common::failure reason;
-    auto reply = list_at(5);
+    auto reply = make_list_reply(5);
     reply.entries.front().value = "nonsense";
     EXPECT_TRUE(members.apply(start, start, reply, reason));
     EXPECT_NE(reason.code, core::common::result_code::ok);
@@ -98,51 +99,52 @@
     EXPECT_TRUE(members.live().empty());
 }
 
-// A replica of the store that lags answers with an older list.
-TEST(roster, older_list_is_not_taken)
+// A lagging replica of the store returns an older list (stale read).
+TEST(roster, older_list_is_rejected)
 {
-    roster members = shows(9, true);
+    roster members = roster_with(9, true);
     core::common::failure reason;
-    EXPECT_FALSE(members.apply(start + 1s, start + 1s, list_at(5), reason));
+    EXPECT_FALSE(
+        members.apply(start + 1s, start + 1s, make_list_reply(5), reason));
     EXPECT_TRUE(members.is_fenced(subject));
 }
 
-TEST(witness, consents_only_when_its_last_promise_is_older_than_bury)
+TEST(witness, consents_only_after_its_last_promise_has_expired)
 {
-    roster const members = shows(5);
-    witness own(3s);
-    EXPECT_TRUE(own.promise(start, subject, members));
-    EXPECT_FALSE(own.consent(start + 2999ms, subject, 5, members));
-    EXPECT_TRUE(own.consent(start + 3s, subject, 5, members));
+    roster const members = roster_with(5);
+    witness tested(3s);
+    EXPECT_TRUE(tested.promise(start, subject, members));
+    EXPECT_FALSE(tested.consent(start + 2999ms, subject, 5, members));
+    EXPECT_TRUE(tested.consent(start + 3s, subject, 5, members));
 }
 
-TEST(witness, promises_nothing_after_consent_until_a_newer_record_was_read)
+TEST(witness, refuses_promises_after_consent_until_newer_record_is_read)
 {
-    witness own(3s);
-    EXPECT_TRUE(own.consent(start, subject, 5, shows(5)));
-    own.on_list(start, shows(5));
-    EXPECT_FALSE(own.promise(start, subject, shows(5)));
-    own.on_list(start, shows(6));
-    EXPECT_TRUE(own.promise(start, subject, shows(6)));
+    witness tested(3s);
+    EXPECT_TRUE(tested.consent(start, subject, 5, roster_with(5)));
+    tested.on_list(start, roster_with(5));
+    EXPECT_FALSE(tested.promise(start, subject, roster_with(5)));
+    tested.on_list(start, roster_with(6));
+    EXPECT_TRUE(tested.promise(start, subject, roster_with(6)));
 }
 
-TEST(witness, promises_nothing_to_the_buried_and_the_unknown)
+TEST(witness, refuses_promises_to_fenced_and_unknown_members)
 {
-    witness own(3s);
-    EXPECT_FALSE(own.promise(start, subject, shows(6, true)));
-    EXPECT_FALSE(own.promise(start, {"entry-1", 8}, shows(6)));
+    witness tested(3s);
+    EXPECT_FALSE(tested.promise(start, subject, roster_with(6, true)));
+    EXPECT_FALSE(tested.promise(start, {"entry-1", 8}, roster_with(6)));
 }
 
-TEST(witness, counts_its_promises_as_new_after_a_pause)
+TEST(witness, pause_restarts_the_time_of_all_promises)
 {
-    roster const members = shows(5);
-    witness own(3s);
-    EXPECT_TRUE(own.promise(start, subject, members));
-    own.on_pause(start + 3s);
-    EXPECT_FALSE(own.consent(start + 4s, subject, 5, members));
+    roster const members = roster_with(5);
+    witness tested(3s);
+    EXPECT_TRUE(tested.promise(start, subject, members));
+    tested.on_pause(start + 3s);
+    EXPECT_FALSE(tested.consent(start + 4s, subject, 5, members));
 }
 
-TEST(platform_list, tells_who_was_dropped_but_not_who_was_never_named)
+TEST(platform_list, reports_dropped_instances_but_not_never_listed_ones)
 {
     platform_list list;
     list.apply({{}, {"self", "a"}, start}, "self");
@@ -155,9 +157,9 @@
     EXPECT_FALSE(list.dropped_for("self", start, 0s));
 }
 
-// A faulty platform answers with an empty list. Believing it would take every
-// witness for gone, and bury members that run.
-TEST(platform_list, list_without_ourselves_is_not_believed)
+// A faulty platform returns an empty list. If it were accepted, all witnesses
+// would count as terminated, and running members would be fenced.
+TEST(platform_list, list_without_own_instance_is_ignored)
 {
     platform_list list;
     list.apply({{}, {"self", "a"}, start}, "self");
@@ -166,7 +168,7 @@
     EXPECT_FALSE(list.dropped_for("a", start, 3s));
 }
 
-TEST(witness_choice, no_data_centre_holds_a_majority)
+TEST(witness_choice, no_data_centre_has_a_majority_of_the_witnesses)
 {
     std::vector<member_info> live;
     for (std::uint64_t number = 0; number < 9; ++number)
@@ -188,29 +190,34 @@
     }
 }
 
-// A process stands still for longer than it may and wakes with a frame waiting
-// that is handled before anything else.
-TEST(member, pause_voids_its_proof_and_resets_its_peers_first)
+// A process is paused for longer than the limit and resumes with a waiting
+// frame that is handled before anything else.
+TEST(member, pause_invalidates_proof_and_first_resets_peers)
 {
     ports::actions out;
-    member own({}, describe(subject).info, 1);
-    own.start(start, out);
-    auto const answer = [&](ports::store_reply reply, time_point now)
+    member tested({}, make_record(subject).info, 1);
+    tested.start(start, out);
+    auto const reply_to_first_call =
+        [&](ports::store_reply reply, time_point now)
     {
         auto const call = std::get<ports::store_call>(out.front());
         reply.id = call.id;
         out.clear();
-        own.on_store_reply(now, reply, out);
+        tested.on_store_reply(now, reply, out);
     };
-    answer({{}, ports::store_status::done, {}, 1}, start); // No record yet.
-    answer({{}, ports::store_status::done, {}, 2}, start); // Its first write.
-    EXPECT_TRUE(own.may_act(start + 100ms));
-    EXPECT_FALSE(own.may_act(start + 900ms)) << "before the pause is noticed";
+    reply_to_first_call({{}, ports::store_status::done, {}, 1},
+                        start); // No record yet.
+    reply_to_first_call({{}, ports::store_status::done, {}, 2},
+                        start); // Its first write.
+    EXPECT_TRUE(tested.may_act(start + 100ms));
+    EXPECT_FALSE(tested.may_act(start + 900ms))
+        << "before the pause is detected";
     out.clear();
-    own.on_peer(start + 900ms, {{"entry-2", 2}, ports::promise_request{}}, out);
+    tested.on_peer(
+        start + 900ms, {{"entry-2", 2}, ports::promise_request{}}, out);
     ASSERT_FALSE(out.empty());
     EXPECT_TRUE(std::holds_alternative<ports::reset_peers>(out.front()));
-    EXPECT_FALSE(own.may_act(start + 901ms));
-    EXPECT_EQ(own.counts().promises_given, 0U);
-    EXPECT_EQ(own.current_phase(), member_phase::proof_expired);
+    EXPECT_FALSE(tested.may_act(start + 901ms));
+    EXPECT_EQ(tested.counts().promises_given, 0U);
+    EXPECT_EQ(tested.current_phase(), member_phase::proof_expired);
 }
