--- a/src/core/placement/bench.cpp
+++ b/src/core/placement/bench.cpp
@@ -12,10 +12,11 @@
 
 constexpr std::int64_t worker_millicores = 64000;
 constexpr std::int64_t worker_memory_mb = 250000;
-constexpr std::uint32_t max_rack_tries =
-    4; ///< Racks that a task is offered to.
+/// Maximum number of racks tried for each task.
+constexpr std::uint32_t max_rack_tries = 4;
 
-/// Racks of workers, filled and emptied at random.
+/// Racks of workers to which tasks are added, and from which they are removed,
+/// at random.
 class simulated_fleet
 {
 public:
@@ -132,23 +133,23 @@
 placement_benchmark_result
 run_placement_benchmark(placement_benchmark_settings const& settings)
 {
-    simulated_fleet all(settings);
+    simulated_fleet fleet(settings);
     placement_benchmark_result result;
     for (std::uint32_t number = 0; number < settings.services; ++number)
     {
-        result.resident += all.add(true) ? 1 : 0;
+        result.resident += fleet.add(true) ? 1 : 0;
     }
     for (std::uint32_t number = 0; number < settings.batch_tasks; ++number)
     {
-        result.resident += all.add(false) ? 1 : 0;
+        result.resident += fleet.add(false) ? 1 : 0;
     }
     for (std::uint32_t number = 0; number < settings.decisions; ++number)
     {
-        all.remove_one();
-        result.placed += all.add(number % 2 == 0) ? 1 : 0;
+        fleet.remove_one();
+        result.placed += fleet.add(number % 2 == 0) ? 1 : 0;
         ++result.decisions;
     }
-    result.signature = all.signature();
+    result.signature = fleet.signature();
     return result;
 }
 
--- a/src/core/placement/bench.hpp
+++ b/src/core/placement/bench.hpp
@@ -21,15 +21,16 @@
 
 struct placement_benchmark_result
 {
-    std::uint32_t resident = 0;  ///< Tasks placed before the count begins.
-    std::uint32_t decisions = 0; ///< Tasks asked for while counting.
-    std::uint32_t placed = 0;
-    /// Changes with every decision; the same for the same settings.
+    std::uint32_t resident = 0; ///< Tasks placed before the measured decisions.
+    std::uint32_t decisions = 0; ///< Measured placement decisions.
+    std::uint32_t placed = 0;    ///< Measured decisions that placed a task.
+    /// Hash of all decisions; equal for equal settings.
     std::uint64_t signature = 0;
 };
 
-/// Places tasks on a fleet that is full to the given size, ends as many, and
-/// learns from each. Deterministic; the caller takes the time.
+/// Fills a simulated fleet with the given numbers of tasks. Each measured
+/// decision then removes one task, updates the interference model and places a
+/// new task. Deterministic; the caller measures the time.
 placement_benchmark_result
 run_placement_benchmark(placement_benchmark_settings const& settings);
 
--- a/src/core/placement/interference.cpp
+++ b/src/core/placement/interference.cpp
@@ -76,7 +76,8 @@
     {
         squared_share_sum += other.cpu_share * other.cpu_share;
     }
-    // Without a neighbour of some size nobody is to blame.
+    // Without a neighbour that uses a noticeable share of the cores the
+    // slowdown cannot be attributed to any class.
     if (squared_share_sum < 1e-4)
     {
         return;
--- a/src/core/placement/latency_guard.cpp
+++ b/src/core/placement/latency_guard.cpp
@@ -8,8 +8,9 @@
 namespace
 {
 
-// Disturbance of the services that stand worst: by what was learned of the
-// pair, or by size alone while nothing was.
+// Interference of a batch task with the services on its worker, from the
+// learned weights and the task's share of the cores. While no weights are
+// learned only the share counts.
 double disturbance(guarded_task const& task,
                    std::vector<guarded_service> const& services,
                    interference_model const& model)
--- a/src/core/placement/latency_guard.hpp
+++ b/src/core/placement/latency_guard.hpp
@@ -14,29 +14,29 @@
 struct latency_guard_settings
 {
     bool enabled = true;
-    /// A service is in trouble above this share of its latency target, and
-    /// well again below the lower one; between them nothing changes.
+    /// Shares of the latency target: a worker's batch tasks are throttled above
+    /// the first and relaxed below the second; in between nothing changes.
     double throttle_threshold = 0.9;
     double relax_threshold = 0.6;
-    /// Reports in a row that must agree before anything is done: one late
-    /// report is no wave.
+    /// Numbers of consecutive reports above or below the threshold before the
+    /// guard acts, so that a single late report has no effect.
     std::uint32_t reports_to_act = 2;
     std::uint32_t reports_to_relax = 5;
-    /// A throttled task keeps at least this share of its cores; a worker that
-    /// is still in trouble then loses it.
+    /// Minimum share of its cores that a throttled task keeps. If the latency
+    /// is still too high then, the task is evicted.
     std::uint32_t min_cpu_permille = 250;
 };
 
-/// One batch task on the worker, as the guard sees it.
+/// Batch task on a worker, which the guard may throttle or evict.
 struct guarded_task
 {
     std::string name;
     std::uint16_t task_class = 0;
-    double cpu_share = 0; ///< Of the worker's cores, as last seen.
+    double cpu_share = 0; ///< Last reported share of the worker's cores.
     std::uint32_t cpu_limit_permille = 1000;
 };
 
-/// One service on the worker: its tail and the target of its contract.
+/// Service on a worker: its tail latency and the target in its contract.
 struct guarded_service
 {
     std::uint16_t task_class = 0;
@@ -58,9 +58,9 @@
     std::uint32_t cpu_limit_permille = 1000;
 };
 
-/// Guards the tails of one worker's services: at each report it takes at most
-/// one step, throttling first and evicting after, against the batch task that
-/// disturbs them most.
+/// Protects the tail latencies of the services on one worker. With each report
+/// it takes at most one step against the batch task that interferes with them
+/// most: first it throttles the task, then it evicts it.
 class latency_guard
 {
 public:
@@ -73,7 +73,9 @@
 
 private:
     latency_guard_settings settings_;
-    std::uint32_t violating_reports_ = 0; ///< Reports in a row.
+    /// Consecutive reports above `throttle_threshold`.
+    std::uint32_t violating_reports_ = 0;
+    /// Consecutive reports below `relax_threshold`.
     std::uint32_t healthy_reports_ = 0;
 };
 
--- a/src/core/placement/policy.cpp
+++ b/src/core/placement/policy.cpp
@@ -21,8 +21,9 @@
                      static_cast<double>(capacity.millicores);
 }
 
-// Sum of the slowdowns that the task adds to its neighbours and suffers
-// itself, services weighing more, and a little for how full the worker is.
+// Cost of placing a task: the slowdowns that it causes and suffers, with a
+// higher weight for services, plus a small term for the utilisation of the
+// worker.
 double placement_cost(least_interference const& weights,
                       candidate const& worker,
                       placement_task const& task,
--- a/src/core/placement/policy.hpp
+++ b/src/core/placement/policy.hpp
@@ -10,35 +10,37 @@
 #include <variant>
 #include <vector>
 
-// Which worker of a cell a task goes to. Hard limits come first and are the
-// same for every policy; a policy only orders what they leave.
+// Choice of a worker in a cell for a task. The hard limits are checked first
+// and are the same for every policy; a policy only ranks the workers within
+// them.
 namespace fuchsia::core::placement
 {
 
-/// One task on a worker, or on its way there.
+/// Task that runs on a worker or was assigned to it.
 struct resident
 {
     std::uint16_t task_class = 0;
     bool is_service = false;
     ports::resources declared;
-    /// Share of the worker's cores that it was last seen to use, 0 to 1; the
-    /// declared share until a report tells.
+    /// Last reported share of the worker's cores in use, 0 to 1; the declared
+    /// share before the first report.
     double cpu_share = 0;
 };
 
-/// What a policy sees of one worker.
+/// State of one worker as the input of a policy.
 struct candidate
 {
     std::string const* worker = nullptr;
     ports::resources capacity;
-    ports::resources committed; ///< Declared by all its residents.
+    ports::resources committed; ///< Sum of what all residents declared.
     std::int64_t batch_millicores = 0;
-    /// Memory that residents use beyond what they declared; can't be promised
-    /// to anyone else.
+    /// Memory in MB that residents use beyond what they declared, which is not
+    /// available to other tasks.
     std::int64_t memory_over_declared = 0;
     std::vector<resident> residents;
-    bool failed_before =
-        false; ///< The task failed there: only where nothing else is.
+    /// Whether the task failed on this worker before, which makes the worker a
+    /// last resort.
+    bool failed_before = false;
 };
 
 struct placement_task
@@ -48,18 +50,19 @@
     ports::resources declared;
 };
 
-/// Baseline: the first worker, in the order given, that holds the task.
+/// Baseline policy: the first worker in the given order with enough capacity.
 struct first_fit
 {
 };
 
-/// The worker where task and residents are expected to slow each other least;
-/// of equals the one with most free cores.
+/// Policy that takes the worker where the task and the residents are expected
+/// to slow each other down least; with equal slowdown the one with the smallest
+/// committed share of its cores.
 struct least_interference
 {
-    /// What a service's slowdown weighs against a batch task's.
+    /// Weight of a service's slowdown relative to a batch task's.
     double service_weight = 4;
-    /// What a full worker costs beside an empty one.
+    /// Cost of a fully committed worker compared with an empty one.
     double utilisation_weight = 0.2;
 };
 
@@ -70,18 +73,18 @@
 
 struct placement_limits
 {
-    /// Share of a worker's cores that batch may take while the guard of
-    /// services' tails is on, in thousandths.
+    /// Maximum share of a worker's cores for batch tasks while the latency
+    /// guard is enabled, in thousandths.
     std::uint32_t batch_guard_permille = 900;
 };
 
-/// Whether the worker holds one more task like this, never more than its
-/// declared capacity.
+/// Whether the worker has capacity for the task within `limits`. The sum of the
+/// declared resources never exceeds the declared capacity of the worker.
 bool fits(candidate const& worker,
           placement_task const& task,
           placement_limits const& limits) noexcept;
 
-/// Index of the worker to take; empty where none holds the task.
+/// Index of the chosen worker; empty if none has capacity for the task.
 std::optional<std::size_t> choose_worker(policy const& selected,
                                          std::vector<candidate> const& workers,
                                          placement_task const& task,
