--- a/src/core/membership/fencing.hpp
+++ b/src/core/membership/fencing.hpp
@@ -58,7 +58,7 @@
 class fencing
 {
 public:
-    /// Maximum number of members that are being fenced at the same time.
+    /// Maximum number of fencing candidates at the same time; others wait.
     static constexpr std::size_t max_candidates = 64;
 
     fencing(settings const& settings, safety_rules rules);
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -259,8 +259,8 @@
     predecessor_record_ = std::move(value);
 }
 
-// Reads the record after a mark with an unknown outcome or a conflict. It does
-// not matter which process wrote the mark that the record now has.
+// Requests a read of the record, also if the outcome of the mark is unknown: it
+// does not matter which process wrote the mark that the record then has.
 void own_record::on_mark_reply(ports::store_reply const& reply)
 {
     if (reply.status != ports::store_status::unavailable)
--- a/src/core/membership/proof.cpp
+++ b/src/core/membership/proof.cpp
@@ -64,7 +64,7 @@
     }
     if (promises_.size() == max_promises && promises_.count(witness) == 0)
     {
-        promises_.clear(); // The next round of requests restores them.
+        promises_.clear(); // Witnesses changed often; the next round refills.
     }
     common::time_point const valid_from =
         rules_.count_proof_from_send ? sent_round->sent_at : now;
