--- a/src/core/membership/own_record.hpp
+++ b/src/core/membership/own_record.hpp
@@ -10,73 +10,77 @@
 #include <string>
 #include <vector>
 
-// This process's own record: joins, beats, settles unclear answers, leaves.
+// Record of this process in the store: joining, heartbeats, resolution of
+// writes with an unknown outcome, and removal.
 namespace fuchsia::core::membership
 {
 
 using witness_list = std::vector<ports::member_identity>;
 
-/// What an answer about the own record means.
-struct own_record_news
+/// Result of a store reply about the own record.
+struct own_record_update
 {
-    /// Set where a write is now known to have been accepted: when it was sent.
-    std::optional<common::time_point> accepted_sent;
-    /// Not empty: another wrote the record, this incarnation is over.
+    /// Time at which a write was sent that is now known to have been accepted.
+    std::optional<common::time_point> accepted_sent_at;
+    /// Reason why this incarnation has ended, such as that another process
+    /// changed the record; empty while it has not ended.
     std::string fenced_reason;
 };
 
-/// Decides the next store call about the own record, one at a time.
+/// Decides the next store call about the own record; one call is in flight at
+/// a time.
 ///
-/// A beat whose answer is lost may have taken effect, or may yet: the record
-/// is read back, and every write id sent since the last known version is kept,
-/// so that a later read tells which of them stands. A new write expects the
-/// last known version, so of all unclear writes one at most takes effect.
+/// A heartbeat whose reply is lost may have taken effect or may still do so.
+/// The record is then read, and all write ids sent since the last known version
+/// are kept, so that a later read shows which write took effect. A new write
+/// expects the last known version, so at most one of the unconfirmed writes
+/// takes effect.
 class own_record
 {
 public:
-    own_record(member_info self, common::duration beat_interval);
+    own_record(member_info self, common::duration heartbeat_interval);
 
-    /// The call to send now; nothing where one is under way or none is due.
-    /// `witnesses` goes into the next write, unless an unclear write is out.
+    /// Call to send now; empty if one is in flight or none is due. The next
+    /// write names `witnesses`, unless there are unconfirmed writes.
     std::optional<ports::store_operation> next(common::time_point now,
                                                witness_list const& witnesses,
                                                std::mt19937_64& random);
-    own_record_news on_reply(common::time_point now,
-                             ports::store_reply const& reply);
+    own_record_update on_reply(common::time_point now,
+                               ports::store_reply const& reply);
 
-    /// Another look at the record is due: a list showed it changed.
-    void look_again() noexcept;
-    /// The next write is due now.
-    void hurry(common::time_point now) noexcept;
+    /// Requests a read of the record, because a list showed a change.
+    void request_read() noexcept;
+    /// Makes the next write due immediately.
+    void schedule_now(common::time_point now) noexcept;
     void set_config_revision(std::uint64_t revision) noexcept;
     void set_leaving() noexcept;
-    /// Erases the record, once what is under way is settled.
+    /// Erases the record once the outcome of the call in flight is known.
     void remove() noexcept;
     /// Whether `remove` is complete.
-    bool removed() const noexcept;
+    bool is_removed() const noexcept;
 
     /// Whether a write of this incarnation is known to have been accepted.
-    bool joined() const noexcept;
-    /// The newest version known to be this incarnation's; 0 before it joined.
+    bool has_joined() const noexcept;
+    /// Newest known version written by this incarnation; 0 before it joined.
     std::uint64_t version() const noexcept;
     member_info const& info() const noexcept;
-    /// The record as last known to stand.
-    record const& standing() const noexcept;
-    /// Every witness list that the store may hold now, each once: the one
-    /// known to stand and those of unclear writes. Empty before it joined.
-    std::vector<witness_list> possible_lists() const;
-    /// An earlier incarnation's record that must be buried first.
+    /// Newest record that the store is known to have accepted.
+    record const& accepted_record() const noexcept;
+    /// Distinct witness lists that the store may hold now: the list of the
+    /// accepted record and those of unconfirmed writes. Empty before it joined.
+    std::vector<witness_list> possible_witness_lists() const;
+    /// Earlier incarnation under this name that must be fenced first.
     std::optional<ports::member_identity> const& predecessor() const noexcept;
 
 private:
     enum class step : std::uint8_t
     {
-        looking, ///< The record has to be read.
-        marking, ///< A predecessor stands: tell that a successor waits.
-        waiting, ///< The predecessor is being buried.
-        beating, ///< Write, from the known version.
+        reading, ///< The record must be read.
+        marking, ///< The predecessor's record must name its successor.
+        waiting, ///< The predecessor is being fenced.
+        writing, ///< Heartbeats are written, from the known version.
         erasing,
-        over,
+        finished,
     };
 
     enum class call_kind : std::uint8_t
@@ -91,33 +95,36 @@
     struct sent_write
     {
         record value;
-        common::time_point sent;
+        common::time_point sent_at;
     };
 
     record next_record(witness_list const& witnesses, std::mt19937_64& random);
     ports::store_operation send_write(common::time_point now,
                                       witness_list const& witnesses,
                                       std::mt19937_64& random);
-    void on_write_reply(ports::store_reply const& reply, own_record_news& news);
-    void on_read_reply(ports::store_reply const& reply, own_record_news& news);
+    void on_write_reply(ports::store_reply const& reply,
+                        own_record_update& update);
+    void on_read_reply(ports::store_reply const& reply,
+                       own_record_update& update);
     void on_mark_reply(ports::store_reply const& reply);
     void on_erase_reply(ports::store_reply const& reply);
-    void go_on_removing() noexcept;
-    void settle_absent(own_record_news& news);
-    void settle_own(record const& value,
-                    std::uint64_t version,
-                    own_record_news& news);
-    void
-    settle_other(record value, std::uint64_t version, own_record_news& news);
+    void continue_removal() noexcept;
+    void resolve_absent(own_record_update& update);
+    void resolve_own(record const& value,
+                     std::uint64_t version,
+                     own_record_update& update);
+    void resolve_other(record value,
+                       std::uint64_t version,
+                       own_record_update& update);
     void accept(sent_write const& write,
                 std::uint64_t version,
-                own_record_news& news);
-    void end(std::string why, own_record_news& news);
+                own_record_update& update);
+    void finish_fenced(std::string reason, own_record_update& update);
     std::string key() const;
 
     member_info self_;
     common::duration heartbeat_interval_;
-    step step_ = step::looking;
+    step step_ = step::reading;
     call_kind in_flight_ = call_kind::none;
     common::time_point next_call_{};
     common::time_point next_write_{};
@@ -125,9 +132,9 @@
     bool joined_ = false;
     std::uint64_t version_ = 0;
     std::uint64_t heartbeat_count_ = 0;
-    record standing_;
-    /// Writes whose effect is not known, the one in flight last.
-    std::vector<sent_write> unsettled_;
+    record accepted_record_;
+    /// Writes with an unknown outcome; the one in flight is the last.
+    std::vector<sent_write> unconfirmed_writes_;
     record predecessor_record_;
     std::uint64_t predecessor_version_ = 0;
     std::optional<ports::member_identity> predecessor_;
--- a/src/core/membership/witness.cpp
+++ b/src/core/membership/witness.cpp
@@ -8,24 +8,24 @@
 namespace
 {
 
-/// Whether the roster shows a record of `subject` newer than `version`.
-bool knows_newer(roster const& members,
-                 ports::member_identity const& subject,
-                 std::uint64_t version)
+/// Whether the roster contains a record of `subject` newer than `version`.
+bool shows_newer_record(roster const& members,
+                        ports::member_identity const& subject,
+                        std::uint64_t version)
 {
-    auto const* seen = members.find(subject.name);
-    return seen != nullptr && seen->version > version;
+    auto const* observed = members.find(subject.name);
+    return observed != nullptr && observed->version > version;
 }
 
 } // namespace
 
-witness::witness(common::duration bury) : fencing_delay_(bury)
+witness::witness(common::duration fencing_delay) : fencing_delay_(fencing_delay)
 {
 }
 
-// Nothing is promised to an incarnation that the newest list does not show as
-// running: a consent is forgotten once a newer record was read, and that newer
-// record may be the burial itself.
+// Refuses a promise to an incarnation that the newest list does not show as
+// live: a consent is discarded once a newer record has been read, and that
+// newer record may be the fenced one.
 bool witness::promise(common::time_point now,
                       ports::member_identity const& subject,
                       roster const& members)
@@ -47,9 +47,9 @@
                       std::uint64_t version,
                       roster const& members)
 {
-    if (knows_newer(members, subject, version))
+    if (shows_newer_record(members, subject, version))
     {
-        return false; // Its burial at `version` would fail.
+        return false; // A fencing write at `version` would fail.
     }
     auto const promised = promises_.find(subject);
     if (promised != promises_.end() && now - promised->second < fencing_delay_)
@@ -60,30 +60,31 @@
     {
         return false;
     }
-    auto const [place, added] = consents_.try_emplace(subject, version);
-    place->second = std::max(place->second, version);
+    auto const [it, added] = consents_.try_emplace(subject, version);
+    it->second = std::max(it->second, version);
     return true;
 }
 
-void witness::learn(common::time_point now, roster const& members)
+void witness::on_list(common::time_point now, roster const& members)
 {
     std::erase_if(consents_,
-                  [&members](auto const& given)
+                  [&members](auto const& entry)
                   {
-                      return knows_newer(members, given.first, given.second);
+                      return shows_newer_record(
+                          members, entry.first, entry.second);
                   });
     std::erase_if(promises_,
-                  [now, this](auto const& given)
+                  [now, this](auto const& entry)
                   {
-                      return now - given.second > fencing_delay_ * 2;
+                      return now - entry.second > fencing_delay_ * 2;
                   });
 }
 
-void witness::after_pause(common::time_point now) noexcept
+void witness::on_pause(common::time_point now) noexcept
 {
-    for (auto& [subject, given] : promises_)
+    for (auto& [subject, promised_at] : promises_)
     {
-        given = now;
+        promised_at = now;
     }
 }
 
