--- a/src/adapters/platform/base64.cpp
+++ b/src/adapters/platform/base64.cpp
@@ -16,17 +16,18 @@
 
 std::optional<std::string> from_base64(std::string_view text)
 {
-    // The library writes up to two bytes beyond its own `decoded_size` where
-    // the last group is not whole.
-    constexpr std::size_t group = 4;
-    if (text.size() % group != 0)
+    // The decoder writes up to two bytes beyond its own `decoded_size` if the
+    // last group is incomplete.
+    constexpr std::size_t group_size = 4;
+    if (text.size() % group_size != 0)
     {
         return std::nullopt;
     }
     std::string bytes(base64::decoded_size(text.size()), '\0');
     auto const [written, read] =
         base64::decode(bytes.data(), text.data(), text.size());
-    // The library stops at the padding, and at anything that is no base64.
+    // The decoder stops at the padding and at the first character that is not
+    // base64; only padding may follow.
     if (text.find_first_not_of('=', read) != std::string_view::npos)
     {
         return std::nullopt;
--- a/src/adapters/platform/catalog_client.cpp
+++ b/src/adapters/platform/catalog_client.cpp
@@ -21,7 +21,8 @@
     return text == nullptr ? std::string() : std::string(*text);
 }
 
-// Meta values are strings, numbers among them.
+// Reads a number from service metadata, where the catalog stores every value as
+// a string; 0 if it is missing or malformed.
 std::uint32_t count_in(json::object const& object, std::string_view key)
 {
     auto const text = text_in(object, key);
@@ -116,14 +117,14 @@
 }
 
 catalog_client::catalog_client(boost::asio::io_context& io,
-                               ports::endpoint where,
+                               ports::endpoint platform_endpoint,
                                core::common::duration interval,
                                std::string member_service,
-                               bool with_upstreams,
+                               bool poll_upstreams,
                                handler handle)
-    : where_(std::move(where)), interval_(interval),
+    : platform_endpoint_(std::move(platform_endpoint)), interval_(interval),
       member_service_(std::move(member_service)),
-      with_upstreams_(with_upstreams), handle_(std::move(handle)),
+      poll_upstreams_(poll_upstreams), handle_(std::move(handle)),
       client_(io, {}), timer_(io)
 {
 }
@@ -133,51 +134,52 @@
     poll();
 }
 
-// A list counts from when it was asked for: the platform made it no earlier, so
-// nothing in it looks younger than it is, however long the answer waited here.
+// A list is time-stamped with the time of its request. The response may wait in
+// this process for any time, and a later time stamp would make stale entries
+// look fresh.
 void catalog_client::poll()
 {
-    auto const asked = core::common::clock::now();
+    auto const requested_at = core::common::clock::now();
     fetch(member_service_,
-          [this, asked](http::response const& answer)
+          [this, requested_at](http::response const& answer)
           {
               auto names = parse_names(answer.body);
               if (!names)
               {
-                  rest();
+                  schedule_poll();
                   return;
               }
               ports::instance_list list;
               list.members = std::move(*names);
-              if (with_upstreams_)
+              if (poll_upstreams_)
               {
                   read_upstreams(std::move(list));
                   return;
               }
-              list.received = asked;
+              list.received = requested_at;
               handle_(std::move(list));
-              rest();
+              schedule_poll();
           });
 }
 
 void catalog_client::read_upstreams(ports::instance_list list)
 {
-    auto const asked = core::common::clock::now();
+    auto const requested_at = core::common::clock::now();
     fetch("upstream",
-          [this, asked, list = std::move(list)](
+          [this, requested_at, list = std::move(list)](
               http::response const& answer) mutable
           {
               if (auto upstreams = parse_upstreams(answer.body))
               {
                   list.upstreams = std::move(*upstreams);
-                  list.received = asked;
+                  list.received = requested_at;
                   handle_(std::move(list));
               }
-              rest();
+              schedule_poll();
           });
 }
 
-void catalog_client::rest()
+void catalog_client::schedule_poll()
 {
     timer_.expires_after(interval_);
     timer_.async_wait(
@@ -194,7 +196,7 @@
                            std::function<void(http::response const&)> on_answer)
 {
     http::client_call call;
-    call.remote_endpoint = where_;
+    call.remote_endpoint = platform_endpoint_;
     call.message.method = "GET";
     call.message.target = "/v1/catalog/service/" + service;
     call.timeout = call_timeout;
@@ -209,7 +211,7 @@
                 on_answer(answer);
                 return;
             }
-            rest();
+            schedule_poll();
         });
 }
 
--- a/src/adapters/platform/catalog_client.hpp
+++ b/src/adapters/platform/catalog_client.hpp
@@ -14,27 +14,28 @@
 namespace fuchsia::adapters::platform
 {
 
-/// Reads one upstream list as the catalog answers it; malformed entries are
-/// left out.
+/// Parses the catalog's list of upstreams and skips malformed entries; empty if
+/// `body` is not a JSON array.
 std::optional<std::vector<ports::upstream_instance>>
 parse_upstreams(std::string_view body);
 
-/// Reads the ids of a service's instances.
+/// Parses the ids of a service's instances; empty if `body` is not a JSON
+/// array.
 std::optional<std::vector<std::string>> parse_names(std::string_view body);
 
-/// Polls the platform's instance list.
+/// Polls the instance list of the platform's service catalog.
 class catalog_client
 {
 public:
     using handler = std::function<void(ports::instance_list)>;
 
-    /// `member_service` is the service whose instances are our own role's;
-    /// upstreams are read only where `with_upstreams` says so.
+    /// `member_service` is the catalog's service name of this program's own
+    /// instances. The upstreams are polled only if `poll_upstreams` is set.
     catalog_client(boost::asio::io_context& io,
-                   ports::endpoint where,
+                   ports::endpoint platform_endpoint,
                    core::common::duration interval,
                    std::string member_service,
-                   bool with_upstreams,
+                   bool poll_upstreams,
                    handler handle);
 
     void start();
@@ -42,14 +43,14 @@
 private:
     void poll();
     void read_upstreams(ports::instance_list list);
-    void rest();
+    void schedule_poll();
     void fetch(std::string const& service,
                std::function<void(http::response const&)> on_answer);
 
-    ports::endpoint where_;
+    ports::endpoint platform_endpoint_;
     core::common::duration interval_;
     std::string member_service_;
-    bool with_upstreams_;
+    bool poll_upstreams_;
     handler handle_;
     http::client client_;
     runtime::timer timer_;
--- a/src/adapters/platform/store_client.cpp
+++ b/src/adapters/platform/store_client.cpp
@@ -19,10 +19,12 @@
 using ports::store_status;
 
 constexpr std::uint32_t store_connections = 16;
-constexpr std::uint64_t max_answer = 64 * 1024 * 1024;
-// For all contracts in one answer, over a thin link.
-constexpr core::common::duration reading_limit = std::chrono::seconds(8);
-// A watch is answered at the end of its wait; its answer gets this much more.
+constexpr std::uint64_t max_answer_bytes = 64 * 1024 * 1024;
+// Maximum time to read a response after its call has timed out: one response
+// with all contracts takes this long over a slow link.
+constexpr core::common::duration late_read_timeout = std::chrono::seconds(8);
+// Time beyond a watch's wait until the watch times out. The store answers at
+// the end of the wait, and the response takes time to arrive.
 constexpr core::common::duration watch_margin = std::chrono::seconds(2);
 
 http::client_settings connection_settings(store_settings const& settings)
@@ -30,28 +32,29 @@
     http::client_settings result;
     result.connections_per_endpoint = store_connections;
     result.connect_timeout = settings.timeout;
-    result.body_bytes = max_answer;
+    result.body_bytes = max_answer_bytes;
     return result;
 }
 
-// Keys are our own: letters, digits and -_./ pass; all else is escaped.
+// Percent-encodes a key. Letters, digits and -_./ stay, since the project's own
+// keys consist of them.
 std::string escaped(std::string_view key)
 {
     constexpr std::string_view hex = "0123456789ABCDEF";
     std::string text;
-    for (char const letter : key)
+    for (char const character : key)
     {
-        bool const plain =
-            (letter >= 'a' && letter <= 'z') ||
-            (letter >= 'A' && letter <= 'Z') ||
-            (letter >= '0' && letter <= '9') ||
-            std::string_view("-_./").find(letter) != std::string_view::npos;
-        if (plain)
+        bool const is_unreserved =
+            (character >= 'a' && character <= 'z') ||
+            (character >= 'A' && character <= 'Z') ||
+            (character >= '0' && character <= '9') ||
+            std::string_view("-_./").find(character) != std::string_view::npos;
+        if (is_unreserved)
         {
-            text += letter;
+            text += character;
             continue;
         }
-        auto const byte = static_cast<unsigned char>(letter);
+        auto const byte = static_cast<unsigned char>(character);
         text += '%';
         text += hex[byte / 16];
         text += hex[byte % 16];
@@ -214,16 +217,17 @@
                               http::response const& answer)
 {
     ports::store_reply reply{id, store_status::unclear, {}, 0};
-    bool const refused = answer.status == 429;
+    bool const is_throttled = answer.status == 429;
     if (status == exchange_status::not_sent ||
-        (status == exchange_status::answered && refused))
+        (status == exchange_status::answered && is_throttled))
     {
         reply.status = store_status::unavailable;
         return reply;
     }
     if (status != exchange_status::answered)
     {
-        // A read that was not answered changed nothing.
+        // A read without a response is safe to report as not done, since it
+        // changes nothing.
         reply.status =
             write ? store_status::unclear : store_status::unavailable;
         return reply;
@@ -249,8 +253,9 @@
 
 bool call_budget::take(core::common::time_point now) noexcept
 {
-    double const passed = std::chrono::duration<double>(now - last_).count();
-    tokens_ = std::min(per_second_, tokens_ + passed * per_second_);
+    double const elapsed_seconds =
+        std::chrono::duration<double>(now - last_).count();
+    tokens_ = std::min(per_second_, tokens_ + elapsed_seconds * per_second_);
     last_ = now;
     if (tokens_ < 1)
     {
@@ -265,8 +270,9 @@
                            handler handle)
     : io_(io), settings_(std::move(settings)), handle_(std::move(handle)),
       client_(io, connection_settings(settings_)),
-      watches_(io, connection_settings(settings_)),
-      reads_(settings_.reads_per_second), writes_(settings_.writes_per_second)
+      watch_client_(io, connection_settings(settings_)),
+      read_budget_(settings_.reads_per_second),
+      write_budget_(settings_.writes_per_second)
 {
 }
 
@@ -285,19 +291,19 @@
     }
     ++counts_.calls[call.operation.index()];
     http::client_call message;
-    message.remote_endpoint = settings_.where;
+    message.remote_endpoint = settings_.remote_endpoint;
     message.message = std::visit(request_writer{}, call.operation);
     message.timeout = settings_.timeout;
-    message.late_read_limit = reading_limit;
+    message.late_read_limit = late_read_timeout;
     auto const* const watch = std::get_if<ports::store_watch>(&call.operation);
     if (watch != nullptr)
     {
         message.timeout = watch->wait + watch_margin;
     }
     bool const write = is_write(call.operation);
-    // Watches have connections of their own, so that waiting ones never keep a
-    // beat from being sent.
-    auto& client = watch != nullptr ? watches_ : client_;
+    // Watches have a separate connection pool: pending watches would otherwise
+    // use up the connections and delay a heartbeat.
+    auto& client = watch != nullptr ? watch_client_ : client_;
     client.send(std::move(message),
                 [this, id = call.id, write, tag](exchange_status status,
                                                  http::response const& answer)
@@ -314,7 +320,8 @@
 bool store_client::within_budget(ports::store_operation const& operation)
 {
     auto const now = core::common::clock::now();
-    return is_write(operation) ? writes_.take(now) : reads_.take(now);
+    return is_write(operation) ? write_budget_.take(now)
+                               : read_budget_.take(now);
 }
 
 void store_client::finish(std::uint64_t tag, ports::store_reply reply)
--- a/src/adapters/platform/store_client.hpp
+++ b/src/adapters/platform/store_client.hpp
@@ -11,12 +11,13 @@
 namespace fuchsia::adapters::platform
 {
 
-/// Calls a second, with bursts of one second's worth.
+/// Token bucket that limits the calls per second; its burst is the number of
+/// calls of one second.
 class call_budget
 {
 public:
     explicit call_budget(std::uint32_t per_second);
-    /// Takes one call; false where the budget is used up.
+    /// Takes one token; false if none is available.
     bool take(core::common::time_point now) noexcept;
 
 private:
@@ -27,22 +28,22 @@
 
 struct store_settings
 {
-    ports::endpoint where;
+    ports::endpoint remote_endpoint;
     core::common::duration timeout = std::chrono::seconds(1);
     std::uint32_t reads_per_second = 20;
     std::uint32_t writes_per_second = 20;
 };
 
-/// How many calls of each kind went out, by the index of `store_operation`,
-/// and how each ended, by `store_status`.
+/// Numbers of calls sent and of replies.
 struct store_counts
 {
-    std::array<std::uint64_t, 5> calls{};
-    std::array<std::uint64_t, 4> ends{};
+    std::array<std::uint64_t, 5> calls{}; ///< By index of `store_operation`.
+    std::array<std::uint64_t, 4> ends{};  ///< Replies by `store_status`.
+    /// Calls not sent because the budget was used up.
     std::uint64_t over_budget = 0;
 };
 
-/// The platform's key-value service over HTTP (docs/API.md).
+/// Client of the platform's key-value service over HTTP (docs/API.md).
 class store_client
 {
 public:
@@ -52,8 +53,8 @@
                  store_settings settings,
                  handler handle);
 
-    /// Answers through the handler exactly once, never from within `send`,
-    /// with `tag` beside the reply.
+    /// Sends `call`. The handler is called exactly once, with `tag` and the
+    /// reply, and never from within `send`.
     void send(ports::store_call call, std::uint64_t tag = 0);
 
     store_counts const& counts() const noexcept;
@@ -66,9 +67,9 @@
     store_settings settings_;
     handler handle_;
     http::client client_;
-    http::client watches_;
-    call_budget reads_;
-    call_budget writes_;
+    http::client watch_client_;
+    call_budget read_budget_;
+    call_budget write_budget_;
     store_counts counts_;
 };
 
--- a/src/adapters/platform/worker_client.cpp
+++ b/src/adapters/platform/worker_client.cpp
@@ -18,7 +18,7 @@
 using ports::worker_status;
 
 constexpr core::common::duration call_timeout = std::chrono::seconds(2);
-constexpr std::int64_t any = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t max_integer = std::numeric_limits<std::int64_t>::max();
 
 constexpr std::array<std::string_view, 5> attempt_state_names{
     "running", "finished", "failed", "stopped", "lease_expired"};
@@ -37,9 +37,9 @@
 
 ports::resources read_resources(json_reader& reader)
 {
-    return {reader.integer("millicores", 0, any),
-            reader.integer("memory_mb", 0, any),
-            reader.integer_or("accelerators", 0, 0, any)};
+    return {reader.integer("millicores", 0, max_integer),
+            reader.integer("memory_mb", 0, max_integer),
+            reader.integer_or("accelerators", 0, 0, max_integer)};
 }
 
 ports::task_attempt read_attempt(json_reader& reader)
@@ -49,7 +49,8 @@
                 "attempt", 0, std::numeric_limits<std::uint32_t>::max()))};
 }
 
-// Reads each object of a JSON array by `read`; empty where anything is wrong.
+// Parses each object of a JSON array with `read`; empty if any element is
+// malformed.
 template<class T, class Read>
 std::optional<std::vector<T>> read_all(json::array const& list, Read read)
 {
@@ -105,14 +106,14 @@
     {
         reader.fail(core::common::result_code::out_of_range,
                     "state",
-                    "no state of an attempt");
+                    "unknown attempt state");
     }
     result.state = state.value_or(ports::attempt_state::running);
     result.used = read_resources(reader);
     result.latency_p99_us = static_cast<std::uint64_t>(
-        reader.integer_or("latency_p99_us", 0, 0, any));
+        reader.integer_or("latency_p99_us", 0, 0, max_integer));
     result.work_done_ms = static_cast<std::uint64_t>(
-        reader.integer_or("work_done_ms", 0, 0, any));
+        reader.integer_or("work_done_ms", 0, 0, max_integer));
     result.reason = reader.text_or("why", "");
     return result;
 }
@@ -122,9 +123,9 @@
     ports::worker_report result;
     result.worker = reader.text("worker");
     result.sequence =
-        static_cast<std::uint64_t>(reader.integer("sequence", 0, any));
+        static_cast<std::uint64_t>(reader.integer("sequence", 0, max_integer));
     result.clock_ms =
-        static_cast<std::uint64_t>(reader.integer("clock_ms", 0, any));
+        static_cast<std::uint64_t>(reader.integer("clock_ms", 0, max_integer));
     auto const* const attempts = reader.array("attempts");
     if (attempts != nullptr)
     {
@@ -142,9 +143,9 @@
     return result;
 }
 
-json::object attempt_json(ports::task_attempt const& what)
+json::object attempt_json(ports::task_attempt const& id)
 {
-    return {{"task", what.task}, {"attempt", what.attempt}};
+    return {{"task", id.task}, {"attempt", id.attempt}};
 }
 
 struct call_body
@@ -172,9 +173,9 @@
     call_body operator()(ports::worker_renew const& renew) const
     {
         json::array attempts;
-        for (auto const& what : renew.attempts)
+        for (auto const& id : renew.attempts)
         {
-            attempts.push_back(attempt_json(what));
+            attempts.push_back(attempt_json(id));
         }
         return {"renew",
                 {{"attempts", std::move(attempts)},
@@ -222,10 +223,10 @@
         answer.status == 200 ? worker_status::done : worker_status::refused;
     reply.checkpoint = reader.text_or("checkpoint", "");
     reply.reason = reader.text_or("why", "");
-    if (auto const* const gone = reader.array("gone"))
+    if (auto const* const unknown = reader.array("gone"))
     {
         reply.unknown_attempts =
-            read_all<ports::task_attempt>(*gone, read_attempt)
+            read_all<ports::task_attempt>(*unknown, read_attempt)
                 .value_or(std::vector<ports::task_attempt>());
     }
     return reply;
@@ -246,10 +247,10 @@
 }
 
 worker_client::worker_client(boost::asio::io_context& io,
-                             ports::endpoint where,
+                             ports::endpoint platform_endpoint,
                              core::common::duration interval,
                              worker_handlers handlers)
-    : where_(std::move(where)), interval_(interval),
+    : platform_endpoint_(std::move(platform_endpoint)), interval_(interval),
       handlers_(std::move(handlers)), client_(io, {}), timer_(io)
 {
 }
@@ -266,12 +267,12 @@
 
 void worker_client::send(ports::worker_call call)
 {
-    auto written = std::visit(call_writer{}, call.operation);
+    auto encoded = std::visit(call_writer{}, call.operation);
     http::client_call message;
-    message.remote_endpoint = where_;
+    message.remote_endpoint = platform_endpoint_;
     message.message.method = "POST";
-    message.message.target = "/v1/workers/" + call.worker + "/" + written.path;
-    message.message.body = json::serialize(written.body);
+    message.message.target = "/v1/workers/" + call.worker + "/" + encoded.path;
+    message.message.body = json::serialize(encoded.body);
     message.timeout = call_timeout;
     client_.send(std::move(message),
                  [this, id = call.id](exchange_status status,
@@ -293,7 +294,7 @@
             }
         });
     http::client_call call;
-    call.remote_endpoint = where_;
+    call.remote_endpoint = platform_endpoint_;
     call.message.method = "GET";
     call.message.target = "/v1/workers";
     call.timeout = call_timeout;
@@ -320,7 +321,7 @@
 void worker_client::poll_reports(std::string const& rack)
 {
     http::client_call call;
-    call.remote_endpoint = where_;
+    call.remote_endpoint = platform_endpoint_;
     call.message.method = "GET";
     call.message.target = "/v1/reports?rack=" + rack;
     call.timeout = call_timeout;
--- a/src/adapters/platform/worker_client.hpp
+++ b/src/adapters/platform/worker_client.hpp
@@ -14,8 +14,10 @@
 namespace fuchsia::adapters::platform
 {
 
+/// Parses the list of workers; empty if any entry is malformed.
 std::optional<std::vector<ports::worker_instance>>
 parse_workers(std::string_view body);
+/// Parses workers' reports; empty if any report is malformed.
 std::optional<std::vector<ports::worker_report>>
 parse_reports(std::string_view body);
 
@@ -26,27 +28,29 @@
     std::function<void(ports::worker_reply)> on_reply;
 };
 
-/// The platform's workers over HTTP (docs/API.md): polls their list and the
-/// reports of the racks it was told to follow, and makes the calls.
+/// Client of the platform's workers over HTTP (docs/API.md). It polls the list
+/// of workers and the reports of the selected racks, and sends calls to
+/// workers.
 class worker_client
 {
 public:
     worker_client(boost::asio::io_context& io,
-                  ports::endpoint where,
+                  ports::endpoint platform_endpoint,
                   core::common::duration interval,
                   worker_handlers handlers);
 
     void start();
-    /// From now on reads the reports of just these racks.
+    /// Sets the racks whose reports are polled.
     void set_racks(std::vector<std::string> racks);
-    /// Answers through `on_reply` exactly once, never from within `send`.
+    /// Sends `call`. `on_reply` is called exactly once and never from within
+    /// `send`.
     void send(ports::worker_call call);
 
 private:
     void poll();
     void poll_reports(std::string const& rack);
 
-    ports::endpoint where_;
+    ports::endpoint platform_endpoint_;
     core::common::duration interval_;
     worker_handlers handlers_;
     http::client client_;
