--- a/src/adapters/daemon/daemon_runtime.cpp
+++ b/src/adapters/daemon/daemon_runtime.cpp
@@ -15,9 +15,9 @@
 using core::common::clock;
 using ports::severity;
 
-constexpr std::size_t store_ring = 1024;
-constexpr std::size_t peer_ring = 8192;
-constexpr std::size_t list_ring = 16;
+constexpr std::size_t store_ring_size = 1024;
+constexpr std::size_t peer_ring_size = 8192;
+constexpr std::size_t list_ring_size = 16;
 constexpr std::uint32_t log_lines_per_second = 10;
 
 platform::store_settings
@@ -35,69 +35,71 @@
 {
     std::random_device source;
     std::uint64_t const high = source();
-    // Never 0, which stands for "none".
+    // The lowest bit is set, since 0 means "no incarnation".
     return (high << 32U) | (source() | 1U);
 }
 
 daemon_runtime::daemon_runtime(settings::daemon_settings settings,
                                daemon_options options,
-                               daemon_handlers events)
+                               daemon_handlers handlers)
     : settings_(std::move(settings)), options_(std::move(options)),
-      events_(std::move(events)), self_{settings_.name, draw_incarnation()},
+      handlers_(std::move(handlers)), self_{settings_.name, draw_incarnation()},
       log_(log_lines_per_second),
       requests_(decisions_,
                 options_.max_waiting_requests,
-                [this](request_in& in)
+                [this](incoming_request& item)
                 {
-                    events_.on_request(enter(), in.id, in.message);
+                    handlers_.on_request(begin_event(), item.id, item.message);
                 }),
       answers_(http_,
                options_.max_waiting_requests,
-               [this](answer_out& out)
+               [this](outgoing_answer& item)
                {
-                   respond(out);
+                   respond(item);
                }),
       store_calls_(platform_,
-                   store_ring,
-                   [this](store_out& out)
+                   store_ring_size,
+                   [this](outgoing_store_call& item)
                    {
-                       store_->send(std::move(out.call), out.generation);
+                       store_->send(std::move(item.call), item.generation);
                    }),
       store_replies_(decisions_,
-                     store_ring,
-                     [this](store_in& in)
+                     store_ring_size,
+                     [this](incoming_store_reply& item)
                      {
-                         take_store_reply(in);
+                         handle_store_reply(item);
                      }),
       instances_(decisions_,
-                 list_ring,
+                 list_ring_size,
                  [this](ports::instance_list& list)
                  {
-                     events_.on_instances(enter(), list);
+                     handlers_.on_instances(begin_event(), list);
                  }),
       peer_sends_(peers_,
-                  peer_ring,
-                  [this](peer_out& out)
+                  peer_ring_size,
+                  [this](outgoing_peer_message& item)
                   {
-                      hand_to_transport(out);
+                      forward_to_transport(item);
                   }),
       peer_receives_(decisions_,
-                     peer_ring,
-                     [this](ports::peer_receive& in)
+                     peer_ring_size,
+                     [this](ports::peer_receive& item)
                      {
-                         events_.on_peer(enter(), in);
+                         handlers_.on_peer(begin_event(), item);
                      }),
-      ticker_(decisions_.io()), platform_sampler_(platform_.io()),
-      peers_sampler_(peers_.io()), finisher_(http_.io())
+      tick_timer_(decisions_.io()), platform_sample_timer_(platform_.io()),
+      peer_sample_timer_(peers_.io()), finish_timer_(http_.io())
 {
     store_ = std::make_unique<platform::store_client>(
         platform_.io(),
         store_settings_of(settings_),
         [this](std::uint64_t generation, ports::store_reply reply)
         {
-            // Never full: no more calls are open than the ring has places. A
-            // lost reply would leave its asker waiting for ever.
-            store_replies_.try_push(store_in{generation, std::move(reply)});
+            // The ring is never full, since `send_store` allows no more open
+            // calls than it has places. A lost reply would leave its requester
+            // waiting for ever.
+            store_replies_.try_push(
+                incoming_store_reply{generation, std::move(reply)});
         });
     catalog_ = std::make_unique<platform::catalog_client>(
         platform_.io(),
@@ -129,10 +131,10 @@
         });
 }
 
-// What still waits for an answer is ended by the clients' and servers'
-// destructors, whose handlers use the rings and tables of this object. Left to
-// the members' own order they would run after those are gone, and the process
-// would abort in the last step of a planned stop.
+// The destructors of the clients and servers end all pending calls, and their
+// handlers use the rings and tables of this object. In the order of the members
+// they would run after those are destroyed, and the process would abort in the
+// last step of a planned stop.
 daemon_runtime::~daemon_runtime()
 {
     decisions_.stop();
@@ -174,7 +176,7 @@
                                 boost::asio::post(decisions_.io(),
                                                   [this]
                                                   {
-                                                      events_.on_stop(
+                                                      handlers_.on_stop(
                                                           clock::now());
                                                   });
                             });
@@ -182,7 +184,7 @@
                       [this]
                       {
                           last_tick_ = clock::now();
-                          events_.on_start(last_tick_);
+                          handlers_.on_start(last_tick_);
                           tick();
                       });
     boost::asio::post(platform_.io(),
@@ -256,9 +258,9 @@
     {
         send_peer(peer_reset{});
     }
-    else if (auto* const over = std::get_if<ports::rejoin>(&action))
+    else if (auto* const rejoin_request = std::get_if<ports::rejoin>(&action))
     {
-        rejoin(over->reason);
+        rejoin(rejoin_request->reason);
     }
     else if (std::holds_alternative<ports::stop_complete>(action))
     {
@@ -280,9 +282,9 @@
 {
     auto const now = clock::now();
     last_tick_ = now;
-    events_.on_tick(now);
-    ticker_.expires_after(tick_interval);
-    ticker_.async_wait(
+    handlers_.on_tick(now);
+    tick_timer_.expires_after(tick_interval);
+    tick_timer_.async_wait(
         [this](boost::system::error_code error)
         {
             if (!error)
@@ -292,24 +294,24 @@
         });
 }
 
-void daemon_runtime::take_store_reply(store_in& in)
+void daemon_runtime::handle_store_reply(incoming_store_reply& item)
 {
     --open_store_calls_;
-    if (in.generation == generation_)
+    if (item.generation == generation_)
     {
-        events_.on_store_reply(enter(), in.reply);
+        handlers_.on_store_reply(begin_event(), item.reply);
     }
 }
 
-// On the peers' thread.
-void daemon_runtime::hand_to_transport(peer_out& out)
+// Runs on the peer thread.
+void daemon_runtime::forward_to_transport(outgoing_peer_message& item)
 {
-    if (auto* const send = std::get_if<ports::peer_send>(&out))
+    if (auto* const send = std::get_if<ports::peer_send>(&item))
     {
         transport_->send(std::move(*send));
         return;
     }
-    auto* const reset = std::get_if<peer_reset>(&out);
+    auto* const reset = std::get_if<peer_reset>(&item);
     if (reset != nullptr && reset->rename)
     {
         transport_->rename(std::move(*reset->rename));
@@ -320,16 +322,16 @@
     }
 }
 
-// A process that was frozen wakes with frames and answers in its rings. The
-// engine must learn of the gap before it sees any of them, or it would act on
-// proofs that are over.
-core::common::time_point daemon_runtime::enter()
+// A process that was paused resumes with frames and replies in its rings. The
+// engine must get a tick with the current time before it handles any of them,
+// or it would act on expired membership proofs.
+core::common::time_point daemon_runtime::begin_event()
 {
     auto const now = clock::now();
     if (now - last_tick_ >= 2 * tick_interval)
     {
         last_tick_ = now;
-        events_.on_tick(now);
+        handlers_.on_tick(now);
     }
     return now;
 }
@@ -337,9 +339,9 @@
 void daemon_runtime::send_store(ports::store_call call)
 {
     auto const id = call.id;
-    bool const fits = open_store_calls_ < store_ring;
-    if (!fits ||
-        !store_calls_.try_push(store_out{generation_, std::move(call)}))
+    bool const has_place = open_store_calls_ < store_ring_size;
+    if (!has_place || !store_calls_.try_push(
+                          outgoing_store_call{generation_, std::move(call)}))
     {
         refuse_store(id);
         return;
@@ -355,22 +357,22 @@
         {
             if (generation == generation_)
             {
-                events_.on_store_reply(
+                handlers_.on_store_reply(
                     clock::now(),
                     {id, ports::store_status::unavailable, {}, 0});
             }
         });
 }
 
-void daemon_runtime::send_peer(peer_out out)
+void daemon_runtime::send_peer(outgoing_peer_message item)
 {
-    if (!peer_sends_.try_push(std::move(out)))
+    if (!peer_sends_.try_push(std::move(item)))
     {
         log_.write(clock::now(), {severity::warning, "peer_ring_full", {}});
     }
 }
 
-void daemon_runtime::rejoin(std::string const& why)
+void daemon_runtime::rejoin(std::string const& reason)
 {
     self_.incarnation = draw_incarnation();
     ++generation_;
@@ -378,13 +380,14 @@
                    "rejoin",
                    {{"name", self_.name},
                     {"incarnation", std::to_string(self_.incarnation)},
-                    {"why", why}});
+                    {"why", reason}});
     send_peer(peer_reset{self_});
-    // Posted, since the engine that asked for it is still performing.
+    // The event is posted, since the engine that requested the rejoin is still
+    // executing its actions.
     boost::asio::post(decisions_.io(),
                       [this, self = self_]
                       {
-                          events_.on_rejoin(clock::now(), self);
+                          handlers_.on_rejoin(clock::now(), self);
                       });
 }
 
--- a/src/adapters/daemon/daemon_runtime.hpp
+++ b/src/adapters/daemon/daemon_runtime.hpp
@@ -21,44 +21,50 @@
 namespace fuchsia::adapters::daemon
 {
 
-/// What a daemon's engine is told; every function but `screen` runs on the
-/// decision thread.
+/// Event handlers of a daemon. All run on the decision thread, except
+/// `pre_check`.
 struct daemon_handlers
 {
     std::function<void(core::common::time_point)> on_start;
-    /// At least every `tick_interval`, and first of all after any pause.
+    /// Called every `tick_interval`, and before any other event after the
+    /// process was paused.
     std::function<void(core::common::time_point)> on_tick;
     std::function<void(core::common::time_point, ports::store_reply const&)>
         on_store_reply;
     std::function<void(core::common::time_point, ports::peer_receive&)> on_peer;
     std::function<void(core::common::time_point, ports::instance_list const&)>
         on_instances;
-    /// A request of a caller or operator; answered by `shell::answer`.
+    /// A request of a caller or operator; `daemon_runtime::answer` sends the
+    /// response.
     std::function<void(core::common::time_point, std::uint64_t, http::request&)>
         on_request;
-    /// SIGTERM: begin the planned stop, which ends in `stop_complete`.
+    /// Called on SIGTERM: begins the planned stop, which ends with the action
+    /// `stop_complete`.
     std::function<void(core::common::time_point)> on_stop;
-    /// This incarnation is over; go on as the given one, with a new engine.
+    /// The current incarnation has ended; the daemon continues as the given one
+    /// with a new engine.
     std::function<void(core::common::time_point, ports::member_identity)>
         on_rejoin;
-    /// On the HTTP thread, before the request is handed over: an answer given
-    /// here is final. May be empty.
+    /// Called on the HTTP thread before a request goes to the decision thread.
+    /// A response returned here is sent, and the request goes no further. May
+    /// be empty.
     std::function<std::optional<http::response>(http::request const&)>
         pre_check;
 };
 
 struct daemon_options
 {
-    std::string service; ///< Name of our own instances in the catalog.
-    bool with_upstreams = false;
+    std::string service; ///< Catalog name of this program's own instances.
+    bool with_upstreams = false; ///< Whether to poll the list of upstreams.
     http::server_limits http;
-    /// Requests that wait for an answer at once; one more is refused.
+    /// Maximum number of requests without a response yet; further ones are
+    /// rejected.
     std::uint32_t max_waiting_requests = 4096;
 };
 
-/// Threads, rings and sockets that both daemons have: platform, peers, HTTP
-/// and decisions, each a duty of its own. The engine lives on the decision
-/// thread; its actions go through `perform`.
+/// Threads, rings and sockets that are common to the entry and the planner. The
+/// platform, peer, HTTP and decision threads each have one task. The engine
+/// runs on the decision thread, and `perform` executes its actions.
 class daemon_runtime
 {
 public:
@@ -67,47 +73,51 @@
 
     daemon_runtime(settings::daemon_settings settings,
                    daemon_options options,
-                   daemon_handlers events);
+                   daemon_handlers handlers);
     ~daemon_runtime();
 
-    /// Binds the addresses; false, with the reason, where one can't be had.
+    /// Binds the addresses; false, with the reason, if one can't be bound.
     bool listen(core::common::failure& reason);
-    /// Runs until the planned stop is complete; the process' exit status.
+    /// Runs until the planned stop is complete. Returns the exit status of the
+    /// process.
     int run();
 
-    /// From here on for the decision thread.
+    // The functions below are to be called on the decision thread.
 
     ports::member_identity const& self() const noexcept;
     ports::endpoint const& http_address() const noexcept;
     ports::endpoint const& peer_address() const noexcept;
 
-    /// Performs what both daemons have in common; false where `action` is one
-    /// that only the program itself can perform.
+    /// Executes an action that is common to both daemons; false if only the
+    /// program itself can execute `action`.
     bool perform(ports::action& action);
+    /// Sends the response to a request that `on_request` received.
     void answer(std::uint64_t request, http::response response);
+    /// Sets the state that /readyz reports.
     void set_ready(bool ready) noexcept;
 
     runtime::io_thread& decisions() noexcept;
     metrics::registry& metrics() noexcept;
 
 private:
-    struct request_in
+    struct incoming_request
     {
         std::uint64_t id = 0;
         http::request message;
     };
-    struct answer_out
+    struct outgoing_answer
     {
         std::uint64_t id = 0;
         http::response message;
     };
-    // Calls of an earlier incarnation are answered to nobody.
-    struct store_out
+    // The generation tells the incarnation that made a call: replies to calls
+    // of an earlier incarnation are dropped.
+    struct outgoing_store_call
     {
         std::uint64_t generation = 0;
         ports::store_call call;
     };
-    struct store_in
+    struct incoming_store_reply
     {
         std::uint64_t generation = 0;
         ports::store_reply reply;
@@ -116,35 +126,37 @@
     {
         std::optional<ports::member_identity> rename;
     };
-    using peer_out = std::variant<std::monostate, ports::peer_send, peer_reset>;
+    using outgoing_peer_message =
+        std::variant<std::monostate, ports::peer_send, peer_reset>;
 
-    // shell.cpp: duties, time, store and peers.
+    // daemon_runtime.cpp: threads, ticks, store calls and peer messages.
     void tick();
-    /// The time at which the engine is told of an event.
-    core::common::time_point enter();
-    void take_store_reply(store_in& in);
-    void hand_to_transport(peer_out& out);
+    /// Returns the time of an event, after a tick if the process was paused.
+    core::common::time_point begin_event();
+    void handle_store_reply(incoming_store_reply& item);
+    void forward_to_transport(outgoing_peer_message& item);
     void send_store(ports::store_call call);
     void refuse_store(ports::call_id id);
-    void send_peer(peer_out out);
-    void rejoin(std::string const& why);
+    void send_peer(outgoing_peer_message item);
+    void rejoin(std::string const& reason);
 
-    // shell_callers.cpp: callers over HTTP.
+    // daemon_runtime_callers.cpp: HTTP requests of callers.
     void handle_http(http::request request, http::responder respond);
-    void respond(answer_out& out);
+    void respond(outgoing_answer& item);
     void finish();
 
-    // shell_samples.cpp: counts.
+    // daemon_runtime_samples.cpp: metrics of the platform and peer threads.
     void sample_store();
     void sample_peers();
 
     settings::daemon_settings settings_;
     daemon_options options_;
-    daemon_handlers events_;
+    daemon_handlers handlers_;
     ports::member_identity self_;
     std::uint64_t generation_ = 0;
     core::common::time_point last_tick_{};
-    std::size_t open_store_calls_ = 0; ///< Of all incarnations.
+    /// Store calls without a reply yet, of all incarnations.
+    std::size_t open_store_calls_ = 0;
     std::atomic<bool> ready_{false};
     metrics::registry metrics_;
     logging::rate_limit log_;
@@ -155,12 +167,12 @@
     runtime::io_thread peers_{"peers"};
     runtime::io_thread http_{"http"};
 
-    runtime::ring<request_in> requests_;
-    runtime::ring<answer_out> answers_;
-    runtime::ring<store_out> store_calls_;
-    runtime::ring<store_in> store_replies_;
+    runtime::ring<incoming_request> requests_;
+    runtime::ring<outgoing_answer> answers_;
+    runtime::ring<outgoing_store_call> store_calls_;
+    runtime::ring<incoming_store_reply> store_replies_;
     runtime::ring<ports::instance_list> instances_;
-    runtime::ring<peer_out> peer_sends_;
+    runtime::ring<outgoing_peer_message> peer_sends_;
     runtime::ring<ports::peer_receive> peer_receives_;
 
     std::unique_ptr<platform::store_client> store_;
@@ -169,20 +181,20 @@
     std::unique_ptr<http::server> server_;
     ports::endpoint http_address_;
     ports::endpoint peer_address_;
-    runtime::timer ticker_;
-    runtime::timer platform_sampler_;
-    runtime::timer peers_sampler_;
-    runtime::timer finisher_;
+    runtime::timer tick_timer_;
+    runtime::timer platform_sample_timer_;
+    runtime::timer peer_sample_timer_;
+    runtime::timer finish_timer_;
 
-    // Of the HTTP thread.
+    // The members below belong to the HTTP thread.
     bool finishing_ = false;
-    core::common::time_point finish_until_{};
+    core::common::time_point finish_deadline_{};
     std::uint64_t next_request_ = 0;
-    std::unordered_map<std::uint64_t, http::responder> waiting_;
+    std::unordered_map<std::uint64_t, http::responder> pending_responders_;
     int status_ = 0;
 };
 
-/// A new incarnation number, from the machine's random source.
+/// Returns a new random incarnation number, never 0.
 std::uint64_t draw_incarnation();
 
 } // namespace fuchsia::adapters::daemon
--- a/src/adapters/daemon/daemon_runtime_callers.cpp
+++ b/src/adapters/daemon/daemon_runtime_callers.cpp
@@ -2,7 +2,8 @@
 
 #include <utility>
 
-// Callers over HTTP: taken in, answered, waited for at the end.
+// Receives callers' HTTP requests, sends the responses and, at the stop, waits
+// until all responses have been written.
 namespace fuchsia::adapters::daemon
 {
 
@@ -12,9 +13,10 @@
 namespace
 {
 
-constexpr core::common::duration finish_poll = std::chrono::milliseconds(10);
-constexpr core::common::duration finish_patience = std::chrono::seconds(10);
-constexpr core::common::duration queue_full_retry =
+constexpr core::common::duration finish_poll_interval =
+    std::chrono::milliseconds(10);
+constexpr core::common::duration finish_timeout = std::chrono::seconds(10);
+constexpr core::common::duration queue_full_retry_after =
     std::chrono::milliseconds(250);
 
 http::response queue_full()
@@ -22,9 +24,9 @@
     auto answer = http::failure_response(
         {result_code::queue_full, "", "too many requests wait here"});
     answer.headers.push_back({"Retry-After", "1"});
-    answer.headers.push_back(
-        {"Fuchsia-Retry-After-Ms",
-         std::to_string(core::common::to_milliseconds(queue_full_retry))});
+    answer.headers.push_back({"Fuchsia-Retry-After-Ms",
+                              std::to_string(core::common::to_milliseconds(
+                                  queue_full_retry_after))});
     return answer;
 }
 
@@ -32,9 +34,9 @@
 
 void daemon_runtime::answer(std::uint64_t request, http::response response)
 {
-    // Never full: each waiting request holds one place, and no more wait than
-    // the ring has places.
-    answers_.try_push(answer_out{request, std::move(response)});
+    // The ring is never full: it has one place for each pending request, and
+    // `handle_http` limits their number.
+    answers_.try_push(outgoing_answer{request, std::move(response)});
 }
 
 void daemon_runtime::handle_http(http::request request, http::responder respond)
@@ -59,62 +61,62 @@
                  metrics_.text()});
         return;
     }
-    if (events_.pre_check)
+    if (handlers_.pre_check)
     {
-        if (auto final_answer = events_.pre_check(request))
+        if (auto final_answer = handlers_.pre_check(request))
         {
             respond(std::move(*final_answer));
             return;
         }
     }
-    if (waiting_.size() >= options_.max_waiting_requests)
+    if (pending_responders_.size() >= options_.max_waiting_requests)
     {
         respond(queue_full());
         return;
     }
     auto const id = ++next_request_;
-    request_in in{id, std::move(request)};
-    if (!requests_.try_push(in))
+    incoming_request item{id, std::move(request)};
+    if (!requests_.try_push(item))
     {
         respond(queue_full());
         return;
     }
-    waiting_.emplace(id, std::move(respond));
+    pending_responders_.emplace(id, std::move(respond));
 }
 
-// On the HTTP thread.
-void daemon_runtime::respond(answer_out& out)
+// Runs on the HTTP thread.
+void daemon_runtime::respond(outgoing_answer& item)
 {
-    auto const found = waiting_.find(out.id);
-    if (found == waiting_.end())
+    auto const found = pending_responders_.find(item.id);
+    if (found == pending_responders_.end())
     {
         return;
     }
     auto const respond = std::move(found->second);
-    waiting_.erase(found);
-    respond(std::move(out.message));
+    pending_responders_.erase(found);
+    respond(std::move(item.message));
 }
 
-// The engine is done, but its last answers may still be on their way out: the
-// process ends when each has been written.
+// Stops the process when all responses have been written. The engine has
+// stopped already, but its last responses may still be in transit.
 void daemon_runtime::finish()
 {
     auto const now = clock::now();
     if (!finishing_)
     {
         finishing_ = true;
-        finish_until_ = now + finish_patience;
+        finish_deadline_ = now + finish_timeout;
         server_->drain();
     }
-    // A caller that does not read its answer must not hold the process for
-    // ever.
-    if (server_->waiting() == 0 || now >= finish_until_)
+    // The deadline is for callers that do not read their response; they must
+    // not keep the process running for ever.
+    if (server_->waiting() == 0 || now >= finish_deadline_)
     {
         main_.io().stop();
         return;
     }
-    finisher_.expires_after(finish_poll);
-    finisher_.async_wait(
+    finish_timer_.expires_after(finish_poll_interval);
+    finish_timer_.async_wait(
         [this](boost::system::error_code error)
         {
             if (!error)
