--- a/src/adapters/settings/daemon_settings.cpp
+++ b/src/adapters/settings/daemon_settings.cpp
@@ -11,48 +11,48 @@
 using namespace std::chrono_literals;
 using core::common::result_code;
 
-// Clocks of two instances drift apart by at most this share; `hold` and `bury`
-// are measured on different ones.
+// Maximum clock drift between two instances. `hold_ms` and `bury_ms` are
+// measured on different clocks.
 constexpr std::int64_t max_drift_percent = 3;
-constexpr std::size_t least_token = 16;
+constexpr std::size_t min_token_bytes = 16;
 
-void read_self(toml_table table, daemon_settings& out)
+void read_self(toml_table table, daemon_settings& result)
 {
-    out.name = table.text("name");
-    out.data_centre = table.text("data_centre");
-    out.http_listen = table.endpoint("http_listen");
-    out.peer_listen = table.endpoint("peer_listen");
-    if (out.name.empty() || out.name.find('/') != std::string::npos)
+    result.name = table.text("name");
+    result.data_centre = table.text("data_centre");
+    result.http_listen = table.endpoint("http_listen");
+    result.peer_listen = table.endpoint("peer_listen");
+    if (result.name.empty() || result.name.find('/') != std::string::npos)
     {
         table.fail(result_code::out_of_range,
                    "name",
-                   "a name without a slash is expected");
+                   "the name must not be empty or contain a slash");
     }
     table.reject_unknown_keys();
 }
 
-void read_platform(toml_table table, daemon_settings& out, bool with_workers)
+void read_platform(toml_table table, daemon_settings& result, bool with_workers)
 {
-    out.store = table.endpoint("store");
+    result.store = table.endpoint("store");
     if (with_workers)
     {
-        out.workers = table.endpoint("workers");
+        result.workers = table.endpoint("workers");
     }
-    out.store_reads = static_cast<std::uint32_t>(
+    result.store_reads = static_cast<std::uint32_t>(
         table.integer_or("store_reads_per_second", 20, 4, 1000));
-    out.store_writes = static_cast<std::uint32_t>(
+    result.store_writes = static_cast<std::uint32_t>(
         table.integer_or("store_writes_per_second", 20, 4, 1000));
-    out.store_timeout =
+    result.store_timeout =
         table.duration_or("store_timeout_ms", 1000ms, 50ms, 60s);
-    out.list_interval =
+    result.list_interval =
         table.duration_or("list_interval_ms", 1000ms, 100ms, 60s);
     table.reject_unknown_keys();
 }
 
-void read_security(toml_table table, daemon_settings& out)
+void read_security(toml_table table, daemon_settings& result)
 {
     auto const path = table.text("token_file");
-    out.allowed_addresses =
+    result.allowed_addresses =
         table.texts_or("allowed_addresses", {"127.0.0.0/8"});
     if (!path.empty())
     {
@@ -63,20 +63,20 @@
             table.fail(
                 reason.code, "token_file", reason.where + " " + reason.why);
         }
-        else if (token->size() < least_token)
+        else if (token->size() < min_token_bytes)
         {
             table.fail(result_code::out_of_range,
                        "token_file",
                        "the token has fewer than 16 characters");
         }
-        out.token = token.value_or("");
+        result.token = token.value_or("");
     }
     table.reject_unknown_keys();
 }
 
-void read_membership(toml_table table, daemon_settings& out)
+void read_membership(toml_table table, daemon_settings& result)
 {
-    auto& timing = out.membership;
+    auto& timing = result.membership;
     timing.heartbeat_interval = table.duration_or(
         "beat_interval_ms", timing.heartbeat_interval, 50ms, 10s);
     timing.proof_lifetime =
@@ -93,29 +93,29 @@
     {
         table.fail(result_code::inconsistent,
                    "hold_ms",
-                   "hold must be at least two beat intervals, or one lost "
-                   "beat stops the member");
+                   "hold_ms must be at least twice beat_interval_ms, or one "
+                   "lost heartbeat stops the member");
     }
     if (timing.proof_lifetime * (100 + 2 * max_drift_percent) / 100 >=
         timing.fencing_delay)
     {
         table.fail(result_code::inconsistent,
                    "bury_ms",
-                   "bury must exceed hold by more than 6 percent, or a "
-                   "member may act after its burial");
+                   "bury_ms must exceed hold_ms by more than 6 percent, or a "
+                   "member may act after it has been fenced");
     }
     if (timing.pause_limit >= timing.proof_lifetime)
     {
         table.fail(result_code::inconsistent,
                    "pause_limit_ms",
-                   "the pause limit must be below hold");
+                   "pause_limit_ms must be below hold_ms");
     }
     table.reject_unknown_keys();
 }
 
-void read_log(toml_table table, daemon_settings& out)
+void read_log(toml_table table, daemon_settings& result)
 {
-    out.log_level = static_cast<ports::severity>(
+    result.log_level = static_cast<ports::severity>(
         table.choice_or("level", 1, {"debug", "info", "warning", "error"}));
     table.reject_unknown_keys();
 }
--- a/src/adapters/settings/daemon_settings.hpp
+++ b/src/adapters/settings/daemon_settings.hpp
@@ -11,8 +11,8 @@
 namespace fuchsia::adapters::settings
 {
 
-/// What both daemons are told: who they are, where the platform is, and the
-/// timing that their promises rest on.
+/// Settings that are common to the entry and the planner: identity, addresses
+/// of the platform, and timing of membership.
 struct daemon_settings
 {
     std::string name;
@@ -20,15 +20,14 @@
     ports::endpoint http_listen;
     ports::endpoint peer_listen;
 
-    ports::endpoint store;   ///< Key-value service and instance list.
-    ports::endpoint workers; ///< Workers' agent; planners only.
-    /// Calls a second that this process may make to the store.
-    std::uint32_t store_reads = 20;
-    std::uint32_t store_writes = 20;
+    ports::endpoint store;           ///< Key-value service and instance list.
+    ports::endpoint workers;         ///< Workers' agent; set for planners only.
+    std::uint32_t store_reads = 20;  ///< Maximum reads per second.
+    std::uint32_t store_writes = 20; ///< Maximum writes per second.
     core::common::duration store_timeout = std::chrono::seconds(1);
     core::common::duration list_interval = std::chrono::seconds(1);
 
-    std::string token; ///< Read from the file that the settings name.
+    std::string token; ///< Content of the file under `token_file`.
     std::vector<std::string> allowed_addresses;
 
     core::membership::settings membership;
@@ -36,8 +35,8 @@
 };
 
 /// Reads the tables [self], [platform], [security], [membership] and [log]
-/// from `root`; errors stand in the file. The caller reads its own tables and
-/// then calls `refuse_unread` of `root`.
+/// from `root`; the file records the first error. The caller reads its own
+/// tables and then calls `reject_unknown_keys` of `root`.
 daemon_settings read_daemon_settings(toml_table& root, bool with_workers);
 
 } // namespace fuchsia::adapters::settings
--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -15,26 +15,27 @@
 
 constexpr std::int64_t megabyte = 1024 * 1024;
 
-void read_http(toml_table table, entry_daemon_settings& out)
+void read_http(toml_table table, entry_daemon_settings& result)
 {
-    out.http.header_bytes = static_cast<std::uint32_t>(table.integer_or(
-        "header_bytes", out.http.header_bytes, 1024, 256 * 1024));
-    out.http.body_bytes = static_cast<std::uint64_t>(
+    result.http.header_bytes = static_cast<std::uint32_t>(table.integer_or(
+        "header_bytes", result.http.header_bytes, 1024, 256 * 1024));
+    result.http.body_bytes = static_cast<std::uint64_t>(
         table.integer_or("body_bytes",
-                         static_cast<std::int64_t>(out.http.body_bytes),
+                         static_cast<std::int64_t>(result.http.body_bytes),
                          1024,
                          2 * megabyte));
-    out.http.connections = static_cast<std::uint32_t>(
-        table.integer_or("connections", out.http.connections, 1, 65'536));
-    out.http.idle = table.duration_or("idle_ms", out.http.idle, 100ms, 1h);
-    out.max_waiting_requests = static_cast<std::uint32_t>(table.integer_or(
-        "waiting_requests", out.max_waiting_requests, 1, 65'536));
+    result.http.connections = static_cast<std::uint32_t>(
+        table.integer_or("connections", result.http.connections, 1, 65'536));
+    result.http.idle =
+        table.duration_or("idle_ms", result.http.idle, 100ms, 1h);
+    result.max_waiting_requests = static_cast<std::uint32_t>(table.integer_or(
+        "waiting_requests", result.max_waiting_requests, 1, 65'536));
     table.reject_unknown_keys();
 }
 
-void read_upstreams(toml_table table, entry_daemon_settings& out)
+void read_upstreams(toml_table table, entry_daemon_settings& result)
 {
-    auto& engine = out.engine.upstreams;
+    auto& engine = result.engine.upstreams;
     engine.max_execution =
         table.duration_or("max_execution_ms", engine.max_execution, 100ms, 1h);
     engine.report_slack =
@@ -46,64 +47,64 @@
     {
         engine.choice = upstreams::round_robin{};
     }
-    out.upstreams.connections_per_endpoint = static_cast<std::uint32_t>(
+    result.upstreams.connections_per_endpoint = static_cast<std::uint32_t>(
         table.integer_or("connections", 60, 1, 10'000));
-    out.upstreams.connect_timeout =
+    result.upstreams.connect_timeout =
         table.duration_or("connect_timeout_ms", 1s, 10ms, 60s);
-    out.upstreams.idle_timeout =
+    result.upstreams.idle_timeout =
         table.duration_or("idle_timeout_ms", 30s, 100ms, 1h);
-    out.upstreams.body_bytes = static_cast<std::uint64_t>(
+    result.upstreams.body_bytes = static_cast<std::uint64_t>(
         table.integer_or("answer_bytes", 2 * megabyte, 1024, 3 * megabyte));
-    // The slot is counted free at the latest after `max_execution`; a late
-    // answer is waited for that long too.
-    out.upstreams.drain_timeout = engine.max_execution;
+    // The slot of a request is released after `max_execution` at the latest, so
+    // a late response is waited for just as long.
+    result.upstreams.drain_timeout = engine.max_execution;
     table.reject_unknown_keys();
 }
 
-void read_contracts(toml_table table, entry_daemon_settings& out)
+void read_contracts(toml_table table, entry_daemon_settings& result)
 {
-    auto& slices = out.engine.slices;
+    auto& slices = result.engine.slices;
     slices.lifetime =
         table.duration_or("slice_valid_ms", slices.lifetime, 200ms, 1h);
     slices.renew_interval =
         table.duration_or("slice_renew_ms", slices.renew_interval, 20ms, 10min);
     slices.max_share_permille = static_cast<std::uint32_t>(table.integer_or(
         "slice_cap_permille", slices.max_share_permille, 1, 1000));
-    out.engine.slice_timeout = table.duration_or(
-        "slice_patience_ms", out.engine.slice_timeout, 0ms, 10s);
+    result.engine.slice_timeout = table.duration_or(
+        "slice_patience_ms", result.engine.slice_timeout, 0ms, 10s);
     if (slices.renew_interval * 2 > slices.lifetime)
     {
         table.fail(result_code::inconsistent,
                    "slice_renew_ms",
-                   "a slice must be valid for two renewals, or one lost "
-                   "message stops the customer");
+                   "slice_valid_ms must be at least twice slice_renew_ms, or "
+                   "one lost message stops the customer");
     }
     table.reject_unknown_keys();
 }
 
-void read_keys(toml_table table, entry_daemon_settings& out)
+void read_keys(toml_table table, entry_daemon_settings& result)
 {
-    auto& keys = out.engine.keys;
+    auto& keys = result.engine.keys;
     keys.retention = table.duration_or("keep_ms", keys.retention, 1s, 24h);
     keys.max_keys = static_cast<std::size_t>(table.integer_or(
         "max_keys", static_cast<std::int64_t>(keys.max_keys), 1, 10'000'000));
     keys.max_bytes = static_cast<std::size_t>(
         table.integer_or("max_mb", 64, 1, 4096) * megabyte);
-    out.engine.max_delivery_time = table.duration_or(
-        "sending_bound_ms", out.engine.max_delivery_time, 100ms, 10min);
-    if (out.engine.max_delivery_time > keys.retention)
+    result.engine.max_delivery_time = table.duration_or(
+        "sending_bound_ms", result.engine.max_delivery_time, 100ms, 10min);
+    if (result.engine.max_delivery_time > keys.retention)
     {
         table.fail(result_code::inconsistent,
                    "keep_ms",
-                   "keys must be kept for longer than sending_bound, or a "
-                   "late sending finds its key forgotten");
+                   "keep_ms must be at least sending_bound_ms, or the key of "
+                   "a late delivery has been dropped already");
     }
     table.reject_unknown_keys();
 }
 
-void read_queue(toml_table table, entry_daemon_settings& out)
+void read_queue(toml_table table, entry_daemon_settings& result)
 {
-    auto& engine = out.engine;
+    auto& engine = result.engine;
     auto const caution = static_cast<std::uint32_t>(
         table.integer_or("caution_permille", 1000, 100, 10'000));
     auto const bound =
@@ -125,7 +126,7 @@
     table.reject_unknown_keys();
 }
 
-void read_retries(toml_table table, entry_daemon_settings& out)
+void read_retries(toml_table table, entry_daemon_settings& result)
 {
     requests::retry_budget budget;
     budget.share_permille = static_cast<std::uint32_t>(
@@ -137,18 +138,18 @@
         table.integer_or("fixed", fixed.max_retries, 0, 3));
     if (table.choice_or("policy", 0, {"budget", "fixed"}) == 0)
     {
-        out.engine.retries = budget;
+        result.engine.retries = budget;
     }
     else
     {
-        out.engine.retries = fixed;
+        result.engine.retries = fixed;
     }
     table.reject_unknown_keys();
 }
 
-void read_stop(toml_table table, entry_daemon_settings& out)
+void read_stop(toml_table table, entry_daemon_settings& result)
 {
-    auto& engine = out.engine;
+    auto& engine = result.engine;
     engine.balancer_lag =
         table.duration_or("balancer_lag_ms", engine.balancer_lag, 0ms, 10min);
     engine.handover_stage_timeout = table.duration_or(
@@ -175,23 +176,23 @@
 parse_entry_settings(toml_file& file, core::common::failure& reason)
 {
     auto root = file.root();
-    entry_daemon_settings out;
-    out.daemon = read_daemon_settings(root, false);
-    read_http(root.table("http"), out);
-    read_upstreams(root.table("upstreams"), out);
-    read_contracts(root.table("contracts"), out);
-    read_keys(root.table("keys"), out);
-    read_queue(root.table("queue"), out);
-    read_retries(root.table("retries"), out);
-    read_stop(root.table("stop"), out);
+    entry_daemon_settings result;
+    result.daemon = read_daemon_settings(root, false);
+    read_http(root.table("http"), result);
+    read_upstreams(root.table("upstreams"), result);
+    read_contracts(root.table("contracts"), result);
+    read_keys(root.table("keys"), result);
+    read_queue(root.table("queue"), result);
+    read_retries(root.table("retries"), result);
+    read_stop(root.table("stop"), result);
     root.reject_unknown_keys();
     if (!file.ok())
     {
         reason = file.reason();
         return std::nullopt;
     }
-    out.engine.membership = out.daemon.membership;
-    return out;
+    result.engine.membership = result.daemon.membership;
+    return result;
 }
 
 } // namespace fuchsia::adapters::settings
--- a/src/adapters/settings/entry_settings.hpp
+++ b/src/adapters/settings/entry_settings.hpp
@@ -12,8 +12,7 @@
 namespace fuchsia::adapters::settings
 {
 
-/// All that fuchsia-entry reads from its settings file; examples/entry.toml
-/// documents each key.
+/// Settings of `fuchsia-entry`; examples/entry.toml documents each key.
 struct entry_daemon_settings
 {
     daemon_settings daemon;
--- a/src/adapters/settings/planner_settings.cpp
+++ b/src/adapters/settings/planner_settings.cpp
@@ -12,15 +12,16 @@
 using core::common::result_code;
 namespace placement = core::placement;
 
-/// Store calls of membership, claims and configuration in each second; the
-/// tasks part leaves them room.
-constexpr std::uint32_t other_writes_per_second = 4;
-/// From a planner's burial to the first renewal by its successor.
+/// Store writes per second that are reserved for membership, claims and
+/// configuration and not available to tasks.
+constexpr std::uint32_t reserved_writes_per_second = 4;
+/// Time between the fencing of a planner and the first lease renewal by its
+/// successor.
 constexpr core::common::duration takeover_time = 5s;
 
-void read_tasks(toml_table table, planner_daemon_settings& out)
+void read_tasks(toml_table table, planner_daemon_settings& result)
 {
-    auto& cell = out.planner.cell;
+    auto& cell = result.planner.cell;
     cell.lease_duration =
         table.duration_or("lease_ms", cell.lease_duration, 1s, 600s);
     cell.renew_interval =
@@ -44,44 +45,45 @@
             "failed_workers_to_stop", cell.failed_workers_before_stop, 1, 100));
     cell.log.commit_interval = table.duration_or(
         "commit_interval_ms", cell.log.commit_interval, 0ms, 1s);
-    out.planner.workers.clock_drift_permille =
+    result.planner.workers.clock_drift_permille =
         static_cast<std::uint32_t>(table.integer_or(
             "clock_drift_permille", cell.clock_drift_permille, 0, 200));
-    cell.clock_drift_permille = out.planner.workers.clock_drift_permille;
-    out.planner.workers.report_lag = table.duration_or(
-        "report_lag_ms", out.planner.workers.report_lag, 0s, 10s);
-    out.planner.workers.quarantine_duration = table.duration_or(
-        "quarantine_ms", out.planner.workers.quarantine_duration, 1s, 1h);
+    cell.clock_drift_permille = result.planner.workers.clock_drift_permille;
+    result.planner.workers.report_lag = table.duration_or(
+        "report_lag_ms", result.planner.workers.report_lag, 0s, 10s);
+    result.planner.workers.quarantine_duration = table.duration_or(
+        "quarantine_ms", result.planner.workers.quarantine_duration, 1s, 1h);
     if (cell.renew_interval * 2 > cell.lease_duration)
     {
         table.fail(result_code::inconsistent,
                    "lease_ms",
-                   "a lease must last at least two renewals, or one lost "
-                   "renewal ends its task");
+                   "lease_ms must be at least twice renew_interval_ms, or one "
+                   "lost renewal ends its task");
     }
     if (cell.lease_duration - cell.renew_interval <
-        out.daemon.membership.fencing_delay + takeover_time)
+        result.daemon.membership.fencing_delay + takeover_time)
     {
         table.fail(result_code::inconsistent,
                    "lease_ms",
-                   "lease less renew_interval must exceed bury by 5 s, or a "
-                   "planner's death ends the tasks of its cells");
+                   "lease_ms minus renew_interval_ms must be at least 5 s "
+                   "above bury_ms, or the failure of a planner ends the "
+                   "tasks of its cells");
     }
     if (cell.send_window > cell.start_window)
     {
         table.fail(result_code::inconsistent,
                    "send_window_ms",
-                   "the send window must not exceed the start window");
+                   "send_window_ms must not exceed start_window_ms");
     }
     table.reject_unknown_keys();
 }
 
-void read_placement(toml_table table, planner_daemon_settings& out)
+void read_placement(toml_table table, planner_daemon_settings& result)
 {
-    auto& cell = out.planner.cell;
-    auto const chosen =
+    auto& cell = result.planner.cell;
+    auto const policy_index =
         table.choice_or("policy", 0, {"least-interference", "first-fit"});
-    if (chosen == 0)
+    if (policy_index == 0)
     {
         placement::least_interference policy;
         policy.service_weight =
@@ -109,8 +111,8 @@
     {
         table.fail(result_code::inconsistent,
                    "well_below",
-                   "well_below must be under trouble_above, or the guard "
-                   "throttles and relaxes in turns");
+                   "well_below must be below trouble_above, or the guard "
+                   "alternates between throttling and relaxing");
     }
     table.reject_unknown_keys();
 }
@@ -122,24 +124,25 @@
     {
         return std::nullopt;
     }
-    planner_daemon_settings out;
+    planner_daemon_settings result;
     auto root = file->root();
-    out.daemon = read_daemon_settings(root, true);
-    read_tasks(root.table("tasks"), out);
-    read_placement(root.table("placement"), out);
+    result.daemon = read_daemon_settings(root, true);
+    read_tasks(root.table("tasks"), result);
+    read_placement(root.table("placement"), result);
     root.reject_unknown_keys();
-    out.planner.membership = out.daemon.membership;
-    auto const writes = out.daemon.store_writes > 2 * other_writes_per_second
-                            ? out.daemon.store_writes - other_writes_per_second
-                            : out.daemon.store_writes / 2;
-    out.planner.store.writes_per_second = writes;
-    out.planner.store.write_burst = writes;
+    result.planner.membership = result.daemon.membership;
+    auto const task_writes =
+        result.daemon.store_writes > 2 * reserved_writes_per_second
+            ? result.daemon.store_writes - reserved_writes_per_second
+            : result.daemon.store_writes / 2;
+    result.planner.store.writes_per_second = task_writes;
+    result.planner.store.write_burst = task_writes;
     if (!file->ok())
     {
         reason = file->reason();
         return std::nullopt;
     }
-    return out;
+    return result;
 }
 
 } // namespace
--- a/src/adapters/settings/planner_settings.hpp
+++ b/src/adapters/settings/planner_settings.hpp
@@ -9,7 +9,7 @@
 namespace fuchsia::adapters::settings
 {
 
-/// All that `fuchsia-planner` is told by its settings file.
+/// Settings of `fuchsia-planner`.
 struct planner_daemon_settings
 {
     daemon_settings daemon;
--- a/src/adapters/settings/pool_settings.cpp
+++ b/src/adapters/settings/pool_settings.cpp
@@ -14,118 +14,131 @@
 
 using namespace std::chrono_literals;
 
-/// A planned stop ends this long before the process would be killed.
-constexpr core::common::duration stop_reserve = 1500ms;
-/// Final states are kept this long beyond what submitters were promised.
-constexpr core::common::duration final_reserve = 60s;
-// Counts may be 2 s older than other answers; half of that is left for their
-// way.
-constexpr core::common::duration count_slack = 1s;
-/// What was heard is taken for old this long before it must have effect: an
-/// order by it takes time to arrive.
-constexpr core::common::duration order_reserve = 400ms;
-/// A list of workers is read often enough to be given up after this part of the
-/// time in which a leaving worker must be spared.
-constexpr int drain_parts = 8;
-constexpr int list_parts = 5;
-/// A watch goes on from what lies this part of the store's history back.
-constexpr int history_parts = 5;
-constexpr int overlap_parts = 3;
-/// The same of an answer to a caller.
-constexpr core::common::duration answer_reserve = 50ms;
-
-// The platform's bounds narrow the defaults; they never widen them.
-void read_bounds(toml_table bounds, core::pool::pool_settings& out)
+/// Time between the end of a planned stop and the kill of the process by the
+/// platform.
+constexpr core::common::duration stop_margin = 1500ms;
+/// Time for which final states are kept beyond the promised retention.
+constexpr core::common::duration retention_margin = 60s;
+// Counts may be 2 s older than other answers. Half of that time is reserved for
+// their delivery.
+constexpr core::common::duration count_delay = 1s;
+/// Time by which state counts as outdated before its deadline, since an order
+/// that is based on it takes time to arrive.
+constexpr core::common::duration order_margin = 400ms;
+/// A list of workers counts as outdated after 5/8 of the time within which a
+/// leaving worker must get no more tasks. It is read often enough for that.
+constexpr int list_age_divisor = 8;
+constexpr int list_age_multiplier = 5;
+/// A watch resumes from a revision that lies 3/5 of the store's history back.
+constexpr int overlap_divisor = 5;
+constexpr int overlap_multiplier = 3;
+/// Time by which the configuration counts as outdated before its deadline,
+/// since an answer to a caller takes time to arrive.
+constexpr core::common::duration answer_margin = 50ms;
+
+// Applies the platform's bounds. They tighten the default values and never
+// relax them.
+void read_bounds(toml_table bounds, core::pool::pool_settings& result)
 {
-    auto const shortest =
+    auto const shortest_ttl =
         bounds.duration_or("shortest_lease_ms", 1000ms, 1ms, 60s);
-    out.claim.ttl = std::max(out.claim.ttl, shortest);
-    auto const longest =
+    result.claim.ttl = std::max(result.claim.ttl, shortest_ttl);
+    auto const longest_lease =
         bounds.duration_or("longest_hold_ms", 10s, 500ms, 600s);
-    auto& lease = out.owner.workers.lease;
-    lease = std::min(lease, longest);
+    auto& lease = result.owner.workers.lease;
+    lease = std::min(lease, longest_lease);
     auto const grace =
         std::chrono::seconds(bounds.integer_or("stop_limit_s", 6, 1, 600));
-    out.stop_limit =
-        std::min(out.stop_limit,
-                 std::max<core::common::duration>(grace - stop_reserve, 100ms));
-    auto const kept =
+    result.stop_limit =
+        std::min(result.stop_limit,
+                 std::max<core::common::duration>(grace - stop_margin, 100ms));
+    auto const kept_states =
         std::chrono::seconds(bounds.integer_or("states_kept_s", 120, 1, 86400));
-    out.owner.final_state_retention = kept + final_reserve;
-    auto const harm = bounds.duration_or("harm_ms", 4s, 100ms, 600s);
-    auto& stop_after = out.owner.colocation.stop_after;
-    stop_after = std::min<core::common::duration>(stop_after, harm / 2);
-    auto const visible = bounds.duration_or("visible_ms", 3s, 100ms, 600s);
-    auto& limit = out.request_handler.count_age_limit;
-    limit = std::min<core::common::duration>(limit, visible + count_slack);
-    auto const drain = bounds.duration_or("drain_ms", 2s, 500ms, 600s);
-    out.owner.list_age_limit = drain * list_parts / drain_parts;
-    auto const change = bounds.duration_or("config_ms", 2s, 1200ms, 600s);
-    out.request_handler.configuration_age_limit = change - answer_reserve;
-    out.owner.configuration_age_limit = change - answer_reserve;
+    result.owner.final_state_retention = kept_states + retention_margin;
+    auto const harm_limit = bounds.duration_or("harm_ms", 4s, 100ms, 600s);
+    auto& stop_after = result.owner.colocation.stop_after;
+    stop_after = std::min<core::common::duration>(stop_after, harm_limit / 2);
+    auto const visibility_limit =
+        bounds.duration_or("visible_ms", 3s, 100ms, 600s);
+    auto& max_count_age = result.request_handler.count_age_limit;
+    max_count_age = std::min<core::common::duration>(
+        max_count_age, visibility_limit + count_delay);
+    auto const drain_time = bounds.duration_or("drain_ms", 2s, 500ms, 600s);
+    result.owner.list_age_limit =
+        drain_time * list_age_multiplier / list_age_divisor;
+    auto const change_limit = bounds.duration_or("config_ms", 2s, 1200ms, 600s);
+    result.request_handler.configuration_age_limit =
+        change_limit - answer_margin;
+    result.owner.configuration_age_limit = change_limit - answer_margin;
     auto const history = std::chrono::duration_cast<core::common::duration>(
         std::chrono::duration<double>(
             bounds.number_or("history_s", 20, 0.1, 86400)));
-    auto& overlap = out.operators.watch_overlap;
-    overlap = std::min(overlap, history * overlap_parts / history_parts);
-    auto const cancel = bounds.duration_or("cancel_ms", 3s, 1200ms, 600s);
-    out.owner.jobs_age_limit = cancel - order_reserve;
+    auto& overlap = result.operators.watch_overlap;
+    overlap = std::min(overlap, history * overlap_multiplier / overlap_divisor);
+    auto const cancel_limit = bounds.duration_or("cancel_ms", 3s, 1200ms, 600s);
+    result.owner.jobs_age_limit = cancel_limit - order_margin;
     bounds.reject_unknown_keys();
 }
 
-void read_sharing(toml_table table, core::pool::colocation_settings& out)
+void read_sharing(toml_table table, core::pool::colocation_settings& result)
 {
-    out.min_headroom = table.number_or("keep", out.min_headroom, 0, 100);
-    out.placement_headroom =
-        table.number_or("place_above", out.placement_headroom, 0, 100);
-    out.residual_carryover =
-        table.number_or("carry", out.residual_carryover, 0, 1);
-    out.harmless_weight =
-        table.number_or("harmless", out.harmless_weight, 0, 100);
-    out.prior_weight = table.number_or("prior", out.prior_weight, 0, 100);
-    out.evict_after =
-        table.duration_or("evict_after_ms", out.evict_after, 0ms, 60s);
-    out.stop_after =
-        table.duration_or("stop_after_ms", out.stop_after, 0ms, 60s);
+    result.min_headroom = table.number_or("keep", result.min_headroom, 0, 100);
+    result.placement_headroom =
+        table.number_or("place_above", result.placement_headroom, 0, 100);
+    result.residual_carryover =
+        table.number_or("carry", result.residual_carryover, 0, 1);
+    result.harmless_weight =
+        table.number_or("harmless", result.harmless_weight, 0, 100);
+    result.prior_weight = table.number_or("prior", result.prior_weight, 0, 100);
+    result.evict_after =
+        table.duration_or("evict_after_ms", result.evict_after, 0ms, 60s);
+    result.stop_after =
+        table.duration_or("stop_after_ms", result.stop_after, 0ms, 60s);
     table.reject_unknown_keys();
 }
 
-void read_regroup(toml_table table, core::pool::rebalance_settings& out)
+void read_rebalance(toml_table table, core::pool::rebalance_settings& result)
 {
-    out.enabled = table.flag_or("enabled", out.enabled);
-    out.interval = table.duration_or("interval_ms", out.interval, 25ms, 60s);
-    out.min_wait = table.duration_or("patience_ms", out.min_wait, 0ms, 60s);
-    out.min_stay = table.duration_or("least_stay_ms", out.min_stay, 0ms, 600s);
-    out.clear_period =
-        table.duration_or("kept_clear_ms", out.clear_period, 0ms, 600s);
-    out.max_moved_tasks = static_cast<std::size_t>(table.integer_or(
-        "most_tasks", static_cast<std::int64_t>(out.max_moved_tasks), 1, 1000));
-    out.benefit_horizon =
-        table.number_or("horizon_s", out.benefit_horizon, 0, 600);
-    out.move_cost = table.number_or("move_cost_s", out.move_cost, 0, 600);
+    result.enabled = table.flag_or("enabled", result.enabled);
+    result.interval =
+        table.duration_or("interval_ms", result.interval, 25ms, 60s);
+    result.min_wait =
+        table.duration_or("patience_ms", result.min_wait, 0ms, 60s);
+    result.min_stay =
+        table.duration_or("least_stay_ms", result.min_stay, 0ms, 600s);
+    result.clear_period =
+        table.duration_or("kept_clear_ms", result.clear_period, 0ms, 600s);
+    result.max_moved_tasks = static_cast<std::size_t>(
+        table.integer_or("most_tasks",
+                         static_cast<std::int64_t>(result.max_moved_tasks),
+                         1,
+                         1000));
+    result.benefit_horizon =
+        table.number_or("horizon_s", result.benefit_horizon, 0, 600);
+    result.move_cost = table.number_or("move_cost_s", result.move_cost, 0, 600);
     table.reject_unknown_keys();
 }
 
-void read_guaranteed(toml_table table,
-                     core::pool::short_job_reserve_settings& out)
+void read_short_job_reserve(toml_table table,
+                            core::pool::short_job_reserve_settings& result)
 {
-    out.enabled = table.flag_or("enabled", out.enabled);
-    out.window = table.duration_or("window_ms", out.window, 1s, 600s);
-    out.covered_fraction =
-        table.number_or("enough", out.covered_fraction, 0, 1);
+    result.enabled = table.flag_or("enabled", result.enabled);
+    result.window = table.duration_or("window_ms", result.window, 1s, 600s);
+    result.covered_fraction =
+        table.number_or("enough", result.covered_fraction, 0, 1);
     table.reject_unknown_keys();
 }
 
-// What one owner of 350 workers and 1,000 starts a second needs.
-constexpr double cores_of_size_one = 0.5;
-constexpr double mbps_of_size_one = 200;
+// Resources of a machine of size 1: those that one owner needs for 350 workers
+// and 1,000 starts per second.
+constexpr double reference_cores = 0.5;
+constexpr double reference_mbps = 200;
 
-void read_machine(toml_table table, core::pool::claim_settings& out)
+void read_machine(toml_table table, core::pool::claim_settings& result)
 {
-    auto const cores =
-        table.number_or("cores", cores_of_size_one, 0.001, 10'000);
-    auto const link = table.number_or("link_mbps", mbps_of_size_one, 0.1, 1e7);
-    out.size = std::min(cores / cores_of_size_one, link / mbps_of_size_one);
+    auto const cores = table.number_or("cores", reference_cores, 0.001, 10'000);
+    auto const link = table.number_or("link_mbps", reference_mbps, 0.1, 1e7);
+    result.size = std::min(cores / reference_cores, link / reference_mbps);
     table.reject_unknown_keys();
 }
 
@@ -137,33 +150,33 @@
         return std::nullopt;
     }
     auto root = file->root();
-    pool_daemon_settings made;
-    made.name = root.text("name");
-    made.data_centre = root.text("data_centre");
-    made.submissions = root.endpoint("submissions");
-    made.readiness = root.endpoint("readiness");
-    made.readiness_path = root.text_or("readiness_path", "/readyz");
-    made.metrics = root.endpoint("metrics");
-    made.store = root.endpoint("store");
+    pool_daemon_settings result;
+    result.name = root.text("name");
+    result.data_centre = root.text("data_centre");
+    result.submissions = root.endpoint("submissions");
+    result.readiness = root.endpoint("readiness");
+    result.readiness_path = root.text_or("readiness_path", "/readyz");
+    result.metrics = root.endpoint("metrics");
+    result.store = root.endpoint("store");
     if (!root.text_or("advice", "").empty())
     {
-        made.policy = root.endpoint("advice");
+        result.policy = root.endpoint("advice");
     }
-    made.log_level = static_cast<ports::severity>(
+    result.log_level = static_cast<ports::severity>(
         root.choice_or("log_level", 1, {"debug", "info", "warning", "error"}));
-    read_sharing(root.table("sharing"), made.pool.owner.colocation);
-    read_regroup(root.table("regroup"), made.pool.owner.rebalance);
-    read_guaranteed(root.table("guaranteed_room"),
-                    made.pool.owner.short_job_reserve);
-    read_machine(root.table("machine"), made.pool.claim);
-    read_bounds(root.table("bounds"), made.pool);
+    read_sharing(root.table("sharing"), result.pool.owner.colocation);
+    read_rebalance(root.table("regroup"), result.pool.owner.rebalance);
+    read_short_job_reserve(root.table("guaranteed_room"),
+                           result.pool.owner.short_job_reserve);
+    read_machine(root.table("machine"), result.pool.claim);
+    read_bounds(root.table("bounds"), result.pool);
     root.reject_unknown_keys();
     if (!file->ok())
     {
         reason = file->reason();
         return std::nullopt;
     }
-    return made;
+    return result;
 }
 
 } // namespace
--- a/src/adapters/settings/pool_settings.hpp
+++ b/src/adapters/settings/pool_settings.hpp
@@ -12,7 +12,7 @@
 namespace fuchsia::adapters::settings
 {
 
-/// What a settings file of `fuchsia-pool` holds.
+/// Settings of `fuchsia-pool`.
 struct pool_daemon_settings
 {
     std::string name;
@@ -22,12 +22,13 @@
     std::string readiness_path;
     ports::endpoint metrics;
     ports::endpoint store;
-    std::optional<ports::endpoint> policy; ///< Of a policy service, if any.
+    std::optional<ports::endpoint> policy; ///< Policy service, if any.
     ports::severity log_level = ports::severity::info;
     core::pool::pool_settings pool;
 };
 
-/// Empty, with file, line, key and reason, where the file is no good.
+/// Reads and checks the settings of a pool. If they are invalid, the result is
+/// empty and `reason` names file, line and key.
 std::optional<pool_daemon_settings>
 load_pool_settings(std::string const& path, core::common::failure& reason);
 std::optional<pool_daemon_settings>
--- a/src/adapters/settings/toml_reader.cpp
+++ b/src/adapters/settings/toml_reader.cpp
@@ -18,9 +18,10 @@
 namespace
 {
 
-constexpr std::size_t max_file = 4 * 1024 * 1024;
+constexpr std::size_t max_file_bytes = 4 * 1024 * 1024;
 
-// A key whose name ends in _ms counts milliseconds, else microseconds.
+// Returns the unit of a key: milliseconds for names that end in `_ms`, else
+// microseconds.
 duration unit_of(std::string_view key) noexcept
 {
     return key.ends_with("_ms") ? duration(1000) : duration(1);
@@ -35,7 +36,7 @@
 
 struct toml_table::node
 {
-    toml::table const* table = nullptr; // Null: the table is absent.
+    toml::table const* table = nullptr; ///< Null if the table is missing.
     std::string path;
     std::uint32_t line = 0;
     std::set<std::string, std::less<>> read;
@@ -48,8 +49,8 @@
 };
 
 toml_table::toml_table(std::shared_ptr<toml_file> file,
-                       std::shared_ptr<node> at)
-    : file_(std::move(file)), node_(std::move(at))
+                       std::shared_ptr<node> table_node)
+    : file_(std::move(file)), node_(std::move(table_node))
 {
 }
 
@@ -102,44 +103,46 @@
     return texts;
 }
 
-std::int64_t
-toml_table::integer(std::string_view key, std::int64_t least, std::int64_t most)
+std::int64_t toml_table::integer(std::string_view key,
+                                 std::int64_t min_value,
+                                 std::int64_t max_value)
 {
     auto const* const value = node_->find(key);
     if (value == nullptr)
     {
         fail(result_code::missing_key, key, "the key is absent");
-        return least;
+        return min_value;
     }
     auto const* const number = value->as_integer();
     if (number == nullptr)
     {
         fail(result_code::wrong_type, key, "a whole number is expected");
-        return least;
+        return min_value;
     }
-    if (number->get() < least || number->get() > most)
+    if (number->get() < min_value || number->get() > max_value)
     {
         out_of_range(key,
                      std::to_string(number->get()),
-                     std::to_string(least),
-                     std::to_string(most));
-        return least;
+                     std::to_string(min_value),
+                     std::to_string(max_value));
+        return min_value;
     }
     return number->get();
 }
 
 std::int64_t toml_table::integer_or(std::string_view key,
                                     std::int64_t fallback,
-                                    std::int64_t least,
-                                    std::int64_t most)
+                                    std::int64_t min_value,
+                                    std::int64_t max_value)
 {
-    return node_->find(key) == nullptr ? fallback : integer(key, least, most);
+    return node_->find(key) == nullptr ? fallback
+                                       : integer(key, min_value, max_value);
 }
 
 double toml_table::number_or(std::string_view key,
                              double fallback,
-                             double least,
-                             double most)
+                             double min_value,
+                             double max_value)
 {
     auto const* const value = node_->find(key);
     if (value == nullptr)
@@ -152,13 +155,13 @@
         fail(result_code::wrong_type, key, "a number is expected");
         return fallback;
     }
-    // Written so that "not a number" fails too.
-    if (!(*number >= least && *number <= most))
+    // This form of the comparison rejects NaN as well.
+    if (!(*number >= min_value && *number <= max_value))
     {
         out_of_range(key,
                      std::to_string(*number),
-                     std::to_string(least),
-                     std::to_string(most));
+                     std::to_string(min_value),
+                     std::to_string(max_value));
         return fallback;
     }
     return *number;
@@ -182,11 +185,12 @@
 
 duration toml_table::duration_or(std::string_view key,
                                  duration fallback,
-                                 duration least,
-                                 duration most)
+                                 duration min_value,
+                                 duration max_value)
 {
     auto const unit = unit_of(key);
-    return unit * integer_or(key, fallback / unit, least / unit, most / unit);
+    return unit *
+           integer_or(key, fallback / unit, min_value / unit, max_value / unit);
 }
 
 ports::endpoint toml_table::endpoint(std::string_view key)
@@ -198,7 +202,7 @@
         fail(result_code::out_of_range,
              key,
              "\"" + value +
-                 "\" is no IP number and port such as "
+                 "\" is not an IP address and port such as "
                  "\"127.0.0.1:8080\"");
         return {};
     }
@@ -219,33 +223,33 @@
     {
         return static_cast<std::size_t>(found - names.begin());
     }
-    std::string known;
+    std::string allowed;
     for (auto const name : names)
     {
-        known += (known.empty() ? "" : ", ") + std::string(name);
+        allowed += (allowed.empty() ? "" : ", ") + std::string(name);
     }
     fail(result_code::out_of_range,
          key,
-         "\"" + value + "\" is none of: " + known);
+         "\"" + value + "\" is not one of: " + allowed);
     return fallback;
 }
 
 toml_table toml_table::table(std::string_view key)
 {
-    auto made = std::make_shared<node>();
-    made->path = node_->path + std::string(key) + ".";
-    made->line = node_->line;
+    auto child = std::make_shared<node>();
+    child->path = node_->path + std::string(key) + ".";
+    child->line = node_->line;
     auto const* const value = node_->find(key);
     if (value != nullptr)
     {
-        made->table = value->as_table();
-        made->line = value->source().begin.line;
-        if (made->table == nullptr)
+        child->table = value->as_table();
+        child->line = value->source().begin.line;
+        if (child->table == nullptr)
         {
             fail(result_code::wrong_type, key, "a table is expected");
         }
     }
-    return {file_, std::move(made)};
+    return {file_, std::move(child)};
 }
 
 std::vector<toml_table> toml_table::tables(std::string_view key)
@@ -264,16 +268,16 @@
     }
     for (auto const& item : *array)
     {
-        auto made = std::make_shared<node>();
-        made->path = node_->path + std::string(key) + ".";
-        made->line = item.source().begin.line;
-        made->table = item.as_table();
-        if (made->table == nullptr)
+        auto child = std::make_shared<node>();
+        child->path = node_->path + std::string(key) + ".";
+        child->line = item.source().begin.line;
+        child->table = item.as_table();
+        if (child->table == nullptr)
         {
             fail(result_code::wrong_type, key, "a table is expected");
             return result;
         }
-        result.push_back({file_, std::move(made)});
+        result.push_back({file_, std::move(child)});
     }
     return result;
 }
@@ -303,13 +307,15 @@
     {
         if (!node_->read.contains(key))
         {
-            fail(result_code::unknown_key, key, "nothing reads this key");
+            fail(result_code::unknown_key, key, "unknown key");
             return;
         }
     }
 }
 
-void toml_table::fail(result_code code, std::string_view key, std::string why)
+void toml_table::fail(result_code code,
+                      std::string_view key,
+                      std::string reason)
 {
     if (!file_->ok())
     {
@@ -321,17 +327,18 @@
         value == nullptr ? node_->line : value->source().begin.line;
     file_->reason_ = {code,
                       file_->name_ + ":" + std::to_string(line),
-                      node_->path + std::string(key) + ": " + std::move(why)};
+                      node_->path + std::string(key) + ": " +
+                          std::move(reason)};
 }
 
 void toml_table::out_of_range(std::string_view key,
                               std::string const& value,
-                              std::string const& least,
-                              std::string const& most)
+                              std::string const& min_value,
+                              std::string const& max_value)
 {
     fail(result_code::out_of_range,
          key,
-         value + " is not within " + least + " to " + most);
+         value + " is not within " + min_value + " to " + max_value);
 }
 
 std::shared_ptr<toml_file> toml_file::open(std::string const& path,
@@ -370,10 +377,10 @@
 
 toml_table toml_file::root()
 {
-    auto made = std::make_shared<toml_table::node>();
-    made->table = &content_->root;
-    made->line = 1;
-    return {shared_from_this(), std::move(made)};
+    auto child = std::make_shared<toml_table::node>();
+    child->table = &content_->root;
+    child->line = 1;
+    return {shared_from_this(), std::move(child)};
 }
 
 bool toml_file::ok() const noexcept
@@ -395,7 +402,7 @@
     {
         text.assign(std::istreambuf_iterator<char>(in), {});
     }
-    if (!in || text.size() > max_file)
+    if (!in || text.size() > max_file_bytes)
     {
         reason = {result_code::file_unreadable,
                   path,
--- a/src/adapters/settings/toml_reader.hpp
+++ b/src/adapters/settings/toml_reader.hpp
@@ -18,9 +18,9 @@
 
 class toml_file;
 
-/// Reads one table of a settings file and remembers the first thing wrong with
-/// it, with file and line, so that a parse function reads all keys and asks
-/// `ok` of the file once.
+/// Reads one table of a settings file. The file records the first error with
+/// file and line, so that a parse function can read all keys and check
+/// `toml_file::ok` once.
 class toml_table
 {
 public:
@@ -28,50 +28,55 @@
     std::string text_or(std::string_view key, std::string fallback);
     std::vector<std::string> texts_or(std::string_view key,
                                       std::vector<std::string> fallback);
-    std::int64_t
-    integer(std::string_view key, std::int64_t least, std::int64_t most);
+    std::int64_t integer(std::string_view key,
+                         std::int64_t min_value,
+                         std::int64_t max_value);
     std::int64_t integer_or(std::string_view key,
                             std::int64_t fallback,
-                            std::int64_t least,
-                            std::int64_t most);
-    double
-    number_or(std::string_view key, double fallback, double least, double most);
+                            std::int64_t min_value,
+                            std::int64_t max_value);
+    double number_or(std::string_view key,
+                     double fallback,
+                     double min_value,
+                     double max_value);
     bool flag_or(std::string_view key, bool fallback);
-    /// A length of time; the key's name ends in `_ms` or `_us` and says the
-    /// unit of the number that stands there.
+    /// Returns a duration. The key's name ends in `_ms` or `_us`, the unit of
+    /// its value.
     core::common::duration duration_or(std::string_view key,
                                        core::common::duration fallback,
-                                       core::common::duration least,
-                                       core::common::duration most);
-    /// "IP:port".
+                                       core::common::duration min_value,
+                                       core::common::duration max_value);
+    /// Returns an endpoint that is written as "IP:port".
     ports::endpoint endpoint(std::string_view key);
-    /// One of `names`; the index of it.
+    /// Returns the index of the value in `names`.
     std::size_t choice_or(std::string_view key,
                           std::size_t fallback,
                           std::initializer_list<std::string_view> names);
 
-    /// The table under `key`; an empty one where it is absent.
+    /// Returns the table under `key`; an empty one if it is missing.
     toml_table table(std::string_view key);
-    /// The tables of an array of tables `[[key]]`.
+    /// Returns the elements of the array of tables `[[key]]`.
     std::vector<toml_table> tables(std::string_view key);
     bool has(std::string_view key) const;
-    /// All keys, for tables whose keys are data.
+    /// Returns all keys, for tables whose keys are data.
     std::vector<std::string> keys() const;
 
-    /// Refuses every key that was not asked for; to be called last.
+    /// Reports an error for a key that has not been read; to be called last.
     void reject_unknown_keys();
-    /// Records an error of the caller's own at `key`, unless one stands.
-    void
-    fail(core::common::result_code code, std::string_view key, std::string why);
+    /// Records an error at `key`, unless the file has one already.
+    void fail(core::common::result_code code,
+              std::string_view key,
+              std::string reason);
 
 private:
     friend class toml_file;
     struct node;
-    toml_table(std::shared_ptr<toml_file> file, std::shared_ptr<node> at);
+    toml_table(std::shared_ptr<toml_file> file,
+               std::shared_ptr<node> table_node);
     void out_of_range(std::string_view key,
                       std::string const& value,
-                      std::string const& least,
-                      std::string const& most);
+                      std::string const& min_value,
+                      std::string const& max_value);
 
     std::shared_ptr<toml_file> file_;
     std::shared_ptr<node> node_;
@@ -81,10 +86,11 @@
 class toml_file : public std::enable_shared_from_this<toml_file>
 {
 public:
-    /// Null, with the reason, where the file can't be read or is no TOML.
+    /// Parses the file at `path`. Null, with the reason, if it can't be read or
+    /// is not valid TOML.
     static std::shared_ptr<toml_file> open(std::string const& path,
                                            core::common::failure& reason);
-    /// The same from memory; `name` stands for the path in messages.
+    /// Parses `text`; `name` replaces the path in error messages.
     static std::shared_ptr<toml_file> parse(std::string_view text,
                                             std::string name,
                                             core::common::failure& reason);
@@ -104,7 +110,8 @@
     core::common::failure reason_;
 };
 
-/// Whole content of a small file, such as a token, without a closing newline.
+/// Returns the content of a small file, such as a token, without a final
+/// newline.
 std::optional<std::string> read_file(std::string const& path,
                                      core::common::failure& reason);
 
