--- a/src/adapters/callers/caller_headers.cpp
+++ b/src/adapters/callers/caller_headers.cpp
@@ -23,7 +23,8 @@
 constexpr std::string_view attempt_header = "Fuchsia-Attempt";
 constexpr std::array<std::string_view, 5> own_headers{
     customer_header, class_header, deadline_header, key_header, attempt_header};
-/// Headers of our answers, which an upstream may not write in our place.
+/// Headers that the entry itself sets; those in an upstream's response are
+/// dropped.
 constexpr std::array<std::string_view, 3> answer_headers{
     "Fuchsia-Outcome", "Fuchsia-Code", "Fuchsia-Retry-After-Ms"};
 
@@ -32,13 +33,13 @@
 constexpr std::size_t max_key_size = 128;
 constexpr std::size_t max_customer_size = 64;
 
-bool same_name(std::string_view left, std::string_view right) noexcept
+bool same_name(std::string_view lhs, std::string_view rhs) noexcept
 {
     constexpr char case_bit = 0x20;
-    return std::equal(left.begin(),
-                      left.end(),
-                      right.begin(),
-                      right.end(),
+    return std::equal(lhs.begin(),
+                      lhs.end(),
+                      rhs.begin(),
+                      rhs.end(),
                       [](char a, char b)
                       {
                           return (a | case_bit) == (b | case_bit);
@@ -47,8 +48,8 @@
 
 std::optional<std::uint64_t> number_in(std::optional<std::string_view> text,
                                        std::uint64_t fallback,
-                                       std::uint64_t least,
-                                       std::uint64_t most) noexcept
+                                       std::uint64_t min_value,
+                                       std::uint64_t max_value) noexcept
 {
     if (!text)
     {
@@ -56,9 +57,9 @@
     }
     std::uint64_t value = 0;
     auto const* end = text->data() + text->size();
-    auto const [stopped, error] = std::from_chars(text->data(), end, value);
-    bool const whole = error == std::errc() && stopped == end;
-    if (!whole || value < least || value > most)
+    auto const [parsed_end, error] = std::from_chars(text->data(), end, value);
+    bool const is_complete = error == std::errc() && parsed_end == end;
+    if (!is_complete || value < min_value || value > max_value)
     {
         return std::nullopt;
     }
@@ -69,24 +70,24 @@
 {
     return std::all_of(text.begin(),
                        text.end(),
-                       [](char letter)
+                       [](char character)
                        {
-                           return letter > ' ' && letter < '\x7f';
+                           return character > ' ' && character < '\x7f';
                        });
 }
 
-failure bad_header(std::string_view name, std::string why)
+failure bad_header(std::string_view name, std::string reason)
 {
-    return {result_code::bad_header, std::string(name), std::move(why)};
+    return {result_code::bad_header, std::string(name), std::move(reason)};
 }
 
-bool stands_twice(http::request const& message, std::string_view name)
+bool is_repeated(http::request const& message, std::string_view name)
 {
     return std::count_if(message.headers.begin(),
                          message.headers.end(),
-                         [name](ports::header const& one)
+                         [name](ports::header const& header)
                          {
-                             return same_name(one.name, name);
+                             return same_name(header.name, name);
                          }) > 1;
 }
 
@@ -111,7 +112,7 @@
     }
     for (auto const name : own_headers)
     {
-        if (stands_twice(message, name))
+        if (is_repeated(message, name))
         {
             return bad_header(name, "the header stands twice");
         }
@@ -121,8 +122,8 @@
     {
         return bad_header(customer_header, "1 to 64 characters are needed");
     }
-    auto const kind = message.header(class_header);
-    if (kind && !ports::request_class_from(*kind))
+    auto const class_name = message.header(class_header);
+    if (class_name && !ports::request_class_from(*class_name))
     {
         return bad_header(class_header, "latency-critical or batch");
     }
@@ -153,10 +154,10 @@
     }
     ports::caller_request request;
     request.customer = *message.header(customer_header);
-    auto const kind = message.header(class_header);
-    if (kind)
+    auto const class_name = message.header(class_header);
+    if (class_name)
     {
-        request.kind = *ports::request_class_from(*kind);
+        request.kind = *ports::request_class_from(*class_name);
     }
     request.deadline = std::chrono::milliseconds(
         *number_in(message.header(deadline_header), 0, 1, max_deadline_ms));
@@ -165,11 +166,11 @@
         *number_in(message.header(attempt_header), 0, 1, max_attempt));
     request.method = std::move(message.method);
     request.target = std::move(message.target);
-    for (auto& one : message.headers)
+    for (auto& header : message.headers)
     {
-        if (!http::is_hop_by_hop(one.name))
+        if (!http::is_hop_by_hop(header.name))
         {
-            request.headers.push_back(std::move(one));
+            request.headers.push_back(std::move(header));
         }
     }
     request.body = std::move(message.body);
@@ -180,17 +181,18 @@
 {
     http::response response;
     response.status = answer.status;
-    for (auto& one : answer.headers)
+    for (auto& header : answer.headers)
     {
-        bool const ours = std::any_of(answer_headers.begin(),
-                                      answer_headers.end(),
-                                      [&one](std::string_view name)
-                                      {
-                                          return same_name(one.name, name);
-                                      });
-        if (!ours && !http::is_hop_by_hop(one.name))
+        bool const is_reserved =
+            std::any_of(answer_headers.begin(),
+                        answer_headers.end(),
+                        [&header](std::string_view name)
+                        {
+                            return same_name(header.name, name);
+                        });
+        if (!is_reserved && !http::is_hop_by_hop(header.name))
         {
-            response.headers.push_back(std::move(one));
+            response.headers.push_back(std::move(header));
         }
     }
     response.headers.push_back(
--- a/src/adapters/logging/logger.cpp
+++ b/src/adapters/logging/logger.cpp
@@ -21,7 +21,7 @@
                                                     log4cplus::INFO_LOG_LEVEL,
                                                     log4cplus::WARN_LOG_LEVEL,
                                                     log4cplus::ERROR_LOG_LEVEL};
-constexpr std::size_t max_value = 2048;
+constexpr std::size_t max_value_bytes = 2048;
 
 log4cplus::Logger& program_logger()
 {
@@ -29,17 +29,19 @@
     return logger;
 }
 
-// A value with blanks or quotes is quoted; control characters become spaces,
-// so that no value can begin a line of its own.
+// Returns a field value for the log, truncated to `max_value_bytes`. Values
+// with spaces or quotes are quoted; control characters become spaces, so that
+// no value can start a new line.
 std::string printable(std::string_view value)
 {
     std::string text;
     bool quote = value.empty();
-    for (char const letter : value.substr(0, max_value))
+    for (char const character : value.substr(0, max_value_bytes))
     {
-        bool const control = static_cast<unsigned char>(letter) < ' ';
-        quote = quote || control || letter == ' ' || letter == '"';
-        text += control || letter == '"' ? (control ? ' ' : '\'') : letter;
+        bool const control = static_cast<unsigned char>(character) < ' ';
+        quote = quote || control || character == ' ' || character == '"';
+        text +=
+            control || character == '"' ? (control ? ' ' : '\'') : character;
     }
     return quote ? '"' + text + '"' : text;
 }
@@ -58,7 +60,7 @@
     return std::nullopt;
 }
 
-void initialize(std::string_view program, ports::severity least)
+void initialize(std::string_view program, ports::severity min_severity)
 {
     static log4cplus::Initializer const initializer;
     log4cplus::helpers::Properties properties;
@@ -66,8 +68,8 @@
     properties.setProperty("log4cplus.appender.console",
                            "log4cplus::ConsoleAppender");
     properties.setProperty("log4cplus.appender.console.logToStdErr", "false");
-    // Lines that wait in a buffer are lost with a process that is killed: just
-    // those that tell why.
+    // Buffered lines are lost if the process is killed, and they are the ones
+    // that tell the cause.
     properties.setProperty("log4cplus.appender.console.ImmediateFlush", "true");
     properties.setProperty("log4cplus.appender.console.layout",
                            "log4cplus::PatternLayout");
@@ -75,13 +77,15 @@
         "log4cplus.appender.console.layout.ConversionPattern",
         "%D{%Y-%m-%dT%H:%M:%S.%qZ} %p " + std::string(program) + " %m%n");
     log4cplus::PropertyConfigurator(properties).configure();
-    program_logger().setLogLevel(levels[static_cast<std::size_t>(least)]);
+    program_logger().setLogLevel(
+        levels[static_cast<std::size_t>(min_severity)]);
 }
 
-// The library's destructors wait for its pool of threads, which nothing here
-// uses. Where those threads don't come to their end, a process that has said
-// "stopped" stays until it is killed, seconds later: operators see each planned
-// stop use up its whole grace time, and the instance is away for as long.
+// The destructors of log4cplus wait for its thread pool, which this project
+// does not use. If those threads do not end, a process that has logged
+// "stopped" keeps running until it is killed seconds later. Each planned stop
+// then uses up its whole grace time, and the instance is unavailable for as
+// long.
 void end_process(int status)
 {
     std::cout.flush();
@@ -116,19 +120,19 @@
 
 void rate_limit::write(core::common::time_point now, ports::log_event event)
 {
-    // Event names are literals of the code, so the map stays small.
+    // Event names are literals in the code, so the map stays small.
     auto& window = windows_[event.event];
-    if (now - window.began >= std::chrono::seconds(1))
+    if (now - window.started_at >= std::chrono::seconds(1))
     {
-        window.began = now;
-        window.written = 0;
+        window.started_at = now;
+        window.lines_written = 0;
     }
-    if (window.written >= per_second_)
+    if (window.lines_written >= per_second_)
     {
         ++window.suppressed;
         return;
     }
-    ++window.written;
+    ++window.lines_written;
     if (window.suppressed > 0)
     {
         event.fields.push_back(
--- a/src/adapters/metrics/registry.cpp
+++ b/src/adapters/metrics/registry.cpp
@@ -33,20 +33,22 @@
 
 } // namespace
 
-labels registry::bounded(std::string const& name, labels const& with)
+labels registry::limit_label_sets(std::string const& name,
+                                  labels const& label_set)
 {
     std::lock_guard const lock(mutex_);
-    auto& known = series_[name];
-    if (std::find(known.begin(), known.end(), with) != known.end())
+    auto& label_sets = label_sets_[name];
+    if (std::find(label_sets.begin(), label_sets.end(), label_set) !=
+        label_sets.end())
     {
-        return with;
+        return label_set;
     }
-    if (known.size() < max_series)
+    if (label_sets.size() < max_series)
     {
-        known.push_back(with);
-        return with;
+        label_sets.push_back(label_set);
+        return label_set;
     }
-    labels other = with;
+    labels other = label_set;
     for (auto& [label, value] : other)
     {
         value = "other";
@@ -56,29 +58,29 @@
 
 prometheus::Counter& registry::counter(std::string const& name,
                                        std::string const& help,
-                                       labels const& with)
+                                       labels const& label_set)
 {
     auto& family =
         prometheus::BuildCounter().Name(name).Help(help).Register(registry_);
-    return family.Add(bounded(name, with));
+    return family.Add(limit_label_sets(name, label_set));
 }
 
 prometheus::Gauge& registry::gauge(std::string const& name,
                                    std::string const& help,
-                                   labels const& with)
+                                   labels const& label_set)
 {
     auto& family =
         prometheus::BuildGauge().Name(name).Help(help).Register(registry_);
-    return family.Add(bounded(name, with));
+    return family.Add(limit_label_sets(name, label_set));
 }
 
 prometheus::Histogram& registry::latency(std::string const& name,
                                          std::string const& help,
-                                         labels const& with)
+                                         labels const& label_set)
 {
     auto& family =
         prometheus::BuildHistogram().Name(name).Help(help).Register(registry_);
-    return family.Add(bounded(name, with), latency_buckets());
+    return family.Add(limit_label_sets(name, label_set), latency_buckets());
 }
 
 std::string registry::text() const
--- a/src/adapters/metrics/registry.hpp
+++ b/src/adapters/metrics/registry.hpp
@@ -15,12 +15,13 @@
 namespace fuchsia::adapters::metrics
 {
 
+/// Label set of a time series: label names with their values.
 using labels = std::map<std::string, std::string>;
 
-/// The metrics of one process, by name (docs/METRICS.md). Thread-safe.
+/// Metrics of one process by name (docs/METRICS.md). Thread-safe.
 ///
-/// Each name holds at most `max_series` label sets; what comes after is counted
-/// under the value "other" for every label, since a label set lasts for the
+/// Each metric has at most `max_series` label sets. Further ones are counted in
+/// a label set whose values are all "other", since a label set lasts for the
 /// life of the process and callers choose some of the values.
 class registry
 {
@@ -29,26 +30,28 @@
 
     prometheus::Counter& counter(std::string const& name,
                                  std::string const& help,
-                                 labels const& with = {});
+                                 labels const& label_set = {});
     prometheus::Gauge& gauge(std::string const& name,
                              std::string const& help,
-                             labels const& with = {});
-    /// Seconds, in buckets from 0.5 ms to 60 s.
+                             labels const& label_set = {});
+    /// Returns a histogram of seconds, with buckets from 0.5 ms to 60 s.
     prometheus::Histogram& latency(std::string const& name,
                                    std::string const& help,
-                                   labels const& with = {});
+                                   labels const& label_set = {});
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in the text format of Prometheus.
     std::string text() const;
-    /// Sorted names of all families.
+    /// Returns the sorted names of all metrics.
     std::vector<std::string> names() const;
 
 private:
-    labels bounded(std::string const& name, labels const& with);
+    /// Returns `label_set`, or the label set "other" if the metric has too
+    /// many.
+    labels limit_label_sets(std::string const& name, labels const& label_set);
 
     prometheus::Registry registry_;
     std::mutex mutex_;
-    std::map<std::string, std::vector<labels>> series_;
+    std::map<std::string, std::vector<labels>> label_sets_;
 };
 
 inline double seconds(core::common::duration length) noexcept
