--- a/tests/contract/adapters/logging_test.cpp
+++ b/tests/contract/adapters/logging_test.cpp
@@ -5,11 +5,10 @@
 namespace fuchsia::adapters::logging
 {
 
-TEST(logging, a_line_from_the_level_upwards_reaches_standard_output)
+TEST(logging, writes_lines_at_or_above_the_level_to_standard_output)
 {
-    // A logger that was set up with properties the library doesn't read
-    // prints one complaint at the start and then nothing: an operator sees an
-    // empty log.
+    // With properties that log4cplus does not know it prints one warning at the
+    // start and then nothing, and an operator sees an empty log.
     testing::internal::CaptureStdout();
     initialize("program-a", ports::severity::info);
     write(ports::severity::debug, "too_small", {});
--- a/tests/contract/adapters/settings_test.cpp
+++ b/tests/contract/adapters/settings_test.cpp
@@ -51,22 +51,24 @@
     return file->reason();
 }
 
-std::string
-replaced(std::string text, std::string const& from, std::string const& to)
+std::string with_replacement(std::string text,
+                             std::string const& from,
+                             std::string const& to)
 {
-    auto const at = text.find(from);
-    EXPECT_NE(at, std::string::npos) << from;
-    return text.replace(at, from.size(), to);
+    auto const position = text.find(from);
+    EXPECT_NE(position, std::string::npos) << from;
+    return text.replace(position, from.size(), to);
 }
 
 } // namespace
 
-TEST(daemon_settings, good_file_is_read)
+TEST(daemon_settings, valid_file_is_accepted)
 {
     EXPECT_EQ(to_string(read(good_settings())), "0 ok");
 }
 
-TEST(daemon_settings, each_fault_names_its_line_and_reason)
+// An error in a settings file must be reported with its line and a reason.
+TEST(daemon_settings, each_error_names_its_line_and_reason)
 {
     struct fault_case
     {
@@ -86,12 +88,14 @@
         {"hold_ms = 2000", "hold_ms = ", result_code::malformed_toml, ":11"},
         {"[membership]", "[member]", result_code::unknown_key, ":10"},
     };
-    for (auto const& fault : cases)
+    for (auto const& test_case : cases)
     {
-        auto const reason =
-            read(replaced(good_settings(), fault.from, fault.to));
-        EXPECT_EQ(reason.code, fault.code) << fault.to << to_string(reason);
-        EXPECT_EQ(reason.where, "a.toml" + fault.where) << to_string(reason);
+        auto const reason = read(
+            with_replacement(good_settings(), test_case.from, test_case.to));
+        EXPECT_EQ(reason.code, test_case.code)
+            << test_case.to << to_string(reason);
+        EXPECT_EQ(reason.where, "a.toml" + test_case.where)
+            << to_string(reason);
         EXPECT_FALSE(reason.why.empty());
     }
 }
--- a/tests/contract/docs/errors_page_test.cpp
+++ b/tests/contract/docs/errors_page_test.cpp
@@ -6,23 +6,22 @@
 using namespace fuchsia;
 using core::common::result_code_table;
 
-// An operator looks a number up and finds nothing, or something else.
-TEST(errors_page, has_the_rows_of_the_table_in_its_order)
+// Guards against an operator finding no row, or a wrong one, for an error code.
+TEST(errors_page, rows_match_the_result_code_table_in_order)
 {
     auto const rows = tests::table_rows("ERRORS.md", 6);
     ASSERT_EQ(rows.size(), result_code_table.size());
-    for (std::size_t at = 0; at < rows.size(); ++at)
+    for (std::size_t index = 0; index < rows.size(); ++index)
     {
-        auto const& in_code = result_code_table[at];
-        auto const& on_page = rows[at];
-        EXPECT_EQ(on_page[0],
-                  std::to_string(static_cast<unsigned>(in_code.code)));
-        EXPECT_EQ(on_page[1], "`" + std::string(in_code.name) + "`");
-        EXPECT_EQ(on_page[2], std::to_string(in_code.http_status))
-            << in_code.name;
-        EXPECT_EQ(on_page[3], core::common::name_of(in_code.request_outcome))
-            << in_code.name;
-        EXPECT_EQ(on_page[4], in_code.meaning) << in_code.name;
-        EXPECT_FALSE(on_page[5].empty()) << in_code.name;
+        auto const& expected = result_code_table[index];
+        auto const& row = rows[index];
+        EXPECT_EQ(row[0], std::to_string(static_cast<unsigned>(expected.code)));
+        EXPECT_EQ(row[1], "`" + std::string(expected.name) + "`");
+        EXPECT_EQ(row[2], std::to_string(expected.http_status))
+            << expected.name;
+        EXPECT_EQ(row[3], core::common::name_of(expected.request_outcome))
+            << expected.name;
+        EXPECT_EQ(row[4], expected.meaning) << expected.name;
+        EXPECT_FALSE(row[5].empty()) << expected.name;
     }
 }
--- a/tests/contract/docs/logs_page_test.cpp
+++ b/tests/contract/docs/logs_page_test.cpp
@@ -13,24 +13,25 @@
 namespace
 {
 
-/// Events that stand in the sources of the pool's program.
+/// Returns the log events in the sources of the pool program.
 std::set<std::string> events_in_code()
 {
     std::set<std::string> events;
-    std::regex const logged(R"(severity::\w+,\s*"([a-z_]+)\")");
+    std::regex const log_call(R"(severity::\w+,\s*"([a-z_]+)\")");
     for (auto const* folder :
          {"/src/core/pool", "/src/programs/pool", "/platform"})
     {
         for (auto const& file : std::filesystem::directory_iterator(
                  std::string(FUCHSIA_SOURCE_DIR) + folder))
         {
-            std::ifstream in(file.path());
-            std::string const text{std::istreambuf_iterator<char>(in), {}};
-            for (std::sregex_iterator at(text.begin(), text.end(), logged), end;
-                 at != end;
-                 ++at)
+            std::ifstream stream(file.path());
+            std::string const text{std::istreambuf_iterator<char>(stream), {}};
+            for (std::sregex_iterator match(text.begin(), text.end(), log_call),
+                 end;
+                 match != end;
+                 ++match)
             {
-                events.insert((*at)[1]);
+                events.insert((*match)[1]);
             }
         }
     }
@@ -39,15 +40,17 @@
 
 } // namespace
 
-// Somebody looks a line up and the page does not know it, or waits for one that
-// no process writes.
-TEST(logs_page, has_each_event_in_the_code_and_no_other)
+// Guards against a logged event that the page lacks, and against a documented
+// event that no process writes.
+TEST(logs_page, documents_exactly_the_events_in_the_code)
 {
-    std::set<std::string> on_page;
+    std::set<std::string> documented_events;
     for (auto const& row : tests::table_rows("LOGS.md", 3))
     {
-        EXPECT_TRUE(on_page.insert(row[0].substr(1, row[0].size() - 2)).second)
-            << row[0] << " stands twice";
+        EXPECT_TRUE(
+            documented_events.insert(row[0].substr(1, row[0].size() - 2))
+                .second)
+            << row[0] << " is listed twice";
     }
-    EXPECT_EQ(on_page, events_in_code());
+    EXPECT_EQ(documented_events, events_in_code());
 }
--- a/tests/contract/docs/metrics_page_test.cpp
+++ b/tests/contract/docs/metrics_page_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Names of metrics that stand as literals in the sources of both daemons.
+/// Returns the metric names that are literals in the sources of the programs.
 std::set<std::string> names_in_code()
 {
     std::set<std::string> names;
@@ -29,11 +29,11 @@
         buffer << stream.rdbuf();
         auto const text = buffer.str();
         std::sregex_iterator const end;
-        for (std::sregex_iterator at(text.begin(), text.end(), literal);
-             at != end;
-             ++at)
+        for (std::sregex_iterator match(text.begin(), text.end(), literal);
+             match != end;
+             ++match)
         {
-            names.insert((*at)[1]);
+            names.insert((*match)[1]);
         }
     }
     return names;
@@ -41,18 +41,19 @@
 
 } // namespace
 
-// Somebody on call sees a metric move, and the page does not know it; or the
-// page sends them to one that no process has.
-TEST(metrics_page, has_each_name_in_the_code_once_and_no_other)
+// Guards against a metric that the page lacks, and against a documented metric
+// that no process has.
+TEST(metrics_page, documents_exactly_the_names_in_the_code_once)
 {
-    std::set<std::string> on_page;
+    std::set<std::string> documented_names;
     for (auto const& row : tests::table_rows("METRICS.md", 5))
     {
         auto const& cell = row[0];
         ASSERT_GT(cell.size(), 2U);
-        EXPECT_TRUE(on_page.insert(cell.substr(1, cell.size() - 2)).second)
-            << cell << " stands twice";
+        EXPECT_TRUE(
+            documented_names.insert(cell.substr(1, cell.size() - 2)).second)
+            << cell << " is listed twice";
         EXPECT_FALSE(row[3].empty()) << cell;
     }
-    EXPECT_EQ(on_page, names_in_code());
+    EXPECT_EQ(documented_names, names_in_code());
 }
--- a/tests/contract/docs/page.hpp
+++ b/tests/contract/docs/page.hpp
@@ -9,7 +9,7 @@
 namespace fuchsia::tests
 {
 
-/// Whole text of a page of docs/.
+/// Returns the text of a page in docs/.
 inline std::string page(std::string const& name)
 {
     std::ifstream file(std::string(FUCHSIA_SOURCE_DIR "/docs/") + name);
@@ -19,8 +19,8 @@
     return text.str();
 }
 
-/// Cells of the lines of a page's tables that have `columns` columns; headings
-/// and the lines below them are left out.
+/// Returns the cells of all rows of a page's tables with `columns` columns,
+/// without the headings and the separator lines below them.
 inline std::vector<std::vector<std::string>> table_rows(std::string const& name,
                                                         std::size_t columns)
 {
--- a/tests/contract/docs/proofs_page_test.cpp
+++ b/tests/contract/docs/proofs_page_test.cpp
@@ -11,11 +11,11 @@
 
 std::string text_of(std::filesystem::path const& path)
 {
-    std::ifstream in(path);
-    return {std::istreambuf_iterator<char>(in), {}};
+    std::ifstream stream(path);
+    return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-/// "suite.name" of every test that stands in the test sources.
+/// Returns "suite.name" of every test in the test sources.
 std::set<std::string> tests_in_sources()
 {
     std::regex const test(R"(TEST(?:_F|_P)?\(\s*(\w+),\s*(\w+)\s*\))");
@@ -29,11 +29,11 @@
             continue;
         }
         auto const text = text_of(entry.path());
-        for (std::sregex_iterator at(text.begin(), text.end(), test), end;
-             at != end;
-             ++at)
+        for (std::sregex_iterator match(text.begin(), text.end(), test), end;
+             match != end;
+             ++match)
         {
-            names.insert((*at)[1].str() + "." + (*at)[2].str());
+            names.insert((*match)[1].str() + "." + (*match)[2].str());
         }
     }
     return names;
@@ -41,26 +41,27 @@
 
 } // namespace
 
-TEST(proofs_page, every_test_that_it_names_exists)
+// Guards against a page that names a renamed or deleted test.
+TEST(proofs_page, every_named_test_exists)
 {
     auto const page = text_of(std::filesystem::path(FUCHSIA_SOURCE_DIR) /
                               "docs" / "PROOFS.md");
-    auto const known = tests_in_sources();
-    std::regex const named(R"(`(\w+\.\w+)`)");
+    auto const existing_tests = tests_in_sources();
+    std::regex const quoted_test(R"(`(\w+\.\w+)`)");
     std::size_t count = 0;
-    for (std::sregex_iterator at(page.begin(), page.end(), named), end;
-         at != end;
-         ++at)
+    for (std::sregex_iterator match(page.begin(), page.end(), quoted_test), end;
+         match != end;
+         ++match)
     {
-        auto const name = (*at)[1].str();
+        auto const name = (*match)[1].str();
         bool const is_file = name.ends_with(".cpp") || name.ends_with(".hpp") ||
                              name.ends_with(".py");
         if (!is_file)
         {
-            EXPECT_TRUE(known.contains(name)) << name;
+            EXPECT_TRUE(existing_tests.contains(name)) << name;
             ++count;
         }
     }
-    // Each of the ten points names at least one.
+    // The page has ten items, and each must name at least one test.
     EXPECT_GE(count, 10U);
 }
--- a/tests/session/planner_settings_test.cpp
+++ b/tests/session/planner_settings_test.cpp
@@ -27,8 +27,8 @@
                               "token_file = \"" + token + "\"");
 }
 
-/// The example with each key that it shows as a comment switched on.
-std::string whole_example()
+/// Returns the example with all commented-out keys enabled.
+std::string full_example()
 {
     return std::regex_replace(
         example(), std::regex("\n# ([a-z_]+ = [^\n]+)"), "\n$1");
@@ -36,24 +36,24 @@
 
 } // namespace
 
-TEST(planner_settings, reads_the_example_with_every_key_it_shows)
+TEST(planner_settings, example_is_valid_with_all_its_keys_enabled)
 {
     core::common::failure reason;
-    auto const plain = parse_planner_settings(example(), "plain", reason);
-    ASSERT_TRUE(plain) << to_string(reason);
-    auto const whole = parse_planner_settings(whole_example(), "all", reason);
-    ASSERT_TRUE(whole) << to_string(reason);
-    EXPECT_EQ(plain->planner.cell.lease_duration,
-              whole->planner.cell.lease_duration);
-    EXPECT_EQ(plain->planner.cell.ramp_up_duration,
-              whole->planner.cell.ramp_up_duration);
-    EXPECT_EQ(plain->planner.cell.policy.index(),
-              whole->planner.cell.policy.index());
-    EXPECT_EQ(plain->planner.workers.report_lag,
-              whole->planner.workers.report_lag);
+    auto const minimal = parse_planner_settings(example(), "plain", reason);
+    ASSERT_TRUE(minimal) << to_string(reason);
+    auto const full = parse_planner_settings(full_example(), "all", reason);
+    ASSERT_TRUE(full) << to_string(reason);
+    EXPECT_EQ(minimal->planner.cell.lease_duration,
+              full->planner.cell.lease_duration);
+    EXPECT_EQ(minimal->planner.cell.ramp_up_duration,
+              full->planner.cell.ramp_up_duration);
+    EXPECT_EQ(minimal->planner.cell.policy.index(),
+              full->planner.cell.policy.index());
+    EXPECT_EQ(minimal->planner.workers.report_lag,
+              full->planner.workers.report_lag);
 }
 
-TEST(planner_settings, refuses_what_contradicts_itself)
+TEST(planner_settings, invalid_and_inconsistent_values_are_rejected)
 {
     std::vector<std::pair<std::string, result_code>> const cases{
         {"lease_ms = 5000", result_code::inconsistent},
