--- a/tests/contract/inputs/advice_inputs_test.cpp
+++ b/tests/contract/inputs/advice_inputs_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <string>
 
-// Odd answers of the policy service that were believed once.
+// Malformed responses of the policy service that were accepted in the past.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -14,27 +14,27 @@
 
 } // namespace
 
-// A validity that is no whole number ended the process.
-TEST(advice_inputs, advice_is_valid_for_a_time_or_is_none)
+// A validity that was not an integer terminated the process.
+TEST(advice_inputs, response_with_an_invalid_validity_is_rejected)
 {
-    for (auto const* bad : {"1e300",
-                            "0.5",
-                            "-1",
-                            "18446744073709551615",
-                            "9223372036854775807",
-                            "\"3\"",
-                            "null"})
+    for (auto const* invalid : {"1e300",
+                                "0.5",
+                                "-1",
+                                "18446744073709551615",
+                                "9223372036854775807",
+                                "\"3\"",
+                                "null"})
     {
         failure reason;
         EXPECT_FALSE(
             platform::decode_policy_reply(
                 {200,
                  {},
-                 R"({"allowed":[],"validMs":)" + std::string(bad) + "}"},
+                 R"({"allowed":[],"validMs":)" + std::string(invalid) + "}"},
                 reason)
                 .answered)
-            << bad;
-        EXPECT_FALSE(reason.where.empty()) << bad;
+            << invalid;
+        EXPECT_FALSE(reason.where.empty()) << invalid;
     }
 }
 
--- a/tests/contract/inputs/directory_inputs_test.cpp
+++ b/tests/contract/inputs/directory_inputs_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-// Odd entries of workers and operators that were used once.
+// Malformed records of workers and operators that were accepted in the past.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -14,7 +14,7 @@
 
 using core::common::failure;
 
-constexpr std::array<std::string_view, 10> fields_of_a_worker{
+constexpr std::array<std::string_view, 10> worker_fields{
     R"("service":"s")",
     R"("address":"10.0.0.9:8080")",
     R"("zone":"a")",
@@ -26,30 +26,30 @@
     R"("labels":["k","r1-3"])",
     R"("seq":4)"};
 
-// The entry of a worker with one field replaced; "" leaves it out.
-std::string entry_with(std::size_t field, std::string_view replaced)
+// Returns a worker's record with one field replaced; an empty replacement omits
+// the field, and an index beyond the last field changes nothing.
+std::string make_entry(std::size_t field, std::string_view replacement)
 {
-    std::string made;
-    for (std::size_t number = 0; number < fields_of_a_worker.size(); ++number)
+    std::string result;
+    for (std::size_t index = 0; index < worker_fields.size(); ++index)
     {
-        auto const text =
-            number == field ? replaced : fields_of_a_worker[number];
-        made += made.empty() || text.empty() ? "" : ",";
-        made += text;
+        auto const text = index == field ? replacement : worker_fields[index];
+        result += result.empty() || text.empty() ? "" : ",";
+        result += text;
     }
-    return "{" + made + "}";
+    return "{" + result + "}";
 }
 
-bool names_a_worker(std::string const& key, std::string const& value)
+bool is_worker(std::string const& key, std::string const& value)
 {
     failure reason;
     ports::kv_item item;
     item.key = key;
     item.value = value;
-    bool const taken =
+    bool const is_accepted =
         platform::make_platform_records().read_worker(item, reason).has_value();
-    EXPECT_TRUE(taken || !reason.where.empty()) << value;
-    return taken;
+    EXPECT_TRUE(is_accepted || !reason.where.empty()) << value;
+    return is_accepted;
 }
 
 bool is_configuration(std::string const& value)
@@ -65,57 +65,58 @@
 
 } // namespace
 
-// What another writer left under a worker's key was used with what was readable
-// of it: without capacity, or with the wrong labels.
-TEST(directory_inputs, an_entry_with_a_field_missing_names_no_worker)
+// An incomplete record that another writer had put under a worker's key was
+// accepted with its readable fields: without capacity or with wrong labels.
+TEST(directory_inputs, record_with_a_missing_or_invalid_field_is_rejected)
 {
-    EXPECT_TRUE(names_a_worker("servers/i-1", entry_with(99, "")));
-    for (std::size_t field = 0; field < fields_of_a_worker.size(); ++field)
+    EXPECT_TRUE(is_worker("servers/i-1", make_entry(99, "")));
+    for (std::size_t field = 0; field < worker_fields.size(); ++field)
     {
-        EXPECT_FALSE(names_a_worker("servers/i-1", entry_with(field, "")))
-            << fields_of_a_worker[field];
-        auto const name = fields_of_a_worker[field].substr(
-            0, fields_of_a_worker[field].find(':') + 1);
-        for (auto const* odd : {"null", "true", "[[]]", "-1", "1e300", "\"\""})
+        EXPECT_FALSE(is_worker("servers/i-1", make_entry(field, "")))
+            << worker_fields[field];
+        auto const name =
+            worker_fields[field].substr(0, worker_fields[field].find(':') + 1);
+        for (auto const* invalid :
+             {"null", "true", "[[]]", "-1", "1e300", "\"\""})
         {
-            EXPECT_FALSE(names_a_worker(
-                "servers/i-1", entry_with(field, std::string(name) + odd)))
-                << name << odd;
+            EXPECT_FALSE(is_worker(
+                "servers/i-1", make_entry(field, std::string(name) + invalid)))
+                << name << invalid;
         }
     }
 }
 
-// A size of another type counted as none, and one beyond all bounds as it was.
-TEST(directory_inputs, an_entry_with_an_odd_capacity_names_no_worker)
+// A capacity of a wrong type was read as 0, and one out of range was accepted.
+TEST(directory_inputs, record_with_an_invalid_capacity_is_rejected)
 {
     constexpr std::size_t capacity = 7;
-    for (auto const* odd : {R"({"cpu":"16000","memMb":1})",
-                            R"({"cpu":-1,"memMb":1})",
-                            R"({"cpu":0.5,"memMb":1})",
-                            R"({"cpu":4503599627370496,"memMb":1})",
-                            R"({"cpu":1,"memMb":1,"gpu":[]})"})
+    for (auto const* invalid : {R"({"cpu":"16000","memMb":1})",
+                                R"({"cpu":-1,"memMb":1})",
+                                R"({"cpu":0.5,"memMb":1})",
+                                R"({"cpu":4503599627370496,"memMb":1})",
+                                R"({"cpu":1,"memMb":1,"gpu":[]})"})
     {
-        EXPECT_FALSE(names_a_worker(
+        EXPECT_FALSE(is_worker(
             "servers/i-1",
-            entry_with(capacity, R"("capacity":)" + std::string(odd))))
-            << odd;
+            make_entry(capacity, R"("capacity":)" + std::string(invalid))))
+            << invalid;
     }
 }
 
-// A key that is not below the prefix of workers ended the process.
-TEST(directory_inputs, an_entry_under_another_key_names_no_worker)
+// A key outside the prefix of workers terminated the process.
+TEST(directory_inputs, record_under_a_foreign_key_is_rejected)
 {
     for (auto const* key : {"", "serv", "servers/", "op/config/long enough"})
     {
-        EXPECT_FALSE(names_a_worker(key, entry_with(99, ""))) << key;
+        EXPECT_FALSE(is_worker(key, make_entry(99, ""))) << key;
     }
 }
 
-// The id stands in a header of each call of the worker: with a line break in it
-// whoever writes an entry wrote headers of ours.
-TEST(directory_inputs, a_worker_is_named_by_visible_letters)
+// The id is sent in a header of each call to the worker. An id with a line
+// break allowed its writer to inject headers into these calls.
+TEST(directory_inputs, worker_id_with_invisible_characters_is_rejected)
 {
-    EXPECT_TRUE(names_a_worker("servers/i-7f3a.b_1:2", entry_with(99, "")));
+    EXPECT_TRUE(is_worker("servers/i-7f3a.b_1:2", make_entry(99, "")));
     for (auto const& id : {std::string("a b"),
                            std::string("a\r\nFuchsialanding-Fence-Token: 9"),
                            std::string("a\x7f"),
@@ -123,30 +124,34 @@
                            std::string("a\0b", 3),
                            std::string(201, 'a')})
     {
-        EXPECT_FALSE(names_a_worker("servers/" + id, entry_with(99, ""))) << id;
+        EXPECT_FALSE(is_worker("servers/" + id, make_entry(99, ""))) << id;
     }
 }
 
-// A configuration without a number counted as read, and none came after it.
-TEST(directory_inputs, a_configuration_has_a_version)
+// A configuration without a version number was accepted, and no later one was
+// applied.
+TEST(directory_inputs, configuration_without_a_version_is_rejected)
 {
     EXPECT_TRUE(is_configuration(R"({"version":1})"));
     EXPECT_FALSE(is_configuration("{}"));
     EXPECT_FALSE(is_configuration(R"({"version":null})"));
 }
 
-// Times of a policy that can't be read counted as none.
-TEST(directory_inputs, a_configuration_says_how_long_advice_takes)
+// Malformed durations of a policy were read as 0.
+TEST(directory_inputs,
+     configuration_with_an_invalid_policy_duration_is_rejected)
 {
-    auto const with_advice = [](std::string const& advice)
+    auto const make_configuration = [](std::string const& advice)
     {
         return R"({"version":1,"routes":[{"name":"r","advice":)" + advice +
                "}]}";
     };
-    EXPECT_TRUE(is_configuration(with_advice(R"({"decisionMs":300})")));
-    EXPECT_FALSE(is_configuration(with_advice(R"({"decisionMs":"300"})")));
-    EXPECT_FALSE(is_configuration(with_advice(R"({"perWorkerMs":-1})")));
-    EXPECT_FALSE(is_configuration(with_advice(R"({"decisionMs":1e300})")));
+    EXPECT_TRUE(is_configuration(make_configuration(R"({"decisionMs":300})")));
+    EXPECT_FALSE(
+        is_configuration(make_configuration(R"({"decisionMs":"300"})")));
+    EXPECT_FALSE(is_configuration(make_configuration(R"({"perWorkerMs":-1})")));
+    EXPECT_FALSE(
+        is_configuration(make_configuration(R"({"decisionMs":1e300})")));
 }
 
 } // namespace fuchsia::tests::contract::inputs
--- a/tests/contract/inputs/input_mutator.cpp
+++ b/tests/contract/inputs/input_mutator.cpp
@@ -13,13 +13,14 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t most_damages = 3;
-constexpr std::size_t long_text = 20'000;
-constexpr std::size_t long_list = 5000;
+constexpr std::size_t max_mutations = 3;
+constexpr std::size_t long_text_bytes = 20'000;
+constexpr std::size_t long_list_size = 5000;
 constexpr std::size_t deep_nesting = 5000;
 
-/// Numbers at which types and bounds end, and what is mistaken for a number.
-constexpr std::array<std::string_view, 32> odd_values{
+/// Numbers at the limits of types and ranges, and values that may be mistaken
+/// for a number.
+constexpr std::array<std::string_view, 32> edge_values{
     "0",
     "1",
     "-1",
@@ -54,7 +55,7 @@
     "false",
 };
 
-constexpr std::array<std::string_view, 12> odd_texts{
+constexpr std::array<std::string_view, 12> invalid_texts{
     "a.0.0.0.0",
     "a.4294967296.0.1",
     "a.99999999999999999999.0.1",
@@ -69,7 +70,7 @@
     "=====",
 };
 
-constexpr std::array<std::string_view, 10> odd_bytes{
+constexpr std::array<std::string_view, 10> invalid_bytes{
     "\xff\xfe",
     "\xc0\x80",
     "\xed\xa0\x80",
@@ -82,40 +83,40 @@
     "=",
 };
 
-void collect(json::value& from, std::vector<json::value*>& into)
+void collect(json::value& root, std::vector<json::value*>& nodes)
 {
-    into.push_back(&from);
-    if (from.is_object())
+    nodes.push_back(&root);
+    if (root.is_object())
     {
-        for (auto& member : from.as_object())
+        for (auto& member : root.as_object())
         {
-            collect(member.value(), into);
+            collect(member.value(), nodes);
         }
     }
-    else if (from.is_array())
+    else if (root.is_array())
     {
-        for (auto& each : from.as_array())
+        for (auto& element : root.as_array())
         {
-            collect(each, into);
+            collect(element, nodes);
         }
     }
 }
 
 json::value nested(std::size_t depth)
 {
-    json::value made = 1;
+    json::value result = 1;
     for (std::size_t level = 0; level < depth; ++level)
     {
-        made = json::array{std::move(made)};
+        result = json::array{std::move(result)};
     }
-    return made;
+    return result;
 }
 
 json::value parsed(std::string_view text)
 {
     json::error_code error;
-    auto made = json::parse(text, error);
-    return error ? json::value() : made;
+    auto result = json::parse(text, error);
+    return error ? json::value() : result;
 }
 
 } // namespace
@@ -124,7 +125,7 @@
 {
 }
 
-std::size_t input_mutator::below(std::size_t bound)
+std::size_t input_mutator::random_below(std::size_t bound)
 {
     return bound == 0 ? 0 : static_cast<std::size_t>(random_() % bound);
 }
@@ -132,97 +133,102 @@
 std::string input_mutator::mutated(std::string_view sample)
 {
     std::string text(sample);
-    auto const damages = 1 + below(most_damages);
-    for (std::size_t number = 0; number < damages; ++number)
+    auto const mutations = 1 + random_below(max_mutations);
+    for (std::size_t index = 0; index < mutations; ++index)
     {
-        // Bytes last: what they leave is mostly no JSON any more.
-        bool const bytes = number + 1 == damages && below(3) == 0;
-        auto values = bytes ? std::string() : damage_values(text);
+        // Bytes are mutated last, since the result is rarely valid JSON.
+        bool const bytes = index + 1 == mutations && random_below(3) == 0;
+        auto values = bytes ? std::string() : mutate_values(text);
         text =
-            values.empty() ? damage_bytes(std::move(text)) : std::move(values);
+            values.empty() ? mutate_bytes(std::move(text)) : std::move(values);
     }
     return text;
 }
 
-std::string input_mutator::damage_bytes(std::string text)
+std::string input_mutator::mutate_bytes(std::string text)
 {
-    auto const at = below(text.size() + 1);
-    auto const length = below(std::min<std::size_t>(text.size() - at, 64) + 1);
-    switch (below(8))
+    auto const position = random_below(text.size() + 1);
+    auto const length =
+        random_below(std::min<std::size_t>(text.size() - position, 64) + 1);
+    switch (random_below(8))
     {
     case 0:
-        text.resize(at);
+        text.resize(position);
         break;
     case 1:
-        text.erase(at, length);
+        text.erase(position, length);
         break;
     case 2:
-        text.insert(at, text.substr(at, length));
+        text.insert(position, text.substr(position, length));
         break;
     case 3:
-        if (at < text.size())
+        if (position < text.size())
         {
-            text[at] = static_cast<char>(text[at] ^ (1 << below(8)));
+            text[position] =
+                static_cast<char>(text[position] ^ (1 << random_below(8)));
         }
         break;
     case 4:
-        text.insert(at, odd_bytes[below(odd_bytes.size())]);
+        text.insert(position,
+                    invalid_bytes[random_below(invalid_bytes.size())]);
         break;
     case 5:
-        text.insert(at, odd_values[below(odd_values.size())]);
+        text.insert(position, edge_values[random_below(edge_values.size())]);
         break;
     case 6:
-        text.insert(at, std::string(deep_nesting, '['));
+        text.insert(position, std::string(deep_nesting, '['));
         break;
     default:
-        text.insert(at,
-                    std::string(1 + below(8), static_cast<char>(below(256))));
+        text.insert(position,
+                    std::string(1 + random_below(8),
+                                static_cast<char>(random_below(256))));
         break;
     }
     return text;
 }
 
-std::string input_mutator::damage_values(std::string_view text)
+std::string input_mutator::mutate_values(std::string_view text)
 {
     json::error_code error;
-    auto whole = json::parse(text, error);
+    auto document = json::parse(text, error);
     if (error)
     {
         return {};
     }
-    std::vector<json::value*> all;
-    collect(whole, all);
-    auto& chosen = *all[below(all.size())];
-    auto const kind = below(12);
-    if (kind < 6 || chosen.is_primitive())
+    std::vector<json::value*> nodes;
+    collect(document, nodes);
+    auto& node = *nodes[random_below(nodes.size())];
+    auto const kind = random_below(12);
+    if (kind < 6 || node.is_primitive())
     {
-        switch (below(10))
+        switch (random_below(10))
         {
         case 0:
-            chosen = std::string(long_text, 'x');
+            node = std::string(long_text_bytes, 'x');
             break;
         case 1:
-            chosen = json::array(long_list, 0);
+            node = json::array(long_list_size, 0);
             break;
         case 2:
-            chosen = nested(2 + below(60));
+            node = nested(2 + random_below(60));
             break;
         case 3:
-            chosen = json::object{};
+            node = json::object{};
             break;
         case 4:
         case 5:
-            chosen = json::string(odd_texts[below(odd_texts.size())]);
+            node =
+                json::string(invalid_texts[random_below(invalid_texts.size())]);
             break;
         default:
-            chosen = parsed(odd_values[below(odd_values.size())]);
+            node = parsed(edge_values[random_below(edge_values.size())]);
             break;
         }
     }
-    else if (chosen.is_object() && !chosen.as_object().empty())
+    else if (node.is_object() && !node.as_object().empty())
     {
-        auto& members = chosen.as_object();
-        auto const member = members.begin() + below(members.size());
+        auto& members = node.as_object();
+        auto const member = members.begin() + random_below(members.size());
         if (kind < 9)
         {
             members.erase(member);
@@ -233,33 +239,34 @@
             members["odd"] = copy;
         }
     }
-    else if (chosen.is_array() && !chosen.as_array().empty())
+    else if (node.is_array() && !node.as_array().empty())
     {
-        auto& rows = chosen.as_array();
-        auto const one = below(rows.size());
-        auto const other = below(rows.size());
+        auto& rows = node.as_array();
+        auto const first = random_below(rows.size());
+        auto const second = random_below(rows.size());
         if (kind < 8)
         {
-            rows.erase(rows.begin() + one);
+            rows.erase(rows.begin() + first);
         }
         else if (kind < 10)
         {
-            auto const copy = rows[one];
-            rows.insert(rows.begin() + other, copy);
+            auto const copy = rows[first];
+            rows.insert(rows.begin() + second, copy);
         }
         else
         {
-            rows[one].swap(rows[other]);
+            rows[first].swap(rows[second]);
         }
     }
-    auto made = json::serialize(whole);
-    // The same member twice, which no tree holds.
-    if (made.size() > 2 && made.starts_with('{') && below(16) == 0)
+    auto result = json::serialize(document);
+    // A duplicate member has to be written as text, since no JSON tree can hold
+    // it.
+    if (result.size() > 2 && result.starts_with('{') && random_below(16) == 0)
     {
-        auto const name = made.substr(1, made.find(':'));
-        made.insert(1, name + "0,");
+        auto const name = result.substr(1, result.find(':'));
+        result.insert(1, name + "0,");
     }
-    return made;
+    return result;
 }
 
 } // namespace fuchsia::tests::contract::inputs
--- a/tests/contract/inputs/job_inputs_test.cpp
+++ b/tests/contract/inputs/job_inputs_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 #include <string>
 
-// Odd submissions that were accepted once.
+// Malformed submissions that were accepted in the past.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -16,19 +16,20 @@
 bool accepted(std::string const& submission)
 {
     failure reason;
-    bool const taken = platform::decode_job(submission, reason).has_value();
-    EXPECT_TRUE(taken || !reason.where.empty()) << submission;
-    return taken;
+    bool const is_accepted =
+        platform::decode_job(submission, reason).has_value();
+    EXPECT_TRUE(is_accepted || !reason.where.empty()) << submission;
+    return is_accepted;
 }
 
 } // namespace
 
-// A job that its owner could not read was accepted, and never ran.
-TEST(job_inputs, jobs_that_no_owner_can_hold_are_refused_at_the_door)
+// A job that its owner could not parse was accepted and never ran.
+TEST(job_inputs, job_that_no_owner_can_parse_is_rejected_at_submission)
 {
     EXPECT_TRUE(accepted(R"({"steps":[{"count":10000}]})"));
     EXPECT_TRUE(accepted(R"({"steps":[{"count":2}],"repeatCount":10000})"));
-    for (auto const* bad :
+    for (auto const* invalid :
          {R"({"steps":[]})",
           R"({"taskSpec":"x"})",
           R"({"steps":[{"count":10001}]})",
@@ -42,7 +43,7 @@
           R"({"steps":[{"memMb":4503599627370496}]})",
           R"({"steps":[{}],"repeatCount":9,"intervalMs":4503599627370496})"})
     {
-        EXPECT_FALSE(accepted(bad)) << bad;
+        EXPECT_FALSE(accepted(invalid)) << invalid;
     }
     EXPECT_FALSE(accepted(R"({"steps":[{"image":")" + std::string(300, 'x') +
                           R"("}]})"));
@@ -50,19 +51,19 @@
                           std::string(20'000, 'x') + R"("})"));
 }
 
-// The time limit of a long job under a large stretch wrapped round, and the job
-// was late before it began.
-TEST(job_inputs, the_longest_job_is_due_after_it_begins)
+// The deadline of a long job in a queue with a large deadline stretch
+// overflowed, and the job was late before it started.
+TEST(job_inputs, deadline_of_the_longest_job_does_not_overflow)
 {
     core::pool::job longest;
     longest.first_unix_ms = std::int64_t{1} << 52;
     longest.steps.resize(256);
-    for (std::uint32_t number = 0; number < longest.steps.size(); ++number)
+    for (std::uint32_t index = 0; index < longest.steps.size(); ++index)
     {
-        longest.steps[number].estimate = std::chrono::hours(24 * 366);
-        if (number > 0)
+        longest.steps[index].estimate = std::chrono::hours(24 * 366);
+        if (index > 0)
         {
-            longest.steps[number].after = {number - 1};
+            longest.steps[index].after = {index - 1};
         }
     }
     core::pool::queue rules;
@@ -72,32 +73,32 @@
     EXPECT_GT(run.late_unix_ms, run.due_unix_ms);
 }
 
-// The number of an earlier step wrapped round to that of another.
-TEST(job_inputs, a_step_waits_for_no_other_step_than_it_says)
+// The index of an earlier step overflowed to the index of another step.
+TEST(job_inputs, step_with_an_invalid_dependency_is_rejected)
 {
     EXPECT_TRUE(accepted(R"({"steps":[{},{"after":[0]}]})"));
-    for (auto const* bad : {"4294967296",
-                            "-4294967296",
-                            "18446744073709551615",
-                            "0.0",
-                            "null",
-                            "\"0\""})
+    for (auto const* invalid : {"4294967296",
+                                "-4294967296",
+                                "18446744073709551615",
+                                "0.0",
+                                "null",
+                                "\"0\""})
     {
-        EXPECT_FALSE(
-            accepted(R"({"steps":[{},{"after":[)" + std::string(bad) + "]}]}"))
-            << bad;
+        EXPECT_FALSE(accepted(R"({"steps":[{},{"after":[)" +
+                              std::string(invalid) + "]}]}"))
+            << invalid;
         failure reason;
         EXPECT_FALSE(core::pool::parse_job(
             R"({"id":"a","queue":"q","steps":[{},{"after":[)" +
-                std::string(bad) + "]}]}",
+                std::string(invalid) + "]}]}",
             reason))
-            << bad;
+            << invalid;
     }
 }
 
-// Workers' checkpoints made a record that the store takes from nobody: its
-// owner sent it again and again, and no other write came through.
-TEST(job_inputs, a_record_of_progress_fits_into_one_value_of_the_store)
+// Workers' checkpoints made a record larger than the store accepts. Its owner
+// retried the write for ever, and no other write got through.
+TEST(job_inputs, progress_record_fits_into_one_store_value)
 {
     constexpr std::size_t largest_value = 1024 * 1024;
     for (std::size_t const size : {16, 1000, 500'000})
@@ -111,18 +112,18 @@
         {
             for (std::size_t index = 0; index < steps.tasks.size(); ++index)
             {
-                auto& each = steps.tasks[index];
-                each.checkpoint = index < 100 || size < 100
+                auto& task = steps.tasks[index];
+                task.checkpoint = index < 100 || size < 100
                                       ? std::string(size, 'c')
                                       : std::string();
-                each.phase = index % 2 == 0 ? core::pool::task_phase::done
+                task.phase = index % 2 == 0 ? core::pool::task_phase::done
                                             : core::pool::task_phase::ready;
             }
         }
-        auto const known = progress_of(run);
-        EXPECT_LT(to_json(known).size(), largest_value) << size;
-        // What must not run again is always in it.
-        EXPECT_GE(known.tasks.size(), 10'000U) << size;
+        auto const progress = progress_of(run);
+        EXPECT_LT(to_json(progress).size(), largest_value) << size;
+        // The tasks that must not run again are always in the record.
+        EXPECT_GE(progress.tasks.size(), 10'000U) << size;
     }
 }
 
--- a/tests/contract/inputs/order_inputs_test.cpp
+++ b/tests/contract/inputs/order_inputs_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <string>
 
-// Odd answers of workers that were believed once.
+// Malformed responses of workers that were accepted in the past.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -12,7 +12,7 @@
 
 using core::common::failure;
 
-ports::order_reply told_by_hold(std::string const& body)
+ports::order_reply decode_poll_reply(std::string const& body)
 {
     failure reason;
     return platform::decode_order_reply(ports::poll_order{}, 200, body, reason);
@@ -20,101 +20,106 @@
 
 } // namespace
 
-// Attempts wrapped round to that of another run, which was then taken for over.
-TEST(order_inputs, rows_with_an_odd_attempt_are_no_rows)
+// An attempt number overflowed to that of another attempt, which then counted
+// as ended.
+TEST(order_inputs, rows_with_an_invalid_attempt_are_rejected)
 {
-    for (auto const* odd : {"0", "-1", "4294967297", "1e300", "\"1\"", "null"})
+    for (auto const* invalid :
+         {"0", "-1", "4294967297", "1e300", "\"1\"", "null"})
     {
-        auto const attempt = std::string(odd);
-        auto const made =
-            told_by_hold(R"({"running":[],"ended":[[1,"a.0.0.0",)" + attempt +
-                         R"(,"done",""],[2,"a.0.0.1",1,"done",""]]})");
-        EXPECT_EQ(made.ended.size(), 1U) << odd;
-        EXPECT_EQ(told_by_hold(R"({"running":[["a.0.0.0",)" + attempt +
-                               R"(,"",1]],"ended":[]})")
+        auto const attempt = std::string(invalid);
+        auto const reply = decode_poll_reply(
+            R"({"running":[],"ended":[[1,"a.0.0.0",)" + attempt +
+            R"(,"done",""],[2,"a.0.0.1",1,"done",""]]})");
+        EXPECT_EQ(reply.ended.size(), 1U) << invalid;
+        EXPECT_EQ(decode_poll_reply(R"({"running":[["a.0.0.0",)" + attempt +
+                                    R"(,"",1]],"ended":[]})")
                       .status,
                   ports::order_status::unclear)
-            << odd;
+            << invalid;
     }
 }
 
-// An end numbered beyond all others counted as heard of, and every later end of
-// that worker was passed over.
-TEST(order_inputs, ends_are_numbered_within_bounds)
+// An end with a sequence number above all others counted as acknowledged, and
+// every later end of that worker was ignored.
+TEST(order_inputs, ends_with_an_invalid_sequence_are_dropped)
 {
-    for (auto const* odd : {"-1", "0", "1.5", "9223372036854775807", "\"1\""})
+    for (auto const* invalid :
+         {"-1", "0", "1.5", "9223372036854775807", "\"1\""})
     {
-        EXPECT_TRUE(told_by_hold(R"({"running":[],"ended":[[)" +
-                                 std::string(odd) +
-                                 R"(,"a.0.0.0",1,"done",""]]})")
+        EXPECT_TRUE(decode_poll_reply(R"({"running":[],"ended":[[)" +
+                                      std::string(invalid) +
+                                      R"(,"a.0.0.0",1,"done",""]]})")
                         .ended.empty())
-            << odd;
+            << invalid;
     }
 }
 
-// Readings beyond what a number holds had no defined value.
-TEST(order_inputs, readings_stay_within_bounds)
+// The conversion of measurements out of the integer range was undefined.
+TEST(order_inputs, measurements_are_clamped_to_their_range)
 {
-    auto const made = told_by_hold(
+    auto const reply = decode_poll_reply(
         R"({"running":[["a.0.0.0",1,"",1e300,-1e300],["a.0.0.1",1,"",-5,1e999],)"
         R"(["a.0.0.2",1,"",99.5,7.9],["a.0.0.3",1]],"ended":[]})");
-    ASSERT_EQ(made.running.size(), 4U);
-    EXPECT_EQ(made.running[0].progress_percent, 100U);
-    EXPECT_EQ(made.running[0].measurement, 0);
-    EXPECT_EQ(made.running[1].progress_percent, 0U);
-    EXPECT_LE(made.running[1].measurement, 1'000'000'000);
-    EXPECT_EQ(made.running[2].progress_percent, 99U);
-    EXPECT_EQ(made.running[2].measurement, 7);
-    EXPECT_EQ(made.running[3].progress_percent, 0U);
+    ASSERT_EQ(reply.running.size(), 4U);
+    EXPECT_EQ(reply.running[0].progress_percent, 100U);
+    EXPECT_EQ(reply.running[0].measurement, 0);
+    EXPECT_EQ(reply.running[1].progress_percent, 0U);
+    EXPECT_LE(reply.running[1].measurement, 1'000'000'000);
+    EXPECT_EQ(reply.running[2].progress_percent, 99U);
+    EXPECT_EQ(reply.running[2].measurement, 7);
+    EXPECT_EQ(reply.running[3].progress_percent, 0U);
 }
 
-// A worker whose list did not come whole was taken for one that runs nothing,
-// and its tasks were started a second time elsewhere.
-TEST(order_inputs, a_hold_without_its_lists_proves_nothing)
+// A worker whose list was incomplete counted as one that runs no tasks, and its
+// tasks were started a second time on other workers.
+TEST(order_inputs, poll_reply_without_complete_lists_is_unclear)
 {
-    EXPECT_EQ(told_by_hold(R"({"running":[],"ended":[]})").status,
+    EXPECT_EQ(decode_poll_reply(R"({"running":[],"ended":[]})").status,
               ports::order_status::done);
-    for (auto const* bad : {"",
-                            "{}",
-                            R"({"running":[]})",
-                            R"({"ended":[]})",
-                            R"({"running":{},"ended":[]})",
-                            R"({"running":[],"ended":null})",
-                            R"({"running":[7],"ended":[]})",
-                            R"({"running":[["a.0.0",1]],"ended":[]})",
-                            R"({"running":[["a.0.0.0"]],"ended":[]})"})
+    for (auto const* invalid : {"",
+                                "{}",
+                                R"({"running":[]})",
+                                R"({"ended":[]})",
+                                R"({"running":{},"ended":[]})",
+                                R"({"running":[],"ended":null})",
+                                R"({"running":[7],"ended":[]})",
+                                R"({"running":[["a.0.0",1]],"ended":[]})",
+                                R"({"running":[["a.0.0.0"]],"ended":[]})"})
     {
-        EXPECT_EQ(told_by_hold(bad).status, ports::order_status::unclear)
-            << bad;
-        EXPECT_TRUE(told_by_hold(bad).running.empty()) << bad;
+        EXPECT_EQ(decode_poll_reply(invalid).status,
+                  ports::order_status::unclear)
+            << invalid;
+        EXPECT_TRUE(decode_poll_reply(invalid).running.empty()) << invalid;
     }
 }
 
-// Taken for another incarnation, a worker's tasks were started elsewhere while
-// it ran them.
-TEST(order_inputs, an_answer_with_an_odd_incarnation_or_clock_proves_nothing)
+// A worker with a malformed incarnation counted as restarted, and its tasks
+// were started on other workers while it still ran them.
+TEST(order_inputs, poll_reply_with_an_invalid_incarnation_or_clock_is_unclear)
 {
-    for (auto const* odd : {"-1",
-                            "1.5",
-                            "\"7\"",
-                            "null",
-                            "1e300",
-                            "9223372036854775807",
-                            "18446744073709551615"})
+    for (auto const* invalid : {"-1",
+                                "1.5",
+                                "\"7\"",
+                                "null",
+                                "1e300",
+                                "9223372036854775807",
+                                "18446744073709551615"})
     {
         for (auto const* field : {"born", "clockMs"})
         {
-            EXPECT_EQ(told_by_hold("{\"" + std::string(field) + "\":" + odd +
-                                   R"(,"running":[],"ended":[]})")
+            EXPECT_EQ(decode_poll_reply("{\"" + std::string(field) +
+                                        "\":" + invalid +
+                                        R"(,"running":[],"ended":[]})")
                           .status,
                       ports::order_status::unclear)
-                << field << odd;
+                << field << invalid;
         }
     }
 }
 
-// One task under two names counts as two.
-TEST(order_inputs, a_task_has_one_name)
+// A task with two valid names would count as two tasks.
+TEST(order_inputs, task_name_with_leading_zeros_or_no_job_is_rejected)
 {
     for (auto const* other : {"a.00.0.0", "a.0.01.0", "a.0.0.007", ".0.0.0"})
     {
--- a/tests/contract/inputs/parser_robustness.cpp
+++ b/tests/contract/inputs/parser_robustness.cpp
@@ -16,18 +16,18 @@
 {
 
 constexpr std::uint64_t default_cases = 1000;
-constexpr std::size_t most_shown = 600;
+constexpr std::size_t max_printed_bytes = 600;
 
 std::uint64_t case_count()
 {
-    auto const* const set = std::getenv("FUCHSIA_INPUT_CASES");
-    std::string_view const text = set == nullptr ? "" : set;
+    auto const* const variable = std::getenv("FUCHSIA_INPUT_CASES");
+    std::string_view const text = variable == nullptr ? "" : variable;
     auto count = default_cases;
     std::from_chars(text.data(), text.data() + text.size(), count);
     return count;
 }
 
-std::string fault_of(input_check const& check, std::string const& input)
+std::string find_fault(input_check const& check, std::string const& input)
 {
     try
     {
@@ -35,13 +35,13 @@
     }
     catch (std::exception const& error)
     {
-        return std::string("it threw: ") + error.what();
+        return std::string("the check threw: ") + error.what();
     }
 }
 
-std::string shown(std::string const& input)
+std::string print_input(std::string const& input)
 {
-    return testing::PrintToString(input.substr(0, most_shown)) + " of " +
+    return testing::PrintToString(input.substr(0, max_printed_bytes)) + " of " +
            std::to_string(input.size()) + " bytes";
 }
 
@@ -52,15 +52,15 @@
 {
     for (auto const& sample : samples)
     {
-        ASSERT_EQ(fault_of(check, sample), "") << shown(sample);
+        ASSERT_EQ(find_fault(check, sample), "") << print_input(sample);
     }
     auto const cases = case_count();
     for (std::uint64_t seed = 1; seed <= cases; ++seed)
     {
         input_mutator mutator(seed);
         auto const input = mutator.mutated(samples[seed % samples.size()]);
-        ASSERT_EQ(fault_of(check, input), "")
-            << "seed " << seed << ": " << shown(input);
+        ASSERT_EQ(find_fault(check, input), "")
+            << "seed " << seed << ": " << print_input(input);
     }
 }
 
--- a/tests/contract/inputs/parser_robustness.hpp
+++ b/tests/contract/inputs/parser_robustness.hpp
@@ -8,12 +8,13 @@
 namespace fuchsia::tests::contract::inputs
 {
 
-/// What is wrong with how a parser took an input; empty: nothing.
+/// Parses an input and returns a description of the parser's fault; empty if
+/// there is none.
 using input_check = std::function<std::string(std::string const& input)>;
 
-/// Gives `check` every sample as it is and then damaged ones; the test fails at
-/// the first that it finds fault with or that makes it throw. Cases: 1,000, or
-/// as many as FUCHSIA_INPUT_CASES says.
+/// Calls `check` with every sample and then with mutated ones. The test fails
+/// at the first input for which `check` returns a fault or throws. The number
+/// of mutated inputs is 1,000 or the value of FUCHSIA_INPUT_CASES.
 void expect_robust_parser(std::vector<std::string> const& samples,
                           input_check const& check);
 
--- a/tests/contract/inputs/store_inputs_test.cpp
+++ b/tests/contract/inputs/store_inputs_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <string>
 
-// Odd answers of the store that were believed once.
+// Malformed responses of the store that were accepted in the past.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -13,38 +13,42 @@
 using core::common::failure;
 using core::common::result_code;
 
-ports::kv_status said_of(ports::kv_operation const& asked,
-                         std::string const& body)
+ports::kv_status status_of(ports::kv_operation const& operation,
+                           std::string const& body)
 {
     failure reason;
-    auto const made = platform::decode_kv_reply(asked, {200, {}, body}, reason);
-    EXPECT_EQ(made.status == ports::kv_status::unclear,
+    auto const reply =
+        platform::decode_kv_reply(operation, {200, {}, body}, reason);
+    EXPECT_EQ(reply.status == ports::kv_status::unclear,
               reason.code != result_code::ok)
         << body;
-    return made.status;
+    return reply.status;
 }
 
 } // namespace
 
-// Answers of the store that lack what their call returns were taken as whole:
-// a page counted as the last one, and an item without a key ended the process.
-TEST(store_inputs, a_page_of_the_store_is_whole_or_unclear)
+// Incomplete responses of the store were accepted as complete: a page counted
+// as the last one, and an item without a key terminated the process.
+TEST(store_inputs, incomplete_page_is_unclear)
 {
-    ports::kv_range const asked{"servers/", ""};
+    ports::kv_range const operation{"servers/", ""};
     auto const page = [](std::string const& item, std::string const& rest)
     {
         return R"({"items":[)" + item + "]," + rest + "}";
     };
-    std::string const good = R"({"key":"servers/a","value":"","revision":7})";
-    EXPECT_EQ(said_of(asked, page(good, R"("atRevision":9,"hasMore":true)")),
+    std::string const item_text =
+        R"({"key":"servers/a","value":"","revision":7})";
+    EXPECT_EQ(status_of(operation,
+                        page(item_text, R"("atRevision":9,"hasMore":true)")),
               ports::kv_status::done);
-    EXPECT_EQ(said_of(asked, page("", R"("atRevision":9,"hasMore":false)")),
-              ports::kv_status::done);
-    for (auto const& bad :
-         {page(good, R"("hasMore":false)"),
-          page(good, R"("atRevision":"9","hasMore":false)"),
-          page(good, R"("atRevision":-9,"hasMore":false)"),
-          page(good, R"("atRevision":9,"hasMore":1)"),
+    EXPECT_EQ(
+        status_of(operation, page("", R"("atRevision":9,"hasMore":false)")),
+        ports::kv_status::done);
+    for (auto const& invalid :
+         {page(item_text, R"("hasMore":false)"),
+          page(item_text, R"("atRevision":"9","hasMore":false)"),
+          page(item_text, R"("atRevision":-9,"hasMore":false)"),
+          page(item_text, R"("atRevision":9,"hasMore":1)"),
           page("", R"("atRevision":9,"hasMore":true)"),
           page("7", R"("atRevision":9)"),
           page(R"({"value":"","revision":7})", R"("atRevision":9)"),
@@ -58,30 +62,31 @@
           std::string("{}"),
           std::string("")})
     {
-        EXPECT_EQ(said_of(asked, bad), ports::kv_status::unclear) << bad;
+        EXPECT_EQ(status_of(operation, invalid), ports::kv_status::unclear)
+            << invalid;
     }
 }
 
-// A page that was answered again and again was read for ever, and the owner
-// never came to schedule.
-TEST(store_inputs, a_page_brings_its_reader_forward)
+// A page that the store returned repeatedly was read for ever, and the owner
+// never began to schedule.
+TEST(store_inputs, page_that_does_not_advance_the_read_is_unclear)
 {
     std::string const page =
         R"({"items":[{"key":"pool/b","revision":7}],"atRevision":9,)"
         R"("hasMore":true})";
     using ports::kv_status;
-    EXPECT_EQ(said_of(ports::kv_range{"pool/", ""}, page), kv_status::done);
-    EXPECT_EQ(said_of(ports::kv_range{"pool/", "pool/a"}, page),
+    EXPECT_EQ(status_of(ports::kv_range{"pool/", ""}, page), kv_status::done);
+    EXPECT_EQ(status_of(ports::kv_range{"pool/", "pool/a"}, page),
               kv_status::done);
-    EXPECT_EQ(said_of(ports::kv_range{"pool/", "pool/b"}, page),
+    EXPECT_EQ(status_of(ports::kv_range{"pool/", "pool/b"}, page),
               kv_status::unclear);
-    EXPECT_EQ(said_of(ports::kv_range{"pool/", "pool/c"}, page),
+    EXPECT_EQ(status_of(ports::kv_range{"pool/", "pool/c"}, page),
               kv_status::unclear);
 }
 
-// A page that ended with another writer's odd key made the next call one that
-// no server reads, and the list of workers was never read to its end.
-TEST(store_inputs, odd_keys_are_escaped_in_calls)
+// If the last key of a page had special characters, the next call was
+// malformed, and the list of workers was never read to its end.
+TEST(store_inputs, special_characters_in_keys_are_escaped)
 {
     EXPECT_EQ(platform::encode(ports::kv_range{"servers/", "servers/i-1.a:b_c"})
                   .target,
@@ -95,33 +100,36 @@
               "/v1/kv-watch?prefix=p%2B&after=3&waitMs=0");
 }
 
-// The same of the other calls.
-TEST(store_inputs, an_answer_of_the_store_holds_what_its_call_returns)
+// Incomplete responses to watches, reads, commits and lease grants were
+// accepted as complete, as those to range reads were.
+TEST(store_inputs, incomplete_response_is_unclear)
 {
     using ports::kv_status;
     ports::kv_watch const watch{"pool/", 3, {}};
-    EXPECT_EQ(said_of(watch, R"({"events":[],"atRevision":9})"),
+    EXPECT_EQ(status_of(watch, R"({"events":[],"atRevision":9})"),
               kv_status::done);
-    EXPECT_EQ(said_of(watch,
-                      R"({"events":[{"revision":9,"deleted":true}],)"
-                      R"("atRevision":9})"),
+    EXPECT_EQ(status_of(watch,
+                        R"({"events":[{"revision":9,"deleted":true}],)"
+                        R"("atRevision":9})"),
               kv_status::unclear);
-    EXPECT_EQ(said_of(watch, R"({"events":[]})"), kv_status::unclear);
-    EXPECT_EQ(said_of(watch, R"({"atRevision":9})"), kv_status::unclear);
+    EXPECT_EQ(status_of(watch, R"({"events":[]})"), kv_status::unclear);
+    EXPECT_EQ(status_of(watch, R"({"atRevision":9})"), kv_status::unclear);
     ports::kv_read const read{"roster", false};
-    EXPECT_EQ(said_of(read, R"({"key":"roster","revision":3,"atRevision":9})"),
-              kv_status::done);
-    EXPECT_EQ(said_of(read, R"({"key":"backlog","revision":3,"atRevision":9})"),
-              kv_status::unclear);
-    EXPECT_EQ(said_of(read, R"({"atRevision":9})"), kv_status::unclear);
-    EXPECT_EQ(said_of(read, ""), kv_status::unclear);
-    EXPECT_EQ(said_of(ports::kv_commit{}, R"({"revision":9})"),
+    EXPECT_EQ(
+        status_of(read, R"({"key":"roster","revision":3,"atRevision":9})"),
+        kv_status::done);
+    EXPECT_EQ(
+        status_of(read, R"({"key":"backlog","revision":3,"atRevision":9})"),
+        kv_status::unclear);
+    EXPECT_EQ(status_of(read, R"({"atRevision":9})"), kv_status::unclear);
+    EXPECT_EQ(status_of(read, ""), kv_status::unclear);
+    EXPECT_EQ(status_of(ports::kv_commit{}, R"({"revision":9})"),
               kv_status::done);
-    EXPECT_EQ(said_of(ports::kv_commit{}, "{}"), kv_status::unclear);
-    EXPECT_EQ(said_of(ports::kv_lease_grant{}, R"({"leaseId":9})"),
+    EXPECT_EQ(status_of(ports::kv_commit{}, "{}"), kv_status::unclear);
+    EXPECT_EQ(status_of(ports::kv_lease_grant{}, R"({"leaseId":9})"),
               kv_status::done);
-    EXPECT_EQ(said_of(ports::kv_lease_grant{}, "{}"), kv_status::unclear);
-    EXPECT_EQ(said_of(ports::kv_lease_renew{1}, "{}"), kv_status::done);
+    EXPECT_EQ(status_of(ports::kv_lease_grant{}, "{}"), kv_status::unclear);
+    EXPECT_EQ(status_of(ports::kv_lease_renew{1}, "{}"), kv_status::done);
 }
 
 } // namespace fuchsia::tests::contract::inputs
