--- a/src/adapters/platform/catalog_client.cpp
+++ b/src/adapters/platform/catalog_client.cpp
@@ -121,10 +121,10 @@
                                core::common::duration interval,
                                std::string member_service,
                                bool poll_upstreams,
-                               handler handle)
+                               handler on_list)
     : platform_endpoint_(std::move(platform_endpoint)), interval_(interval),
       member_service_(std::move(member_service)),
-      poll_upstreams_(poll_upstreams), handle_(std::move(handle)),
+      poll_upstreams_(poll_upstreams), on_list_(std::move(on_list)),
       client_(io, {}), timer_(io)
 {
 }
@@ -157,7 +157,7 @@
                   return;
               }
               list.received = requested_at;
-              handle_(std::move(list));
+              on_list_(std::move(list));
               schedule_poll();
           });
 }
@@ -173,7 +173,7 @@
               {
                   list.upstreams = std::move(*upstreams);
                   list.received = requested_at;
-                  handle_(std::move(list));
+                  on_list_(std::move(list));
               }
               schedule_poll();
           });
--- a/src/adapters/platform/catalog_client.hpp
+++ b/src/adapters/platform/catalog_client.hpp
@@ -36,7 +36,7 @@
                    core::common::duration interval,
                    std::string member_service,
                    bool poll_upstreams,
-                   handler handle);
+                   handler on_list);
 
     void start();
 
@@ -51,7 +51,7 @@
     core::common::duration interval_;
     std::string member_service_;
     bool poll_upstreams_;
-    handler handle_;
+    handler on_list_;
     http::client client_;
     runtime::timer timer_;
 };
--- a/src/adapters/platform/store_client.cpp
+++ b/src/adapters/platform/store_client.cpp
@@ -267,8 +267,8 @@
 
 store_client::store_client(boost::asio::io_context& io,
                            store_settings settings,
-                           handler handle)
-    : io_(io), settings_(std::move(settings)), handle_(std::move(handle)),
+                           handler on_reply)
+    : io_(io), settings_(std::move(settings)), on_reply_(std::move(on_reply)),
       client_(io, connection_settings(settings_)),
       watch_client_(io, connection_settings(settings_)),
       read_budget_(settings_.reads_per_second),
@@ -327,7 +327,7 @@
 void store_client::finish(std::uint64_t tag, ports::store_reply reply)
 {
     ++counts_.ends[static_cast<std::size_t>(reply.status)];
-    handle_(tag, std::move(reply));
+    on_reply_(tag, std::move(reply));
 }
 
 } // namespace fuchsia::adapters::platform
--- a/src/adapters/platform/store_client.hpp
+++ b/src/adapters/platform/store_client.hpp
@@ -51,7 +51,7 @@
 
     store_client(boost::asio::io_context& io,
                  store_settings settings,
-                 handler handle);
+                 handler on_reply);
 
     /// Sends `call`. The handler is called exactly once, with `tag` and the
     /// reply, and never from within `send`.
@@ -65,7 +65,7 @@
 
     boost::asio::io_context& io_;
     store_settings settings_;
-    handler handle_;
+    handler on_reply_;
     http::client client_;
     http::client watch_client_;
     call_budget read_budget_;
