--- a/standins/common/http_messages.cpp
+++ b/standins/common/http_messages.cpp
@@ -13,8 +13,8 @@
     unsigned value = 0;
     auto const* const end = digits.data() + digits.size();
     constexpr int base = 16;
-    auto const read = std::from_chars(digits.data(), end, value, base);
-    if (digits.size() != 2 || read.ec != std::errc() || read.ptr != end)
+    auto const result = std::from_chars(digits.data(), end, value, base);
+    if (digits.size() != 2 || result.ec != std::errc() || result.ptr != end)
     {
         return std::nullopt;
     }
@@ -24,20 +24,20 @@
 std::optional<std::string> decode(std::string_view text)
 {
     std::string decoded;
-    for (std::size_t at = 0; at < text.size(); ++at)
+    for (std::size_t position = 0; position < text.size(); ++position)
     {
-        if (text[at] != '%')
+        if (text[position] != '%')
         {
-            decoded += text[at];
+            decoded += text[position];
             continue;
         }
-        auto const value = hexadecimal(text.substr(at + 1, 2));
+        auto const value = hexadecimal(text.substr(position + 1, 2));
         if (!value)
         {
             return std::nullopt;
         }
         decoded += static_cast<char>(*value);
-        at += 2;
+        position += 2;
     }
     return decoded;
 }
@@ -62,12 +62,12 @@
 std::optional<std::string_view>
 request_target::after(std::string_view prefix) const
 {
-    std::string_view const whole = path;
-    if (!whole.starts_with(prefix))
+    std::string_view const full_path = path;
+    if (!full_path.starts_with(prefix))
     {
         return std::nullopt;
     }
-    return whole.substr(prefix.size());
+    return full_path.substr(prefix.size());
 }
 
 bool request_target::has(std::string_view key) const
@@ -89,18 +89,18 @@
 std::optional<request_target> parse_target(std::string_view target)
 {
     request_target parsed;
-    auto const mark = target.find('?');
-    auto const path = decode(target.substr(0, mark));
+    auto const query_start = target.find('?');
+    auto const path = decode(target.substr(0, query_start));
     if (!path)
     {
         return std::nullopt;
     }
     parsed.path = *path;
-    if (mark == std::string_view::npos)
+    if (query_start == std::string_view::npos)
     {
         return parsed;
     }
-    target.remove_prefix(mark + 1);
+    target.remove_prefix(query_start + 1);
     while (!target.empty())
     {
         auto const end = target.find('&');
@@ -118,8 +118,8 @@
 {
     std::uint64_t value = 0;
     auto const* const end = text.data() + text.size();
-    auto const read = std::from_chars(text.data(), end, value);
-    if (text.empty() || read.ec != std::errc() || read.ptr != end)
+    auto const result = std::from_chars(text.data(), end, value);
+    if (text.empty() || result.ec != std::errc() || result.ptr != end)
     {
         return std::nullopt;
     }
@@ -128,33 +128,34 @@
 
 adapters::http::response plain_response(std::uint16_t status, std::string text)
 {
-    adapters::http::response answer;
-    answer.status = status;
-    answer.body = std::move(text);
-    return answer;
+    adapters::http::response message;
+    message.status = status;
+    message.body = std::move(text);
+    return message;
 }
 
 adapters::http::response json_response(boost::json::value const& body)
 {
-    constexpr std::uint16_t good = 200;
-    return adapters::http::json_response(good, boost::json::serialize(body));
+    constexpr std::uint16_t ok_status = 200;
+    return adapters::http::json_response(ok_status,
+                                         boost::json::serialize(body));
 }
 
 adapters::http::response error_response(std::uint16_t status,
-                                        std::string_view why)
+                                        std::string_view reason)
 {
     return adapters::http::json_response(
-        status, boost::json::serialize(boost::json::object{{"why", why}}));
+        status, boost::json::serialize(boost::json::object{{"why", reason}}));
 }
 
 adapters::http::response counters_response(std::vector<counter_row> const& rows)
 {
-    boost::json::object books;
+    boost::json::object counters;
     for (auto const& row : rows)
     {
-        books[row.name] = row.count;
+        counters[row.name] = row.count;
     }
-    return json_response(books);
+    return json_response(counters);
 }
 
 } // namespace fuchsia::standins
--- a/standins/common/process_address.hpp
+++ b/standins/common/process_address.hpp
@@ -7,8 +7,8 @@
 namespace fuchsia::standins
 {
 
-/// A loopback address of this process alone, by its process id: tests that
-/// run at the same time can't take each other's ports.
+/// Returns a loopback address derived from the process id, so that tests that
+/// run at the same time cannot take each other's ports.
 inline std::string process_loopback_address()
 {
     auto const id = static_cast<std::uint32_t>(::getpid());
@@ -16,7 +16,7 @@
            std::to_string(id / 256 % 256) + "." + std::to_string(id % 256);
 }
 
-/// Ports of that address, one after the other.
+/// Returns the next port of the process's loopback address, counting upwards.
 inline std::uint16_t next_loopback_port()
 {
     static std::uint16_t next = 20'000;
--- a/standins/common/registrar.cpp
+++ b/standins/common/registrar.cpp
@@ -18,8 +18,8 @@
                      std::size_t count,
                      source describe)
     : platform_(std::move(platform)),
-      step_(interval /
-            static_cast<std::int64_t>(std::max<std::size_t>(1, count))),
+      spacing_(interval /
+               static_cast<std::int64_t>(std::max<std::size_t>(1, count))),
       count_(count), describe_(std::move(describe)), client_(io, {}), timer_(io)
 {
 }
@@ -28,7 +28,7 @@
 {
     if (count_ > 0)
     {
-        next();
+        register_next();
     }
 }
 
@@ -38,12 +38,12 @@
     client_.close();
 }
 
-void registrar::next()
+void registrar::register_next()
 {
-    auto const what = describe_(turn_);
-    turn_ = (turn_ + 1) % count_;
+    auto const registration = describe_(next_instance_);
+    next_instance_ = (next_instance_ + 1) % count_;
     boost::json::object meta;
-    for (auto const& [name, value] : what.meta)
+    for (auto const& [name, value] : registration.meta)
     {
         meta[name] = value;
     }
@@ -53,23 +53,24 @@
     call.message.method = "PUT";
     call.message.target = "/v1/agent/service/register";
     call.message.body = boost::json::serialize(
-        boost::json::object{{"ID", what.id},
-                            {"Name", what.name},
-                            {"Address", what.endpoint.address},
-                            {"Port", what.endpoint.port},
-                            {"Datacenter", what.data_centre},
+        boost::json::object{{"ID", registration.id},
+                            {"Name", registration.name},
+                            {"Address", registration.endpoint.address},
+                            {"Port", registration.endpoint.port},
+                            {"Datacenter", registration.data_centre},
                             {"Meta", std::move(meta)}});
-    // A registration that is lost is made again in the next interval.
+    // The response is ignored: a lost registration is repeated in the next
+    // interval.
     client_.send(
         std::move(call),
         [](ports::exchange_status, adapters::http::response const&) {});
-    timer_.expires_after(step_);
+    timer_.expires_after(spacing_);
     timer_.async_wait(
         [this](auto error)
         {
             if (!error)
             {
-                next();
+                register_next();
             }
         });
 }
--- a/standins/common/registrar.hpp
+++ b/standins/common/registrar.hpp
@@ -11,7 +11,7 @@
 namespace fuchsia::standins
 {
 
-/// One instance as the platform's catalog takes it.
+/// Registration of one instance in the platform's catalog.
 struct instance_registration
 {
     std::string id;
@@ -21,14 +21,16 @@
     std::vector<ports::header> meta;
 };
 
-/// Registers the instances of a stand-in with the platform's, each once in
-/// every interval, spread over it.
+/// Registers the instances of a stand-in with the stand-in platform. Each
+/// instance is registered once per interval, and the calls are spread evenly
+/// over the interval.
 class registrar
 {
 public:
     using source = std::function<instance_registration(std::size_t)>;
 
-    /// `describe(n)` tells what to register of instance n, below `count`.
+    /// `describe(n)` returns the registration of instance n, for n below
+    /// `count`.
     registrar(boost::asio::io_context& io,
               ports::endpoint platform,
               core::common::duration interval,
@@ -39,13 +41,13 @@
     void stop();
 
 private:
-    void next();
+    void register_next();
 
     ports::endpoint platform_;
-    core::common::duration step_;
+    core::common::duration spacing_; ///< Time between two registrations.
     std::size_t count_;
     source describe_;
-    std::size_t turn_ = 0;
+    std::size_t next_instance_ = 0;
     adapters::http::client client_;
     adapters::runtime::timer timer_;
 };
