--- a/standins/links/link_server.cpp
+++ b/standins/links/link_server.cpp
@@ -18,14 +18,14 @@
 
 link_server::link_server(boost::asio::io_context& io,
                          link_server_settings const& settings)
-    : where_(settings.control),
-      control_(
-          io,
-          {},
-          [this](request const& asked, adapters::http::responder const& answer)
-          {
-              answer(handle_control(asked));
-          })
+    : control_endpoint_(settings.control),
+      control_(io,
+               {},
+               [this](request const& http_request,
+                      adapters::http::responder const& respond)
+               {
+                   respond(handle_control(http_request));
+               })
 {
     for (auto const& link : settings.links)
     {
@@ -36,16 +36,16 @@
 std::optional<ports::endpoint>
 link_server::listen(core::common::failure& reason)
 {
-    for (auto const& each : relays_)
+    for (auto const& link : relays_)
     {
-        auto const where = each->listen(reason);
-        if (!where)
+        auto const bound = link->listen(reason);
+        if (!bound)
         {
             return std::nullopt;
         }
-        endpoints_.push_back(*where);
+        endpoints_.push_back(*bound);
     }
-    return control_.listen(where_, reason);
+    return control_.listen(control_endpoint_, reason);
 }
 
 std::vector<ports::endpoint> const& link_server::endpoints() const noexcept
@@ -56,27 +56,27 @@
 void link_server::stop()
 {
     control_.close();
-    for (auto const& each : relays_)
+    for (auto const& link : relays_)
     {
-        each->close();
+        link->close();
     }
 }
 
-link_server::response link_server::handle_control(request const& asked)
+link_server::response link_server::handle_control(request const& http_request)
 {
-    auto const target = parse_target(asked.target);
+    auto const target = parse_target(http_request.target);
     if (!target)
     {
         return error_response(bad_request, "malformed target");
     }
-    if (target->path == "/control/counts" && asked.method == "GET")
+    if (target->path == "/control/counts" && http_request.method == "GET")
     {
-        return books();
+        return report_counters();
     }
     if (auto const name = target->after("/control/links/");
-        name && asked.method == "POST")
+        name && http_request.method == "POST")
     {
-        return set_link(*name, asked.body);
+        return set_link(*name, http_request.body);
     }
     return error_response(not_found, "unknown control path");
 }
@@ -102,46 +102,47 @@
                                   : "cut is none, both, forward or backward");
     }
     bool found = false;
-    for (auto const& each : relays_)
+    for (auto const& link : relays_)
     {
-        if (name != "*" && each->name() != name)
+        if (name != "*" && link->name() != name)
         {
             continue;
         }
         found = true;
         if (json->contains("delay_ms"))
         {
-            each->set_delay(std::chrono::milliseconds(delay));
+            link->set_delay(std::chrono::milliseconds(delay));
         }
-        // A reset goes first: what waited in a cut is never delivered.
+        // The reset precedes the change of the cut, so that bytes queued during
+        // a cut are never delivered.
         if (reset)
         {
-            each->reset();
+            link->reset();
         }
         if (json->contains("cut"))
         {
-            each->set_cut(*cut);
+            link->set_cut(*cut);
         }
     }
     return found ? json_response(boost::json::object{{"set", true}})
                  : error_response(not_found, "no such link");
 }
 
-link_server::response link_server::books() const
+link_server::response link_server::report_counters() const
 {
-    link_counters sum;
-    for (auto const& each : relays_)
+    link_counters total;
+    for (auto const& link : relays_)
     {
-        auto const& books = each->counters();
-        sum.connections += books.connections;
-        sum.bytes += books.bytes;
-        sum.resets += books.resets;
-        sum.refused += books.refused;
+        auto const& link_counts = link->counters();
+        total.connections += link_counts.connections;
+        total.bytes += link_counts.bytes;
+        total.resets += link_counts.resets;
+        total.refused += link_counts.refused;
     }
-    return counters_response({{"connections", sum.connections},
-                              {"bytes", sum.bytes},
-                              {"resets", sum.resets},
-                              {"refused", sum.refused}});
+    return counters_response({{"connections", total.connections},
+                              {"bytes", total.bytes},
+                              {"resets", total.resets},
+                              {"refused", total.refused}});
 }
 
 } // namespace fuchsia::standins::links
--- a/standins/links/link_server.hpp
+++ b/standins/links/link_server.hpp
@@ -17,16 +17,17 @@
     std::vector<link_settings> links;
 };
 
-/// All relays and the port that delays, cuts and resets them.
+/// Runs all relays and an HTTP control port that delays, cuts and resets them.
 class link_server
 {
 public:
     link_server(boost::asio::io_context& io,
                 link_server_settings const& settings);
 
-    /// The control endpoint.
+    /// Starts listening and returns the control endpoint.
     std::optional<ports::endpoint> listen(core::common::failure& reason);
-    /// Where each link listens, in the order of the settings.
+    /// Returns the listening endpoint of each link, in the order of the
+    /// settings.
     std::vector<ports::endpoint> const& endpoints() const noexcept;
     void stop();
 
@@ -34,13 +35,13 @@
     using request = adapters::http::request;
     using response = adapters::http::response;
 
-    response handle_control(request const& asked);
+    response handle_control(request const& http_request);
     response set_link(std::string_view name, std::string const& body);
-    response books() const;
+    response report_counters() const;
 
     std::vector<std::shared_ptr<relay>> relays_;
     std::vector<ports::endpoint> endpoints_;
-    ports::endpoint where_;
+    ports::endpoint control_endpoint_;
     adapters::http::server control_;
 };
 
--- a/standins/links/relay.cpp
+++ b/standins/links/relay.cpp
@@ -24,7 +24,8 @@
 using error_code = boost::system::error_code;
 
 constexpr std::size_t chunk_bytes = 16 * 1024;
-constexpr core::common::duration connect_retry = std::chrono::milliseconds(20);
+constexpr core::common::duration connect_retry_interval =
+    std::chrono::milliseconds(20);
 
 struct cut_row
 {
@@ -53,82 +54,82 @@
     return std::nullopt;
 }
 
-// Carries bytes one way: reads chunks, lets each wait for its time, writes
-// them in order. The end of the stream travels as an empty chunk.
+// Transfers bytes in one direction: reads chunks, delays each one and writes
+// them in order. An empty chunk stands for the end of the stream.
 class relay::direction
 {
 public:
     direction(std::shared_ptr<relay> owner,
-              cut_state own_cut,
-              tcp::socket& from,
-              tcp::socket& to)
-        : owner_(std::move(owner)), own_cut_(own_cut), from_(from), to_(to),
-          timer_(owner_->io_)
+              cut_state blocking_cut,
+              tcp::socket& source,
+              tcp::socket& destination)
+        : owner_(std::move(owner)), blocking_cut_(blocking_cut),
+          source_(source), destination_(destination), timer_(owner_->io_)
     {
     }
 
-    // `keep` is the connection that this belongs to.
-    void read(std::shared_ptr<void> const& keep)
+    // `lifetime_guard` keeps the connection that owns this direction alive.
+    void read(std::shared_ptr<void> const& lifetime_guard)
     {
-        if (reading_ || ended_ || waiting_bytes_ >= limit())
+        if (reading_ || end_of_stream_ || queued_bytes_ >= limit())
         {
             return;
         }
         reading_ = true;
         auto buffer = std::make_shared<std::string>(chunk_bytes, '\0');
-        from_.async_read_some(
+        source_.async_read_some(
             asio::buffer(*buffer),
-            [this, keep, buffer](error_code error, std::size_t count)
+            [this, lifetime_guard, buffer](error_code error, std::size_t count)
             {
                 reading_ = false;
                 if (error == asio::error::operation_aborted)
                 {
                     return;
                 }
-                ended_ = static_cast<bool>(error);
+                end_of_stream_ = static_cast<bool>(error);
                 buffer->resize(error ? 0 : count);
-                waiting_bytes_ += buffer->size();
-                waiting_.push_back({clock::now() + owner_->settings_.delay,
-                                    std::move(*buffer)});
-                pump(keep);
-                read(keep);
+                queued_bytes_ += buffer->size();
+                queue_.push_back({clock::now() + owner_->settings_.delay,
+                                  std::move(*buffer)});
+                pump(lifetime_guard);
+                read(lifetime_guard);
             });
     }
 
-    void pump(std::shared_ptr<void> const& keep)
+    void pump(std::shared_ptr<void> const& lifetime_guard)
     {
-        if (writing_ || waiting_.empty() || is_cut())
+        if (writing_ || queue_.empty() || is_cut())
         {
             return;
         }
-        auto const due = waiting_.front().due;
+        auto const due = queue_.front().due;
         if (due > clock::now())
         {
             timer_.expires_at(due);
             timer_.async_wait(
-                [this, keep](error_code error)
+                [this, lifetime_guard](error_code error)
                 {
                     if (!error)
                     {
-                        pump(keep);
+                        pump(lifetime_guard);
                     }
                 });
             return;
         }
-        if (waiting_.front().bytes.empty())
+        if (queue_.front().bytes.empty())
         {
-            waiting_.pop_front();
+            queue_.pop_front();
             error_code ignored;
-            to_.shutdown(tcp::socket::shutdown_send, ignored);
+            destination_.shutdown(tcp::socket::shutdown_send, ignored);
             return;
         }
-        write(keep);
+        write(lifetime_guard);
     }
 
     void cancel()
     {
         timer_.cancel();
-        waiting_.clear();
+        queue_.clear();
     }
 
 private:
@@ -145,73 +146,75 @@
 
     bool is_cut() const
     {
-        return owner_->cut_ == cut_state::both || owner_->cut_ == own_cut_;
+        return owner_->cut_ == cut_state::both || owner_->cut_ == blocking_cut_;
     }
 
-    void write(std::shared_ptr<void> const& keep)
+    void write(std::shared_ptr<void> const& lifetime_guard)
     {
         writing_ = true;
         auto const chunk =
-            std::make_shared<std::string>(std::move(waiting_.front().bytes));
-        waiting_.pop_front();
+            std::make_shared<std::string>(std::move(queue_.front().bytes));
+        queue_.pop_front();
         asio::async_write(
-            to_,
+            destination_,
             asio::buffer(*chunk),
-            [this, keep, chunk](error_code error, std::size_t count)
+            [this, lifetime_guard, chunk](error_code error, std::size_t count)
             {
                 writing_ = false;
-                owner_->books_.bytes += count;
-                waiting_bytes_ -= chunk->size();
+                owner_->counters_.bytes += count;
+                queued_bytes_ -= chunk->size();
                 if (error)
                 {
                     error_code ignored;
-                    from_.close(ignored);
-                    to_.close(ignored);
+                    source_.close(ignored);
+                    destination_.close(ignored);
                     return;
                 }
-                pump(keep);
-                read(keep);
+                pump(lifetime_guard);
+                read(lifetime_guard);
             });
     }
 
     std::shared_ptr<relay> owner_;
-    cut_state own_cut_;
-    tcp::socket& from_;
-    tcp::socket& to_;
+    cut_state blocking_cut_;
+    tcp::socket& source_;
+    tcp::socket& destination_;
     adapters::runtime::timer timer_;
-    std::deque<chunk> waiting_;
-    std::size_t waiting_bytes_ = 0;
+    std::deque<chunk> queue_;
+    std::size_t queued_bytes_ = 0;
     bool reading_ = false;
     bool writing_ = false;
-    bool ended_ = false;
+    bool end_of_stream_ = false;
 };
 
 class relay::connection : public std::enable_shared_from_this<connection>
 {
 public:
-    connection(tcp::socket near, std::shared_ptr<relay> const& owner)
-        : owner_(owner), near_(std::move(near)), far_(owner->io_),
-          retry_(owner->io_), forward_(owner, cut_state::forward, near_, far_),
-          backward_(owner, cut_state::backward, far_, near_)
+    connection(tcp::socket client, std::shared_ptr<relay> const& owner)
+        : owner_(owner), client_(std::move(client)), server_(owner->io_),
+          retry_timer_(owner->io_),
+          forward_(owner, cut_state::forward, client_, server_),
+          backward_(owner, cut_state::backward, server_, client_)
     {
         error_code ignored;
-        near_.set_option(tcp::no_delay(true), ignored);
-        ++owner_->open_;
-        ++owner_->books_.connections;
+        client_.set_option(tcp::no_delay(true), ignored);
+        ++owner_->open_connections_;
+        ++owner_->counters_.connections;
     }
 
     ~connection()
     {
-        --owner_->open_;
+        --owner_->open_connections_;
     }
 
-    // A cut either way also stops the connection's own handshake.
+    // A cut in either direction also blocks the TCP handshake, so the
+    // connection attempt is retried until the link is no longer cut.
     void connect()
     {
         if (owner_->cut_ != cut_state::none)
         {
-            retry_.expires_after(connect_retry);
-            retry_.async_wait(
+            retry_timer_.expires_after(connect_retry_interval);
+            retry_timer_.async_wait(
                 [self = shared_from_this()](error_code error)
                 {
                     if (!error)
@@ -224,11 +227,11 @@
         error_code malformed;
         auto const& target = owner_->settings_.target;
         auto const address = asio::ip::make_address(target.address, malformed);
-        far_.async_connect({address, target.port},
-                           [self = shared_from_this()](error_code error)
-                           {
-                               self->on_connect(error);
-                           });
+        server_.async_connect({address, target.port},
+                              [self = shared_from_this()](error_code error)
+                              {
+                                  self->on_connect(error);
+                              });
     }
 
     void pump()
@@ -240,31 +243,31 @@
     void close()
     {
         error_code ignored;
-        retry_.cancel();
+        retry_timer_.cancel();
         forward_.cancel();
         backward_.cancel();
-        near_.close(ignored);
-        far_.close(ignored);
+        client_.close(ignored);
+        server_.close(ignored);
     }
 
 private:
     void on_connect(error_code error)
     {
-        if (error || !near_.is_open())
+        if (error || !client_.is_open())
         {
             close();
             return;
         }
         error_code ignored;
-        far_.set_option(tcp::no_delay(true), ignored);
+        server_.set_option(tcp::no_delay(true), ignored);
         forward_.read(shared_from_this());
         backward_.read(shared_from_this());
     }
 
     std::shared_ptr<relay> owner_;
-    tcp::socket near_;
-    tcp::socket far_;
-    adapters::runtime::timer retry_;
+    tcp::socket client_;
+    tcp::socket server_;
+    adapters::runtime::timer retry_timer_;
     direction forward_;
     direction backward_;
 };
@@ -291,21 +294,21 @@
     acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
-            if (self->open_ < self->settings_.connections)
+            if (self->open_connections_ < self->settings_.connections)
             {
-                auto const made =
+                auto const accepted =
                     std::make_shared<connection>(std::move(socket), self);
                 std::erase_if(self->connections_,
                               [](auto const& weak)
                               {
                                   return weak.expired();
                               });
-                self->connections_.push_back(made);
-                made->connect();
+                self->connections_.push_back(accepted);
+                accepted->connect();
             }
             else
             {
-                ++self->books_.refused;
+                ++self->counters_.refused;
             }
             self->accept();
         });
@@ -321,21 +324,21 @@
     cut_ = cut;
     for (auto const& weak : connections_)
     {
-        if (auto const open = weak.lock())
+        if (auto const active = weak.lock())
         {
-            open->pump();
+            active->pump();
         }
     }
 }
 
 void relay::reset()
 {
-    ++books_.resets;
+    ++counters_.resets;
     for (auto const& weak : std::exchange(connections_, {}))
     {
-        if (auto const open = weak.lock())
+        if (auto const active = weak.lock())
         {
-            open->close();
+            active->close();
         }
     }
 }
@@ -353,7 +356,7 @@
 
 link_counters const& relay::counters() const noexcept
 {
-    return books_;
+    return counters_;
 }
 
 } // namespace fuchsia::standins::links
--- a/standins/links/relay.hpp
+++ b/standins/links/relay.hpp
@@ -16,7 +16,8 @@
 namespace fuchsia::standins::links
 {
 
-/// Which way bytes no longer pass. `forward` is from the side that connects.
+/// Directions in which a link passes no bytes. `forward` is the direction from
+/// the side that opened the connection.
 enum class cut_state : std::uint8_t
 {
     none,
@@ -32,11 +33,11 @@
     std::string name;
     ports::endpoint listen;
     ports::endpoint target;
-    core::common::duration delay{}; ///< One way.
-    /// Bytes that wait in one direction of one connection; beyond them the
-    /// sender is not read.
+    core::common::duration delay{}; ///< Added latency in each direction.
+    /// Maximum number of queued bytes per direction of a connection. When the
+    /// queue is full, the relay stops reading from the sender.
     std::size_t buffer_bytes = 256 * 1024;
-    std::uint32_t connections = 2'000;
+    std::uint32_t connections = 2'000; ///< Maximum number of open connections.
 };
 
 struct link_counters
@@ -44,14 +45,14 @@
     std::uint64_t connections = 0;
     std::uint64_t bytes = 0;
     std::uint64_t resets = 0;
-    std::uint64_t refused = 0;
+    std::uint64_t refused = 0; ///< Connections beyond the maximum.
 };
 
-/// Passes the bytes of TCP connections on to `target`, late or not at all.
+/// Forwards TCP connections to `target`, with a delay or not at all.
 ///
-/// A cut looks to both ends like a network that lost its path: connections
-/// stay open and bytes wait. A reset closes all connections and drops what
-/// waits in them.
+/// To both ends a cut looks like a network partition: connections stay open and
+/// bytes are queued. A reset closes all connections and discards the bytes
+/// queued in them.
 class relay : public std::enable_shared_from_this<relay>
 {
 public:
@@ -78,8 +79,8 @@
     cut_state cut_ = cut_state::none;
     adapters::runtime::acceptor acceptor_;
     std::vector<std::weak_ptr<connection>> connections_;
-    link_counters books_;
-    std::uint32_t open_ = 0;
+    link_counters counters_;
+    std::uint32_t open_connections_ = 0;
 };
 
 } // namespace fuchsia::standins::links
