--- a/standins/platform/call_rate.hpp
+++ b/standins/platform/call_rate.hpp
@@ -7,8 +7,8 @@
 namespace fuchsia::standins::platform
 {
 
-/// Token bucket: `per_second` calls a second, at most one second's worth at
-/// once.
+/// Token bucket that admits `per_second` calls per second, with bursts of at
+/// most one second's calls.
 class call_rate
 {
 public:
@@ -17,12 +17,13 @@
     {
     }
 
-    /// Takes one call's token; false where the bound is reached.
+    /// Consumes the token of one call. Returns false if the rate limit is
+    /// reached.
     bool admit(core::common::time_point now)
     {
-        std::chrono::duration<double> const gone = now - filled_;
-        tokens_ = std::min(per_second_, tokens_ + gone.count() * per_second_);
-        filled_ = now;
+        std::chrono::duration<double> const elapsed = now - last_refill_;
+        tokens_ = std::min(per_second_, tokens_ + elapsed.count() * per_second_);
+        last_refill_ = now;
         if (tokens_ < 1.0)
         {
             return false;
@@ -34,7 +35,7 @@
 private:
     double per_second_;
     double tokens_;
-    core::common::time_point filled_{};
+    core::common::time_point last_refill_{};
 };
 
 } // namespace fuchsia::standins::platform
--- a/standins/platform/catalog.cpp
+++ b/standins/platform/catalog.cpp
@@ -22,14 +22,15 @@
     {listed_state::gone, "gone"},
 }};
 
-/// Age of the instance's own report: what it said itself, and the time since.
+/// Returns the age of the instance's report in milliseconds: the age that the
+/// instance reported plus the time since its registration.
 std::string report_age(catalog_entry const& entry, core::common::time_point now)
 {
-    std::int64_t age = core::common::to_milliseconds(now - entry.registered);
-    auto const said = entry.meta.find("report_age_ms");
-    if (said != entry.meta.end())
+    std::int64_t age = core::common::to_milliseconds(now - entry.registered_at);
+    auto const reported = entry.meta.find("report_age_ms");
+    if (reported != entry.meta.end())
     {
-        age += std::strtoll(said->second.c_str(), nullptr, 10);
+        age += std::strtoll(reported->second.c_str(), nullptr, 10);
     }
     return std::to_string(age);
 }
@@ -54,7 +55,7 @@
 
 bool catalog::register_entry(core::common::time_point now, catalog_entry entry)
 {
-    entry.registered = now;
+    entry.registered_at = now;
     bool const is_new = entries_.find(entry.id) == entries_.end();
     if (is_new && entries_.size() >= settings_.entries)
     {
@@ -79,18 +80,20 @@
 void catalog::tick(core::common::time_point now)
 {
     std::erase_if(entries_,
-                  [&](auto const& each)
+                  [&](auto const& candidate)
                   {
-                      return now - each.second.registered >= settings_.lifetime;
+                      return now - candidate.second.registered_at >=
+                             settings_.lifetime;
                   });
-    if (!pictures_.empty() && now - pictures_.back().taken < picture_interval)
+    if (!snapshots_.empty() &&
+        now - snapshots_.back().taken_at < snapshot_interval)
     {
         return;
     }
-    pictures_.push_back({now, std::make_shared<picture const>(entries_)});
-    while (pictures_.size() > 1 && now - pictures_[1].taken > max_lag)
+    snapshots_.push_back({now, std::make_shared<snapshot const>(entries_)});
+    while (snapshots_.size() > 1 && now - snapshots_[1].taken_at > max_lag)
     {
-        pictures_.pop_front();
+        snapshots_.pop_front();
     }
 }
 
@@ -103,7 +106,7 @@
 {
     if (frozen && !frozen_)
     {
-        frozen_picture_ = std::make_shared<picture const>(entries_);
+        frozen_snapshot_ = std::make_shared<snapshot const>(entries_);
     }
     frozen_ = frozen;
 }
@@ -116,23 +119,23 @@
     }
 }
 
-std::shared_ptr<catalog::picture const>
+std::shared_ptr<catalog::snapshot const>
 catalog::visible(core::common::time_point now) const
 {
     if (frozen_)
     {
-        return frozen_picture_;
+        return frozen_snapshot_;
     }
     if (lag_ == core::common::duration{})
     {
-        return std::make_shared<picture const>(entries_);
+        return std::make_shared<snapshot const>(entries_);
     }
-    auto newest = std::make_shared<picture const>();
-    for (auto const& each : pictures_)
+    auto newest = std::make_shared<snapshot const>();
+    for (auto const& candidate : snapshots_)
     {
-        if (each.taken <= now - lag_)
+        if (candidate.taken_at <= now - lag_)
         {
-            newest = each.what;
+            newest = candidate.content;
         }
     }
     return newest;
@@ -142,8 +145,8 @@
                                          std::string_view name) const
 {
     std::vector<catalog_entry> listed;
-    auto const shown = visible(now);
-    for (auto const& [id, entry] : *shown)
+    auto const visible_entries = visible(now);
+    for (auto const& [id, entry] : *visible_entries)
     {
         auto const fault = overrides_.find(id);
         bool const overridden = fault != overrides_.end();
--- a/standins/platform/catalog.hpp
+++ b/standins/platform/catalog.hpp
@@ -11,7 +11,8 @@
 #include <string_view>
 #include <vector>
 
-// The platform's lagging list of instances, without its sockets.
+// The platform's catalog of instances, which may lag behind the registrations.
+// It uses no sockets.
 namespace fuchsia::standins::platform
 {
 
@@ -19,15 +20,15 @@
 struct catalog_entry
 {
     std::string id;
-    std::string name; ///< Of the service: upstream, fuchsia-entry and so on.
+    std::string name; ///< Name of the service, such as upstream, fuchsia-entry.
     std::string address;
     std::uint16_t port = 0;
     std::string data_centre;
     std::map<std::string, std::string> meta;
-    core::common::time_point registered{};
+    core::common::time_point registered_at{};
 };
 
-/// What a fault says of one instance instead of the truth.
+/// State that an injected fault lists for an instance in place of the real one.
 enum class listed_state : std::uint8_t
 {
     live,
@@ -39,53 +40,55 @@
 
 struct catalog_settings
 {
-    /// An entry that is not registered again within this time drops out.
+    /// Time after which an entry that is not registered again is removed.
     core::common::duration lifetime = std::chrono::seconds(5);
-    std::size_t entries = 20'000;
+    std::size_t entries = 20'000; ///< Maximum number of entries.
 };
 
-/// Instances by id; what is listed is what was true `lag` ago.
+/// Instances by id. The list shows the registrations as they were `lag` ago.
 class catalog
 {
 public:
-    static constexpr core::common::duration picture_interval =
+    /// Time between two snapshots of the entries.
+    static constexpr core::common::duration snapshot_interval =
         std::chrono::milliseconds(200);
+    /// Longest lag, and the time for which snapshots are retained.
     static constexpr core::common::duration max_lag = std::chrono::seconds(60);
 
     explicit catalog(catalog_settings settings = {});
 
-    /// False where the catalog is full.
+    /// Adds or renews an entry. Returns false if the catalog is full.
     bool register_entry(core::common::time_point now, catalog_entry entry);
     bool deregister(std::string_view id);
-    /// Drops entries whose lifetime is over and takes the picture that a
-    /// lagging list shows later.
+    /// Removes expired entries and, once per `snapshot_interval`, takes the
+    /// snapshot that a lagging list shows later.
     void tick(core::common::time_point now);
 
     void set_lag(core::common::duration lag);
     void set_frozen(bool frozen);
     void override_state(std::string id, listed_state state);
 
-    /// The entries of a service as the list has them now, each with
-    /// `report_age_ms` among its meta.
+    /// Returns the listed entries of a service, each with `report_age_ms` in
+    /// its metadata.
     std::vector<catalog_entry> list(core::common::time_point now,
                                     std::string_view name) const;
 
 private:
-    using picture = std::map<std::string, catalog_entry, std::less<>>;
-    struct dated_picture
+    using snapshot = std::map<std::string, catalog_entry, std::less<>>;
+    struct dated_snapshot
     {
-        core::common::time_point taken{};
-        std::shared_ptr<picture const> what;
+        core::common::time_point taken_at{};
+        std::shared_ptr<snapshot const> content;
     };
 
-    std::shared_ptr<picture const> visible(core::common::time_point now) const;
+    std::shared_ptr<snapshot const> visible(core::common::time_point now) const;
 
     catalog_settings settings_;
-    picture entries_;
-    std::deque<dated_picture> pictures_;
+    snapshot entries_;
+    std::deque<dated_snapshot> snapshots_;
     core::common::duration lag_{};
     bool frozen_ = false;
-    std::shared_ptr<picture const> frozen_picture_;
+    std::shared_ptr<snapshot const> frozen_snapshot_;
     std::map<std::string, listed_state, std::less<>> overrides_;
 };
 
--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -25,7 +25,7 @@
 adapters::http::server_limits limits()
 {
     adapters::http::server_limits limits;
-    // A value of a megabyte in base64 within its transaction.
+    // Fits a transaction with a value of 1 MiB in base64.
     limits.body_bytes = 2 * 1024 * 1024;
     limits.connections = 10'000;
     return limits;
@@ -39,9 +39,9 @@
       catalog_(settings_.instances),
       server_(io,
               limits(),
-              [this](request asked, responder answer)
+              [this](request http_request, responder respond)
               {
-                  handle(std::move(asked), std::move(answer));
+                  handle(std::move(http_request), std::move(respond));
               }),
       tick_timer_(io), probe_timer_(io)
 {
@@ -50,135 +50,140 @@
 std::optional<ports::endpoint>
 platform_server::listen(core::common::failure& reason)
 {
-    auto where = server_.listen(settings_.listen, reason);
-    if (where)
+    auto bound = server_.listen(settings_.listen, reason);
+    if (bound)
     {
         tick();
         probe_all();
     }
-    return where;
+    return bound;
 }
 
 void platform_server::stop()
 {
     tick_timer_.cancel();
     probe_timer_.cancel();
-    held_.clear();
+    held_responders_.clear();
     server_.close();
 }
 
-void platform_server::handle(request asked, responder answer)
+void platform_server::handle(request http_request, responder respond)
 {
-    auto target = parse_target(asked.target);
+    auto target = parse_target(http_request.target);
     if (!target)
     {
-        answer(error_response(bad_request, "malformed target"));
+        respond(error_response(bad_request, "malformed target"));
         return;
     }
     if (target->path.starts_with("/control/"))
     {
-        answer(handle_control(*target, asked));
+        respond(handle_control(*target, http_request));
         return;
     }
     auto const& faults = store_.faults();
     if (faults.down)
     {
-        return; // The dropped responder closes the connection.
+        return; // Destroying the responder closes the connection.
     }
     if (faults.slow_ms > 0)
     {
-        handle_slowly(std::move(asked), std::move(*target), std::move(answer));
+        handle_slowly(
+            std::move(http_request), std::move(*target), std::move(respond));
         return;
     }
-    handle_platform(*target, asked, answer);
+    handle_platform(*target, http_request, respond);
 }
 
-// Half the delay comes before the effect and half after it: a caller that has
-// given up meanwhile can be wrong either way.
-void platform_server::handle_slowly(request asked,
+// Half of the delay precedes the change and half follows it, so a caller whose
+// call timed out cannot tell whether the change was made.
+void platform_server::handle_slowly(request http_request,
                                     request_target target,
-                                    responder answer)
+                                    responder respond)
 {
     core::common::duration const half =
         std::chrono::milliseconds(store_.faults().slow_ms) / 2;
-    auto const later = std::make_shared<adapters::runtime::timer>(io_, half);
-    auto late_answer =
-        [this, later, half, answer = std::move(answer)](response what)
-    {
-        later->expires_after(half);
-        later->async_wait(
-            [this, later, answer, what = std::move(what)](auto error)
+    auto const delay_timer =
+        std::make_shared<adapters::runtime::timer>(io_, half);
+    auto late_responder =
+        [this, delay_timer, half, respond = std::move(respond)](
+            response message)
+    {
+        delay_timer->expires_after(half);
+        delay_timer->async_wait(
+            [this, delay_timer, respond, message = std::move(message)](
+                auto error)
             {
                 if (!error && !store_.faults().down)
                 {
-                    answer(what);
+                    respond(message);
                 }
             });
     };
-    later->async_wait(
+    delay_timer->async_wait(
         [this,
-         later,
-         asked = std::move(asked),
+         delay_timer,
+         http_request = std::move(http_request),
          target = std::move(target),
-         late_answer](auto error)
+         late_responder](auto error)
         {
             if (!error && !store_.faults().down)
             {
-                handle_platform(target, asked, late_answer);
+                handle_platform(target, http_request, late_responder);
             }
         });
 }
 
 void platform_server::handle_platform(request_target const& target,
-                                      request const& asked,
-                                      responder const& answer)
+                                      request const& http_request,
+                                      responder const& respond)
 {
     if (!store_service::serves(target.path))
     {
-        answer(handle_catalog(target, asked));
+        respond(handle_catalog(target, http_request));
         return;
     }
-    auto result = store_.handle(clock::now(), target, asked);
-    if (auto* later = std::get_if<deferred_response>(&result))
+    auto result = store_.handle(clock::now(), target, http_request);
+    if (auto* deferred = std::get_if<deferred_response>(&result))
     {
-        held_.emplace(later->query.number, answer);
+        held_responders_.emplace(deferred->query.number, respond);
     }
     else if (auto* now = std::get_if<response>(&result))
     {
-        answer(std::move(*now));
+        respond(std::move(*now));
     }
-    answer_due();
+    answer_due_queries();
 }
 
-void platform_server::answer_due()
+void platform_server::answer_due_queries()
 {
     for (auto const& query : store_.take_due(clock::now()))
     {
-        auto const found = held_.find(query.number);
-        if (found != held_.end())
+        auto const found = held_responders_.find(query.number);
+        if (found != held_responders_.end())
         {
-            auto const answer = std::move(found->second);
-            held_.erase(found);
-            answer(store_.respond_to_held(query));
+            auto const respond = std::move(found->second);
+            held_responders_.erase(found);
+            respond(store_.respond_to_held(query));
         }
     }
 }
 
 platform_server::response
 platform_server::handle_catalog(request_target const& target,
-                                request const& asked)
+                                request const& http_request)
 {
     if (auto const name = target.after(service_path);
-        name && asked.method == "GET")
+        name && http_request.method == "GET")
     {
         return list_instances(*name);
     }
-    if (target.path == "/v1/agent/service/register" && asked.method == "PUT")
+    if (target.path == "/v1/agent/service/register" &&
+        http_request.method == "PUT")
     {
-        return register_instance(asked.body);
+        return register_instance(http_request.body);
     }
     if (auto const id = target.after(deregister_path);
-        id && asked.method == "PUT")
+        id && http_request.method == "PUT")
     {
         catalog_.deregister(*id);
         return json_response(true);
@@ -207,9 +212,9 @@
     if (auto const* meta = reader.object("Meta"))
     {
         json_reader values(*meta, "service.Meta");
-        for (auto const& each : *meta)
+        for (auto const& pair : *meta)
         {
-            entry.meta[std::string(each.key())] = values.text(each.key());
+            entry.meta[std::string(pair.key())] = values.text(pair.key());
         }
         if (!values.ok())
         {
@@ -250,23 +255,23 @@
 
 platform_server::response
 platform_server::handle_control(request_target const& target,
-                                request const& asked)
+                                request const& http_request)
 {
-    if (target.path == "/control/counts" && asked.method == "GET")
+    if (target.path == "/control/counts" && http_request.method == "GET")
     {
-        return books();
+        return report_counters();
     }
-    if (asked.method != "POST")
+    if (http_request.method != "POST")
     {
         return error_response(not_found, "unknown control path");
     }
     if (target.path == "/control/faults")
     {
-        return set_faults(asked.body);
+        return set_faults(http_request.body);
     }
     if (auto const id = target.after("/control/instances/"))
     {
-        return set_instance(*id, asked.body);
+        return set_instance(*id, http_request.body);
     }
     constexpr std::string_view expire = "/expire";
     auto session = target.after("/control/sessions/");
@@ -274,7 +279,7 @@
     {
         session->remove_suffix(expire.size());
         bool const ended = store_.expire_session(*session);
-        answer_due();
+        answer_due_queries();
         return ended ? json_response(boost::json::object{{"expired", true}})
                      : error_response(not_found, "no such session");
     }
@@ -322,11 +327,11 @@
     }
     if (faults.down)
     {
-        for (auto const& [number, answer] : held_)
+        for (auto const& [number, respond] : held_responders_)
         {
-            store_.drop_held(number);
+            store_.drop_query(number);
         }
-        held_.clear();
+        held_responders_.clear();
     }
     return json_response(boost::json::object{{"set", true}});
 }
@@ -351,18 +356,18 @@
     return json_response(boost::json::object{{"set", true}});
 }
 
-platform_server::response platform_server::books() const
+platform_server::response platform_server::report_counters() const
 {
-    auto const& counts = store_.counters();
-    return counters_response({{"reads", counts.reads},
-                              {"lists", counts.lists},
-                              {"writes", counts.writes},
-                              {"erases", counts.erases},
-                              {"watches", counts.watches},
-                              {"conflicts", counts.conflicts},
-                              {"over_bound", counts.rate_limited},
-                              {"lost_answers", counts.dropped_responses},
-                              {"sessions", counts.sessions},
+    auto const& counters = store_.counters();
+    return counters_response({{"reads", counters.reads},
+                              {"lists", counters.lists},
+                              {"writes", counters.writes},
+                              {"erases", counters.erases},
+                              {"watches", counters.watches},
+                              {"conflicts", counters.conflicts},
+                              {"over_bound", counters.rate_limited},
+                              {"lost_answers", counters.dropped_responses},
+                              {"sessions", counters.sessions},
                               {"catalog_lists", catalog_lists_},
                               {"registrations", registrations_}});
 }
@@ -370,7 +375,7 @@
 void platform_server::tick()
 {
     catalog_.tick(clock::now());
-    answer_due();
+    answer_due_queries();
     tick_timer_.expires_after(tick_interval);
     tick_timer_.async_wait(
         [this](auto error)
@@ -404,40 +409,40 @@
     struct attempt
     {
         asio::ip::tcp::socket socket;
-        adapters::runtime::timer limit;
+        adapters::runtime::timer timeout;
     };
-    auto const open = std::make_shared<attempt>(
+    auto const current = std::make_shared<attempt>(
         attempt{asio::ip::tcp::socket(io_),
                 adapters::runtime::timer(io_, probe_timeout)});
-    open->limit.async_wait(
-        [open](auto error)
+    current->timeout.async_wait(
+        [current](auto error)
         {
             boost::system::error_code ignored;
             if (!error)
             {
-                open->socket.close(ignored);
+                current->socket.close(ignored);
             }
         });
     boost::system::error_code malformed;
     auto const address =
         asio::ip::make_address(target.endpoint.address, malformed);
-    open->socket.async_connect({address, target.endpoint.port},
-                               [this, open, &target](auto error)
-                               {
-                                   open->limit.cancel();
-                                   if (!error)
-                                   {
-                                       catalog_.register_entry(
-                                           clock::now(),
-                                           {target.id,
-                                            target.name,
-                                            target.endpoint.address,
-                                            target.endpoint.port,
-                                            target.data_centre,
-                                            {{"state", "live"}},
-                                            {}});
-                                   }
-                               });
+    current->socket.async_connect({address, target.endpoint.port},
+                                  [this, current, &target](auto error)
+                                  {
+                                      current->timeout.cancel();
+                                      if (!error)
+                                      {
+                                          catalog_.register_entry(
+                                              clock::now(),
+                                              {target.id,
+                                               target.name,
+                                               target.endpoint.address,
+                                               target.endpoint.port,
+                                               target.data_centre,
+                                               {{"state", "live"}},
+                                               {}});
+                                      }
+                                  });
 }
 
 } // namespace fuchsia::standins::platform
--- a/standins/platform/platform_server.hpp
+++ b/standins/platform/platform_server.hpp
@@ -14,11 +14,11 @@
 namespace fuchsia::standins::platform
 {
 
-/// One instance that the platform itself finds alive by connecting to it.
+/// Instance that the platform itself checks by connecting to it.
 struct probe_target
 {
     std::string id;
-    std::string name; ///< Of its service.
+    std::string name; ///< Name of the service.
     ports::endpoint endpoint;
     std::string data_centre;
 };
@@ -32,14 +32,15 @@
     core::common::duration probe_interval = std::chrono::seconds(1);
 };
 
-/// The platform's store, instance list and faults behind one HTTP port.
+/// Serves the platform's store, its catalog of instances and the control of
+/// injected faults on one HTTP port.
 class platform_server
 {
 public:
     platform_server(boost::asio::io_context& io, platform_settings settings);
 
     std::optional<ports::endpoint> listen(core::common::failure& reason);
-    /// Answers what is held and closes.
+    /// Drops the blocking queries that wait, and closes the server.
     void stop();
 
 private:
@@ -47,19 +48,19 @@
     using response = adapters::http::response;
     using responder = adapters::http::responder;
 
-    void handle(request asked, responder answer);
+    void handle(request http_request, responder respond);
     void handle_platform(request_target const& target,
-                         request const& asked,
-                         responder const& answer);
-    void handle_slowly(request asked, request_target target, responder answer);
-    response handle_control(request_target const& target, request const& asked);
-    response handle_catalog(request_target const& target, request const& asked);
+                         request const& http_request,
+                         responder const& respond);
+    void handle_slowly(request http_request, request_target target, responder respond);
+    response handle_control(request_target const& target, request const& http_request);
+    response handle_catalog(request_target const& target, request const& http_request);
     response register_instance(std::string const& body);
     response list_instances(std::string_view name);
     response set_faults(std::string const& body);
     response set_instance(std::string_view id, std::string const& body);
-    response books() const;
-    void answer_due();
+    response report_counters() const;
+    void answer_due_queries();
     void tick();
     void probe_all();
     void probe(probe_target const& target);
@@ -71,7 +72,8 @@
     adapters::http::server server_;
     adapters::runtime::timer tick_timer_;
     adapters::runtime::timer probe_timer_;
-    std::map<std::uint64_t, responder> held_;
+    /// Responders of blocking queries, by the number of the query.
+    std::map<std::uint64_t, responder> held_responders_;
     std::uint64_t catalog_lists_ = 0;
     std::uint64_t registrations_ = 0;
 };
--- a/standins/platform/store_service.cpp
+++ b/standins/platform/store_service.cpp
@@ -25,15 +25,15 @@
 constexpr core::common::duration max_wait = std::chrono::minutes(10);
 constexpr core::common::duration default_wait = std::chrono::minutes(5);
 
-/// "10s", "500ms" or "2m".
+/// Parses a duration such as "10s", "500ms" or "2m".
 std::optional<core::common::duration> parse_wait(std::string_view text)
 {
-    auto const digits = text.find_first_not_of("0123456789");
-    auto const number = parse_number(text.substr(0, digits));
+    auto const unit_start = text.find_first_not_of("0123456789");
+    auto const number = parse_number(text.substr(0, unit_start));
     auto const unit =
-        digits == std::string_view::npos ? "" : text.substr(digits);
-    constexpr std::uint64_t most = 86'400'000;
-    if (!number || *number > most)
+        unit_start == std::string_view::npos ? "" : text.substr(unit_start);
+    constexpr std::uint64_t max_count = 86'400'000; // One day in ms.
+    if (!number || *number > max_count)
     {
         return std::nullopt;
     }
@@ -75,7 +75,7 @@
     return json;
 }
 
-/// The one operation of a transaction.
+/// The only operation of a transaction.
 struct operation
 {
     std::string verb;
@@ -94,8 +94,9 @@
         adapters::platform::from_base64(reader.text_or("Value", ""));
     parsed.expected = static_cast<std::uint64_t>(reader.integer_or(
         "Index", 0, 0, std::numeric_limits<std::int64_t>::max()));
-    bool const known = parsed.verb == "cas" || parsed.verb == "delete-cas";
-    if (!reader.ok() || !value || !known)
+    bool const is_supported =
+        parsed.verb == "cas" || parsed.verb == "delete-cas";
+    if (!reader.ok() || !value || !is_supported)
     {
         return std::nullopt;
     }
@@ -169,14 +170,14 @@
 bool store_service::admit_read(core::common::time_point now)
 {
     bool const admitted = read_rate_.admit(now);
-    books_.rate_limited += admitted ? 0 : 1;
+    counters_.rate_limited += admitted ? 0 : 1;
     return admitted;
 }
 
 bool store_service::admit_write(core::common::time_point now)
 {
     bool const admitted = write_rate_.admit(now);
-    books_.rate_limited += admitted ? 0 : 1;
+    counters_.rate_limited += admitted ? 0 : 1;
     return admitted;
 }
 
@@ -185,9 +186,9 @@
 {
     bool const recurse = target.has("recurse");
     bool const watch = target.has("index");
-    auto& counter = watch     ? books_.watches
-                    : recurse ? books_.lists
-                              : books_.reads;
+    auto& counter = watch     ? counters_.watches
+                    : recurse ? counters_.lists
+                              : counters_.reads;
     ++counter;
     if (!admit_read(now))
     {
@@ -196,7 +197,7 @@
     auto const key = *target.after(kv_path);
     if (!watch)
     {
-        return entries_answer(key, recurse);
+        return entries_response(key, recurse);
     }
     auto const index = target.number("index");
     auto const wait =
@@ -205,7 +206,7 @@
     {
         return plain_response(bad_request, "malformed index or wait");
     }
-    held_query query{++held_number_,
+    held_query query{++last_query_number_,
                      std::string(key),
                      recurse,
                      *index,
@@ -214,11 +215,11 @@
     {
         return deferred_response{std::move(query)};
     }
-    return entries_answer(key, recurse);
+    return entries_response(key, recurse);
 }
 
-adapters::http::response store_service::entries_answer(std::string_view key,
-                                                       bool recurse) const
+adapters::http::response store_service::entries_response(std::string_view key,
+                                                         bool recurse) const
 {
     boost::json::array found;
     if (recurse)
@@ -233,24 +234,24 @@
     {
         found.push_back(full_entry_json(key, *entry));
     }
-    auto answer =
+    auto message =
         found.empty() ? plain_response(not_found, "") : json_response(found);
-    answer.headers.push_back(
+    message.headers.push_back(
         {"X-Consul-Index", std::to_string(state_.index())});
-    return answer;
+    return message;
 }
 
 adapters::http::response
 store_service::respond_to_held(held_query const& query) const
 {
-    return entries_answer(query.key, query.recurse);
+    return entries_response(query.key, query.recurse);
 }
 
 store_response store_service::put(core::common::time_point now,
                                   request_target const& target,
                                   std::string const& body)
 {
-    ++books_.writes;
+    ++counters_.writes;
     if (!admit_write(now))
     {
         return plain_response(too_many, "over the bound on writes");
@@ -276,7 +277,7 @@
 store_response store_service::erase(core::common::time_point now,
                                     request_target const& target)
 {
-    ++books_.erases;
+    ++counters_.erases;
     if (!admit_write(now))
     {
         return plain_response(too_many, "over the bound on writes");
@@ -294,7 +295,7 @@
 {
     auto const parsed = parse_transaction(body);
     bool const deletes = parsed && parsed->verb == "delete-cas";
-    ++(deletes ? books_.erases : books_.writes);
+    ++(deletes ? counters_.erases : counters_.writes);
     if (!admit_write(now))
     {
         return plain_response(too_many, "over the bound on writes");
@@ -319,8 +320,8 @@
                               "the key, value or store is too large");
     }
     bool const done = result.status == change_status::done;
-    books_.conflicts += done ? 0 : 1;
-    return after_effect(
+    counters_.conflicts += done ? 0 : 1;
+    return respond_after_change(
         key, adapters::http::json_response(ok, done ? "true" : "false"));
 }
 
@@ -335,15 +336,16 @@
     boost::json::object body{{"Results", nullptr}, {"Errors", nullptr}};
     if (result.status == change_status::conflict)
     {
-        ++books_.conflicts;
+        ++counters_.conflicts;
         boost::json::object const error{
             {"OpIndex", 0},
             {"What",
              "failed to set key \"" + std::string(key) + "\", index is stale"}};
         body["Errors"] = boost::json::array{error};
-        return after_effect(key,
-                            adapters::http::json_response(
-                                conflict, boost::json::serialize(body)));
+        return respond_after_change(
+            key,
+            adapters::http::json_response(conflict,
+                                          boost::json::serialize(body)));
     }
     auto const* entry = state_.find(key);
     boost::json::object kv =
@@ -352,23 +354,24 @@
             : boost::json::object{{"Key", key}, {"ModifyIndex", result.index}};
     body["Results"] =
         boost::json::array{boost::json::object{{"KV", std::move(kv)}}};
-    return after_effect(key, json_response(body));
+    return respond_after_change(key, json_response(body));
 }
 
-// A lost answer: the caller can't tell whether its change took effect.
-store_response store_service::after_effect(std::string_view key,
-                                           response answer)
+// Drops the response if the fault applies to the key: the change has been made,
+// but the caller cannot tell whether it has.
+store_response store_service::respond_after_change(std::string_view key,
+                                                   response message)
 {
     if (faults_.drop_responses == 0 ||
         !key.starts_with(faults_.drop_responses_prefix))
     {
-        return answer;
+        return message;
     }
     if (faults_.drop_responses > 0)
     {
         --faults_.drop_responses;
     }
-    ++books_.dropped_responses;
+    ++counters_.dropped_responses;
     return dropped_response{};
 }
 
@@ -376,7 +379,7 @@
                                       request_target const& target,
                                       std::string const& body)
 {
-    ++books_.sessions;
+    ++counters_.sessions;
     if (!admit_write(now))
     {
         return plain_response(too_many, "over the bound on writes");
@@ -412,12 +415,12 @@
         return plain_response(bad_request, to_string(reason));
     }
     core::common::json_reader reader(*json, "session");
-    auto const life = parse_wait(reader.text_or("TTL", "15s"));
-    if (!reader.ok() || !life)
+    auto const ttl = parse_wait(reader.text_or("TTL", "15s"));
+    if (!reader.ok() || !ttl)
     {
         return plain_response(bad_request, "malformed TTL");
     }
-    auto const id = state_.open_session(now, *life);
+    auto const id = state_.open_session(now, *ttl);
     if (!id)
     {
         return plain_response(too_many, "too many sessions");
@@ -430,7 +433,7 @@
     return state_.take_due(now);
 }
 
-void store_service::drop_held(std::uint64_t number)
+void store_service::drop_query(std::uint64_t number)
 {
     state_.drop(number);
 }
@@ -447,7 +450,7 @@
 
 store_counters const& store_service::counters() const noexcept
 {
-    return books_;
+    return counters_;
 }
 
 } // namespace fuchsia::standins::platform
--- a/standins/platform/store_service.hpp
+++ b/standins/platform/store_service.hpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-// The store's HTTP paths (docs/API.md, "The platform's store"), without
-// sockets: bounds on calls, faults and books included.
+// Handles the store's HTTP paths (docs/API.md, "The platform's store") without
+// sockets, with rate limits, injected faults and counters.
 namespace fuchsia::standins::platform
 {
 
@@ -25,9 +25,9 @@
 struct store_faults
 {
     bool down = false;
-    std::uint32_t slow_ms = 0;
-    /// Answers of so many writes below `lose_prefix` are dropped after their
-    /// effect; -1: of all.
+    std::uint32_t slow_ms = 0; ///< Added latency of each call.
+    /// Number of writes to keys that begin with `drop_responses_prefix` whose
+    /// responses are dropped after the change is made; -1 for all writes.
     std::int64_t drop_responses = 0;
     std::string drop_responses_prefix;
 };
@@ -45,12 +45,12 @@
     std::uint64_t sessions = 0;
 };
 
-/// The effect happened, and the connection closes without an answer.
+/// The change was made, and the connection closes without a response.
 struct dropped_response
 {
 };
 
-/// The answer follows when the query is due; `answer_held` makes it.
+/// The response is sent when the query is due; `respond_to_held` creates it.
 struct deferred_response
 {
     held_query query;
@@ -64,14 +64,14 @@
 public:
     explicit store_service(store_service_settings settings);
 
-    /// Whether `path` is one of the store's.
+    /// Returns whether `path` belongs to the store.
     static bool serves(std::string_view path) noexcept;
     store_response handle(core::common::time_point now,
                           request_target const& target,
                           adapters::http::request const& request);
     adapters::http::response respond_to_held(held_query const& query) const;
     std::vector<held_query> take_due(core::common::time_point now);
-    void drop_held(std::uint64_t number);
+    void drop_query(std::uint64_t number);
     bool expire_session(std::string_view id);
 
     store_faults& faults() noexcept;
@@ -94,8 +94,8 @@
                            std::string const& body);
     response open_session(core::common::time_point now,
                           std::string const& body);
-    response entries_answer(std::string_view key, bool recurse) const;
-    store_response after_effect(std::string_view key, response answer);
+    response entries_response(std::string_view key, bool recurse) const;
+    store_response respond_after_change(std::string_view key, response message);
     store_response plain_result(std::string_view key, change_result result);
     store_response txn_result(std::string_view key, change_result result);
     bool admit_read(core::common::time_point now);
@@ -106,8 +106,8 @@
     call_rate read_rate_;
     call_rate write_rate_;
     store_faults faults_;
-    store_counters books_;
-    std::uint64_t held_number_ = 0;
+    store_counters counters_;
+    std::uint64_t last_query_number_ = 0;
 };
 
 } // namespace fuchsia::standins::platform
--- a/standins/platform/store_state.cpp
+++ b/standins/platform/store_state.cpp
@@ -15,7 +15,7 @@
     return query.recurse ? key.starts_with(query.key) : key == query.key;
 }
 
-std::string session_name(std::uint64_t number)
+std::string session_id(std::uint64_t number)
 {
     char text[40];
     std::snprintf(text,
@@ -55,7 +55,8 @@
     return {first, last};
 }
 
-bool store_state::fits(std::string_view key, std::string const& value) const
+bool store_state::within_limits(std::string_view key,
+                                std::string const& value) const
 {
     return !key.empty() && key.size() <= limits_.key_bytes &&
            value.size() <= limits_.value_bytes &&
@@ -66,13 +67,13 @@
                                  std::string value,
                                  std::optional<std::uint64_t> expected)
 {
-    if (!fits(key, value))
+    if (!within_limits(key, value))
     {
         return {change_status::too_large, 0};
     }
-    auto const* present = find(key);
+    auto const* current = find(key);
     std::uint64_t const version =
-        present == nullptr ? 0 : present->modify_index;
+        current == nullptr ? 0 : current->modify_index;
     if (expected && *expected != version)
     {
         return {change_status::conflict, version};
@@ -82,7 +83,7 @@
     entry.value = std::move(value);
     entry.create_index = version == 0 ? index_ : entry.create_index;
     entry.modify_index = index_;
-    changed(key);
+    on_change(key);
     return {change_status::done, index_};
 }
 
@@ -105,23 +106,23 @@
     tombstones_.push_back({std::string(key), index_});
     if (tombstones_.size() > limits_.tombstones)
     {
-        newest_forgotten_ = tombstones_.front().index;
+        newest_evicted_index_ = tombstones_.front().index;
         tombstones_.pop_front();
     }
-    changed(key);
+    on_change(key);
     return {change_status::done, index_};
 }
 
 std::optional<std::string>
 store_state::open_session(core::common::time_point now,
-                          core::common::duration life)
+                          core::common::duration ttl)
 {
     if (sessions_.size() >= limits_.sessions)
     {
         return std::nullopt;
     }
-    auto id = session_name(++sessions_opened_);
-    sessions_[id] = {life, now + life};
+    auto id = session_id(++sessions_opened_);
+    sessions_[id] = {ttl, now + ttl};
     return id;
 }
 
@@ -129,11 +130,11 @@
                                 std::string_view id)
 {
     auto const found = sessions_.find(id);
-    if (found == sessions_.end() || found->second.until <= now)
+    if (found == sessions_.end() || found->second.deadline <= now)
     {
         return false;
     }
-    found->second.until = now + found->second.life;
+    found->second.deadline = now + found->second.ttl;
     return true;
 }
 
@@ -146,7 +147,7 @@
     }
     std::string const ended = found->first;
     sessions_.erase(found);
-    release_all_of(ended);
+    release_all_keys(ended);
     return true;
 }
 
@@ -154,21 +155,21 @@
                                    std::string value,
                                    std::string_view session)
 {
-    auto const* present = find(key);
-    bool const held_by_other = present != nullptr &&
-                               !present->session.empty() &&
-                               present->session != session;
+    auto const* current = find(key);
+    bool const held_by_other = current != nullptr &&
+                               !current->session.empty() &&
+                               current->session != session;
     if (held_by_other || sessions_.find(session) == sessions_.end())
     {
         return {change_status::conflict, 0};
     }
-    bool const is_new = present == nullptr || present->session.empty();
+    bool const is_new_holder = current == nullptr || current->session.empty();
     auto const result = write(key, std::move(value), std::nullopt);
     if (result.status == change_status::done)
     {
         auto& entry = entries_.find(key)->second;
         entry.session = session;
-        entry.lock_index += is_new ? 1 : 0;
+        entry.lock_index += is_new_holder ? 1 : 0;
     }
     return result;
 }
@@ -177,8 +178,8 @@
                                    std::string value,
                                    std::string_view session)
 {
-    auto const* present = find(key);
-    if (present == nullptr || session.empty() || present->session != session)
+    auto const* current = find(key);
+    if (current == nullptr || session.empty() || current->session != session)
     {
         return {change_status::conflict, 0};
     }
@@ -190,7 +191,7 @@
     return result;
 }
 
-void store_state::release_all_of(std::string_view session)
+void store_state::release_all_keys(std::string_view session)
 {
     for (auto& [key, entry] : entries_)
     {
@@ -198,35 +199,37 @@
         {
             entry.session.clear();
             entry.modify_index = ++index_;
-            changed(key);
+            on_change(key);
         }
     }
 }
 
-void store_state::changed(std::string_view key)
+void store_state::on_change(std::string_view key)
 {
-    auto const kept = std::stable_partition(held_.begin(),
-                                            held_.end(),
-                                            [key](held_query const& query)
-                                            {
-                                                return !matches(query, key);
-                                            });
-    std::move(kept, held_.end(), std::back_inserter(due_));
-    held_.erase(kept, held_.end());
+    auto const first_due =
+        std::stable_partition(waiting_queries_.begin(),
+                              waiting_queries_.end(),
+                              [key](held_query const& query)
+                              {
+                                  return !matches(query, key);
+                              });
+    std::move(
+        first_due, waiting_queries_.end(), std::back_inserter(due_queries_));
+    waiting_queries_.erase(first_due, waiting_queries_.end());
 }
 
 std::uint64_t store_state::newest_change(std::string_view key,
                                          bool recurse) const
 {
-    // A query older than the oldest tombstone may have missed a deletion, so
-    // it is answered at once.
-    std::uint64_t newest = newest_forgotten_;
+    // A query with an index below that of an evicted tombstone may have missed
+    // a deletion, so it must be answered at once.
+    std::uint64_t newest = newest_evicted_index_;
     held_query const query{0, std::string(key), recurse, 0, {}};
-    for (auto const& dead : tombstones_)
+    for (auto const& deletion : tombstones_)
     {
-        if (matches(query, dead.key))
+        if (matches(query, deletion.key))
         {
-            newest = std::max(newest, dead.index);
+            newest = std::max(newest, deletion.index);
         }
     }
     if (!recurse)
@@ -245,23 +248,23 @@
 
 bool store_state::hold(held_query query)
 {
-    if (held_.size() >= limits_.held_queries || query.index == 0 ||
+    if (waiting_queries_.size() >= limits_.held_queries || query.index == 0 ||
         newest_change(query.key, query.recurse) > query.index)
     {
         return false;
     }
-    held_.push_back(std::move(query));
+    waiting_queries_.push_back(std::move(query));
     return true;
 }
 
 void store_state::drop(std::uint64_t number)
 {
-    auto const is_it = [number](held_query const& query)
+    auto const has_number = [number](held_query const& query)
     {
         return query.number == number;
     };
-    std::erase_if(held_, is_it);
-    std::erase_if(due_, is_it);
+    std::erase_if(waiting_queries_, has_number);
+    std::erase_if(due_queries_, has_number);
 }
 
 std::vector<held_query> store_state::take_due(core::common::time_point now)
@@ -269,7 +272,7 @@
     std::vector<std::string> ended;
     for (auto const& [id, lease] : sessions_)
     {
-        if (lease.until <= now)
+        if (lease.deadline <= now)
         {
             ended.push_back(id);
         }
@@ -278,15 +281,17 @@
     {
         end_session(id);
     }
-    auto const kept = std::stable_partition(held_.begin(),
-                                            held_.end(),
-                                            [now](held_query const& query)
-                                            {
-                                                return query.until > now;
-                                            });
-    std::move(kept, held_.end(), std::back_inserter(due_));
-    held_.erase(kept, held_.end());
-    return std::exchange(due_, {});
+    auto const first_due =
+        std::stable_partition(waiting_queries_.begin(),
+                              waiting_queries_.end(),
+                              [now](held_query const& query)
+                              {
+                                  return query.deadline > now;
+                              });
+    std::move(
+        first_due, waiting_queries_.end(), std::back_inserter(due_queries_));
+    waiting_queries_.erase(first_due, waiting_queries_.end());
+    return std::exchange(due_queries_, {});
 }
 
 } // namespace fuchsia::standins::platform
--- a/standins/platform/store_state.hpp
+++ b/standins/platform/store_state.hpp
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-// The platform's key-value service without its sockets: versions,
-// compare-and-swap, leases and blocking queries.
+// The platform's key-value store without sockets: versions, compare-and-swap,
+// leases and blocking queries.
 namespace fuchsia::standins::platform
 {
 
@@ -22,7 +22,8 @@
     std::size_t keys = 500'000;
     std::size_t sessions = 10'000;
     std::size_t held_queries = 10'000;
-    /// Deletions that blocking queries can still see.
+    /// Number of retained deletions, which blocking queries can still
+    /// observe.
     std::size_t tombstones = 65'536;
 };
 
@@ -32,30 +33,31 @@
     std::uint64_t create_index = 0;
     std::uint64_t modify_index = 0;
     std::uint64_t lock_index = 0;
-    std::string session; ///< That holds the key; empty: nobody.
+    std::string session; ///< Session that holds the key; empty if none does.
 };
 
 enum class change_status : std::uint8_t
 {
     done,
-    conflict,  ///< The version or the holder was another; nothing changed.
-    too_large, ///< The value, the key or the store is over its bound.
+    conflict,  ///< The version or the holder differs; nothing changed.
+    too_large, ///< The value, the key or the store exceeds its limit.
 };
 
 struct change_result
 {
     change_status status = change_status::done;
-    std::uint64_t index = 0; ///< The key's new version after `done`.
+    std::uint64_t index = 0; ///< New version of the key if `done`.
 };
 
-/// One blocking query that is held back; `number` is its holder's own.
+/// Blocking query that waits for a change. `number` is assigned by the caller
+/// and identifies the query.
 struct held_query
 {
     std::uint64_t number = 0;
     std::string key;
     bool recurse = false;
     std::uint64_t index = 0;
-    core::common::time_point until{};
+    core::common::time_point deadline{};
 };
 
 class store_state
@@ -65,47 +67,48 @@
 
     explicit store_state(store_limits limits = {});
 
-    /// The newest index of the store; rises with every change.
+    /// Returns the newest index of the store, which grows with every change.
     std::uint64_t index() const noexcept;
     stored_value const* find(std::string_view key) const;
-    /// The range of keys that begin with `prefix`, sorted.
+    /// Returns the range of keys that begin with `prefix`, in sorted order.
     std::pair<entries::const_iterator, entries::const_iterator>
     below(std::string_view prefix) const;
 
-    /// Writes where the key's version is `expected` (0: absent); without
-    /// `expected`, always.
+    /// Writes the value if the version of the key is `expected` (0 if the key
+    /// must be absent), or unconditionally if `expected` is empty.
     change_result write(std::string_view key,
                         std::string value,
                         std::optional<std::uint64_t> expected);
     change_result erase(std::string_view key,
                         std::optional<std::uint64_t> expected);
 
-    /// Opens a lease; its id, or nothing where there are too many.
+    /// Opens a session, which is a lease. Returns its id, or nothing if there
+    /// are too many sessions.
     std::optional<std::string> open_session(core::common::time_point now,
-                                            core::common::duration life);
+                                            core::common::duration ttl);
     bool renew_session(core::common::time_point now, std::string_view id);
-    /// Ends a lease, whether its holder or a fault wants it.
+    /// Ends a session at the request of its holder or of an injected fault.
     bool end_session(std::string_view id);
-    /// Writes and takes the key for a lease; conflict where another holds it
-    /// or the lease has ended.
+    /// Writes the value and locks the key for the session. Returns a conflict
+    /// if another session holds the key or the session has ended.
     change_result
     acquire(std::string_view key, std::string value, std::string_view session);
     change_result
     release(std::string_view key, std::string value, std::string_view session);
 
-    /// Holds the query back; false where its answer is due at once, or where
-    /// too many wait.
+    /// Adds a waiting query. Returns false if its response is due at once or
+    /// too many queries wait.
     bool hold(held_query query);
     void drop(std::uint64_t number);
-    /// Ends leases that ran out, and takes out the queries whose change came
-    /// or whose wait is over.
+    /// Ends expired sessions, then removes and returns the queries whose key
+    /// has changed or whose wait is over.
     std::vector<held_query> take_due(core::common::time_point now);
 
 private:
     struct session
     {
-        core::common::duration life{};
-        core::common::time_point until{};
+        core::common::duration ttl{};
+        core::common::time_point deadline{};
     };
     struct tombstone
     {
@@ -113,9 +116,9 @@
         std::uint64_t index = 0;
     };
 
-    bool fits(std::string_view key, std::string const& value) const;
-    void changed(std::string_view key);
-    void release_all_of(std::string_view session);
+    bool within_limits(std::string_view key, std::string const& value) const;
+    void on_change(std::string_view key);
+    void release_all_keys(std::string_view session);
     std::uint64_t newest_change(std::string_view key, bool recurse) const;
 
     store_limits limits_;
@@ -124,9 +127,10 @@
     std::map<std::string, session, std::less<>> sessions_;
     std::uint64_t sessions_opened_ = 0;
     std::deque<tombstone> tombstones_;
-    std::uint64_t newest_forgotten_ = 0; ///< Index of a dropped tombstone.
-    std::vector<held_query> held_;
-    std::vector<held_query> due_;
+    /// Index of the newest evicted tombstone.
+    std::uint64_t newest_evicted_index_ = 0;
+    std::vector<held_query> waiting_queries_;
+    std::vector<held_query> due_queries_;
 };
 
 } // namespace fuchsia::standins::platform
