--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -18,26 +18,26 @@
 constexpr std::int64_t max_seed = 1'000'000'000'000;
 constexpr std::int64_t max_port = 65'535;
 
-std::uint32_t natural(toml_table& table,
-                      std::string_view key,
-                      std::uint32_t fallback,
-                      std::int64_t least,
-                      std::int64_t most)
+std::uint32_t read_count(toml_table& table,
+                         std::string_view key,
+                         std::uint32_t fallback,
+                         std::int64_t min_value,
+                         std::int64_t max_value)
 {
     return static_cast<std::uint32_t>(
-        table.integer_or(key, fallback, least, most));
+        table.integer_or(key, fallback, min_value, max_value));
 }
 
 std::optional<ports::endpoint> read_platform_address(toml_table& root)
 {
     auto table = root.table("platform");
-    std::optional<ports::endpoint> where;
+    std::optional<ports::endpoint> address;
     if (table.has("address"))
     {
-        where = table.endpoint("address");
+        address = table.endpoint("address");
     }
     table.reject_unknown_keys();
-    return where;
+    return address;
 }
 
 std::vector<platform::probe_target> read_probes(toml_table& root)
@@ -71,27 +71,27 @@
     {
         table.fail(result_code::inconsistent,
                    "max_ms",
-                   "the longest time is below the median");
+                   "max_ms is less than median_ms");
     }
     table.reject_unknown_keys();
     return time;
 }
 
-void read_pool(toml_table table, upstreams::upstream_server_settings& out)
+void read_pool(toml_table table, upstreams::upstream_server_settings& settings)
 {
-    auto& pool = out.pool;
-    out.address = table.text_or("address", out.address);
-    out.first_port = static_cast<std::uint16_t>(
-        table.integer_or("first_port", out.first_port, 0, max_port));
-    pool.count = natural(table, "count", pool.count, 1, max_instances);
-    pool.slots = natural(table, "slots", pool.slots, 1, 10'000);
-    out.executor.connections =
-        natural(table, "connections", out.executor.connections, 1, 10'000);
-    out.executor.answer_bytes =
-        natural(table, "answer_bytes", out.executor.answer_bytes, 0, 1'000'000);
+    auto& pool = settings.pool;
+    settings.address = table.text_or("address", settings.address);
+    settings.first_port = static_cast<std::uint16_t>(
+        table.integer_or("first_port", settings.first_port, 0, max_port));
+    pool.count = read_count(table, "count", pool.count, 1, max_instances);
+    pool.slots = read_count(table, "slots", pool.slots, 1, 10'000);
+    settings.executor.connections = read_count(
+        table, "connections", settings.executor.connections, 1, 10'000);
+    settings.executor.response_bytes = read_count(
+        table, "answer_bytes", settings.executor.response_bytes, 0, 1'000'000);
     pool.data_centres = table.texts_or("data_centres", {});
     pool.per_machine =
-        natural(table, "per_machine", pool.per_machine, 1, 1'000);
+        read_count(table, "per_machine", pool.per_machine, 1, 1'000);
     pool.interference =
         table.number_or("interference", pool.interference, 0.0, 100.0);
     pool.seed =
@@ -100,30 +100,30 @@
         table.duration_or("leaving_grace_ms", pool.leaving_grace, 0ms, 600s);
     pool.keys = static_cast<std::size_t>(
         table.integer_or("keys", 1'000'000, 1, max_keys));
-    out.register_interval = table.duration_or(
-        "register_interval_ms", out.register_interval, 50ms, 60s);
-    if (out.first_port + pool.count > max_port + 1)
+    settings.register_interval = table.duration_or(
+        "register_interval_ms", settings.register_interval, 50ms, 60s);
+    if (settings.first_port + pool.count > max_port + 1)
     {
         table.fail(result_code::inconsistent,
                    "first_port",
-                   "there are not enough ports above it");
+                   "too few ports from first_port upwards for all executors");
     }
     table.reject_unknown_keys();
 }
 
 void read_worker_pool(toml_table table, workers::worker_pool_settings& pool)
 {
-    pool.count = natural(table, "count", pool.count, 1, max_instances);
-    pool.per_rack = natural(table, "per_rack", pool.per_rack, 1, 1'000);
+    pool.count = read_count(table, "count", pool.count, 1, max_instances);
+    pool.per_rack = read_count(table, "per_rack", pool.per_rack, 1, 1'000);
     pool.data_centres = table.texts_or("data_centres", {});
     pool.capacity.millicores =
         table.integer_or("millicores", pool.capacity.millicores, 1, 10'000'000);
     pool.capacity.memory_mb = table.integer_or(
         "memory_mb", pool.capacity.memory_mb, 1, 1'000'000'000);
-    pool.accelerator_every =
-        natural(table, "accelerator_every", pool.accelerator_every, 0, 1'000);
+    pool.accelerator_every = read_count(
+        table, "accelerator_every", pool.accelerator_every, 0, 1'000);
     pool.accelerators =
-        natural(table, "accelerators", pool.accelerators, 0, 1'000);
+        read_count(table, "accelerators", pool.accelerators, 0, 1'000);
     pool.report_interval = table.duration_or(
         "report_interval_ms", pool.report_interval, 100ms, 60s);
     pool.report_lag =
@@ -133,22 +133,25 @@
     pool.late_start_grace = table.duration_or(
         "late_start_grace_ms", pool.late_start_grace, 0ms, 600s);
     pool.clock_drift_ppm =
-        natural(table, "clock_drift_ppm", pool.clock_drift_ppm, 0, 50'000);
+        read_count(table, "clock_drift_ppm", pool.clock_drift_ppm, 0, 50'000);
     pool.service_latency_us = static_cast<std::uint64_t>(
         table.integer_or("service_latency_us", 5'000, 1, 60'000'000));
     pool.failing_classes = table.texts_or("broken_classes", {});
     table.reject_unknown_keys();
 }
 
-void read_interference(toml_table table, workers::interference_settings& out)
+void read_interference(toml_table table,
+                       workers::interference_settings& settings)
 {
-    out.seed =
+    settings.seed =
         static_cast<std::uint64_t>(table.integer_or("seed", 1, 0, max_seed));
-    out.strength = table.number_or("strength", out.strength, 0.0, 1'000.0);
-    out.noise = table.number_or("noise", out.noise, 0.0, 1'000.0);
-    out.wave_period =
-        table.duration_or("wave_period_ms", out.wave_period, 100ms, 3'600s);
-    out.size_error = table.number_or("size_error", out.size_error, 1.0, 100.0);
+    settings.strength =
+        table.number_or("strength", settings.strength, 0.0, 1'000.0);
+    settings.noise = table.number_or("noise", settings.noise, 0.0, 1'000.0);
+    settings.wave_period = table.duration_or(
+        "wave_period_ms", settings.wave_period, 100ms, 3'600s);
+    settings.size_error =
+        table.number_or("size_error", settings.size_error, 1.0, 100.0);
     table.reject_unknown_keys();
 }
 
@@ -219,15 +222,16 @@
 
 pool::pool_server_settings read_pool_settings(toml_table& root)
 {
-    pool::pool_server_settings made;
-    made.store = root.endpoint("store");
-    made.first_worker_port = static_cast<std::uint16_t>(
+    pool::pool_server_settings settings;
+    settings.store = root.endpoint("store");
+    settings.first_worker_port = static_cast<std::uint16_t>(
         root.integer("first_worker_port", 1, max_port));
-    made.workers = natural(root, "workers", made.workers, 1, max_instances);
-    made.host = root.text_or("host", made.host);
-    made.prefix = root.text_or("prefix", made.prefix);
+    settings.workers =
+        read_count(root, "workers", settings.workers, 1, max_instances);
+    settings.host = root.text_or("host", settings.host);
+    settings.prefix = root.text_or("prefix", settings.prefix);
     root.reject_unknown_keys();
-    return made;
+    return settings;
 }
 
 links::link_server_settings read_link_settings(toml_table& root)
--- a/standins/settings.hpp
+++ b/standins/settings.hpp
@@ -10,15 +10,16 @@
 
 #include <string>
 
-// The stand-ins' settings files; examples/standin-*.toml document every key.
+// Settings files of the stand-ins. Every key is documented in
+// examples/standin-*.toml.
 namespace fuchsia::standins
 {
 
 /// Reads the table [log].
 ports::severity read_log_level(adapters::settings::toml_table& root);
 
-/// Each reads and checks the file's remaining tables; what is wrong stands in
-/// the file.
+/// Each of these functions reads and checks the remaining tables of the file
+/// and records errors in the file.
 platform::platform_settings
 read_platform_settings(adapters::settings::toml_table& root);
 upstreams::upstream_server_settings
--- a/standins/upstreams/executor.cpp
+++ b/standins/upstreams/executor.cpp
@@ -21,24 +21,25 @@
 using asio::ip::tcp;
 using core::common::result_code;
 
-std::string text_of(beast::string_view text)
+std::string to_text(beast::string_view text)
 {
     return std::string(text.data(), text.size());
 }
 
-work_request work_of(http::request<http::string_body> const& message)
+work_request parse_work(http::request<http::string_body> const& message)
 {
-    work_request what;
-    what.customer = text_of(message["Fuchsia-Customer"]);
-    what.kind = ports::request_class_from(text_of(message["Fuchsia-Class"]))
-                    .value_or(ports::request_class::latency_critical);
-    what.method = text_of(message.method_string());
-    what.target = text_of(message.target());
-    what.idempotency_key = text_of(message["Idempotency-Key"]);
-    return what;
+    work_request request;
+    request.customer = to_text(message["Fuchsia-Customer"]);
+    request.kind = ports::request_class_from(to_text(message["Fuchsia-Class"]))
+                       .value_or(ports::request_class::latency_critical);
+    request.method = to_text(message.method_string());
+    request.target = to_text(message.target());
+    request.idempotency_key = to_text(message["Idempotency-Key"]);
+    return request;
 }
 
-// A caller that finds its token at both ends holds a whole answer of its own.
+// The token at both ends of the body shows the caller that the response is
+// complete and belongs to its own request.
 std::string framed_body(std::string const& token, std::size_t bytes)
 {
     std::string const filler(bytes, '.');
@@ -47,7 +48,7 @@
 
 } // namespace
 
-// Reads one request at a time, runs it, answers.
+// Reads one request at a time, runs it and responds.
 class executor::connection : public std::enable_shared_from_this<connection>
 {
 public:
@@ -56,12 +57,12 @@
     {
         beast::error_code ignored;
         stream_.set_option(tcp::no_delay(true), ignored);
-        ++owner_->open_;
+        ++owner_->open_connections_;
     }
 
     ~connection()
     {
-        --owner_->open_;
+        --owner_->open_connections_;
     }
 
     void read()
@@ -77,7 +78,7 @@
             {
                 if (!error)
                 {
-                    self->owner_->when_thawed(
+                    self->owner_->run_when_thawed(
                         [self]
                         {
                             self->begin();
@@ -98,30 +99,31 @@
     {
         auto const message = parser_->release();
         keep_alive_ = message.keep_alive();
-        token_ = text_of(message["Fuchsia-Load-Token"]);
-        owner_->run(work_of(message),
-                    [self = shared_from_this()](work_outcome how)
+        load_token_ = to_text(message["Fuchsia-Load-Token"]);
+        owner_->run(parse_work(message),
+                    [self = shared_from_this()](work_outcome outcome)
                     {
-                        self->answer(how);
+                        self->respond(outcome);
                     });
     }
 
-    void answer(work_outcome how)
+    void respond(work_outcome outcome)
     {
-        auto const body = framed_body(token_, owner_->settings_.answer_bytes);
-        if (how == work_outcome::partial)
+        auto const body =
+            framed_body(load_token_, owner_->settings_.response_bytes);
+        if (outcome == work_outcome::partial)
         {
-            write_half(body);
+            write_partial(body);
             return;
         }
         message_ = {};
         message_.version(11);
-        message_.result(how == work_outcome::complete ? http::status::ok
-                        : how == work_outcome::failed
+        message_.result(outcome == work_outcome::complete ? http::status::ok
+                        : outcome == work_outcome::failed
                             ? http::status::internal_server_error
                             : http::status::service_unavailable);
         message_.set("Upstream-Id", owner_->pool_.id(owner_->number_));
-        if (how == work_outcome::refused)
+        if (outcome == work_outcome::refused)
         {
             message_.set("Upstream-Outcome", "not-run");
         }
@@ -144,22 +146,23 @@
             close();
             return;
         }
-        owner_->when_thawed(
+        owner_->run_when_thawed(
             [self = shared_from_this()]
             {
                 self->read();
             });
     }
 
-    void write_half(std::string const& body)
+    void write_partial(std::string const& body)
     {
-        half_ = "HTTP/1.1 200 OK\r\nUpstream-Id: " +
-                owner_->pool_.id(owner_->number_) +
-                "\r\nContent-Length: " + std::to_string(body.size()) +
-                "\r\n\r\n" + body.substr(0, body.size() / 2);
+        partial_response_ =
+            "HTTP/1.1 200 OK\r\nUpstream-Id: " +
+            owner_->pool_.id(owner_->number_) +
+            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+            body.substr(0, body.size() / 2);
         asio::async_write(
             stream_,
-            asio::buffer(half_),
+            asio::buffer(partial_response_),
             [self = shared_from_this()](beast::error_code, std::size_t)
             {
                 self->close();
@@ -171,8 +174,8 @@
     beast::flat_buffer buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
     http::response<http::string_body> message_;
-    std::string half_;
-    std::string token_;
+    std::string partial_response_;
+    std::string load_token_;
     bool keep_alive_ = true;
 };
 
@@ -202,20 +205,20 @@
     acceptor_.accept_next(
         [self = shared_from_this()](tcp::socket socket)
         {
-            if (self->open_ < self->settings_.connections)
+            if (self->open_connections_ < self->settings_.connections)
             {
-                auto const made =
+                auto const accepted =
                     std::make_shared<connection>(std::move(socket), self);
                 std::erase_if(self->connections_,
                               [](auto const& weak)
                               {
                                   return weak.expired();
                               });
-                self->connections_.push_back(made);
-                self->when_thawed(
-                    [made]
+                self->connections_.push_back(accepted);
+                self->run_when_thawed(
+                    [accepted]
                     {
-                        made->read();
+                        accepted->read();
                     });
             }
             else
@@ -226,11 +229,11 @@
         });
 }
 
-void executor::when_thawed(std::function<void()> step)
+void executor::run_when_thawed(std::function<void()> step)
 {
     if (pool_.frozen(number_))
     {
-        parked_.push_back(std::move(step));
+        suspended_steps_.push_back(std::move(step));
         return;
     }
     step();
@@ -238,39 +241,40 @@
 
 void executor::thaw()
 {
-    auto const steps = std::exchange(parked_, {});
+    auto const steps = std::exchange(suspended_steps_, {});
     for (auto const& step : steps)
     {
-        when_thawed(step);
+        run_when_thawed(step);
     }
 }
 
-// The work goes on to its end even where the caller has hung up, as a real
-// upstream's would.
-void executor::run(work_request const& what,
-                   std::function<void(work_outcome)> const& done)
+// The work runs to its end even if the caller has closed the connection, as it
+// does in a real upstream.
+void executor::run(work_request const& request,
+                   std::function<void(work_outcome)> const& on_done)
 {
-    auto const begun = pool_.begin(core::common::clock::now(), number_, what);
-    if (begun.outcome == work_outcome::refused)
+    auto const started =
+        pool_.begin(core::common::clock::now(), number_, request);
+    if (started.outcome == work_outcome::refused)
     {
-        done(work_outcome::refused);
+        on_done(work_outcome::refused);
         return;
     }
     auto const timer =
-        std::make_shared<adapters::runtime::timer>(io_, begun.time);
+        std::make_shared<adapters::runtime::timer>(io_, started.time);
     timer->async_wait(
-        [self = shared_from_this(), timer, how = begun.outcome, done](
+        [self = shared_from_this(), timer, outcome = started.outcome, on_done](
             auto error)
         {
             if (error)
             {
                 return;
             }
-            self->when_thawed(
-                [self, how, done]
+            self->run_when_thawed(
+                [self, outcome, on_done]
                 {
-                    self->pool_.end(self->number_, how);
-                    done(how);
+                    self->pool_.end(self->number_, outcome);
+                    on_done(outcome);
                 });
         });
 }
@@ -278,12 +282,12 @@
 void executor::close()
 {
     acceptor_.close();
-    parked_.clear();
+    suspended_steps_.clear();
     for (auto const& weak : connections_)
     {
-        if (auto const open = weak.lock())
+        if (auto const active = weak.lock())
         {
-            open->close();
+            active->close();
         }
     }
 }
--- a/standins/upstreams/upstream_pool.cpp
+++ b/standins/upstreams/upstream_pool.cpp
@@ -13,7 +13,7 @@
     : settings_(std::move(settings)), random_(settings_.seed)
 {
     auto const machines = settings_.count / settings_.per_machine + 1;
-    machine_running_.resize(machines);
+    running_per_machine_.resize(machines);
     for (std::uint32_t number = 0; number < settings_.count; ++number)
     {
         executor_state executor;
@@ -45,9 +45,9 @@
 {
     auto const found = std::find_if(executors_.begin(),
                                     executors_.end(),
-                                    [id](auto const& each)
+                                    [id](auto const& candidate)
                                     {
-                                        return each.id == id;
+                                        return candidate.id == id;
                                     });
     if (found == executors_.end())
     {
@@ -58,76 +58,78 @@
 
 work upstream_pool::begin(core::common::time_point now,
                           std::size_t executor,
-                          work_request const& what)
+                          work_request const& request)
 {
-    auto& at = executors_[executor];
-    ++books_.received;
-    if (chance(at.refuse_permille))
+    auto& state = executors_[executor];
+    ++counters_.received;
+    if (chance(state.refuse_permille))
     {
-        ++books_.refused;
+        ++counters_.refused;
         return {work_outcome::refused, {}};
     }
-    if (at.left && now - *at.left > settings_.leaving_grace)
+    if (state.left_at && now - *state.left_at > settings_.leaving_grace)
     {
-        ++books_.started_after_leaving;
+        ++counters_.started_after_leaving;
     }
-    ++at.running;
-    ++machine_running_[at.machine];
-    ++books_.running;
-    if (at.running > settings_.slots)
+    ++state.running;
+    ++running_per_machine_[state.machine];
+    ++counters_.running;
+    if (state.running > settings_.slots)
     {
-        ++books_.over_capacity;
+        ++counters_.over_capacity;
     }
-    note_key(what);
-    work begun{work_outcome::complete, draw_time(at, what)};
-    if (chance(at.fail_permille))
+    record_key(request);
+    work started{work_outcome::complete, draw_service_time(state, request)};
+    if (chance(state.fail_permille))
     {
-        begun.outcome = work_outcome::failed;
+        started.outcome = work_outcome::failed;
     }
-    else if (chance(at.partial_permille))
+    else if (chance(state.partial_permille))
     {
-        begun.outcome = work_outcome::partial;
+        started.outcome = work_outcome::partial;
     }
-    return begun;
+    return started;
 }
 
-void upstream_pool::end(std::size_t executor, work_outcome how)
+void upstream_pool::end(std::size_t executor, work_outcome outcome)
 {
-    auto& at = executors_[executor];
-    --at.running;
-    --machine_running_[at.machine];
-    --books_.running;
-    books_.answered += how == work_outcome::complete ? 1 : 0;
-    books_.failed += how == work_outcome::failed ? 1 : 0;
-    books_.partial += how == work_outcome::partial ? 1 : 0;
+    auto& state = executors_[executor];
+    --state.running;
+    --running_per_machine_[state.machine];
+    --counters_.running;
+    counters_.answered += outcome == work_outcome::complete ? 1 : 0;
+    counters_.failed += outcome == work_outcome::failed ? 1 : 0;
+    counters_.partial += outcome == work_outcome::partial ? 1 : 0;
 }
 
-// Only POST: the other methods may be repeated, key or no key.
-void upstream_pool::note_key(work_request const& what)
+// Only POST requests are recorded: requests of the other methods may be
+// repeated with or without a key.
+void upstream_pool::record_key(work_request const& request)
 {
-    if (what.idempotency_key.empty() || what.method != "POST")
+    if (request.idempotency_key.empty() || request.method != "POST")
     {
         return;
     }
     auto const key = core::common::hash_of(
-        what.idempotency_key, core::common::hash_of(what.customer));
-    if (!keys_.insert(key).second)
+        request.idempotency_key, core::common::hash_of(request.customer));
+    if (!seen_keys_.insert(key).second)
     {
-        ++books_.duplicate_runs;
+        ++counters_.duplicate_runs;
         return;
     }
     key_order_.push_back(key);
     if (key_order_.size() > settings_.keys)
     {
-        keys_.erase(key_order_.front());
+        seen_keys_.erase(key_order_.front());
         key_order_.pop_front();
     }
 }
 
-core::common::duration upstream_pool::draw_time(executor_state const& executor,
-                                                work_request const& what)
+core::common::duration
+upstream_pool::draw_service_time(executor_state const& executor,
+                                 work_request const& request)
 {
-    auto const& base = what.kind == ports::request_class::batch
+    auto const& base = request.kind == ports::request_class::batch
                            ? settings_.batch
                            : settings_.latency_critical;
     std::lognormal_distribution<double> draw(std::log(base.median_ms),
@@ -135,13 +137,13 @@
     double time = std::min(draw(random_), base.max_ms);
     for (auto const& path : settings_.paths)
     {
-        time *= what.target.starts_with(path.prefix) ? path.factor : 1.0;
+        time *= request.target.starts_with(path.prefix) ? path.factor : 1.0;
     }
     double const neighbours =
-        static_cast<double>(machine_running_[executor.machine] - 1) /
+        static_cast<double>(running_per_machine_[executor.machine] - 1) /
         (settings_.per_machine * settings_.slots);
     time *= 1.0 + settings_.interference * neighbours;
-    // Requests beyond the slots share what the slots have.
+    // When requests outnumber the slots, they share the capacity of the slots.
     time *=
         std::max(1.0, static_cast<double>(executor.running) / settings_.slots);
     time *= executor.slow_factor;
@@ -150,8 +152,8 @@
 
 bool upstream_pool::chance(std::uint32_t permille)
 {
-    constexpr std::uint32_t whole = 1'000;
-    return permille > 0 && random_() % whole < permille;
+    constexpr std::uint32_t permille_base = 1'000;
+    return permille > 0 && random_() % permille_base < permille;
 }
 
 bool upstream_pool::set_faults(core::common::time_point now,
@@ -177,11 +179,11 @@
             faults.slow_factor.value_or(executor.slow_factor);
         if (faults.leaving && !*faults.leaving)
         {
-            executor.left.reset();
+            executor.left_at.reset();
         }
-        else if (faults.leaving && !executor.left)
+        else if (faults.leaving && !executor.left_at)
         {
-            executor.left = now;
+            executor.left_at = now;
         }
     }
     return found;
@@ -194,7 +196,7 @@
 
 bool upstream_pool::leaving(std::size_t executor) const
 {
-    return executors_[executor].left.has_value();
+    return executors_[executor].left_at.has_value();
 }
 
 std::uint32_t upstream_pool::running(std::size_t executor) const
@@ -204,7 +206,7 @@
 
 upstream_counters const& upstream_pool::counters() const noexcept
 {
-    return books_;
+    return counters_;
 }
 
 } // namespace fuchsia::standins::upstreams
--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -12,17 +12,17 @@
 #include <unordered_set>
 #include <vector>
 
-// The executors that callers' requests end at, without their sockets: how long
-// each request takes, how it ends, and the books of what must never happen.
+// The executors that run callers' requests, without sockets: the duration and
+// the outcome of each request, and counters of events that must never happen.
 namespace fuchsia::standins::upstreams
 {
 
-/// Lognormal service time of one class.
+/// Lognormal distribution of the service time of one request class.
 struct service_time
 {
     double median_ms = 5.0;
-    double sigma = 0.5; ///< Of the logarithm.
-    double max_ms = 2'000.0;
+    double sigma = 0.5; ///< Standard deviation of the logarithm.
+    double max_ms = 2'000.0; ///< Longer times are cut to this value.
 };
 
 /// Requests whose path begins with `prefix` take `factor` times as long.
@@ -35,20 +35,21 @@
 struct upstream_pool_settings
 {
     std::uint32_t count = 50;
-    std::uint32_t slots = 8;
+    std::uint32_t slots = 8; ///< Requests that an executor can run at once.
     std::vector<std::string> data_centres;
-    /// Executors that share a machine and so slow each other.
+    /// Number of executors that share a machine and slow each other down.
     std::uint32_t per_machine = 5;
-    /// Slowdown on a machine whose slots are all taken: 0.5 is half as long
-    /// again.
+    /// Relative slowdown on a machine whose slots are all in use: with 0.5, a
+    /// request takes 1.5 times as long.
     double interference = 0.5;
     service_time latency_critical;
     service_time batch{50.0, 0.8, 10'000.0};
     std::vector<path_factor> paths;
     std::uint64_t seed = 1;
-    /// Requests begun later than this after leaving are counted.
+    /// Requests that begin later than this after the start of leaving are
+    /// counted in `started_after_leaving`.
     core::common::duration leaving_grace = std::chrono::seconds(5);
-    /// Idempotency keys remembered for the count of second runs.
+    /// Number of idempotency keys retained to count duplicate runs.
     std::size_t keys = 1'000'000;
 };
 
@@ -63,20 +64,21 @@
 
 enum class work_outcome : std::uint8_t
 {
-    complete, ///< A whole answer.
-    failed,   ///< The work is done, the answer is a 500.
-    partial,  ///< Half the answer, then the connection ends.
-    refused,  ///< Not begun.
+    complete, ///< The response is complete.
+    failed,   ///< The work is done, and the response has status 500.
+    partial,  ///< The connection closes after half the response.
+    refused,  ///< The work was not started.
 };
 
-/// What an executor does with one request.
+/// Outcome and duration of the work for one request.
 struct work
 {
     work_outcome outcome = work_outcome::complete;
     core::common::duration time{};
 };
 
-/// Faults of one executor, switched at run time; absent parts stay as they are.
+/// Changes of the injected faults of an executor; absent members change
+/// nothing.
 struct upstream_faults
 {
     std::optional<bool> freeze;
@@ -95,7 +97,7 @@
     std::uint64_t failed = 0;
     std::uint64_t over_capacity = 0;
     std::uint64_t duplicate_runs = 0;
-    std::uint64_t running = 0;
+    std::uint64_t running = 0; ///< Currently, unlike the other counters.
     std::uint64_t started_after_leaving = 0;
     std::uint64_t partial = 0;
 };
@@ -110,15 +112,16 @@
     std::string const& data_centre(std::size_t executor) const;
     std::optional<std::size_t> find(std::string_view id) const;
 
-    /// A request has come in whole; unless refused, `end` follows after
-    /// `time`.
+    /// Starts a completely received request. Unless it is refused, the caller
+    /// must call `end` after `time`.
     work begin(core::common::time_point now,
                std::size_t executor,
-               work_request const& what);
-    /// The work is done, whether or not its caller still listens.
-    void end(std::size_t executor, work_outcome how);
+               work_request const& request);
+    /// Ends the work, whether or not its caller is still connected.
+    void end(std::size_t executor, work_outcome outcome);
 
-    /// Of one executor, or of all for "*"; false for an unknown id.
+    /// Changes the faults of one executor, or of all if `id` is "*". Returns
+    /// false for an unknown id.
     bool set_faults(core::common::time_point now,
                     std::string_view id,
                     upstream_faults const& faults);
@@ -140,21 +143,21 @@
         std::uint32_t fail_permille = 0;
         std::uint32_t partial_permille = 0;
         double slow_factor = 1.0;
-        std::optional<core::common::time_point> left;
+        std::optional<core::common::time_point> left_at;
     };
 
     bool chance(std::uint32_t permille);
-    void note_key(work_request const& what);
-    core::common::duration draw_time(executor_state const& executor,
-                                     work_request const& what);
+    void record_key(work_request const& request);
+    core::common::duration draw_service_time(executor_state const& executor,
+                                     work_request const& request);
 
     upstream_pool_settings settings_;
     std::mt19937_64 random_;
     std::vector<executor_state> executors_;
-    std::vector<std::uint32_t> machine_running_;
-    std::unordered_set<std::uint64_t> keys_;
+    std::vector<std::uint32_t> running_per_machine_;
+    std::unordered_set<std::uint64_t> seen_keys_;
     std::deque<std::uint64_t> key_order_;
-    upstream_counters books_;
+    upstream_counters counters_;
 };
 
 } // namespace fuchsia::standins::upstreams
--- a/standins/upstreams/upstream_server.cpp
+++ b/standins/upstreams/upstream_server.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint16_t bad_request = 400;
 constexpr std::uint16_t not_found = 404;
-constexpr std::int64_t whole_permille = 1'000;
+constexpr std::int64_t permille_base = 1'000;
 constexpr double max_slow_factor = 10'000;
 
 std::optional<bool>
@@ -26,7 +26,7 @@
                                       boost::json::object const& json,
                                       std::string_view key)
 {
-    auto const value = reader.integer_or(key, 0, 0, whole_permille);
+    auto const value = reader.integer_or(key, 0, 0, permille_base);
     return json.contains(key)
                ? std::optional<std::uint32_t>(static_cast<std::uint32_t>(value))
                : std::nullopt;
@@ -37,13 +37,13 @@
 upstream_server::upstream_server(boost::asio::io_context& io,
                                  upstream_server_settings settings)
     : io_(io), settings_(std::move(settings)), pool_(settings_.pool),
-      control_(
-          io,
-          {},
-          [this](request const& asked, adapters::http::responder const& answer)
-          {
-              answer(handle_control(asked));
-          })
+      control_(io,
+               {},
+               [this](request const& http_request,
+                      adapters::http::responder const& respond)
+               {
+                   respond(handle_control(http_request));
+               })
 {
 }
 
@@ -54,8 +54,8 @@
     {
         return std::nullopt;
     }
-    auto where = control_.listen(settings_.control, reason);
-    if (where && settings_.platform)
+    auto bound = control_.listen(settings_.control, reason);
+    if (bound && settings_.platform)
     {
         registrar_.emplace(io_,
                            *settings_.platform,
@@ -67,7 +67,7 @@
                            });
         registrar_->start();
     }
-    return where;
+    return bound;
 }
 
 bool upstream_server::listen_executors(core::common::failure& reason)
@@ -78,15 +78,15 @@
         auto const port =
             settings_.first_port == 0 ? 0 : settings_.first_port + number;
         settings.listen = {settings_.address, static_cast<std::uint16_t>(port)};
-        auto const made =
+        auto const opened =
             std::make_shared<executor>(io_, pool_, number, settings);
-        auto const where = made->listen(reason);
-        if (!where)
+        auto const bound = opened->listen(reason);
+        if (!bound)
         {
             return false;
         }
-        executors_.push_back(made);
-        endpoints_.push_back(*where);
+        executors_.push_back(opened);
+        endpoints_.push_back(*bound);
     }
     return true;
 }
@@ -103,9 +103,9 @@
         registrar_->stop();
     }
     control_.close();
-    for (auto const& each : executors_)
+    for (auto const& candidate : executors_)
     {
-        each->close();
+        candidate->close();
     }
 }
 
@@ -122,15 +122,18 @@
              {"report_age_ms", "0"}}};
 }
 
-upstream_server::response upstream_server::handle_control(request const& asked)
+upstream_server::response
+upstream_server::handle_control(request const& http_request)
 {
-    if (asked.target == "/control/counts" && asked.method == "GET")
+    if (http_request.target == "/control/counts" &&
+        http_request.method == "GET")
     {
-        return books();
+        return report_counters();
     }
-    if (asked.target == "/control/faults" && asked.method == "POST")
+    if (http_request.target == "/control/faults" &&
+        http_request.method == "POST")
     {
-        return set_faults(asked.body);
+        return set_faults(http_request.body);
     }
     return error_response(not_found, "unknown control path");
 }
@@ -172,30 +175,30 @@
     {
         return error_response(not_found, "no such upstream");
     }
-    for (auto const& each : executors_)
+    for (auto const& candidate : executors_)
     {
-        each->thaw();
+        candidate->thaw();
     }
     return json_response(boost::json::object{{"set", true}});
 }
 
-upstream_server::response upstream_server::books() const
+upstream_server::response upstream_server::report_counters() const
 {
-    auto const& counts = pool_.counters();
+    auto const& counters = pool_.counters();
     std::uint64_t connections_refused = 0;
-    for (auto const& each : executors_)
+    for (auto const& candidate : executors_)
     {
-        connections_refused += each->connections_refused();
+        connections_refused += candidate->connections_refused();
     }
-    return counters_response({{"received", counts.received},
-                              {"answered", counts.answered},
-                              {"refused", counts.refused},
-                              {"failed", counts.failed},
-                              {"partial", counts.partial},
-                              {"overfilled", counts.over_capacity},
-                              {"doubled", counts.duplicate_runs},
-                              {"running", counts.running},
-                              {"after_leaving", counts.started_after_leaving},
+    return counters_response({{"received", counters.received},
+                              {"answered", counters.answered},
+                              {"refused", counters.refused},
+                              {"failed", counters.failed},
+                              {"partial", counters.partial},
+                              {"overfilled", counters.over_capacity},
+                              {"doubled", counters.duplicate_runs},
+                              {"running", counters.running},
+                              {"after_leaving", counters.started_after_leaving},
                               {"connections_refused", connections_refused}});
 }
 
--- a/standins/upstreams/upstream_server.hpp
+++ b/standins/upstreams/upstream_server.hpp
@@ -15,24 +15,25 @@
 struct upstream_server_settings
 {
     ports::endpoint control{"127.0.0.1", 20100};
-    /// Where to register; absent: nowhere.
+    /// Platform to register with; if absent, executors are not registered.
     std::optional<ports::endpoint> platform;
     core::common::duration register_interval = std::chrono::seconds(1);
-    /// Executors listen on `first_port` and those after it; 0: free ones.
+    /// Executors listen on consecutive ports from `first_port`, or on free
+    /// ports if it is 0.
     std::string address = "127.0.0.1";
     std::uint16_t first_port = 20101;
     upstream_pool_settings pool;
     executor_settings executor;
 };
 
-/// All executors, their registration, faults and books.
+/// Runs all executors, with their registration, injected faults and counters.
 class upstream_server
 {
 public:
     upstream_server(boost::asio::io_context& io,
                     upstream_server_settings settings);
 
-    /// The control endpoint.
+    /// Starts listening and returns the control endpoint.
     std::optional<ports::endpoint> listen(core::common::failure& reason);
     std::vector<ports::endpoint> const& executors() const noexcept;
     void stop();
@@ -42,9 +43,9 @@
     using response = adapters::http::response;
 
     bool listen_executors(core::common::failure& reason);
-    response handle_control(request const& asked);
+    response handle_control(request const& http_request);
     response set_faults(std::string const& body);
-    response books() const;
+    response report_counters() const;
     instance_registration describe(std::size_t number) const;
 
     boost::asio::io_context& io_;
