--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -8,24 +8,24 @@
 #include <functional>
 #include <iostream>
 
-// fuchsia-standin: small programs in the place of the platform, the upstreams,
-// the workers and the network, for tests and the demo.
+// fuchsia-standin: small programs that replace the platform, the upstreams, the
+// workers and the network in tests and in the demo.
 namespace
 {
 
 using namespace fuchsia;
 using adapters::settings::toml_table;
 
-constexpr int bad_settings = 2;
+constexpr int startup_failure = 2;
 
-int complain(core::common::failure const& reason)
+int report_failure(core::common::failure const& reason)
 {
     std::cerr << "fuchsia-standin: " << to_string(reason) << '\n';
-    return bad_settings;
+    return startup_failure;
 }
 
-/// Runs one stand-in until SIGTERM: reads its settings with `read`, makes a
-/// Server of them and listens.
+/// Runs one stand-in until SIGTERM: reads its settings with `read`, constructs
+/// a `Server` from them and listens.
 template<class Server, class Settings>
 int serve(std::string const& kind,
           std::string const& path,
@@ -35,27 +35,27 @@
     auto const file = adapters::settings::toml_file::open(path, reason);
     if (!file)
     {
-        return complain(reason);
+        return report_failure(reason);
     }
     auto root = file->root();
     auto const level = standins::read_log_level(root);
     auto settings = read(root);
     if (!file->ok())
     {
-        return complain(file->reason());
+        return report_failure(file->reason());
     }
     adapters::logging::initialize("fuchsia-standin", level);
     boost::asio::io_context io(1);
     Server server(io, std::move(settings));
-    auto const where = server.listen(reason);
-    if (!where)
+    auto const bound = server.listen(reason);
+    if (!bound)
     {
-        return complain(reason);
+        return report_failure(reason);
     }
     adapters::logging::write(
         ports::severity::info,
         "listening",
-        {{"kind", kind}, {"address", adapters::http::to_string(*where)}});
+        {{"kind", kind}, {"address", adapters::http::to_string(*bound)}});
     adapters::runtime::on_stop_signal(io,
                                       [&]
                                       {
@@ -72,24 +72,26 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("Stand-ins for what the platform gives, for tests and the "
-                 "demo");
+    CLI::App app("Stand-ins for the platform and its services, for tests and "
+                 "the demo");
     app.set_version_flag("--version", FUCHSIA_VERSION);
     app.require_subcommand(1);
     std::string path;
-    auto const add = [&](std::string const& name, std::string const& about)
+    auto const add_command =
+        [&](std::string const& name, std::string const& description)
     {
-        auto* command = app.add_subcommand(name, about);
+        auto* command = app.add_subcommand(name, description);
         command->add_option("--settings", path, "TOML file")->required();
         return command;
     };
     auto const* platform =
-        add("platform", "key-value store and list of instances");
-    auto const* upstreams = add("upstreams", "executors of callers' requests");
-    auto const* workers = add("workers", "workers that run tasks");
+        add_command("platform", "key-value store and list of instances");
+    auto const* upstreams =
+        add_command("upstreams", "executors that run callers' requests");
+    auto const* workers = add_command("workers", "workers that run tasks");
     auto const* pool =
-        add("pool", "the users' platform: its store and some workers");
-    add("links", "TCP relays that delay or cut");
+        add_command("pool", "the users' platform: its store and some workers");
+    add_command("links", "TCP relays that delay or cut connections");
     CLI11_PARSE(app, argc, argv);
     if (platform->parsed())
     {
