--- a/tests/contract/standins/catalog_test.cpp
+++ b/tests/contract/standins/catalog_test.cpp
@@ -25,24 +25,24 @@
 
 } // namespace
 
-TEST(catalog, drops_what_is_not_registered_again)
+TEST(catalog, removes_entries_that_are_not_registered_again)
 {
     catalog listed;
     listed.register_entry(start, upstream("a"));
     listed.register_entry(start, upstream("b"));
     listed.register_entry(start + 3s, upstream("b"));
     listed.tick(start + 5s);
-    auto const left = listed.list(start + 5s, "upstream");
-    ASSERT_EQ(left.size(), 1U);
-    EXPECT_EQ(left[0].id, "b");
-    EXPECT_EQ(left[0].meta.at("report_age_ms"), "2005");
+    auto const remaining_entries = listed.list(start + 5s, "upstream");
+    ASSERT_EQ(remaining_entries.size(), 1U);
+    EXPECT_EQ(remaining_entries[0].id, "b");
+    EXPECT_EQ(remaining_entries[0].meta.at("report_age_ms"), "2005");
     EXPECT_TRUE(listed.list(start + 5s, "fuchsia-entry").empty());
 }
 
-TEST(catalog, lists_what_was_true_the_lag_ago)
+TEST(catalog, lists_registrations_as_they_were_before_the_lag)
 {
-    // An upstream leaves, and the list goes on calling it live for a while:
-    // callers that trust the list send it work that it won't take.
+    // An upstream starts to leave while the lagging list still shows it as
+    // live, so callers that rely on the list send it requests that it refuses.
     catalog listed;
     listed.set_lag(2s);
     listed.register_entry(start, upstream("a"));
@@ -58,7 +58,7 @@
               "leaving");
 }
 
-TEST(catalog, a_frozen_list_stays_until_it_thaws)
+TEST(catalog, a_frozen_list_is_unchanged_until_it_is_unfrozen)
 {
     catalog listed;
     listed.register_entry(start, upstream("a"));
@@ -70,13 +70,13 @@
     EXPECT_EQ(listed.list(start, "upstream").at(0).id, "b");
 }
 
-TEST(catalog, an_override_stands_over_the_registration)
+TEST(catalog, an_overridden_state_replaces_the_registered_one)
 {
     struct row
     {
         listed_state state;
         std::size_t listed;
-        std::string shown;
+        std::string expected_state;
     };
     std::vector<row> const rows{
         {listed_state::live, 1, "live"},
@@ -88,16 +88,16 @@
         catalog listed;
         listed.override_state("a", row.state);
         listed.register_entry(start, upstream("a"));
-        auto const shown = listed.list(start, "upstream");
-        ASSERT_EQ(shown.size(), row.listed);
-        if (!shown.empty())
+        auto const visible = listed.list(start, "upstream");
+        ASSERT_EQ(visible.size(), row.listed);
+        if (!visible.empty())
         {
-            EXPECT_EQ(shown[0].meta.at("state"), row.shown);
+            EXPECT_EQ(visible[0].meta.at("state"), row.expected_state);
         }
     }
 }
 
-TEST(catalog, refuses_entries_beyond_its_bound)
+TEST(catalog, refuses_new_entries_beyond_its_limit)
 {
     catalog listed({5s, 2});
     EXPECT_TRUE(listed.register_entry(start, upstream("a")));
--- a/tests/contract/standins/servers_test.cpp
+++ b/tests/contract/standins/servers_test.cpp
@@ -30,14 +30,14 @@
         response answer;
     };
 
-    std::shared_ptr<exchange> send(ports::endpoint const& where,
+    std::shared_ptr<exchange> send(ports::endpoint const& address,
                                    std::string method,
                                    std::string target,
                                    std::string body = {},
                                    std::vector<ports::header> headers = {})
     {
         client_call call;
-        call.remote_endpoint = where;
+        call.remote_endpoint = address;
         call.message = {std::move(method),
                         std::move(target),
                         std::move(headers),
@@ -64,13 +64,14 @@
         ASSERT_TRUE(condition());
     }
 
-    std::shared_ptr<exchange> ask(ports::endpoint const& where,
-                                  std::string method,
-                                  std::string target,
-                                  std::string body = {},
-                                  std::vector<ports::header> headers = {})
+    std::shared_ptr<exchange>
+    send_and_wait(ports::endpoint const& address,
+                  std::string method,
+                  std::string target,
+                  std::string body = {},
+                  std::vector<ports::header> headers = {})
     {
-        auto result = send(where,
+        auto result = send(address,
                            std::move(method),
                            std::move(target),
                            std::move(body),
@@ -95,19 +96,19 @@
 
 } // namespace
 
-TEST_F(standin_servers, a_blocking_query_is_answered_by_the_change)
+TEST_F(standin_servers, a_change_completes_a_blocking_query)
 {
     platform::platform_settings settings;
     settings.listen = any_port();
     platform::platform_server server(io, settings);
-    auto const where = server.listen(reason);
-    ASSERT_TRUE(where) << to_string(reason);
-    ask(*where, "PUT", "/v1/kv/config/index", "1");
+    auto const address = server.listen(reason);
+    ASSERT_TRUE(address) << to_string(reason);
+    send_and_wait(*address, "PUT", "/v1/kv/config/index", "1");
     auto const watch =
-        send(*where, "GET", "/v1/kv/config/?recurse&index=2&wait=60s");
-    ask(*where, "PUT", "/v1/kv/other", "1");
+        send(*address, "GET", "/v1/kv/config/?recurse&index=2&wait=60s");
+    send_and_wait(*address, "PUT", "/v1/kv/other", "1");
     EXPECT_EQ(watch->status, still_open);
-    ask(*where, "PUT", "/v1/kv/config/index", "2");
+    send_and_wait(*address, "PUT", "/v1/kv/config/index", "2");
     wait_for(
         [&]
         {
@@ -117,49 +118,51 @@
     EXPECT_EQ(watch->answer.header("X-Consul-Index"), "4");
 }
 
-TEST_F(standin_servers, a_platform_that_is_down_answers_nobody)
+TEST_F(standin_servers,
+       a_platform_that_is_down_closes_connections_without_response)
 {
-    // The store is down: every call, and every watch that waits, loses its
-    // connection without an answer, and nothing takes effect.
+    // While the store is down, every call and every waiting watch loses its
+    // connection without a response, and no change is made.
     platform::platform_settings settings;
     settings.listen = any_port();
     platform::platform_server server(io, settings);
-    auto const where = server.listen(reason);
-    ASSERT_TRUE(where) << to_string(reason);
-    auto const watch = send(*where, "GET", "/v1/kv/k?index=1&wait=60s");
+    auto const address = server.listen(reason);
+    ASSERT_TRUE(address) << to_string(reason);
+    auto const watch = send(*address, "GET", "/v1/kv/k?index=1&wait=60s");
     auto const counts = [&]
     {
-        return ask(*where, "GET", "/control/counts")->answer.body;
+        return send_and_wait(*address, "GET", "/control/counts")->answer.body;
     };
     wait_for(
         [&]
         {
             return counts().find("\"watches\":1") != std::string::npos;
         });
-    ask(*where, "POST", "/control/faults", R"({"down":true})");
+    send_and_wait(*address, "POST", "/control/faults", R"({"down":true})");
     wait_for(
         [&]
         {
             return watch->status != still_open;
         });
     EXPECT_EQ(watch->status, exchange_status::lost);
-    EXPECT_EQ(ask(*where, "PUT", "/v1/kv/k", "v")->status,
+    EXPECT_EQ(send_and_wait(*address, "PUT", "/v1/kv/k", "v")->status,
               exchange_status::lost);
-    ask(*where, "POST", "/control/faults", R"({"down":false})");
-    EXPECT_EQ(ask(*where, "GET", "/v1/kv/k")->answer.status, 404);
+    send_and_wait(*address, "POST", "/control/faults", R"({"down":false})");
+    EXPECT_EQ(send_and_wait(*address, "GET", "/v1/kv/k")->answer.status, 404);
 }
 
-TEST_F(standin_servers, a_slow_platform_answers_in_the_end)
+TEST_F(standin_servers, a_slow_platform_responds_after_the_delay)
 {
     platform::platform_settings settings;
     settings.listen = any_port();
     platform::platform_server server(io, settings);
-    auto const where = server.listen(reason);
-    ASSERT_TRUE(where) << to_string(reason);
-    ask(*where, "POST", "/control/faults", R"({"slow_ms":20})");
-    EXPECT_EQ(ask(*where, "PUT", "/v1/kv/k", "v")->answer.body, "true");
-    auto const watch = send(*where, "GET", "/v1/kv/k?index=2&wait=60s");
-    ask(*where, "PUT", "/v1/kv/k", "w");
+    auto const address = server.listen(reason);
+    ASSERT_TRUE(address) << to_string(reason);
+    send_and_wait(*address, "POST", "/control/faults", R"({"slow_ms":20})");
+    EXPECT_EQ(send_and_wait(*address, "PUT", "/v1/kv/k", "v")->answer.body,
+              "true");
+    auto const watch = send(*address, "GET", "/v1/kv/k?index=2&wait=60s");
+    send_and_wait(*address, "PUT", "/v1/kv/k", "w");
     wait_for(
         [&]
         {
@@ -168,17 +171,17 @@
     EXPECT_EQ(watch->answer.status, 200);
 }
 
-TEST_F(standin_servers, executors_register_and_answer_with_the_token)
+TEST_F(standin_servers, executors_register_and_return_the_load_token)
 {
     platform::platform_settings platform_settings;
     platform_settings.listen = any_port();
     platform::platform_server platform(io, platform_settings);
-    auto const list = platform.listen(reason);
-    ASSERT_TRUE(list) << to_string(reason);
+    auto const catalog_address = platform.listen(reason);
+    ASSERT_TRUE(catalog_address) << to_string(reason);
     upstreams::upstream_server_settings settings;
     settings.control = any_port();
     settings.first_port = 0;
-    settings.platform = list;
+    settings.platform = catalog_address;
     settings.register_interval = 50ms;
     settings.pool.count = 3;
     settings.pool.data_centres = {"kochi-a"};
@@ -188,25 +191,27 @@
     wait_for(
         [&]
         {
-            listed =
-                ask(*list, "GET", "/v1/catalog/service/upstream")->answer.body;
+            listed = send_and_wait(*catalog_address,
+                                   "GET",
+                                   "/v1/catalog/service/upstream")
+                         ->answer.body;
             return listed.find("upstream-3") != std::string::npos;
         });
     EXPECT_NE(listed.find(R"("slots":"8")"), std::string::npos);
-    auto const got = ask(server.executors()[1],
-                         "POST",
-                         "/lots/1",
-                         "bid",
-                         {{"Fuchsia-Load-Token", "T-17"}});
-    EXPECT_EQ(got->answer.status, 200);
-    EXPECT_EQ(got->answer.header("Upstream-Id"), "upstream-2");
-    EXPECT_TRUE(got->answer.body.starts_with("T-17\n"));
-    EXPECT_TRUE(got->answer.body.ends_with("\nT-17"));
+    auto const received = send_and_wait(server.executors()[1],
+                                        "POST",
+                                        "/lots/1",
+                                        "bid",
+                                        {{"Fuchsia-Load-Token", "T-17"}});
+    EXPECT_EQ(received->answer.status, 200);
+    EXPECT_EQ(received->answer.header("Upstream-Id"), "upstream-2");
+    EXPECT_TRUE(received->answer.body.starts_with("T-17\n"));
+    EXPECT_TRUE(received->answer.body.ends_with("\nT-17"));
     server.stop();
     platform.stop();
 }
 
-TEST_F(standin_servers, executors_fail_in_the_ways_asked_for)
+TEST_F(standin_servers, executors_fail_according_to_the_injected_faults)
 {
     struct row
     {
@@ -233,26 +238,27 @@
     ASSERT_TRUE(control) << to_string(reason);
     for (auto const& row : rows)
     {
-        ask(*control,
-            "POST",
-            "/control/faults",
-            R"({"upstream":"*",)" + row.faults + "}");
-        auto const got = ask(server.executors()[0], "GET", "/lots");
-        EXPECT_EQ(got->status, row.status) << row.faults;
-        if (got->status == exchange_status::answered)
+        send_and_wait(*control,
+                      "POST",
+                      "/control/faults",
+                      R"({"upstream":"*",)" + row.faults + "}");
+        auto const received =
+            send_and_wait(server.executors()[0], "GET", "/lots");
+        EXPECT_EQ(received->status, row.status) << row.faults;
+        if (received->status == exchange_status::answered)
         {
-            EXPECT_EQ(got->answer.status, row.http_status) << row.faults;
+            EXPECT_EQ(received->answer.status, row.http_status) << row.faults;
         }
     }
-    auto const malformed =
-        ask(*control, "POST", "/control/faults", R"({"upstream":"*","x":1})");
+    auto const malformed = send_and_wait(
+        *control, "POST", "/control/faults", R"({"upstream":"*","x":1})");
     EXPECT_EQ(malformed->answer.status, 400);
 }
 
-TEST_F(standin_servers, a_frozen_executor_goes_on_where_it_stood)
+TEST_F(standin_servers, an_unfrozen_executor_resumes_pending_requests)
 {
-    // The executor's process is stopped for a while: its connections stay
-    // open, nothing moves, and afterwards the late answers come.
+    // The executor's process is stopped for a while. Its connections stay open
+    // without progress, and the late responses follow when it resumes.
     upstreams::upstream_server_settings settings;
     settings.control = any_port();
     settings.first_port = 0;
@@ -260,34 +266,34 @@
     upstreams::upstream_server server(io, settings);
     auto const control = server.listen(reason);
     ASSERT_TRUE(control) << to_string(reason);
-    ask(*control,
-        "POST",
-        "/control/faults",
-        R"({"upstream":"upstream-1","freeze":true})");
-    auto const held = send(server.executors()[0], "GET", "/lots");
-    ask(server.executors()[1], "GET", "/lots");
-    EXPECT_EQ(held->status, still_open);
-    ask(*control,
-        "POST",
-        "/control/faults",
-        R"({"upstream":"upstream-1","freeze":false})");
+    send_and_wait(*control,
+                  "POST",
+                  "/control/faults",
+                  R"({"upstream":"upstream-1","freeze":true})");
+    auto const pending = send(server.executors()[0], "GET", "/lots");
+    send_and_wait(server.executors()[1], "GET", "/lots");
+    EXPECT_EQ(pending->status, still_open);
+    send_and_wait(*control,
+                  "POST",
+                  "/control/faults",
+                  R"({"upstream":"upstream-1","freeze":false})");
     wait_for(
         [&]
         {
-            return held->status != still_open;
+            return pending->status != still_open;
         });
-    EXPECT_EQ(held->answer.status, 200);
+    EXPECT_EQ(pending->answer.status, 200);
 }
 
-TEST_F(standin_servers, workers_take_calls_and_keep_books)
+TEST_F(standin_servers, workers_respond_to_calls_and_count_them)
 {
     workers::worker_server_settings settings;
     settings.listen = any_port();
     settings.pool.count = 2;
     settings.pool.data_centres = {"kochi-a"};
     workers::worker_server server(io, settings);
-    auto const where = server.listen(reason);
-    ASSERT_TRUE(where) << to_string(reason);
+    auto const address = server.listen(reason);
+    ASSERT_TRUE(address) << to_string(reason);
     std::string const start =
         R"({"task":"t","attempt":1,"millicores":100,"memory_mb":10,)"
         R"("accelerators":0,"class":"valuation","service":false,)"
@@ -298,7 +304,7 @@
         std::string target;
         std::string body;
         std::uint16_t status;
-        std::string_view part;
+        std::string_view expected_part;
     };
     std::vector<row> const rows{
         {"/v1/workers/worker-1/start", start, 200, "{"},
@@ -322,60 +328,67 @@
     };
     for (auto const& row : rows)
     {
-        auto const got = ask(*where, "POST", row.target, row.body);
-        EXPECT_EQ(got->answer.status, row.status) << row.target << row.body;
-        EXPECT_NE(got->answer.body.find(row.part), std::string::npos)
-            << got->answer.body;
+        auto const received =
+            send_and_wait(*address, "POST", row.target, row.body);
+        EXPECT_EQ(received->answer.status, row.status)
+            << row.target << row.body;
+        EXPECT_NE(received->answer.body.find(row.expected_part),
+                  std::string::npos)
+            << received->answer.body;
     }
-    auto const books = ask(*where, "GET", "/control/counts")->answer.body;
-    EXPECT_NE(books.find(R"("starts":1)"), std::string::npos);
-    EXPECT_NE(books.find(R"("stopped":1)"), std::string::npos);
+    auto const counters =
+        send_and_wait(*address, "GET", "/control/counts")->answer.body;
+    EXPECT_NE(counters.find(R"("starts":1)"), std::string::npos);
+    EXPECT_NE(counters.find(R"("stopped":1)"), std::string::npos);
 }
 
-TEST_F(standin_servers, a_call_to_a_frozen_worker_comes_too_late)
+TEST_F(standin_servers,
+       a_worker_refuses_a_start_delayed_past_its_deadline_by_a_freeze)
 {
-    // A start waits in the buffers of a worker that is paused. When it wakes
-    // the task runs elsewhere already; its own clock makes it refuse.
+    // A start call waits in the buffers of a paused worker. When the worker
+    // resumes, the task already runs elsewhere. The worker refuses the start
+    // because its own clock is past the deadline of the call.
     workers::worker_server_settings settings;
     settings.listen = any_port();
     settings.pool.count = 1;
     workers::worker_server server(io, settings);
-    auto const where = server.listen(reason);
-    ASSERT_TRUE(where) << to_string(reason);
-    ask(*where,
-        "POST",
-        "/control/faults",
-        R"({"worker":"worker-1","freeze":true})");
-    auto const held =
-        send(*where,
+    auto const address = server.listen(reason);
+    ASSERT_TRUE(address) << to_string(reason);
+    send_and_wait(*address,
+                  "POST",
+                  "/control/faults",
+                  R"({"worker":"worker-1","freeze":true})");
+    auto const pending =
+        send(*address,
              "POST",
              "/v1/workers/worker-1/start",
              R"({"task":"t","attempt":1,"millicores":1,"memory_mb":1,)"
              R"("accelerators":0,"class":"c","start_before_ms":0,)"
              R"("lease_until_ms":9000000000})");
-    ask(*where, "GET", "/v1/workers");
-    EXPECT_EQ(held->status, still_open);
-    ask(*where,
-        "POST",
-        "/control/faults",
-        R"({"worker":"worker-1","freeze":false})");
+    send_and_wait(*address, "GET", "/v1/workers");
+    EXPECT_EQ(pending->status, still_open);
+    send_and_wait(*address,
+                  "POST",
+                  "/control/faults",
+                  R"({"worker":"worker-1","freeze":false})");
     wait_for(
         [&]
         {
-            return held->status != still_open;
+            return pending->status != still_open;
         });
-    EXPECT_EQ(held->answer.status, 409);
+    EXPECT_EQ(pending->answer.status, 409);
 }
 
-TEST_F(standin_servers, a_cut_link_holds_bytes_back_until_healed_or_reset)
+TEST_F(standin_servers, a_cut_link_delays_bytes_until_it_is_restored_or_reset)
 {
-    // The path between two machines breaks one way or both. Connections stay
-    // open and nobody is told; after the path heals, the bytes arrive late.
+    // The path between two machines fails in one or both directions.
+    // Connections stay open without an error, and the bytes arrive late once
+    // the path is restored.
     struct row
     {
         std::string cut;
-        std::string heal;
-        exchange_status wanted;
+        std::string restore;
+        exchange_status expected_status;
     };
     std::vector<row> const rows{
         {"both", R"({"cut":"none"})", exchange_status::answered},
@@ -386,44 +399,46 @@
     workers::worker_server_settings target_settings;
     target_settings.listen = any_port();
     workers::worker_server target(io, target_settings);
-    auto const behind = target.listen(reason);
-    ASSERT_TRUE(behind) << to_string(reason);
+    auto const target_address = target.listen(reason);
+    ASSERT_TRUE(target_address) << to_string(reason);
     links::link_server_settings settings;
     settings.control = any_port();
-    settings.links.push_back({"a-b", any_port(), *behind, 1ms});
+    settings.links.push_back({"a-b", any_port(), *target_address, 1ms});
     links::link_server server(io, settings);
     auto const control = server.listen(reason);
     ASSERT_TRUE(control) << to_string(reason);
     auto const link = server.endpoints().at(0);
     for (auto const& row : rows)
     {
-        EXPECT_EQ(ask(link, "GET", "/v1/workers")->answer.status, 200);
-        ask(*control,
-            "POST",
-            "/control/links/a-b",
-            R"({"cut":")" + row.cut + R"("})");
-        auto const held = send(link, "GET", "/control/counts");
-        ask(*behind, "GET", "/v1/workers");
-        EXPECT_EQ(held->status, still_open) << row.cut;
-        ask(*control, "POST", "/control/links/a-b", row.heal);
+        EXPECT_EQ(send_and_wait(link, "GET", "/v1/workers")->answer.status,
+                  200);
+        send_and_wait(*control,
+                      "POST",
+                      "/control/links/a-b",
+                      R"({"cut":")" + row.cut + R"("})");
+        auto const pending = send(link, "GET", "/control/counts");
+        send_and_wait(*target_address, "GET", "/v1/workers");
+        EXPECT_EQ(pending->status, still_open) << row.cut;
+        send_and_wait(*control, "POST", "/control/links/a-b", row.restore);
         wait_for(
             [&]
             {
-                return held->status != still_open;
+                return pending->status != still_open;
             });
-        EXPECT_EQ(held->status, row.wanted) << row.cut << row.heal;
+        EXPECT_EQ(pending->status, row.expected_status)
+            << row.cut << row.restore;
     }
     server.stop();
     target.stop();
 }
 
-TEST(standin_settings, name_the_place_of_what_is_wrong)
+TEST(standin_settings, an_error_names_its_file_and_line)
 {
     struct row
     {
         std::string_view text;
-        std::string_view place;
-        core::common::result_code code;
+        std::string_view expected_place;
+        core::common::result_code expected_code;
     };
     using core::common::result_code;
     std::vector<row> const rows{
@@ -448,13 +463,14 @@
         auto root = file->root();
         read_platform_settings(root);
         EXPECT_FALSE(file->ok()) << row.text;
-        EXPECT_EQ(file->reason().code, row.code) << to_string(file->reason());
-        EXPECT_TRUE(file->reason().where.starts_with(row.place))
+        EXPECT_EQ(file->reason().code, row.expected_code)
+            << to_string(file->reason());
+        EXPECT_TRUE(file->reason().where.starts_with(row.expected_place))
             << to_string(file->reason());
     }
 }
 
-TEST(standin_settings, the_examples_are_complete)
+TEST(standin_settings, the_example_files_are_valid)
 {
     auto const check = [](std::string const& name, auto const& read)
     {
--- a/tests/contract/standins/store_state_test.cpp
+++ b/tests/contract/standins/store_state_test.cpp
@@ -14,22 +14,22 @@
 
 constexpr core::common::time_point start(1h);
 
-std::uint16_t status_of(store_response const& answer)
+std::uint16_t status_of(store_response const& result)
 {
-    auto const* sent = std::get_if<response>(&answer);
+    auto const* sent = std::get_if<response>(&result);
     return sent == nullptr ? 0 : sent->status;
 }
 
-store_response ask(store_service& store,
-                   std::string method,
-                   std::string target,
-                   std::string body = {},
-                   core::common::time_point now = start)
+store_response call_store(store_service& store,
+                          std::string method,
+                          std::string target,
+                          std::string body = {},
+                          core::common::time_point now = start)
 {
-    request asked{
+    request http_request{
         std::move(method), std::move(target), {}, std::move(body), {}};
-    auto const parsed = parse_target(asked.target);
-    return store.handle(now, *parsed, asked);
+    auto const parsed = parse_target(http_request.target);
+    return store.handle(now, *parsed, http_request);
 }
 
 std::string cas(std::string const& key, std::uint64_t index)
@@ -44,12 +44,13 @@
 {
     struct row
     {
-        std::string_view what;
+        std::string_view description;
         bool exists;
         std::optional<std::uint64_t> expected;
-        change_status wanted;
+        change_status expected_status;
     };
-    // Two writers race: both read the same version, and only one may win.
+    // Two writers that have read the same version race. Only one of them may
+    // succeed.
     std::vector<row> const rows{
         {"create", false, 0, change_status::done},
         {"create what exists", true, 0, change_status::conflict},
@@ -67,9 +68,9 @@
         }
         auto const before = store.index();
         auto const result = store.write("k", "new", row.expected);
-        EXPECT_EQ(result.status, row.wanted) << row.what;
-        bool const done = row.wanted == change_status::done;
-        EXPECT_EQ(store.index(), done ? before + 1 : before) << row.what;
+        EXPECT_EQ(result.status, row.expected_status) << row.description;
+        bool const done = row.expected_status == change_status::done;
+        EXPECT_EQ(store.index(), done ? before + 1 : before) << row.description;
     }
 }
 
@@ -84,11 +85,11 @@
     EXPECT_EQ(store.find("k"), nullptr);
 }
 
-TEST(store_state, a_query_is_due_when_its_key_changes_or_its_wait_ends)
+TEST(store_state, a_query_is_due_when_a_matching_key_changes_or_its_wait_ends)
 {
     struct row
     {
-        std::string_view what;
+        std::string_view description;
         std::string_view changed_key;
         core::common::duration passed;
         bool due;
@@ -109,26 +110,28 @@
             store.write(row.changed_key, "new", std::nullopt);
         }
         auto const due = store.take_due(start + row.passed);
-        EXPECT_EQ(due.size(), row.due ? 1U : 0U) << row.what;
+        EXPECT_EQ(due.size(), row.due ? 1U : 0U) << row.description;
     }
 }
 
-TEST(store_state, a_query_sees_a_deletion_that_came_before_it)
+TEST(store_state, a_query_is_due_at_once_after_a_deletion_newer_than_its_index)
 {
-    // The watcher read the list, then the last key below its prefix was
-    // deleted, then its query came. Waiting now, it would miss the deletion.
+    // The last key below the prefix is deleted after the watcher has read the
+    // list and before its query arrives. A query that waits would miss the
+    // deletion.
     store_state store;
     store.write("a/1", "v", 0);
-    auto const seen = store.index();
+    auto const read_index = store.index();
     store.erase("a/1", std::nullopt);
-    EXPECT_FALSE(store.hold({1, "a/", true, seen, start + 10s}));
+    EXPECT_FALSE(store.hold({1, "a/", true, read_index, start + 10s}));
     EXPECT_TRUE(store.hold({2, "a/", true, store.index(), start + 10s}));
 }
 
-TEST(store_state, a_lease_that_ran_out_frees_its_keys)
+TEST(store_state, an_expired_lease_releases_its_keys)
 {
-    // The holder was paused past its lease. Another takes the key, and the
-    // first can neither renew nor release.
+    // The holder is paused for longer than its lease. Another session acquires
+    // the key, and the first one can neither renew its lease nor release the
+    // key.
     store_state store;
     auto const first = store.open_session(start, 10s);
     auto const second = store.open_session(start, 60s);
@@ -143,11 +146,11 @@
     EXPECT_EQ(store.find("lock")->lock_index, 2U);
 }
 
-TEST(store_service, answers_as_the_published_format_has_it)
+TEST(store_service, responds_with_the_documented_status)
 {
     struct row
     {
-        std::string_view what;
+        std::string_view description;
         std::string method;
         std::string target;
         std::string body;
@@ -185,13 +188,13 @@
     for (auto const& row : rows)
     {
         store_service store({});
-        ask(store, "PUT", "/v1/kv/k", "v");
-        auto const answer = ask(store, row.method, row.target, row.body);
-        EXPECT_EQ(status_of(answer), row.status) << row.what;
+        call_store(store, "PUT", "/v1/kv/k", "v");
+        auto const result = call_store(store, row.method, row.target, row.body);
+        EXPECT_EQ(status_of(result), row.status) << row.description;
     }
 }
 
-TEST(store_service, refuses_calls_beyond_its_bound)
+TEST(store_service, refuses_calls_beyond_its_rate_limits)
 {
     store_service_settings settings;
     settings.reads_per_second = 10;
@@ -199,24 +202,25 @@
     store_service store(settings);
     for (int call = 0; call < 20; ++call)
     {
-        ask(store, "GET", "/v1/kv/k");
-        ask(store, "PUT", "/v1/kv/k", "v");
+        call_store(store, "GET", "/v1/kv/k");
+        call_store(store, "PUT", "/v1/kv/k", "v");
     }
     EXPECT_EQ(store.counters().rate_limited, 25U);
-    EXPECT_EQ(status_of(ask(store, "PUT", "/v1/kv/k", "v")), 429);
-    EXPECT_EQ(status_of(ask(store, "PUT", "/v1/kv/k", "v", start + 1s)), 200);
+    EXPECT_EQ(status_of(call_store(store, "PUT", "/v1/kv/k", "v")), 429);
+    EXPECT_EQ(status_of(call_store(store, "PUT", "/v1/kv/k", "v", start + 1s)),
+              200);
 }
 
-TEST(store_service, loses_answers_after_the_effect_below_the_prefix_only)
+TEST(store_service, drops_responses_only_of_changes_below_the_prefix)
 {
-    // The store is overloaded: it takes the change, and the connection ends
-    // before the answer. The caller can't tell, and must read back.
+    // An overloaded store makes the change, but the connection closes before
+    // the response. The caller cannot tell and must read the key.
     struct row
     {
-        std::string_view what;
-        std::int64_t lose;
+        std::string_view description;
+        std::int64_t dropped_writes;
         std::string key;
-        int lost_of_three;
+        int expected_drops;
     };
     std::vector<row> const rows{
         {"none", 0, "members/a", 0},
@@ -227,22 +231,22 @@
     for (auto const& row : rows)
     {
         store_service store({});
-        store.faults().drop_responses = row.lose;
+        store.faults().drop_responses = row.dropped_writes;
         store.faults().drop_responses_prefix = "members/";
-        int lost = 0;
+        int drops = 0;
         for (int write = 0; write < 3; ++write)
         {
-            auto const answer =
-                ask(store, "PUT", "/v1/kv/" + row.key, std::to_string(write));
-            lost += std::holds_alternative<dropped_response>(answer) ? 1 : 0;
+            auto const result = call_store(
+                store, "PUT", "/v1/kv/" + row.key, std::to_string(write));
+            drops += std::holds_alternative<dropped_response>(result) ? 1 : 0;
         }
-        EXPECT_EQ(lost, row.lost_of_three) << row.what;
+        EXPECT_EQ(drops, row.expected_drops) << row.description;
         EXPECT_EQ(store.counters().dropped_responses,
-                  static_cast<std::uint64_t>(row.lost_of_three))
-            << row.what;
-        auto const read = ask(store, "GET", "/v1/kv/" + row.key);
+                  static_cast<std::uint64_t>(row.expected_drops))
+            << row.description;
+        auto const read = call_store(store, "GET", "/v1/kv/" + row.key);
         auto const& body = std::get<response>(read).body;
-        EXPECT_NE(body.find("\"Mg==\""), std::string::npos) << row.what;
+        EXPECT_NE(body.find("\"Mg==\""), std::string::npos) << row.description;
     }
 }
 
--- a/tests/contract/standins/upstream_pool_test.cpp
+++ b/tests/contract/standins/upstream_pool_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST(upstream_pool, counts_what_is_begun_beyond_the_slots)
+TEST(upstream_pool, counts_requests_started_beyond_the_slots)
 {
     upstream_pool pool(two_slots());
     for (int request = 0; request < 5; ++request)
@@ -47,16 +47,16 @@
     EXPECT_EQ(pool.counters().running, 5U);
 }
 
-TEST(upstream_pool, counts_second_runs_of_a_key)
+TEST(upstream_pool, counts_duplicate_runs_of_an_idempotency_key)
 {
-    // A caller's retry reaches another upstream while the first run goes on,
-    // and a lot gets two bids.
+    // A caller's retry reaches another upstream while the first request is
+    // still running, so a lot receives two bids.
     struct row
     {
-        std::string_view what;
+        std::string_view description;
         work_request first;
         work_request second;
-        std::uint64_t doubled;
+        std::uint64_t duplicate_runs;
     };
     auto put = post("c", "k");
     put.method = "PUT";
@@ -72,11 +72,12 @@
         upstream_pool pool(two_slots());
         pool.begin(start, 0, row.first);
         pool.begin(start, 1, row.second);
-        EXPECT_EQ(pool.counters().duplicate_runs, row.doubled) << row.what;
+        EXPECT_EQ(pool.counters().duplicate_runs, row.duplicate_runs)
+            << row.description;
     }
 }
 
-TEST(upstream_pool, a_refused_request_did_not_run)
+TEST(upstream_pool, a_refused_request_does_not_run)
 {
     upstream_pool pool(two_slots());
     upstream_faults faults;
@@ -90,14 +91,14 @@
     EXPECT_FALSE(pool.set_faults(start, "upstream-9", faults));
 }
 
-TEST(upstream_pool, faults_change_how_a_request_ends)
+TEST(upstream_pool, injected_faults_determine_the_outcome_of_a_request)
 {
     struct row
     {
-        std::string_view what;
+        std::string_view description;
         std::optional<std::uint32_t> fail;
         std::optional<std::uint32_t> partial;
-        work_outcome wanted;
+        work_outcome expected_outcome;
     };
     std::vector<row> const rows{
         {"none", std::nullopt, std::nullopt, work_outcome::complete},
@@ -112,12 +113,13 @@
         faults.fail_permille = row.fail;
         faults.partial_permille = row.partial;
         pool.set_faults(start, "*", faults);
-        EXPECT_EQ(pool.begin(start, 0, post("c", "k")).outcome, row.wanted)
-            << row.what;
+        EXPECT_EQ(pool.begin(start, 0, post("c", "k")).outcome,
+                  row.expected_outcome)
+            << row.description;
     }
 }
 
-TEST(upstream_pool, counts_requests_begun_after_it_left)
+TEST(upstream_pool, counts_requests_started_after_the_leaving_grace)
 {
     upstream_pool pool(two_slots());
     upstream_faults faults;
@@ -135,7 +137,7 @@
     EXPECT_EQ(pool.counters().started_after_leaving, 1U);
 }
 
-TEST(upstream_pool, neighbours_and_faults_slow_a_request_down)
+TEST(upstream_pool, load_on_the_machine_and_faults_lengthen_the_service_time)
 {
     auto settings = two_slots();
     settings.latency_critical = {10.0, 0.0, 1'000.0};
@@ -143,23 +145,24 @@
     settings.interference = 1.0;
     settings.paths = {{"/valuations", 3.0}};
     upstream_pool pool(settings);
-    auto const near = [](work const& begun, double wanted_ms)
+    auto const expect_time = [](work const& started, double expected_ms)
     {
-        double const taken = static_cast<double>(begun.time.count()) / 1'000.0;
-        EXPECT_NEAR(taken, wanted_ms, 0.1);
+        double const time_ms =
+            static_cast<double>(started.time.count()) / 1'000.0;
+        EXPECT_NEAR(time_ms, expected_ms, 0.1);
     };
-    near(pool.begin(start, 0, post("c", "")), 10.0);
-    near(pool.begin(start, 1, post("c", "")), 12.5);
-    near(pool.begin(start, 1, post("c", "")), 15.0);
-    near(pool.begin(start, 1, post("c", "")), 10.0 * 1.75 * 1.5);
+    expect_time(pool.begin(start, 0, post("c", "")), 10.0);
+    expect_time(pool.begin(start, 1, post("c", "")), 12.5);
+    expect_time(pool.begin(start, 1, post("c", "")), 15.0);
+    expect_time(pool.begin(start, 1, post("c", "")), 10.0 * 1.75 * 1.5);
     auto slow_path = post("c", "");
     slow_path.target = "/valuations/7";
-    near(pool.begin(start, 0, slow_path), 10.0 * 2.0 * 3.0);
+    expect_time(pool.begin(start, 0, slow_path), 10.0 * 2.0 * 3.0);
     upstream_faults faults;
     faults.slow_factor = 4.0;
     pool.set_faults(start, "*", faults);
     pool.end(0, work_outcome::complete);
-    near(pool.begin(start, 0, post("c", "")), 10.0 * 2.0 * 4.0);
+    expect_time(pool.begin(start, 0, post("c", "")), 10.0 * 2.0 * 4.0);
 }
 
 } // namespace fuchsia::standins::upstreams
