--- a/standins/platform/call_rate.hpp
+++ b/standins/platform/call_rate.hpp
@@ -22,7 +22,8 @@
     bool admit(core::common::time_point now)
     {
         std::chrono::duration<double> const elapsed = now - last_refill_;
-        tokens_ = std::min(per_second_, tokens_ + elapsed.count() * per_second_);
+        tokens_ =
+            std::min(per_second_, tokens_ + elapsed.count() * per_second_);
         last_refill_ = now;
         if (tokens_ < 1.0)
         {
--- a/standins/platform/platform_server.hpp
+++ b/standins/platform/platform_server.hpp
@@ -52,9 +52,13 @@
     void handle_platform(request_target const& target,
                          request const& http_request,
                          responder const& respond);
-    void handle_slowly(request http_request, request_target target, responder respond);
-    response handle_control(request_target const& target, request const& http_request);
-    response handle_catalog(request_target const& target, request const& http_request);
+    void handle_slowly(request http_request,
+                       request_target target,
+                       responder respond);
+    response handle_control(request_target const& target,
+                            request const& http_request);
+    response handle_catalog(request_target const& target,
+                            request const& http_request);
     response register_instance(std::string const& body);
     response list_instances(std::string_view name);
     response set_faults(std::string const& body);
--- a/standins/settings.cpp
+++ b/standins/settings.cpp
@@ -104,9 +104,10 @@
         "register_interval_ms", settings.register_interval, 50ms, 60s);
     if (settings.first_port + pool.count > max_port + 1)
     {
-        table.fail(result_code::inconsistent,
-                   "first_port",
-                   "too few ports from first_port upwards for all executors");
+        table.fail(
+            result_code::inconsistent,
+            "first_port",
+            "not enough ports from first_port upwards for all executors");
     }
     table.reject_unknown_keys();
 }
--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -21,7 +21,7 @@
 struct service_time
 {
     double median_ms = 5.0;
-    double sigma = 0.5; ///< Standard deviation of the logarithm.
+    double sigma = 0.5;      ///< Standard deviation of the logarithm.
     double max_ms = 2'000.0; ///< Longer times are cut to this value.
 };
 
@@ -149,7 +149,7 @@
     bool chance(std::uint32_t permille);
     void record_key(work_request const& request);
     core::common::duration draw_service_time(executor_state const& executor,
-                                     work_request const& request);
+                                             work_request const& request);
 
     upstream_pool_settings settings_;
     std::mt19937_64 random_;
