--- a/standins/upstreams/upstream_pool.hpp
+++ b/standins/upstreams/upstream_pool.hpp
@@ -35,7 +35,7 @@
 struct upstream_pool_settings
 {
     std::uint32_t count = 50;
-    std::uint32_t slots = 8; ///< Requests that an executor can run at once.
+    std::uint32_t slots = 8; ///< Concurrent requests at full speed.
     std::vector<std::string> data_centres;
     /// Number of executors that share a machine and slow each other down.
     std::uint32_t per_machine = 5;
--- a/standins/upstreams/upstream_server.cpp
+++ b/standins/upstreams/upstream_server.cpp
@@ -103,9 +103,9 @@
         registrar_->stop();
     }
     control_.close();
-    for (auto const& candidate : executors_)
+    for (auto const& current : executors_)
     {
-        candidate->close();
+        current->close();
     }
 }
 
@@ -175,9 +175,9 @@
     {
         return error_response(not_found, "no such upstream");
     }
-    for (auto const& candidate : executors_)
+    for (auto const& current : executors_)
     {
-        candidate->thaw();
+        current->thaw();
     }
     return json_response(boost::json::object{{"set", true}});
 }
@@ -186,9 +186,9 @@
 {
     auto const& counters = pool_.counters();
     std::uint64_t connections_refused = 0;
-    for (auto const& candidate : executors_)
+    for (auto const& current : executors_)
     {
-        connections_refused += candidate->connections_refused();
+        connections_refused += current->connections_refused();
     }
     return counters_response({{"received", counters.received},
                               {"answered", counters.answered},
