--- a/src/programs/ctl/command_line.cpp
+++ b/src/programs/ctl/command_line.cpp
@@ -28,13 +28,13 @@
 FUCHSIACTL_SETTINGS may name the settings file in place of --settings.
 Error numbers: docs/ERRORS.md.)";
 
-constexpr std::int64_t most_wait_seconds = 3600;
+constexpr std::int64_t max_wait_seconds = 3600;
 
-/// Builds the commands; each fills `line.what` when it was named.
-class grammar
+/// Builds the commands; each fills `line.selected_command` when it was named.
+class command_parser
 {
 public:
-    grammar()
+    command_parser()
     {
         app_.footer(footer);
         app_.set_version_flag("--version", FUCHSIA_VERSION);
@@ -77,7 +77,8 @@
         return group;
     }
 
-    /// A command that sets `line_.what` to a `Command` made by `make`.
+    /// A command that sets `line_.selected_command` to a `Command` made by
+    /// `make`.
     template<class Make>
     CLI::App& add_command(CLI::App& group,
                           std::string const& name,
@@ -89,14 +90,14 @@
         added.callback(
             [this, make]
             {
-                line_.what = make();
+                line_.selected_command = make();
             });
         return added;
     }
 
-    void add_name(CLI::App& to, std::string const& label)
+    void add_name(CLI::App& target, std::string const& label)
     {
-        to.add_option(label, name_)
+        target.add_option(label, name_)
             ->required()
             ->check(
                 [](std::string const& text)
@@ -108,22 +109,23 @@
                 });
     }
 
-    void add_change_options(CLI::App& to)
+    void add_change_options(CLI::App& target)
     {
-        to.add_flag(
+        target.add_flag(
             "--wait",
             line_.wait,
             "Return when the change is in force everywhere, or tell who has "
             "not reported it");
-        to.add_option("--timeout", wait_seconds_, "Seconds to wait")
-            ->check(CLI::Range(std::int64_t{1}, most_wait_seconds))
+        target.add_option("--timeout", wait_seconds_, "Seconds to wait")
+            ->check(CLI::Range(std::int64_t{1}, max_wait_seconds))
             ->capture_default_str();
         if_revision_set_.add(
-            to.add_option("--if-revision",
-                          if_revision_,
-                          "Refuse the change where somebody changed the same "
-                          "thing after "
-                          "this revision")
+            target
+                .add_option("--if-revision",
+                            if_revision_,
+                            "Refuse the change where somebody changed the same "
+                            "thing after "
+                            "this revision")
                 ->check(
                     CLI::Range(std::int64_t{0}, core::config::max_revision)));
     }
@@ -235,45 +237,44 @@
         cancel.add_option("ID", name_)->required();
     }
 
-    void add_question(CLI::App& group,
-                      std::string const& name,
-                      std::string const& about,
-                      pool_subject subject)
+    void add_pool_query(CLI::App& group,
+                        std::string const& name,
+                        std::string const& about,
+                        pool_subject subject)
     {
         add_command(group,
                     name,
                     about,
                     [subject]
                     {
-                        return pool_question{subject, {}};
+                        return pool_query{subject, {}};
                     });
     }
 
     void add_pool()
     {
         auto& group = add_group(app_, "pool", "Jobs on a pool of workers");
-        add_question(group,
-                     "status",
-                     "Who owns the pool since when, and what each instance "
-                     "believes; names those that give no answer",
-                     pool_subject::instances);
-        add_question(group,
-                     "workers",
-                     "Workers with leases, silence and suspicion",
-                     pool_subject::workers);
-        add_question(group,
-                     "jobs",
-                     "Jobs at work, those next in line first",
-                     pool_subject::jobs);
-        auto& job =
-            add_command(group,
-                        "job",
-                        "One job: its tasks and attempts, and why it "
-                        "waits",
-                        [this]
-                        {
-                            return pool_question{pool_subject::job, name_};
-                        });
+        add_pool_query(group,
+                       "status",
+                       "Who owns the pool since when, and what each instance "
+                       "believes; names those that give no answer",
+                       pool_subject::instances);
+        add_pool_query(group,
+                       "workers",
+                       "Workers with leases, silence and suspicion",
+                       pool_subject::workers);
+        add_pool_query(group,
+                       "jobs",
+                       "Jobs at work, those next in line first",
+                       pool_subject::jobs);
+        auto& job = add_command(group,
+                                "job",
+                                "One job: its tasks and attempts, and why it "
+                                "waits",
+                                [this]
+                                {
+                                    return pool_query{pool_subject::job, name_};
+                                });
         job.add_option("ID", name_)->required();
     }
 
@@ -301,7 +302,7 @@
         remove.add_option("NAME", name_)->required();
         remove
             .add_flag("--gone",
-                      gone_,
+                      confirmed_gone_,
                       "You made sure that its process has ended. One that "
                       "still runs, cut off from the store, could go on "
                       "beside its successor")
@@ -353,7 +354,7 @@
     std::string role_;
     std::string binary_;
     bool is_new_ = false;
-    bool gone_ = false;
+    bool confirmed_gone_ = false;
     std::int64_t wait_seconds_ = 14;
     std::int64_t if_revision_ = 0;
     option_group if_revision_set_;
@@ -367,19 +368,19 @@
                                                std::ostream& error,
                                                exit_status& status)
 {
-    grammar rules;
+    command_parser parser;
     try
     {
-        rules.app().parse(count, arguments);
+        parser.app().parse(count, arguments);
     }
-    catch (CLI::ParseError const& problem)
+    catch (CLI::ParseError const& parse_error)
     {
-        status = rules.app().exit(problem, out, error) == 0
+        status = parser.app().exit(parse_error, out, error) == 0
                      ? exit_status::done
                      : exit_status::usage;
         return std::nullopt;
     }
-    return rules.line();
+    return parser.line();
 }
 
 } // namespace fuchsia::programs::ctl
--- a/src/programs/ctl/command_line.hpp
+++ b/src/programs/ctl/command_line.hpp
@@ -90,7 +90,7 @@
 };
 
 /// What the pool's instances are asked.
-struct pool_question
+struct pool_query
 {
     pool_subject subject = pool_subject::instances;
     std::string id; ///< Of the job.
@@ -114,7 +114,7 @@
                              job_cancel,
                              show_status,
                              member_remove,
-                             pool_question,
+                             pool_query,
                              settings_check>;
 
 struct command_line
@@ -124,7 +124,7 @@
     bool wait = false; ///< Until the change is in force everywhere.
     core::common::duration timeout = std::chrono::seconds(14);
     std::optional<std::uint64_t> if_revision;
-    command what;
+    command selected_command;
 };
 
 /// Reads the arguments. Empty where there is nothing to run: help, version or
--- a/src/programs/ctl/ctl_settings.cpp
+++ b/src/programs/ctl/ctl_settings.cpp
@@ -14,31 +14,31 @@
 
 // A change is given up after 6 s by its planner, a removal after 9 s. With
 // less patience than that the outcome would be unknown without need.
-constexpr core::common::duration least_timeout = 10s;
-constexpr core::common::duration most_timeout = 10min;
+constexpr core::common::duration min_timeout = 10s;
+constexpr core::common::duration max_timeout = 10min;
 constexpr std::size_t max_addresses = 64;
 
 std::vector<ports::endpoint>
 read_addresses(adapters::settings::toml_table& root, char const* key)
 {
-    std::vector<ports::endpoint> made;
+    std::vector<ports::endpoint> endpoints;
     for (auto const& text : root.texts_or(key, {}))
     {
-        auto const where = adapters::http::parse_endpoint(text);
-        if (!where)
+        auto const endpoint = adapters::http::parse_endpoint(text);
+        if (!endpoint)
         {
             root.fail(result_code::out_of_range,
                       key,
                       text + " is no IP number and port");
-            return made;
+            return endpoints;
         }
-        made.push_back(*where);
+        endpoints.push_back(*endpoint);
     }
-    if (made.size() > max_addresses)
+    if (endpoints.size() > max_addresses)
     {
         root.fail(result_code::out_of_range, key, "at most 64 are expected");
     }
-    return made;
+    return endpoints;
 }
 
 // A deployment has planners, a pool or both.
@@ -93,7 +93,7 @@
         read_token(root, settings);
     }
     settings.timeout = root.duration_or(
-        "timeout_ms", settings.timeout, least_timeout, most_timeout);
+        "timeout_ms", settings.timeout, min_timeout, max_timeout);
     root.reject_unknown_keys();
     if (!file->ok())
     {
--- a/src/programs/ctl/planner_client.cpp
+++ b/src/programs/ctl/planner_client.cpp
@@ -29,17 +29,19 @@
                 std::optional<result_code> code) noexcept
 {
     auto const header = response.header("Fuchsia-Outcome");
-    auto says = core::common::outcome::unknown;
+    auto reported_outcome = core::common::outcome::unknown;
     if (header)
     {
-        says = core::common::outcome_from(*header).value_or(says);
+        reported_outcome =
+            core::common::outcome_from(*header).value_or(reported_outcome);
     }
     else if (code)
     {
-        says = core::common::row_of(*code).request_outcome;
+        reported_outcome = core::common::row_of(*code).request_outcome;
     }
-    return says == core::common::outcome::not_run ? call_end::refused
-                                                  : call_end::unknown;
+    return reported_outcome == core::common::outcome::not_run
+               ? call_end::refused
+               : call_end::unknown;
 }
 
 /// Turns a planner's answer into a result.
@@ -76,20 +78,20 @@
     return result;
 }
 
-call_result unreachable(std::string const& whom)
+call_result unreachable(std::string const& server_name)
 {
     return {call_end::refused,
             {},
             {result_code::owner_unreachable,
              {},
-             "no " + whom + " can be reached; nothing was changed"},
+             "no " + server_name + " can be reached; nothing was changed"},
             0};
 }
 
 } // namespace
 
-planner_client::planner_client(ctl_settings settings, std::string whom)
-    : settings_(std::move(settings)), whom_(std::move(whom)),
+planner_client::planner_client(ctl_settings settings, std::string server_name)
+    : settings_(std::move(settings)), server_name_(std::move(server_name)),
       client_(io_,
               []
               {
@@ -103,14 +105,14 @@
 call_result planner_client::call(std::string const& method,
                                  std::string const& target,
                                  std::string const& body,
-                                 repeat again)
+                                 repeat repeat_policy)
 {
     auto const count = settings_.planners.size();
-    call_result last = unreachable(whom_);
+    call_result last = unreachable(server_name_);
     bool may_be_done = false;
-    for (std::size_t tried = 0; tried < count; ++tried)
+    for (std::size_t attempts = 0; attempts < count; ++attempts)
     {
-        auto const at = (first_ + tried) % count;
+        auto const at = (first_ + attempts) % count;
         auto const& where = settings_.planners[at];
         auto const [status, response] = send(where, method, target, body);
         if (status == exchange_status::not_sent)
@@ -129,19 +131,19 @@
             first_ = at;
             break;
         }
-        last.end =
-            again == repeat::read ? call_end::refused : call_end::unknown;
+        last.end = repeat_policy == repeat::read ? call_end::refused
+                                                 : call_end::unknown;
         last.body = {};
         last.reason = {result_code::owner_lost,
                        adapters::http::to_string(where),
-                       "the " + whom_ + "'s answer was lost"};
-        may_be_done = again != repeat::read;
-        if (again == repeat::never)
+                       "the " + server_name_ + "'s answer was lost"};
+        may_be_done = repeat_policy != repeat::read;
+        if (repeat_policy == repeat::never)
         {
             break;
         }
     }
-    if (again == repeat::read && last.end == call_end::unknown)
+    if (repeat_policy == repeat::read && last.end == call_end::unknown)
     {
         last.end = call_end::refused;
     }
@@ -170,19 +172,19 @@
     {
         call.message.headers.push_back({"Content-Type", "application/json"});
     }
-    attempt ended;
+    attempt result;
     bool done = false;
     client_.send(std::move(call),
                  [&](exchange_status status, adapters::http::response response)
                  {
-                     ended = {status, std::move(response)};
+                     result = {status, std::move(response)};
                      done = true;
                  });
     io_.restart();
     while (!done && io_.run_one() != 0)
     {
     }
-    return ended;
+    return result;
 }
 
 } // namespace fuchsia::programs::ctl
--- a/src/programs/ctl/planner_client.hpp
+++ b/src/programs/ctl/planner_client.hpp
@@ -43,12 +43,12 @@
 public:
     /// `whom` names what is asked in reasons.
     explicit planner_client(ctl_settings settings,
-                            std::string whom = "planner");
+                            std::string server_name = "planner");
 
     call_result call(std::string const& method,
                      std::string const& target,
                      std::string const& body,
-                     repeat again);
+                     repeat repeat_policy);
 
 private:
     struct attempt
@@ -63,7 +63,7 @@
                  std::string const& body);
 
     ctl_settings settings_;
-    std::string whom_;
+    std::string server_name_;
     boost::asio::io_context io_;
     adapters::http::client client_;
     std::size_t first_ = 0; ///< The planner that answered last.
--- a/src/programs/ctl/pool_questions.cpp
+++ b/src/programs/ctl/pool_questions.cpp
@@ -18,13 +18,13 @@
 using boost::json::array;
 using boost::json::object;
 
-constexpr auto* asked = "instance of the pool";
+constexpr auto* pool_instance_label = "instance of the pool";
 
 // The pool's instances are asked like planners, without the planners' token.
-ctl_settings settings_for(ctl_settings const& from,
+ctl_settings settings_for(ctl_settings const& base,
                           std::vector<ports::endpoint> instances)
 {
-    return {std::move(instances), {}, {}, from.timeout};
+    return {std::move(instances), {}, {}, base.timeout};
 }
 
 array rows_of(object const& body, std::string_view key)
@@ -43,7 +43,8 @@
     for (auto const& where : settings.pools)
     {
         auto const address = adapters::http::to_string(where);
-        planner_client client(settings_for(settings, {where}), asked);
+        planner_client client(settings_for(settings, {where}),
+                              pool_instance_label);
         auto answer = client.call("GET", "/v1/pool", "", repeat::read);
         if (answer.end != call_end::done)
         {
@@ -57,10 +58,10 @@
     bool const owned =
         std::any_of(rows.begin(),
                     rows.end(),
-                    [](boost::json::value const& each)
+                    [](boost::json::value const& row)
                     {
                         auto const* const owner =
-                            each.as_object().if_contains("owner");
+                            row.as_object().if_contains("owner");
                         return owner != nullptr && *owner == true;
                     });
     if (line.json)
@@ -81,11 +82,11 @@
                      {"STORE SILENT MS", "store_silent_ms"}},
                     rows);
     }
-    for (auto const& each : unreachable)
+    for (auto const& row : unreachable)
     {
         error << "fuchsiactl: no answer from "
-              << plain_text(each.as_object().at("address")) << ": "
-              << plain_text(each.as_object().at("why")) << '\n';
+              << plain_text(row.as_object().at("address")) << ": "
+              << plain_text(row.as_object().at("why")) << '\n';
     }
     if (!owned)
     {
@@ -140,52 +141,53 @@
                  {"PERCENT", "percent"},
                  {"PACE", "pace"}},
                 rows_of(body, "tasks"));
-    for (auto const& each : rows_of(body, "waiting"))
+    for (auto const& row : rows_of(body, "waiting"))
     {
         out << "\nwaiting for a worker:\n";
-        print_members(out, each.as_object());
+        print_members(out, row.as_object());
     }
 }
 
-struct question_form
+struct query_handler
 {
     std::string target;
     void (*print)(std::ostream& out, object const& body);
 };
 
-question_form form_of(pool_question const& what)
+query_handler handler_for(pool_query const& query)
 {
-    switch (what.subject)
+    switch (query.subject)
     {
     case pool_subject::workers:
         return {"/v1/pool/workers", print_workers};
     case pool_subject::jobs:
         return {"/v1/pool/jobs", print_jobs};
     default:
-        return {"/v1/pool/jobs/" + what.id, print_job};
+        return {"/v1/pool/jobs/" + query.id, print_job};
     }
 }
 
 } // namespace
 
-exit_status ask_pool(command_line const& line,
-                     pool_question const& what,
-                     ctl_settings const& settings,
-                     std::ostream& out,
-                     std::ostream& error)
+exit_status run_pool_query(command_line const& line,
+                           pool_query const& query,
+                           ctl_settings const& settings,
+                           std::ostream& out,
+                           std::ostream& error)
 {
     if (settings.pools.empty())
     {
         error << "fuchsiactl: the settings name no instance under pools\n";
         return exit_status::usage;
     }
-    if (what.subject == pool_subject::instances)
+    if (query.subject == pool_subject::instances)
     {
         return show_instances(line, settings, out, error);
     }
-    auto const form = form_of(what);
-    planner_client client(settings_for(settings, settings.pools), asked);
-    auto const answer = client.call("GET", form.target, "", repeat::read);
+    auto const handler = handler_for(query);
+    planner_client client(settings_for(settings, settings.pools),
+                          pool_instance_label);
+    auto const answer = client.call("GET", handler.target, "", repeat::read);
     if (answer.end != call_end::done)
     {
         error << "fuchsiactl: " << to_string(answer.reason) << '\n';
@@ -197,7 +199,7 @@
     }
     else
     {
-        form.print(out, answer.body);
+        handler.print(out, answer.body);
     }
     return exit_status::done;
 }
--- a/src/programs/ctl/pool_questions.hpp
+++ b/src/programs/ctl/pool_questions.hpp
@@ -10,8 +10,8 @@
 
 /// Asks the instances of the pool: each of them for `pool status`, the owner
 /// for everything else. Instances that give no answer are named.
-exit_status ask_pool(command_line const& line,
-                     pool_question const& what,
+exit_status run_pool_query(command_line const& line,
+                     pool_query const& query,
                      ctl_settings const& settings,
                      std::ostream& out,
                      std::ostream& error);
--- a/src/programs/ctl/runner.cpp
+++ b/src/programs/ctl/runner.cpp
@@ -34,14 +34,14 @@
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
     std::string result;
-    for (char const letter : text)
+    for (char const character : text)
     {
-        auto const byte = static_cast<unsigned char>(letter);
-        bool const plain = std::isalnum(byte) != 0 || letter == '-' ||
-                           letter == '_' || letter == '.';
+        auto const byte = static_cast<unsigned char>(character);
+        bool const plain = std::isalnum(byte) != 0 || character == '-' ||
+                           character == '_' || character == '.';
         if (plain)
         {
-            result += letter;
+            result += character;
             continue;
         }
         result += '%';
@@ -52,27 +52,27 @@
 }
 
 /// Carries out the commands that ask a planner.
-class asking
+class planner_commands
 {
 public:
-    asking(command_line const& line,
-           ctl_settings settings,
-           std::ostream& out,
-           std::ostream& error)
+    planner_commands(command_line const& line,
+                     ctl_settings settings,
+                     std::ostream& out,
+                     std::ostream& error)
         : line_(line), client_(std::move(settings)), out_(out), error_(error)
     {
     }
 
-    exit_status operator()(contract_put const& what)
+    exit_status operator()(contract_put const& arguments)
     {
         failure reason;
-        auto const text = adapters::settings::read_file(what.file, reason);
+        auto const text = adapters::settings::read_file(arguments.file, reason);
         auto const contract =
             text ? core::contracts::parse_contract(*text, reason)
                  : std::nullopt;
         if (!contract)
         {
-            return refuse(what.file, reason);
+            return refuse(arguments.file, reason);
         }
         return change("PUT",
                       "/v1/contracts/" + escaped(contract->customer),
@@ -80,69 +80,69 @@
                       "contract " + contract->customer);
     }
 
-    exit_status operator()(contract_show const& what)
+    exit_status operator()(contract_show const& arguments)
     {
-        return ask("/v1/contracts/" + escaped(what.customer),
-                   [this](object const& body)
-                   {
-                       out_ << body.at("contract") << '\n';
-                       error_ << "changed at revision "
-                              << text_of(body, "changed_at")
-                              << "; newest revision "
-                              << text_of(body, "revision") << '\n';
-                   });
+        return query("/v1/contracts/" + escaped(arguments.customer),
+                     [this](object const& body)
+                     {
+                         out_ << body.at("contract") << '\n';
+                         error_ << "changed at revision "
+                                << text_of(body, "changed_at")
+                                << "; newest revision "
+                                << text_of(body, "revision") << '\n';
+                     });
     }
 
     exit_status operator()(contract_list const&)
     {
-        return ask("/v1/contracts",
-                   [this](object const& body)
-                   {
-                       print_contracts(out_, body);
-                   });
+        return query("/v1/contracts",
+                     [this](object const& body)
+                     {
+                         print_contracts(out_, body);
+                     });
     }
 
-    exit_status operator()(contract_withdraw const& what)
+    exit_status operator()(contract_withdraw const& arguments)
     {
         return change("DELETE",
-                      "/v1/contracts/" + escaped(what.customer),
+                      "/v1/contracts/" + escaped(arguments.customer),
                       "",
-                      "withdrawal of " + what.customer);
+                      "withdrawal of " + arguments.customer);
     }
 
-    exit_status operator()(data_centre_set const& what)
+    exit_status operator()(data_centre_set const& arguments)
     {
-        std::string const state = what.out ? "out" : "in";
+        std::string const state = arguments.out ? "out" : "in";
         return change("PUT",
-                      "/v1/data-centres/" + escaped(what.name) +
-                          (what.is_new ? "?new=true" : ""),
+                      "/v1/data-centres/" + escaped(arguments.name) +
+                          (arguments.is_new ? "?new=true" : ""),
                       boost::json::serialize(object{{"state", state}}),
-                      "data centre " + what.name + " " + state);
+                      "data centre " + arguments.name + " " + state);
     }
 
     exit_status operator()(data_centre_list const&)
     {
-        return ask("/v1/data-centres",
-                   [this](object const& body)
-                   {
-                       print_table(out_,
-                                   {{"NAME", "name"},
-                                    {"STATE", "state"},
-                                    {"CHANGED AT", "changed_at"}},
-                                   array_of(body, "data_centres"));
-                       print_revision(out_, body);
-                   });
+        return query("/v1/data-centres",
+                     [this](object const& body)
+                     {
+                         print_table(out_,
+                                     {{"NAME", "name"},
+                                      {"STATE", "state"},
+                                      {"CHANGED AT", "changed_at"}},
+                                     array_of(body, "data_centres"));
+                         print_revision(out_, body);
+                     });
     }
 
-    exit_status operator()(job_submit const& what)
+    exit_status operator()(job_submit const& arguments)
     {
         failure reason;
-        auto const text = adapters::settings::read_file(what.file, reason);
+        auto const text = adapters::settings::read_file(arguments.file, reason);
         auto const job =
             text ? core::tasks::parse_job(*text, reason) : std::nullopt;
         if (!job)
         {
-            return refuse(what.file, reason);
+            return refuse(arguments.file, reason);
         }
         return finish(client_.call("POST", "/v1/jobs", *text, repeat::change),
                       [this](object const& body)
@@ -152,78 +152,82 @@
                       });
     }
 
-    exit_status operator()(job_show const& what)
+    exit_status operator()(job_show const& arguments)
     {
-        return ask("/v1/jobs/" + escaped(what.id),
-                   [this](object const& body)
-                   {
-                       print_members(out_, body);
-                       out_ << '\n';
-                       print_table(out_,
-                                   {{"TASK", "index"},
-                                    {"STATE", "state"},
-                                    {"ATTEMPT", "attempt"},
-                                    {"WORKER", "worker"},
-                                    {"CHECKPOINT", "checkpoint"},
-                                    {"WHY", "why"}},
-                                   array_of(body, "task_list"));
-                   });
+        return query("/v1/jobs/" + escaped(arguments.id),
+                     [this](object const& body)
+                     {
+                         print_members(out_, body);
+                         out_ << '\n';
+                         print_table(out_,
+                                     {{"TASK", "index"},
+                                      {"STATE", "state"},
+                                      {"ATTEMPT", "attempt"},
+                                      {"WORKER", "worker"},
+                                      {"CHECKPOINT", "checkpoint"},
+                                      {"WHY", "why"}},
+                                     array_of(body, "task_list"));
+                     });
     }
 
-    exit_status operator()(job_list const& what)
+    exit_status operator()(job_list const& arguments)
     {
-        return ask(what.state.empty() ? "/v1/jobs"
-                                      : "/v1/jobs?state=" + escaped(what.state),
-                   [this](object const& body)
-                   {
-                       print_table(out_,
-                                   {{"JOB", "id"},
-                                    {"CUSTOMER", "customer"},
-                                    {"KIND", "kind"},
-                                    {"STATE", "state"},
-                                    {"TASKS", "tasks"},
-                                    {"RUNNING", "running"},
-                                    {"FINISHED", "finished"},
-                                    {"WHY", "why"}},
-                                   array_of(body, "jobs"));
-                   });
+        return query(arguments.state.empty()
+                         ? "/v1/jobs"
+                         : "/v1/jobs?state=" + escaped(arguments.state),
+                     [this](object const& body)
+                     {
+                         print_table(out_,
+                                     {{"JOB", "id"},
+                                      {"CUSTOMER", "customer"},
+                                      {"KIND", "kind"},
+                                      {"STATE", "state"},
+                                      {"TASKS", "tasks"},
+                                      {"RUNNING", "running"},
+                                      {"FINISHED", "finished"},
+                                      {"WHY", "why"}},
+                                     array_of(body, "jobs"));
+                     });
     }
 
-    exit_status operator()(job_cancel const& what)
+    exit_status operator()(job_cancel const& arguments)
     {
-        return finish(
-            client_.call(
-                "DELETE", "/v1/jobs/" + escaped(what.id), "", repeat::change),
-            [this](object const& body)
-            {
-                out_ << "job " << text_of(body, "job") << ": cancelled\n";
-            });
+        return finish(client_.call("DELETE",
+                                   "/v1/jobs/" + escaped(arguments.id),
+                                   "",
+                                   repeat::change),
+                      [this](object const& body)
+                      {
+                          out_ << "job " << text_of(body, "job")
+                               << ": cancelled\n";
+                      });
     }
 
     exit_status operator()(show_status const&)
     {
-        return ask("/v1/status",
-                   [this](object const& body)
-                   {
-                       print_status(out_, body);
-                   });
+        return query("/v1/status",
+                     [this](object const& body)
+                     {
+                         print_status(out_, body);
+                     });
     }
 
-    exit_status operator()(member_remove const& what)
+    exit_status operator()(member_remove const& arguments)
     {
-        return finish(
-            client_.call("DELETE",
-                         "/v1/members/" + what.role + "/" + escaped(what.name),
-                         "",
-                         repeat::change),
-            [this, &what](object const&)
-            {
-                out_ << what.role << " " << what.name << ": removed\n";
-            });
+        return finish(client_.call("DELETE",
+                                   "/v1/members/" + arguments.role + "/" +
+                                       escaped(arguments.name),
+                                   "",
+                                   repeat::change),
+                      [this, &arguments](object const&)
+                      {
+                          out_ << arguments.role << " " << arguments.name
+                               << ": removed\n";
+                      });
     }
 
     // Ask no planner; never come here.
-    exit_status operator()(pool_question const&)
+    exit_status operator()(pool_query const&)
     {
         return exit_status::usage;
     }
@@ -241,7 +245,7 @@
     }
 
     template<class Print>
-    exit_status ask(std::string const& target, Print print)
+    exit_status query(std::string const& target, Print print)
     {
         return finish(client_.call("GET", target, "", repeat::read), print);
     }
@@ -252,7 +256,7 @@
     {
         if (result.end != call_end::done)
         {
-            return complain(result);
+            return report_failure(result);
         }
         if (line_.json)
         {
@@ -265,7 +269,7 @@
         return exit_status::done;
     }
 
-    exit_status complain(call_result const& result)
+    exit_status report_failure(call_result const& result)
     {
         if (line_.json && !result.body.empty())
         {
@@ -287,24 +291,24 @@
     exit_status change(std::string const& method,
                        std::string target,
                        std::string const& body,
-                       std::string const& what)
+                       std::string const& description)
     {
         if (line_.if_revision)
         {
             target += target.find('?') == std::string::npos ? '?' : '&';
             target += "if-revision=" + std::to_string(*line_.if_revision);
         }
-        // Sent again after a lost answer it could undo what another operator
-        // changed in between, or conflict with its own first sending.
+        // Sent again after a lost answer it could undo description another
+        // operator changed in between, or conflict with its own first sending.
         auto const result = client_.call(method, target, body, repeat::never);
         if (result.end != call_end::done)
         {
-            return complain(result);
+            return report_failure(result);
         }
         auto const revision = revision_of(result.body);
         if (!line_.json)
         {
-            out_ << what << ": accepted as revision " << revision << '\n'
+            out_ << description << ": accepted as revision " << revision << '\n'
                  << std::flush;
         }
         if (line_.wait)
@@ -321,8 +325,8 @@
     /// Polls until nobody acts on an older revision, or the time is over.
     exit_status wait_for(std::uint64_t revision)
     {
-        auto const begun = clock::now();
-        auto const until = begun + line_.timeout;
+        auto const started_at = clock::now();
+        auto const deadline = started_at + line_.timeout;
         call_result last;
         bool in_force = false;
         for (;;)
@@ -332,7 +336,7 @@
                                 "",
                                 repeat::read);
             in_force = text_of(last.body, "in_force") == "yes";
-            if (in_force || clock::now() + poll_interval >= until)
+            if (in_force || clock::now() + poll_interval >= deadline)
             {
                 break;
             }
@@ -349,7 +353,7 @@
         else if (in_force)
         {
             out_ << "revision " << revision << ": in force everywhere after "
-                 << core::common::to_milliseconds(clock::now() - begun)
+                 << core::common::to_milliseconds(clock::now() - started_at)
                  << " ms\n";
         }
         if (in_force)
@@ -380,14 +384,14 @@
 };
 
 exit_status check(command_line const& line,
-                  settings_check const& what,
+                  settings_check const& arguments,
                   std::ostream& out,
                   std::ostream& error)
 {
-    auto const reason = check_settings(what.binary, what.file);
+    auto const reason = check_settings(arguments.binary, arguments.file);
     if (!reason)
     {
-        error << "fuchsiactl: no settings of " << what.binary
+        error << "fuchsiactl: no settings of " << arguments.binary
               << " are known; known:";
         for (auto const name : checked_binaries())
         {
@@ -409,7 +413,8 @@
     }
     else if (valid)
     {
-        out << what.file << ": valid settings of " << what.binary << '\n';
+        out << arguments.file << ": valid settings of " << arguments.binary
+            << '\n';
     }
     if (!valid)
     {
@@ -423,9 +428,10 @@
 exit_status
 run(command_line const& line, std::ostream& out, std::ostream& error)
 {
-    if (auto const* what = std::get_if<settings_check>(&line.what))
+    if (auto const* arguments =
+            std::get_if<settings_check>(&line.selected_command))
     {
-        return check(line, *what, out, error);
+        return check(line, *arguments, out, error);
     }
     if (line.settings.empty())
     {
@@ -440,17 +446,18 @@
         error << "fuchsiactl: " << to_string(reason) << '\n';
         return exit_status::usage;
     }
-    if (auto const* what = std::get_if<pool_question>(&line.what))
+    if (auto const* pool_request =
+            std::get_if<pool_query>(&line.selected_command))
     {
-        return ask_pool(line, *what, *settings, out, error);
+        return run_pool_query(line, *pool_request, *settings, out, error);
     }
     if (settings->planners.empty())
     {
         error << "fuchsiactl: the settings name no planner\n";
         return exit_status::usage;
     }
-    return std::visit(asking(line, std::move(*settings), out, error),
-                      line.what);
+    return std::visit(planner_commands(line, std::move(*settings), out, error),
+                      line.selected_command);
 }
 
 } // namespace fuchsia::programs::ctl
--- a/src/programs/ctl/settings_checks.cpp
+++ b/src/programs/ctl/settings_checks.cpp
@@ -53,9 +53,9 @@
 {
     std::vector<std::string_view> names;
     names.reserve(checks.size());
-    for (auto const& each : checks)
+    for (auto const& entry : checks)
     {
-        names.push_back(each.binary);
+        names.push_back(entry.binary);
     }
     return names;
 }
@@ -63,12 +63,12 @@
 std::optional<failure> check_settings(std::string_view binary,
                                       std::string const& file)
 {
-    for (auto const& each : checks)
+    for (auto const& entry : checks)
     {
-        if (each.binary == binary)
+        if (entry.binary == binary)
         {
             failure reason;
-            return each.is_valid(file, reason) ? failure{} : reason;
+            return entry.is_valid(file, reason) ? failure{} : reason;
         }
     }
     return std::nullopt;
--- a/src/programs/ctl/table.cpp
+++ b/src/programs/ctl/table.cpp
@@ -32,10 +32,10 @@
     return !text.empty() &&
            std::all_of(text.begin(),
                        text.end(),
-                       [](char letter)
+                       [](char character)
                        {
-                           return (letter >= '0' && letter <= '9') ||
-                                  letter == '.' || letter == '-';
+                           return (character >= '0' && character <= '9') ||
+                                  character == '.' || character == '-';
                        });
 }
 
@@ -68,40 +68,41 @@
     std::vector<std::size_t> widths;
     std::vector<bool> numeric(columns.size(), true);
     widths.reserve(columns.size());
-    for (auto const& each : columns)
+    for (auto const& definition : columns)
     {
-        widths.push_back(each.heading.size());
+        widths.push_back(definition.heading.size());
     }
     for (auto const& row : rows)
     {
         std::vector<std::string> line;
         line.reserve(columns.size());
-        for (std::size_t at = 0; at < columns.size(); ++at)
+        for (std::size_t index = 0; index < columns.size(); ++index)
         {
-            auto const* value = find(row, columns[at].key);
+            auto const* value = find(row, columns[index].key);
             line.push_back(value == nullptr ? "-" : plain_text(*value));
-            widths[at] = std::max(widths[at], line.back().size());
-            numeric[at] = numeric[at] && is_number(line.back());
+            widths[index] = std::max(widths[index], line.back().size());
+            numeric[index] = numeric[index] && is_number(line.back());
         }
         lines.push_back(std::move(line));
     }
-    auto const print = [&](std::size_t at, std::string_view text)
+    auto const print = [&](std::size_t index, std::string_view text)
     {
-        bool const last = at + 1 == columns.size();
-        out << (numeric[at] ? std::right : std::left)
-            << std::setw(last && !numeric[at] ? 0
-                                              : static_cast<int>(widths[at]))
+        bool const last = index + 1 == columns.size();
+        out << (numeric[index] ? std::right : std::left)
+            << std::setw(last && !numeric[index]
+                             ? 0
+                             : static_cast<int>(widths[index]))
             << text << (last ? "\n" : "  ");
     };
-    for (std::size_t at = 0; at < columns.size(); ++at)
+    for (std::size_t index = 0; index < columns.size(); ++index)
     {
-        print(at, columns[at].heading);
+        print(index, columns[index].heading);
     }
     for (auto const& line : lines)
     {
-        for (std::size_t at = 0; at < line.size(); ++at)
+        for (std::size_t index = 0; index < line.size(); ++index)
         {
-            print(at, line[at]);
+            print(index, line[index]);
         }
     }
 }
--- a/src/programs/entry/entry_metrics.cpp
+++ b/src/programs/entry/entry_metrics.cpp
@@ -13,12 +13,13 @@
 void entry_metrics::on_answer(std::string const& customer,
                               ports::request_class kind,
                               ports::caller_answer const& answer,
-                              core::common::duration took)
+                              core::common::duration elapsed)
 {
-    bool const known = answer.code != result_code::unknown_customer &&
-                       answer.code != result_code::contract_withdrawn &&
-                       answer.code != result_code::no_proof;
-    std::string const name = known ? customer : "unknown";
+    bool const customer_is_known =
+        answer.code != result_code::unknown_customer &&
+        answer.code != result_code::contract_withdrawn &&
+        answer.code != result_code::no_proof;
+    std::string const name = customer_is_known ? customer : "unknown";
     std::string const class_name(ports::name_of(kind));
     auto& latency = latencies_[{name, kind}];
     if (latency == nullptr)
@@ -29,7 +30,7 @@
                                "answer, refusals included",
                                {{"customer", name}, {"class", class_name}});
     }
-    latency->Observe(adapters::metrics::seconds(took));
+    latency->Observe(adapters::metrics::seconds(elapsed));
     auto& count = answers_[{kind, answer.outcome, answer.code}];
     if (count == nullptr)
     {
@@ -116,11 +117,11 @@
                             std::string const& help,
                             double total)
 {
-    auto& counted = registry_.counter(name, help);
+    auto& metric = registry_.counter(name, help);
     // A new incarnation's engine counts from 0 again.
-    if (total > counted.Value())
+    if (total > metric.Value())
     {
-        counted.Increment(total - counted.Value());
+        metric.Increment(total - metric.Value());
     }
 }
 
--- a/src/programs/entry/entry_metrics.hpp
+++ b/src/programs/entry/entry_metrics.hpp
@@ -22,7 +22,7 @@
     void on_answer(std::string const& customer,
                    ports::request_class kind,
                    ports::caller_answer const& answer,
-                   core::common::duration took);
+                   core::common::duration elapsed);
     void sample(core::requests::entry_status const& status,
                 core::requests::entry_counts const& counts);
 
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -15,36 +15,37 @@
 namespace callers = adapters::callers;
 namespace http = adapters::http;
 
-constexpr std::size_t sends_ring = 8192;
+constexpr std::size_t send_ring_capacity = 8192;
 /// Each exchange has at most two ends, and slots bound the exchanges.
-constexpr std::size_t ends_ring = 32'768;
+constexpr std::size_t end_ring_capacity = 32'768;
 constexpr core::common::duration sample_interval = std::chrono::seconds(1);
 
 adapters::daemon::daemon_options
-shell_options_of(adapters::settings::entry_daemon_settings const& options)
+runtime_options_of(adapters::settings::entry_daemon_settings const& options)
 {
-    adapters::daemon::daemon_options shell;
-    shell.service = "fuchsia-entry";
-    shell.with_upstreams = true;
-    shell.http = options.http;
-    shell.max_waiting_requests = options.max_waiting_requests;
-    return shell;
+    adapters::daemon::daemon_options result;
+    result.service = "fuchsia-entry";
+    result.with_upstreams = true;
+    result.http = options.http;
+    result.max_waiting_requests = options.max_waiting_requests;
+    return result;
 }
 
 } // namespace
 
 entry_program::entry_program(adapters::settings::entry_daemon_settings options)
     : options_(std::move(options)),
-      shell_(options_.daemon, shell_options_of(options_), events()),
-      metrics_(shell_.metrics()), self_(shell_.self()),
-      timer_(shell_.decisions().io()), sends_(upstreams_,
-                                              sends_ring,
-                                              [this](ports::upstream_send& send)
-                                              {
-                                                  call_upstream(send);
-                                              }),
-      ends_(shell_.decisions(),
-            ends_ring,
+      runtime_(options_.daemon, runtime_options_of(options_), handlers()),
+      metrics_(runtime_.metrics()), self_(runtime_.self()),
+      timer_(runtime_.decisions().io()),
+      sends_(upstreams_,
+             send_ring_capacity,
+             [this](ports::upstream_send& send)
+             {
+                 call_upstream(send);
+             }),
+      ends_(runtime_.decisions(),
+            end_ring_capacity,
             [this](ports::upstream_end& end)
             {
                 on_upstream_end(end);
@@ -58,67 +59,67 @@
 // round, so both threads end before either ring does.
 entry_program::~entry_program()
 {
-    shell_.decisions().stop();
+    runtime_.decisions().stop();
     upstreams_.stop();
 }
 
 bool entry_program::listen(core::common::failure& reason)
 {
-    return shell_.listen(reason);
+    return runtime_.listen(reason);
 }
 
 int entry_program::run()
 {
     upstreams_.start();
-    return shell_.run();
+    return runtime_.run();
 }
 
-adapters::daemon::daemon_handlers entry_program::events()
+adapters::daemon::daemon_handlers entry_program::handlers()
 {
-    adapters::daemon::daemon_handlers events;
-    events.on_start = [this](time_point now)
+    adapters::daemon::daemon_handlers handlers;
+    handlers.on_start = [this](time_point now)
     {
         engine_ = make_engine();
         engine_->start(now, actions_);
         perform(now, false);
     };
-    events.on_tick = [this](time_point now)
+    handlers.on_tick = [this](time_point now)
     {
         on_tick(now);
     };
-    events.on_store_reply =
+    handlers.on_store_reply =
         [this](time_point now, ports::store_reply const& reply)
     {
         engine_->on_store_reply(now, reply, actions_);
         perform(now, false);
     };
-    events.on_peer = [this](time_point now, ports::peer_receive& message)
+    handlers.on_peer = [this](time_point now, ports::peer_receive& message)
     {
         engine_->on_peer(now, message, actions_);
         perform(now, false);
     };
-    events.on_instances =
+    handlers.on_instances =
         [this](time_point now, ports::instance_list const& list)
     {
         engine_->on_instances(now, list, actions_);
         perform(now, false);
     };
-    events.on_request =
+    handlers.on_request =
         [this](time_point now, std::uint64_t id, http::request& message)
     {
         on_request(now, id, message);
     };
-    events.on_stop = [this](time_point now)
+    handlers.on_stop = [this](time_point now)
     {
         engine_->begin_stop(now, actions_);
         perform(now, false);
     };
-    events.on_rejoin =
+    handlers.on_rejoin =
         [this](time_point now, ports::member_identity const& self)
     {
         on_rejoin(now, self);
     };
-    events.pre_check =
+    handlers.pre_check =
         [](http::request const& message) -> std::optional<http::response>
     {
         if (auto const fault = callers::find_header_error(message))
@@ -127,7 +128,7 @@
         }
         return std::nullopt;
     };
-    return events;
+    return handlers;
 }
 
 std::unique_ptr<entry_program::engine> entry_program::make_engine() const
@@ -136,8 +137,8 @@
     info.id = self_;
     info.role = "entry";
     info.data_centre = options_.daemon.data_centre;
-    info.peer_address = shell_.peer_address();
-    info.http_address = shell_.http_address();
+    info.peer_address = runtime_.peer_address();
+    info.http_address = runtime_.http_address();
     return std::make_unique<engine>(options_.engine, info, self_.incarnation);
 }
 
@@ -149,7 +150,7 @@
     auto request = callers::parse_caller_request(message, reason);
     if (!request)
     {
-        shell_.answer(id, http::failure_response(reason));
+        runtime_.answer(id, http::failure_response(reason));
         return;
     }
     waiting_.emplace(id,
@@ -162,17 +163,17 @@
 {
     engine_->tick(now, actions_);
     perform(now, false);
-    for (auto& old : retired_)
+    for (auto& retired_engine : retired_)
     {
-        old->tick(now, actions_);
+        retired_engine->tick(now, actions_);
         perform(now, true);
     }
     std::erase_if(retired_,
-                  [now](auto const& old)
+                  [now](auto const& retired_engine)
                   {
-                      return old->status(now).open == 0;
+                      return retired_engine->status(now).open == 0;
                   });
-    shell_.set_ready(engine_->ready(now));
+    runtime_.set_ready(engine_->ready(now));
     if (now >= next_sample_)
     {
         next_sample_ = now + sample_interval;
@@ -199,9 +200,9 @@
     auto const now = clock::now();
     engine_->on_exchange_end(now, end, actions_);
     perform(now, false);
-    for (auto& old : retired_)
+    for (auto& retired_engine : retired_)
     {
-        old->on_exchange_end(now, end, actions_);
+        retired_engine->on_exchange_end(now, end, actions_);
         perform(now, true);
     }
 }
@@ -222,7 +223,7 @@
         }
         else if (!retired || std::holds_alternative<ports::log_event>(action))
         {
-            shell_.perform(action);
+            runtime_.perform(action);
         }
     }
     arm_timer();
@@ -240,7 +241,8 @@
                        reply.answer,
                        now - found->second.received);
     waiting_.erase(found);
-    shell_.answer(reply.caller, callers::to_response(std::move(reply.answer)));
+    runtime_.answer(reply.caller,
+                    callers::to_response(std::move(reply.answer)));
 }
 
 void entry_program::send_upstream(time_point now, ports::upstream_send& send)
@@ -298,10 +300,10 @@
                       ports::upstream_end end;
                       end.exchange = exchange;
                       end.status = status;
-                      bool const whole =
+                      bool const complete =
                           status == ports::exchange_status::answered ||
                           status == ports::exchange_status::drained;
-                      end.http_status = whole ? response.status : 0;
+                      end.http_status = complete ? response.status : 0;
                       end.headers = std::move(response.headers);
                       end.body = std::move(response.body);
                       ends_.try_push(end);
--- a/src/programs/entry/entry_program.hpp
+++ b/src/programs/entry/entry_program.hpp
@@ -41,7 +41,7 @@
         time_point received;
     };
 
-    adapters::daemon::daemon_handlers events();
+    adapters::daemon::daemon_handlers handlers();
     std::unique_ptr<engine> make_engine() const;
 
     // Of the decision thread.
@@ -60,7 +60,7 @@
     void call_upstream(ports::upstream_send& send);
 
     adapters::settings::entry_daemon_settings options_;
-    adapters::daemon::daemon_runtime shell_;
+    adapters::daemon::daemon_runtime runtime_;
     entry_metrics metrics_;
     ports::member_identity self_;
     std::unique_ptr<engine> engine_;
--- a/src/programs/planner/administration.cpp
+++ b/src/programs/planner/administration.cpp
@@ -24,14 +24,14 @@
 
 /// The follower asks the store twice a second; after this long without an
 /// answer a change would only wait in vain.
-constexpr core::common::duration store_silent_after = std::chrono::seconds(3);
+constexpr core::common::duration max_store_silence = std::chrono::seconds(3);
 
-constexpr std::array<std::string_view, 5> own_paths{
+constexpr std::array<std::string_view, 5> handled_paths{
     "contracts", "data-centres", "revisions", "status", "members"};
 
 } // namespace
 
-struct administration::call
+struct administration::request_context
 {
     core::common::time_point now;
     std::uint64_t request = 0;
@@ -60,11 +60,12 @@
     }
 
     /// Refuses the request, and says so, where its query has other names.
-    bool allow_query(std::initializer_list<std::string_view> known) const
+    bool allow_query(std::initializer_list<std::string_view> allowed) const
     {
         for (auto const& [name, value] : target.query)
         {
-            if (std::find(known.begin(), known.end(), name) == known.end())
+            if (std::find(allowed.begin(), allowed.end(), name) ==
+                allowed.end())
             {
                 refuse(result_code::unknown_key,
                        "query." + name,
@@ -103,8 +104,8 @@
     }
     path.remove_prefix(root.size());
     auto const first = path.substr(0, path.find('/'));
-    return std::find(own_paths.begin(), own_paths.end(), first) !=
-           own_paths.end();
+    return std::find(handled_paths.begin(), handled_paths.end(), first) !=
+           handled_paths.end();
 }
 
 void administration::on_request(core::common::time_point now,
@@ -115,15 +116,15 @@
                                 administration_answers& answers)
 {
     auto target = parse_target(message.target);
-    call what{now,
-              request,
-              message,
-              target ? std::move(*target) : parsed_target{},
-              view,
-              out,
-              answers};
-    route(what);
-    settle(now, view, out, answers);
+    request_context context{now,
+                            request,
+                            message,
+                            target ? std::move(*target) : parsed_target{},
+                            view,
+                            out,
+                            answers};
+    route(context);
+    complete(now, view, out, answers);
 }
 
 void administration::on_store_reply(core::common::time_point now,
@@ -132,17 +133,17 @@
                                     ports::actions& out,
                                     administration_answers& answers)
 {
-    bool taken =
+    bool consumed =
         members_.on_store_reply(reply) || partitions_.on_store_reply(reply);
-    for (auto at = changes_.begin(); !taken && at != changes_.end(); ++at)
+    for (auto it = changes_.begin(); !consumed && it != changes_.end(); ++it)
     {
-        taken = at->writer.on_store_reply(now, reply, next_call_, out);
+        consumed = it->writer.on_store_reply(now, reply, next_call_, out);
     }
-    for (auto at = removals_.begin(); !taken && at != removals_.end(); ++at)
+    for (auto it = removals_.begin(); !consumed && it != removals_.end(); ++it)
     {
-        taken = at->removal.on_store_reply(now, reply, next_call_, out);
+        consumed = it->removal.on_store_reply(now, reply, next_call_, out);
     }
-    settle(now, view, out, answers);
+    complete(now, view, out, answers);
 }
 
 void administration::tick(core::common::time_point now,
@@ -158,105 +159,106 @@
     {
         pending.removal.tick(now, next_call_, out);
     }
-    settle(now, view, out, answers);
+    complete(now, view, out, answers);
 }
 
-void administration::route(call& what)
+void administration::route(request_context& context)
 {
-    auto const& path = what.target.path;
-    auto const is = [&path](std::string_view first, std::size_t size)
+    auto const& path = context.target.path;
+    auto const matches = [&path](std::string_view first, std::size_t size)
     {
         return path.size() == size && path[0] == first;
     };
-    if (is("contracts", 1))
+    if (matches("contracts", 1))
     {
-        contracts(what);
+        contracts(context);
     }
-    else if (is("contracts", 2))
+    else if (matches("contracts", 2))
     {
-        contract(what, path[1]);
+        contract(context, path[1]);
     }
-    else if (is("data-centres", 1))
+    else if (matches("data-centres", 1))
     {
-        data_centres(what);
+        data_centres(context);
     }
-    else if (is("data-centres", 2))
+    else if (matches("data-centres", 2))
     {
-        data_centre(what, path[1]);
+        data_centre(context, path[1]);
     }
-    else if (is("revisions", 2))
+    else if (matches("revisions", 2))
     {
         auto const revision = parse_number(path[1]);
         if (!revision)
         {
-            what.refuse(result_code::out_of_range, path[1], "a revision");
+            context.refuse(result_code::out_of_range, path[1], "a revision");
             return;
         }
-        report(what, {what.request, false, *revision});
+        report(context, {context.request, false, *revision});
     }
-    else if (is("status", 1))
+    else if (matches("status", 1))
     {
-        report(what, {what.request, true, 0});
+        report(context, {context.request, true, 0});
     }
-    else if (is("members", 3))
+    else if (matches("members", 3))
     {
-        member(what, path[1], path[2]);
+        member(context, path[1], path[2]);
     }
     else
     {
-        what.refuse(result_code::unknown_path, what.message.target, {});
+        context.refuse(result_code::unknown_path, context.message.target, {});
     }
 }
 
-void administration::contracts(call& what)
+void administration::contracts(request_context& context)
 {
-    if (what.message.method != "GET")
+    if (context.message.method != "GET")
     {
-        what.refuse_method("GET");
+        context.refuse_method("GET");
         return;
     }
-    if (!what.allow_query({}))
+    if (!context.allow_query({}))
     {
         return;
     }
-    auto const& current = what.view.configuration.current();
-    boost::json::array standing;
+    auto const& current = context.view.configuration.current();
+    boost::json::array contract_list;
     for (auto const& [customer, value] : current.contracts)
     {
-        standing.push_back(boost::json::parse(to_json(value)));
+        contract_list.push_back(boost::json::parse(to_json(value)));
     }
     boost::json::object changed_at;
     for (auto const& [customer, revision] : current.contract_revisions)
     {
         changed_at[customer] = revision;
     }
-    what.answer(json_answer({
+    context.answer(json_answer({
         {"revision", current.revision},
         {"confirmed_ms_ago",
-         confirmed_ms_ago(what.now, what.view.configuration)},
-        {"contracts", std::move(standing)},
+         confirmed_ms_ago(context.now, context.view.configuration)},
+        {"contracts", std::move(contract_list)},
         {"withdrawn", core::config::to_json_array(current.withdrawn)},
         {"changed_at", std::move(changed_at)},
     }));
 }
 
-void administration::contract(call& what, std::string const& customer)
+void administration::contract(request_context& context,
+                              std::string const& customer)
 {
-    auto const& method = what.message.method;
+    auto const& method = context.message.method;
     if (method == "GET")
     {
-        auto const& current = what.view.configuration.current();
+        auto const& current = context.view.configuration.current();
         auto const found = current.contracts.find(customer);
         if (found == current.contracts.end())
         {
-            what.refuse(result_code::not_found,
-                        customer,
-                        current.withdrawn.count(customer) != 0
-                            ? "the contract was withdrawn"
-                            : "no contract names this customer");
+            context.refuse(result_code::not_found,
+                           customer,
+                           current.withdrawn.count(customer) != 0
+                               ? "the contract was withdrawn"
+                               : "no contract names this customer");
             return;
         }
-        what.answer(json_answer({
+        context.answer(json_answer({
             {"revision", current.revision},
             {"changed_at", core::config::contract_revision(current, customer)},
             {"contract", boost::json::parse(to_json(found->second))},
@@ -265,45 +267,45 @@
     }
     if (method == "DELETE")
     {
-        begin_change(what, core::config::withdraw_contract{customer});
+        begin_change(context, core::config::withdraw_contract{customer});
         return;
     }
     if (method != "PUT")
     {
-        what.refuse_method("GET, PUT and DELETE");
+        context.refuse_method("GET, PUT and DELETE");
         return;
     }
     failure reason;
-    auto value = core::contracts::parse_contract(what.message.body, reason);
+    auto value = core::contracts::parse_contract(context.message.body, reason);
     if (!value)
     {
-        what.answer(adapters::http::failure_response(reason));
+        context.answer(adapters::http::failure_response(reason));
         return;
     }
     if (value->customer != customer)
     {
-        what.refuse(result_code::inconsistent,
-                    "contract.customer",
-                    "the path names " + customer);
+        context.refuse(result_code::inconsistent,
+                       "contract.customer",
+                       "the path names " + customer);
         return;
     }
-    begin_change(what, core::config::put_contract{std::move(*value)});
+    begin_change(context, core::config::put_contract{std::move(*value)});
 }
 
-void administration::data_centres(call& what)
+void administration::data_centres(request_context& context)
 {
-    if (what.message.method != "GET")
+    if (context.message.method != "GET")
     {
-        what.refuse_method("GET");
+        context.refuse_method("GET");
         return;
     }
-    if (!what.allow_query({}))
+    if (!context.allow_query({}))
     {
         return;
     }
-    auto const& current = what.view.configuration.current();
-    auto names = what.view.data_centres();
-    names.insert(what.view.membership.self().data_centre);
+    auto const& current = context.view.configuration.current();
+    auto names = context.view.data_centres();
+    names.insert(context.view.membership.self().data_centre);
     for (auto const& [name, revision] : current.data_centre_revisions)
     {
         names.insert(name);
@@ -319,154 +321,157 @@
             {"changed_at", core::config::data_centre_revision(current, name)},
         });
     }
-    what.answer(json_answer({
+    context.answer(json_answer({
         {"revision", current.revision},
         {"confirmed_ms_ago",
-         confirmed_ms_ago(what.now, what.view.configuration)},
+         confirmed_ms_ago(context.now, context.view.configuration)},
         {"data_centres", std::move(list)},
     }));
 }
 
-void administration::data_centre(call& what, std::string const& name)
+void administration::data_centre(request_context& context,
+                                 std::string const& name)
 {
-    if (what.message.method != "PUT")
+    if (context.message.method != "PUT")
     {
-        what.refuse_method("PUT");
+        context.refuse_method("PUT");
         return;
     }
     failure reason;
-    auto const out = parse_data_centre_state(what.message.body, reason);
+    auto const out = parse_data_centre_state(context.message.body, reason);
     if (!out)
     {
-        what.answer(adapters::http::failure_response(reason));
+        context.answer(adapters::http::failure_response(reason));
         return;
     }
     // A mistyped name would be accepted, reported in force, and leave the data
     // centre that was meant in service.
-    auto known = what.view.data_centres();
-    known.insert(what.view.membership.self().data_centre);
-    auto const& current = what.view.configuration.current();
-    bool const is_known = known.count(name) != 0 ||
+    auto known_names = context.view.data_centres();
+    known_names.insert(context.view.membership.self().data_centre);
+    auto const& current = context.view.configuration.current();
+    bool const is_known = known_names.count(name) != 0 ||
                           current.data_centre_revisions.count(name) != 0;
-    bool const is_new = what.target.query.count("new") != 0 &&
+    bool const is_new = context.target.query.count("new") != 0 &&
                         core::config::is_valid_name(name);
     if (!is_known && !is_new)
     {
-        what.refuse(result_code::not_found,
-                    name,
-                    "no such data centre is known; new=true adds it");
+        context.refuse(result_code::not_found,
+                       name,
+                       "no such data centre is known; new=true adds it");
         return;
     }
-    begin_change(what, core::config::set_data_centre{name, *out});
+    begin_change(context, core::config::set_data_centre{name, *out});
 }
 
-void administration::member(call& what,
+void administration::member(request_context& context,
                             std::string const& role,
                             std::string const& name)
 {
-    if (what.message.method != "DELETE")
+    if (context.message.method != "DELETE")
     {
-        what.refuse_method("DELETE");
+        context.refuse_method("DELETE");
         return;
     }
     if (role != "entry" && role != "planner")
     {
-        what.refuse(
+        context.refuse(
             result_code::out_of_range, role, "the role is entry or planner");
         return;
     }
     if (removals_.size() >= max_removals)
     {
-        what.refuse(result_code::queue_full, {}, "too many removals at once");
+        context.refuse(
+            result_code::queue_full, {}, "too many removals at once");
         return;
     }
-    removals_.push_back({what.request,
-                         what.message.remote_address,
+    removals_.push_back({context.request,
+                         context.message.remote_address,
                          member_removal(settings_.fence_after,
                                         role,
                                         name,
                                         self_.incarnation + ++writes_)});
-    removals_.back().removal.start(what.now, next_call_, what.out);
+    removals_.back().removal.start(context.now, next_call_, context.out);
 }
 
-void administration::report(call& what, pending_report wanted)
+void administration::report(request_context& context, pending_report pending)
 {
-    if (what.message.method != "GET")
+    if (context.message.method != "GET")
     {
-        what.refuse_method("GET");
+        context.refuse_method("GET");
         return;
     }
     if (reports_.size() >= max_reports)
     {
-        what.refuse(result_code::queue_full, {}, "too many reports at once");
+        context.refuse(result_code::queue_full, {}, "too many reports at once");
         return;
     }
-    members_.want(what.now, next_call_, what.out);
-    if (wanted.status)
+    members_.refresh(context.now, next_call_, context.out);
+    if (pending.status)
     {
-        partitions_.want(what.now, next_call_, what.out);
+        partitions_.refresh(context.now, next_call_, context.out);
     }
-    reports_.push_back(wanted);
+    reports_.push_back(pending);
 }
 
-void administration::begin_change(call& what, core::config::change change)
+void administration::begin_change(request_context& context,
+                                  core::config::change change)
 {
-    if (!what.allow_query({"if-revision", "new"}))
+    if (!context.allow_query({"if-revision", "new"}))
     {
         return;
     }
     core::config::change_request request;
-    auto const if_revision = what.target.query.find("if-revision");
-    if (if_revision != what.target.query.end())
+    auto const if_revision = context.target.query.find("if-revision");
+    if (if_revision != context.target.query.end())
     {
         request.if_revision = parse_number(if_revision->second);
         if (!request.if_revision)
         {
-            what.refuse(result_code::out_of_range,
-                        "query.if-revision",
-                        "a whole number is expected");
+            context.refuse(result_code::out_of_range,
+                           "query.if-revision",
+                           "a whole number is expected");
             return;
         }
     }
     // Refused at once rather than after the writer's patience: the operator
     // can then ask another planner, which may reach the store.
-    auto const answered_at = what.view.configuration.store_answered_at();
-    if (answered_at && what.now - *answered_at > store_silent_after)
-    {
-        what.refuse(result_code::store_unavailable,
-                    "store",
-                    "it has not answered this planner for " +
-                        std::to_string(core::common::to_milliseconds(
-                            what.now - *answered_at)) +
-                        " ms; nothing was changed");
+    auto const answered_at = context.view.configuration.store_answered_at();
+    if (answered_at && context.now - *answered_at > max_store_silence)
+    {
+        context.refuse(result_code::store_unavailable,
+                       "store",
+                       "it has not answered this planner for " +
+                           std::to_string(core::common::to_milliseconds(
+                               context.now - *answered_at)) +
+                           " ms; nothing was changed");
         return;
     }
     if (changes_.size() >= max_changes)
     {
-        what.refuse(result_code::queue_full, {}, "too many changes at once");
+        context.refuse(result_code::queue_full, {}, "too many changes at once");
         return;
     }
-    auto const& current = what.view.configuration.current();
+    auto const& current = context.view.configuration.current();
     auto const after =
         core::config::apply_change(current, change, current.revision + 1);
     if (after && to_json(*after).size() > max_accepted_bytes)
     {
-        what.refuse(result_code::body_too_large,
-                    "configuration",
-                    "all contracts together would exceed 900 KiB");
+        context.refuse(result_code::body_too_large,
+                       "configuration",
+                       "all contracts together would exceed 900 KiB");
         return;
     }
     request.requested_change = std::move(change);
     request.write_id = next_write_id();
-    request.observed_data_centres = what.view.data_centres();
+    request.observed_data_centres = context.view.data_centres();
     request.observed_data_centres.insert(
-        what.view.membership.self().data_centre);
+        context.view.membership.self().data_centre);
     request.known_revision = current.revision;
     changes_.push_back(
-        {what.request,
-         what.message.remote_address,
+        {context.request,
+         context.message.remote_address,
          core::config::change_writer(settings_.writer, std::move(request))});
-    changes_.back().writer.start(what.now, next_call_, what.out);
+    changes_.back().writer.start(context.now, next_call_, context.out);
 }
 
 std::string administration::next_write_id()
--- a/src/programs/planner/administration.hpp
+++ b/src/programs/planner/administration.hpp
@@ -90,7 +90,7 @@
     struct pending_change
     {
         std::uint64_t request = 0;
-        std::string from; ///< Address of the operator's machine.
+        std::string operator_address; ///< Address of the operator's machine.
         core::config::change_writer writer;
         bool answered = false;
     };
@@ -98,7 +98,7 @@
     struct pending_removal
     {
         std::uint64_t request = 0;
-        std::string from;
+        std::string operator_address;
         member_removal removal;
     };
 
@@ -111,24 +111,24 @@
     };
 
     /// One request on its way through the handlers.
-    struct call;
-
-    void route(call& what);
-    void contracts(call& what);
-    void contract(call& what, std::string const& customer);
-    void data_centres(call& what);
-    void data_centre(call& what, std::string const& name);
-    void member(call& what, std::string const& role, std::string const& name);
-    void report(call& what, pending_report wanted);
-    void begin_change(call& what, core::config::change change);
-    void settle_changes(administration_view const& view,
+    struct request_context;
+
+    void route(request_context& context);
+    void contracts(request_context& context);
+    void contract(request_context& context, std::string const& customer);
+    void data_centres(request_context& context);
+    void data_centre(request_context& context, std::string const& name);
+    void member(request_context& context, std::string const& role, std::string const& name);
+    void report(request_context& context, pending_report pending);
+    void begin_change(request_context& context, core::config::change change);
+    void complete_changes(administration_view const& view,
                         ports::actions& out,
                         administration_answers& answers);
-    void settle_removals(ports::actions& out, administration_answers& answers);
-    void settle_reports(core::common::time_point now,
+    void complete_removals(ports::actions& out, administration_answers& answers);
+    void complete_reports(core::common::time_point now,
                         administration_view const& view,
                         administration_answers& answers);
-    void settle(core::common::time_point now,
+    void complete(core::common::time_point now,
                 administration_view const& view,
                 ports::actions& out,
                 administration_answers& answers);
--- a/src/programs/planner/administration_lists.cpp
+++ b/src/programs/planner/administration_lists.cpp
@@ -37,43 +37,43 @@
 {
 }
 
-void cached_list::want(core::common::time_point now,
-                       std::uint64_t& next_call,
-                       ports::actions& out)
+void cached_list::refresh(core::common::time_point now,
+                          std::uint64_t& next_call,
+                          ports::actions& out)
 {
-    if (waiting_for_ || fresh(now))
+    if (call_in_flight_ || is_fresh(now))
     {
         return;
     }
     failed_ = false;
-    sent_ = now;
-    waiting_for_ = next_call++;
+    sent_at_ = now;
+    call_in_flight_ = next_call++;
     out.emplace_back(ports::store_call{
-        {ports::store_requester::administration, *waiting_for_},
+        {ports::store_requester::administration, *call_in_flight_},
         ports::store_list{prefix_}});
 }
 
 bool cached_list::on_store_reply(ports::store_reply const& reply)
 {
-    if (!waiting_for_ || reply.id.number != *waiting_for_)
+    if (!call_in_flight_ || reply.id.number != *call_in_flight_)
     {
         return false;
     }
-    waiting_for_.reset();
+    call_in_flight_.reset();
     failed_ = reply.status != ports::store_status::done;
-    known_ = !failed_;
+    loaded_ = !failed_;
     entries_ = reply.entries;
     return true;
 }
 
-bool cached_list::fresh(core::common::time_point now) const noexcept
+bool cached_list::is_fresh(core::common::time_point now) const noexcept
 {
-    return known_ && now - sent_ < max_age;
+    return loaded_ && now - sent_at_ < max_age;
 }
 
 bool cached_list::in_flight() const noexcept
 {
-    return waiting_for_.has_value();
+    return call_in_flight_.has_value();
 }
 
 bool cached_list::failed() const noexcept
--- a/src/programs/planner/administration_lists.hpp
+++ b/src/programs/planner/administration_lists.hpp
@@ -26,7 +26,7 @@
     explicit cached_list(std::string prefix);
 
     /// Sends a list call unless a fresh answer or a call is there.
-    void want(core::common::time_point now,
+    void refresh(core::common::time_point now,
               std::uint64_t& next_call,
               ports::actions& out);
     /// False where the reply is not for this list.
@@ -38,12 +38,12 @@
     std::vector<ports::store_entry> const& entries() const noexcept;
 
 private:
-    bool fresh(core::common::time_point now) const noexcept;
+    bool is_fresh(core::common::time_point now) const noexcept;
 
     std::string prefix_;
-    std::optional<std::uint64_t> waiting_for_;
-    core::common::time_point sent_{};
-    bool known_ = false;
+    std::optional<std::uint64_t> call_in_flight_;
+    core::common::time_point sent_at_{};
+    bool loaded_ = false;
     bool failed_ = false;
     std::vector<ports::store_entry> entries_;
 };
--- a/src/programs/planner/administration_message.cpp
+++ b/src/programs/planner/administration_message.cpp
@@ -29,7 +29,7 @@
 }
 
 /// Undoes percent-encoding; what is no valid escape stays as it is.
-std::string decoded(std::string_view text)
+std::string percent_decode(std::string_view text)
 {
     std::string result;
     while (!text.empty())
@@ -49,8 +49,8 @@
 
 std::optional<parsed_target> parse_target(std::string_view target)
 {
-    auto const question = target.find('?');
-    std::string_view const path = target.substr(0, question);
+    auto const query_start = target.find('?');
+    std::string_view const path = target.substr(0, query_start);
     if (!path.starts_with("/v1/"))
     {
         return std::nullopt;
@@ -58,11 +58,11 @@
     parsed_target parsed;
     for (auto const& part : split(path.substr(4), '/'))
     {
-        parsed.path.push_back(decoded(part));
+        parsed.path.push_back(percent_decode(part));
     }
-    if (question != std::string_view::npos)
+    if (query_start != std::string_view::npos)
     {
-        for (auto const& item : split(target.substr(question + 1), '&'))
+        for (auto const& item : split(target.substr(query_start + 1), '&'))
         {
             auto const equals = item.find('=');
             auto const value = equals == std::string::npos
@@ -79,8 +79,8 @@
     std::uint64_t number = 0;
     auto const* const last = text.data() + text.size();
     auto const [end, error] = std::from_chars(text.data(), last, number);
-    bool const whole = error == std::errc{} && end == last;
-    return whole ? std::optional(number) : std::nullopt;
+    bool const valid = error == std::errc{} && end == last;
+    return valid ? std::optional(number) : std::nullopt;
 }
 
 std::optional<bool> parse_data_centre_state(std::string_view body,
@@ -130,12 +130,12 @@
 confirmed_ms_ago(core::common::time_point now,
                  core::config::configuration_follower const& follower)
 {
-    auto const at = follower.confirmed_at();
-    if (at == core::common::time_point{})
+    auto const confirmed_at = follower.confirmed_at();
+    if (confirmed_at == core::common::time_point{})
     {
         return nullptr;
     }
-    return core::common::to_milliseconds(now - at);
+    return core::common::to_milliseconds(now - confirmed_at);
 }
 
 } // namespace fuchsia::programs::planner
--- a/src/programs/planner/administration_outcomes.cpp
+++ b/src/programs/planner/administration_outcomes.cpp
@@ -22,9 +22,10 @@
         return "put contract " + put.value.customer;
     }
 
-    std::string operator()(core::config::withdraw_contract const& gone) const
+    std::string
+    operator()(core::config::withdraw_contract const& withdrawal) const
     {
-        return "withdraw contract " + gone.customer;
+        return "withdraw contract " + withdrawal.customer;
     }
 
     std::string operator()(core::config::set_data_centre const& set) const
@@ -34,29 +35,30 @@
     }
 };
 
-ports::log_event
-event_of(std::string name, std::string what, std::string const& from)
+ports::log_event event_of(std::string name,
+                          std::string description,
+                          std::string const& operator_address)
 {
     return {ports::severity::info,
             std::move(name),
-            {{"what", std::move(what)}, {"from", from}}};
+            {{"what", std::move(description)}, {"from", operator_address}}};
 }
 
 } // namespace
 
-void administration::settle(core::common::time_point now,
-                            administration_view const& view,
-                            ports::actions& out,
-                            administration_answers& answers)
+void administration::complete(core::common::time_point now,
+                              administration_view const& view,
+                              ports::actions& out,
+                              administration_answers& answers)
 {
-    settle_changes(view, out, answers);
-    settle_removals(out, answers);
-    settle_reports(now, view, answers);
+    complete_changes(view, out, answers);
+    complete_removals(out, answers);
+    complete_reports(now, view, answers);
 }
 
-void administration::settle_changes(administration_view const& view,
-                                    ports::actions& out,
-                                    administration_answers& answers)
+void administration::complete_changes(administration_view const& view,
+                                      ports::actions& out,
+                                      administration_answers& answers)
 {
     for (auto& pending : changes_)
     {
@@ -66,18 +68,18 @@
             continue;
         }
         pending.answered = true;
-        auto const& what = pending.writer.request().requested_change;
+        auto const& change = pending.writer.request().requested_change;
         auto event = event_of(result->accepted() ? "configuration_accepted"
                                                  : "configuration_not_changed",
-                              std::visit(describe_change{}, what),
-                              pending.from);
+                              std::visit(describe_change{}, change),
+                              pending.operator_address);
         event.fields.push_back({"revision", std::to_string(result->revision)});
         if (result->accepted())
         {
             answers.push_back({pending.request,
                                json_answer({{"revision", result->revision}})});
             auto after = core::config::apply_change(
-                view.configuration.current(), what, result->revision);
+                view.configuration.current(), change, result->revision);
             if (after)
             {
                 view.configuration.adopt(std::move(*after), out);
@@ -101,8 +103,8 @@
         });
 }
 
-void administration::settle_removals(ports::actions& out,
-                                     administration_answers& answers)
+void administration::complete_removals(ports::actions& out,
+                                       administration_answers& answers)
 {
     for (auto const& pending : removals_)
     {
@@ -114,7 +116,7 @@
         bool const done = result->code == result_code::ok;
         auto event = event_of(done ? "member_removed" : "member_not_removed",
                               pending.removal.key(),
-                              pending.from);
+                              pending.operator_address);
         event.level = ports::severity::warning;
         event.fields.push_back({"why", to_string(*result)});
         out.emplace_back(std::move(event));
@@ -131,20 +133,20 @@
         });
 }
 
-void administration::settle_reports(core::common::time_point now,
-                                    administration_view const& view,
-                                    administration_answers& answers)
+void administration::complete_reports(core::common::time_point now,
+                                      administration_view const& view,
+                                      administration_answers& answers)
 {
-    std::vector<pending_report> left;
-    for (auto const& wanted : reports_)
+    std::vector<pending_report> remaining;
+    for (auto const& pending : reports_)
     {
         bool const failed =
-            members_.failed() || (wanted.status && partitions_.failed());
+            members_.failed() || (pending.status && partitions_.failed());
         bool const arrived = !members_.in_flight() &&
-                             (!wanted.status || !partitions_.in_flight());
+                             (!pending.status || !partitions_.in_flight());
         if (failed)
         {
-            answers.push_back({wanted.request,
+            answers.push_back({pending.request,
                                adapters::http::failure_response(
                                    {result_code::store_unavailable,
                                     "members",
@@ -152,19 +154,19 @@
         }
         else if (!arrived)
         {
-            left.push_back(wanted);
+            remaining.push_back(pending);
         }
-        else if (wanted.status)
+        else if (pending.status)
         {
-            answers.push_back({wanted.request, status_answer(now, view)});
+            answers.push_back({pending.request, status_answer(now, view)});
         }
         else
         {
             answers.push_back(
-                {wanted.request, revision_answer(wanted.revision)});
+                {pending.request, revision_answer(pending.revision)});
         }
     }
-    reports_ = std::move(left);
+    reports_ = std::move(remaining);
 }
 
 adapters::http::response
--- a/src/programs/planner/administration_removal.cpp
+++ b/src/programs/planner/administration_removal.cpp
@@ -13,15 +13,15 @@
 constexpr core::common::duration retry_interval =
     std::chrono::milliseconds(200);
 /// Beyond the time that the record must stand still.
-constexpr core::common::duration give_up_after = std::chrono::seconds(5);
+constexpr core::common::duration extra_time = std::chrono::seconds(5);
 
 } // namespace
 
-member_removal::member_removal(core::common::duration bury,
+member_removal::member_removal(core::common::duration fence_after,
                                std::string role,
                                std::string name,
                                std::uint64_t write_id)
-    : bury_(bury), role_(std::move(role)), name_(std::move(name)),
+    : fence_after_(fence_after), role_(std::move(role)), name_(std::move(name)),
       key_(core::membership::members_prefix(role_) + name_), write_id_(write_id)
 {
 }
@@ -30,8 +30,8 @@
                            std::uint64_t& next_call,
                            ports::actions& out)
 {
-    give_up_at_ = now + bury_ + give_up_after;
-    due_ = now;
+    deadline_ = now + fence_after_ + extra_time;
+    next_call_at_ = now;
     tick(now, next_call, out);
 }
 
@@ -39,27 +39,27 @@
                           std::uint64_t& next_call,
                           ports::actions& out)
 {
-    if (result_ || waiting_for_ || now < due_)
+    if (result_ || call_in_flight_ || now < next_call_at_)
     {
         return;
     }
-    if (now >= give_up_at_)
+    if (now >= deadline_)
     {
         finish(result_code::store_unavailable,
                "the store did not answer in time; nothing was changed");
         return;
     }
     ports::store_operation operation = ports::store_read{key_};
-    if (!reading_)
+    if (!next_is_read_)
     {
-        auto buried = *seen_;
-        buried.fenced = true;
-        buried.write_id = write_id_;
-        operation = ports::store_write{key_, to_json(buried), version_};
+        auto fenced_record = *last_record_;
+        fenced_record.fenced = true;
+        fenced_record.write_id = write_id_;
+        operation = ports::store_write{key_, to_json(fenced_record), version_};
     }
-    waiting_for_ = next_call++;
+    call_in_flight_ = next_call++;
     out.emplace_back(ports::store_call{
-        {ports::store_requester::administration, *waiting_for_},
+        {ports::store_requester::administration, *call_in_flight_},
         std::move(operation)});
 }
 
@@ -68,12 +68,12 @@
                                     std::uint64_t& next_call,
                                     ports::actions& out)
 {
-    if (!waiting_for_ || reply.id.number != *waiting_for_)
+    if (!call_in_flight_ || reply.id.number != *call_in_flight_)
     {
         return false;
     }
-    waiting_for_.reset();
-    if (reading_)
+    call_in_flight_.reset();
+    if (next_is_read_)
     {
         on_record(now, reply);
     }
@@ -101,13 +101,13 @@
 {
     if (reply.status != ports::store_status::done)
     {
-        pause(now, retry_interval);
+        wait_before_next_call(now, retry_interval);
         return;
     }
     if (reply.entries.empty())
     {
         // After the first read: removed by itself or by another.
-        finish(seen_ ? result_code::ok : result_code::not_found,
+        finish(last_record_ ? result_code::ok : result_code::not_found,
                "the store has no record of it");
         return;
     }
@@ -125,17 +125,17 @@
         finish(result_code::ok, {});
         return;
     }
-    if (seen_ && entry.version != version_)
+    if (last_record_ && entry.version != version_)
     {
-        unclear_ = false;
+        write_unclear_ = false;
         finish(result_code::conflict, "it beat meanwhile: it is running");
         return;
     }
     // Unchanged after a write whose answer was lost: the same write again.
-    pause(now, seen_ ? retry_interval : bury_);
-    seen_ = std::move(record);
+    wait_before_next_call(now, last_record_ ? retry_interval : fence_after_);
+    last_record_ = std::move(record);
     version_ = entry.version;
-    reading_ = false;
+    next_is_read_ = false;
 }
 
 void member_removal::on_write(core::common::time_point now,
@@ -147,27 +147,27 @@
         finish(result_code::ok, {});
         return;
     case ports::store_status::unavailable:
-        pause(now, retry_interval);
+        wait_before_next_call(now, retry_interval);
         return;
     case ports::store_status::unclear:
-        unclear_ = true;
+        write_unclear_ = true;
         [[fallthrough]];
     case ports::store_status::conflict:
-        reading_ = true;
-        due_ = now;
+        next_is_read_ = true;
+        next_call_at_ = now;
         return;
     }
 }
 
-void member_removal::pause(core::common::time_point now,
-                           core::common::duration length)
+void member_removal::wait_before_next_call(core::common::time_point now,
+                                           core::common::duration length)
 {
-    due_ = now + length;
+    next_call_at_ = now + length;
 }
 
 void member_removal::finish(result_code code, std::string why)
 {
-    if (code != result_code::ok && unclear_)
+    if (code != result_code::ok && write_unclear_)
     {
         code = result_code::store_unclear;
         why = "the answer was lost and reading back did not settle it";
--- a/src/programs/planner/administration_removal.hpp
+++ b/src/programs/planner/administration_removal.hpp
@@ -22,7 +22,7 @@
 class member_removal
 {
 public:
-    member_removal(core::common::duration bury,
+    member_removal(core::common::duration fence_after,
                    std::string role,
                    std::string name,
                    std::uint64_t write_id);
@@ -49,22 +49,22 @@
     void on_record(core::common::time_point now,
                    ports::store_reply const& reply);
     void on_write(core::common::time_point now, ports::store_status status);
-    void pause(core::common::time_point now, core::common::duration length);
+    void wait_before_next_call(core::common::time_point now, core::common::duration length);
     void finish(core::common::result_code code, std::string why);
 
-    core::common::duration bury_;
+    core::common::duration fence_after_;
     std::string role_;
     std::string name_;
     std::string key_;
     std::uint64_t write_id_;
     std::optional<core::common::failure> result_;
-    std::optional<core::membership::record> seen_;
+    std::optional<core::membership::record> last_record_;
     std::uint64_t version_ = 0;
-    bool reading_ = true;
-    bool unclear_ = false;
-    std::optional<std::uint64_t> waiting_for_;
-    core::common::time_point due_{};
-    core::common::time_point give_up_at_{};
+    bool next_is_read_ = true;
+    bool write_unclear_ = false;
+    std::optional<std::uint64_t> call_in_flight_;
+    core::common::time_point next_call_at_{};
+    core::common::time_point deadline_{};
 };
 
 } // namespace fuchsia::programs::planner
--- a/src/programs/planner/planner_callers.cpp
+++ b/src/programs/planner/planner_callers.cpp
@@ -29,9 +29,10 @@
 } // namespace
 
 // Runs on the HTTP thread, and so touches nothing that changes.
-std::optional<response> planner_program::screen(request const& asked) const
+std::optional<response>
+planner_program::check_request(request const& message) const
 {
-    auto const authorization = asked.header("Authorization").value_or("");
+    auto const authorization = message.header("Authorization").value_or("");
     if (!has_token(authorization, settings_.daemon.token))
     {
         return adapters::http::failure_response(
@@ -39,11 +40,12 @@
              "Authorization",
              "the token is absent or wrong"});
     }
-    if (!is_for_jobs(asked.target) && !administration::handles(asked.target))
+    if (!is_for_jobs(message.target) &&
+        !administration::handles(message.target))
     {
         return adapters::http::failure_response(
             {core::common::result_code::unknown_path,
-             asked.target,
+             message.target,
              "no such path"});
     }
     return std::nullopt;
@@ -51,21 +53,22 @@
 
 void planner_program::on_request(time_point now,
                                  std::uint64_t id,
-                                 request& asked)
+                                 request& message)
 {
     open_requests_.insert(id);
-    if (is_for_jobs(asked.target))
+    if (is_for_jobs(message.target))
     {
         engine_->on_job_request(now,
                                 {id,
-                                 std::move(asked.method),
-                                 std::move(asked.target),
-                                 std::move(asked.body)},
+                                 std::move(message.method),
+                                 std::move(message.target),
+                                 std::move(message.body)},
                                 actions_);
     }
     else
     {
-        administration_->on_request(now, id, asked, view(), actions_, answers_);
+        administration_->on_request(
+            now, id, message, view(), actions_, answers_);
     }
     perform();
 }
@@ -118,21 +121,21 @@
 void planner_program::answer(std::uint64_t request, response message)
 {
     open_requests_.erase(request);
-    shell_.answer(request, std::move(message));
+    runtime_.answer(request, std::move(message));
 }
 
 // The engine that took them is gone, and nobody else will answer them: an
 // operator would wait for ever, and a planned stop for that operator.
-void planner_program::abandon_requests()
+void planner_program::fail_open_requests()
 {
     for (auto const id : std::exchange(open_requests_, {}))
     {
-        shell_.answer(id,
-                      adapters::http::failure_response(
-                          {core::common::result_code::store_unclear,
-                           "",
-                           "this planner was replaced while it worked on it; "
-                           "look before you repeat it"}));
+        runtime_.answer(id,
+                        adapters::http::failure_response(
+                            {core::common::result_code::store_unclear,
+                             "",
+                             "this planner was replaced while it worked on it; "
+                             "look before you repeat it"}));
     }
 }
 
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -17,8 +17,8 @@
 
 /// Calls to workers under way at once; one more counts as never sent.
 constexpr std::uint32_t max_worker_calls = 2048;
-constexpr std::size_t report_ring = 4096;
-constexpr std::size_t small_ring = 16;
+constexpr std::size_t report_ring_capacity = 4096;
+constexpr std::size_t small_ring_capacity = 16;
 
 response to_response(ports::caller_answer answer)
 {
@@ -30,11 +30,11 @@
 
 adapters::daemon::daemon_options options()
 {
-    adapters::daemon::daemon_options out;
-    out.service = "fuchsia-planner";
-    out.http.connections = 256;
-    out.max_waiting_requests = 1024;
-    return out;
+    adapters::daemon::daemon_options result;
+    result.service = "fuchsia-planner";
+    result.http.connections = 256;
+    result.max_waiting_requests = 1024;
+    return result;
 }
 
 } // namespace
@@ -42,22 +42,22 @@
 planner_program::planner_program(
     adapters::settings::planner_daemon_settings settings)
     : settings_(std::move(settings)),
-      shell_(settings_.daemon, options(), events()),
-      calls_(workers_duty_,
+      runtime_(settings_.daemon, options(), handlers()),
+      calls_(workers_thread_,
              max_worker_calls,
-             [this](call_out& out)
+             [this](outgoing_call& message)
              {
                  // Two engines number their calls alike. Kept by those numbers,
                  // an old "stopped" could be taken for the answer to a new
                  // call, and the task be started a second time.
                  auto const number = ++last_call_;
-                 open_calls_[number] = {out.generation, out.call.id};
-                 out.call.id = number;
-                 client_->send(std::move(out.call));
+                 open_calls_[number] = {message.generation, message.call.id};
+                 message.call.id = number;
+                 client_->send(std::move(message.call));
              }),
-      replies_(shell_.decisions(),
+      replies_(runtime_.decisions(),
                max_worker_calls,
-               [this](reply_in& in)
+               [this](incoming_reply& in)
                {
                    --in_flight_;
                    if (in.generation == generation_)
@@ -68,8 +68,8 @@
                        perform();
                    }
                }),
-      reports_(shell_.decisions(),
-               report_ring,
+      reports_(runtime_.decisions(),
+               report_ring_capacity,
                [this](ports::worker_report& report)
                {
                    auto const now = clock::now();
@@ -77,8 +77,8 @@
                    engine_->on_worker_report(now, report, actions_);
                    perform();
                }),
-      lists_(shell_.decisions(),
-             small_ring,
+      lists_(runtime_.decisions(),
+             small_ring_capacity,
              [this](ports::worker_list& list)
              {
                  auto const now = clock::now();
@@ -86,12 +86,12 @@
                  engine_->on_workers(now, list, actions_);
                  perform();
              }),
-      follows_(workers_duty_,
-               small_ring,
-               [this](std::vector<std::string>& racks)
-               {
-                   client_->set_racks(std::move(racks));
-               })
+      rack_updates_(workers_thread_,
+                    small_ring_capacity,
+                    [this](std::vector<std::string>& racks)
+                    {
+                        client_->set_racks(std::move(racks));
+                    })
 {
     adapters::platform::worker_handlers handlers;
     handlers.on_workers = [this](ports::worker_list list)
@@ -105,13 +105,13 @@
     };
     handlers.on_reply = [this](ports::worker_reply reply)
     {
-        auto const asked = open_calls_.extract(reply.id).mapped();
-        reply.id = asked.id;
+        auto const call = open_calls_.extract(reply.id).mapped();
+        reply.id = call.id;
         // Never full: it has a place for each call in flight.
-        replies_.try_push(reply_in{asked.generation, std::move(reply)});
+        replies_.try_push(incoming_reply{call.generation, std::move(reply)});
     };
     client_ = std::make_unique<adapters::platform::worker_client>(
-        workers_duty_.io(),
+        workers_thread_.io(),
         settings_.daemon.workers,
         settings_.daemon.list_interval,
         std::move(handlers));
@@ -121,77 +121,80 @@
 // destroyed already.
 planner_program::~planner_program()
 {
-    shell_.decisions().stop();
-    workers_duty_.stop();
+    runtime_.decisions().stop();
+    workers_thread_.stop();
 }
 
-adapters::daemon::daemon_handlers planner_program::events()
+adapters::daemon::daemon_handlers planner_program::handlers()
 {
-    adapters::daemon::daemon_handlers out;
+    adapters::daemon::daemon_handlers handlers;
     // The workers are asked only from here on. Asked earlier, the first list
     // could arrive before there is an engine to take it, and the process died
     // at its start, now and then, without a line in the log.
-    out.on_start = [this](time_point now)
+    handlers.on_start = [this](time_point now)
     {
-        begin(now);
-        boost::asio::post(workers_duty_.io(),
+        start_engine(now);
+        boost::asio::post(workers_thread_.io(),
                           [this]
                           {
                               client_->start();
                           });
     };
-    out.on_tick = [this](time_point now)
+    handlers.on_tick = [this](time_point now)
     {
         tick(now);
     };
-    out.on_store_reply = [this](time_point now, ports::store_reply const& reply)
+    handlers.on_store_reply =
+        [this](time_point now, ports::store_reply const& reply)
     {
         on_store_reply(now, reply);
     };
-    out.on_peer = [this](time_point now, ports::peer_receive& message)
+    handlers.on_peer = [this](time_point now, ports::peer_receive& message)
     {
         engine_->on_peer(now, message, actions_);
         perform();
     };
-    out.on_instances = [this](time_point now, ports::instance_list const& list)
+    handlers.on_instances =
+        [this](time_point now, ports::instance_list const& list)
     {
         engine_->on_instances(now, list, actions_);
         perform();
     };
-    out.on_request = [this](time_point now, std::uint64_t id, request& asked)
+    handlers.on_request =
+        [this](time_point now, std::uint64_t id, request& message)
     {
-        on_request(now, id, asked);
+        on_request(now, id, message);
     };
-    out.on_stop = [this](time_point now)
+    handlers.on_stop = [this](time_point now)
     {
         adapters::logging::write(ports::severity::info, "planned_stop", {});
         engine_->begin_stop(now, actions_);
         perform();
     };
-    out.on_rejoin = [this](time_point now, ports::member_identity const&)
+    handlers.on_rejoin = [this](time_point now, ports::member_identity const&)
     {
         ++generation_;
-        abandon_requests();
-        begin(now);
+        fail_open_requests();
+        start_engine(now);
     };
-    out.pre_check = [this](request const& asked)
+    handlers.pre_check = [this](request const& message)
     {
-        return screen(asked);
+        return check_request(message);
     };
-    return out;
+    return handlers;
 }
 
 std::optional<int> planner_program::run(core::common::failure& reason)
 {
-    if (!shell_.listen(reason))
+    if (!runtime_.listen(reason))
     {
         return std::nullopt;
     }
-    workers_duty_.start();
-    return shell_.run();
+    workers_thread_.start();
+    return runtime_.run();
 }
 
-void planner_program::begin(time_point now)
+void planner_program::start_engine(time_point now)
 {
     make_engine();
     engine_->start(now, actions_);
@@ -201,17 +204,19 @@
 void planner_program::make_engine()
 {
     core::membership::member_info self;
-    self.id = shell_.self();
+    self.id = runtime_.self();
     self.role = "planner";
     self.data_centre = settings_.daemon.data_centre;
-    self.peer_address = shell_.peer_address();
-    self.http_address = shell_.http_address();
+    self.peer_address = runtime_.peer_address();
+    self.http_address = runtime_.http_address();
     engine_ = std::make_unique<tasks::planner_engine>(
         settings_.planner, self, self.id.incarnation);
-    administration_settings for_operators;
-    for_operators.fence_after = settings_.daemon.membership.fencing_delay;
-    administration_ = std::make_unique<administration>(for_operators, self.id);
-    followed_.clear();
+    administration_settings administration_options;
+    administration_options.fence_after =
+        settings_.daemon.membership.fencing_delay;
+    administration_ =
+        std::make_unique<administration>(administration_options, self.id);
+    followed_racks_.clear();
 }
 
 void planner_program::tick(time_point now)
@@ -258,7 +263,7 @@
         }
         else
         {
-            shell_.perform(action);
+            runtime_.perform(action);
         }
     }
     for (auto& answer : std::exchange(answers_, {}))
@@ -270,14 +275,14 @@
 void planner_program::send_to_worker(ports::worker_call call)
 {
     auto const id = call.id;
-    call_out out{generation_, std::move(call)};
-    if (in_flight_ < max_worker_calls && calls_.try_push(out))
+    outgoing_call message{generation_, std::move(call)};
+    if (in_flight_ < max_worker_calls && calls_.try_push(message))
     {
         ++in_flight_;
         return;
     }
     // Never sent; posted, since the engine is still being served.
-    boost::asio::post(shell_.decisions().io(),
+    boost::asio::post(runtime_.decisions().io(),
                       [this, id, generation = generation_]
                       {
                           if (generation == generation_)
@@ -295,9 +300,9 @@
 void planner_program::follow_racks()
 {
     auto racks = engine_->racks();
-    if (racks != followed_ && follows_.try_push(racks))
+    if (racks != followed_racks_ && rack_updates_.try_push(racks))
     {
-        followed_ = engine_->racks();
+        followed_racks_ = engine_->racks();
     }
 }
 
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -31,20 +31,20 @@
 
 private:
     // An engine of an earlier incarnation gets no answer to its calls.
-    struct call_out
+    struct outgoing_call
     {
         std::uint64_t generation = 0;
         ports::worker_call call;
     };
-    struct reply_in
+    struct incoming_reply
     {
         std::uint64_t generation = 0;
         ports::worker_reply reply;
     };
 
     // planner_program.cpp: duties, time, the store and workers.
-    adapters::daemon::daemon_handlers events();
-    void begin(core::common::time_point now);
+    adapters::daemon::daemon_handlers handlers();
+    void start_engine(core::common::time_point now);
     void make_engine();
     void tick(core::common::time_point now);
     void catch_up(core::common::time_point now);
@@ -57,26 +57,26 @@
 
     // planner_callers.cpp: requests over HTTP.
     std::optional<adapters::http::response>
-    screen(adapters::http::request const& request) const;
+    check_request(adapters::http::request const& request) const;
     void on_request(core::common::time_point now,
                     std::uint64_t id,
                     adapters::http::request& request);
     administration_view view();
     boost::json::object status() const;
     void answer(std::uint64_t request, adapters::http::response message);
-    void abandon_requests();
+    void fail_open_requests();
 
     // planner_samples.cpp: counts.
     void sample(core::common::time_point now);
 
     adapters::settings::planner_daemon_settings settings_;
-    adapters::daemon::daemon_runtime shell_;
-    adapters::runtime::io_thread workers_duty_{"workers"};
-    adapters::runtime::ring<call_out> calls_;
-    adapters::runtime::ring<reply_in> replies_;
+    adapters::daemon::daemon_runtime runtime_;
+    adapters::runtime::io_thread workers_thread_{"workers"};
+    adapters::runtime::ring<outgoing_call> calls_;
+    adapters::runtime::ring<incoming_reply> replies_;
     adapters::runtime::ring<ports::worker_report> reports_;
     adapters::runtime::ring<ports::worker_list> lists_;
-    adapters::runtime::ring<std::vector<std::string>> follows_;
+    adapters::runtime::ring<std::vector<std::string>> rack_updates_;
     std::unique_ptr<adapters::platform::worker_client> client_;
 
     // Of the decision thread.
@@ -86,7 +86,7 @@
     administration_answers answers_;
     std::uint64_t generation_ = 0;
     std::uint32_t in_flight_ = 0;
-    std::vector<std::string> followed_;
+    std::vector<std::string> followed_racks_;
     core::common::time_point last_tick_{};
     core::common::time_point next_sample_{};
     std::set<std::uint64_t> open_requests_; ///< Taken and not answered.
--- a/src/programs/planner/planner_samples.cpp
+++ b/src/programs/planner/planner_samples.cpp
@@ -19,15 +19,15 @@
 
 void planner_program::sample(time_point now)
 {
-    shell_.set_ready(engine_->ready(now));
+    runtime_.set_ready(engine_->ready(now));
     if (now < next_sample_)
     {
         return;
     }
     next_sample_ = now + sample_interval;
-    auto& metrics = shell_.metrics();
+    auto& metrics = runtime_.metrics();
     auto const& counts = engine_->counters();
-    std::array<std::pair<char const*, std::uint64_t>, 7> const ends{
+    std::array<std::pair<char const*, std::uint64_t>, 7> const attempt_counts{
         {{"finished", counts.finished},
          {"failed", counts.failed},
          {"stopped", counts.stopped},
@@ -35,12 +35,12 @@
          {"refused", counts.refused},
          {"unsent", counts.unsent},
          {"started", counts.started}}};
-    for (auto const& [what, value] : ends)
+    for (auto const& [kind, value] : attempt_counts)
     {
         metrics
             .gauge("fuchsia_task_attempts",
                    "Attempts since this planner joined, by what became of them",
-                   {{"what", what}})
+                   {{"what", kind}})
             .Set(static_cast<double>(value));
     }
     std::array<std::pair<char const*, std::uint64_t>, 4> const evictions{
@@ -48,21 +48,21 @@
          {"over_contract", counts.evicted_contract},
          {"guard", counts.evicted_guard},
          {"memory_pressure", counts.evicted_memory}}};
-    for (auto const& [why, value] : evictions)
+    for (auto const& [reason, value] : evictions)
     {
         metrics
             .gauge("fuchsia_task_evictions",
                    "Evictions since this planner joined, by reason",
-                   {{"why", why}})
+                   {{"why", reason}})
             .Set(static_cast<double>(value));
     }
     std::size_t queued = 0;
     std::size_t running = 0;
     for (auto const& [name, cell] : engine_->cells())
     {
-        auto const of = cell->counts();
-        queued += of.queued;
-        running += of.running;
+        auto const cell_counts = cell->counts();
+        queued += cell_counts.queued;
+        running += cell_counts.running;
     }
     auto const set =
         [&metrics](char const* name, char const* help, double value)
--- a/src/programs/pool/main.cpp
+++ b/src/programs/pool/main.cpp
@@ -10,7 +10,7 @@
 
 constexpr int bad_settings = 2;
 
-int complain(fuchsia::core::common::failure const& reason)
+int report_failure(fuchsia::core::common::failure const& reason)
 {
     std::fprintf(stderr,
                  "fuchsia-pool: %s\n",
@@ -25,7 +25,7 @@
     fuchsia::core::common::failure reason;
     fuchsia::programs::pool::pool_program program(std::move(settings), path);
     auto const status = program.run(reason);
-    return status ? *status : complain(reason);
+    return status ? *status : report_failure(reason);
 }
 
 } // namespace
@@ -48,7 +48,7 @@
         fuchsia::adapters::settings::load_pool_settings(path, reason);
     if (!settings)
     {
-        return complain(reason);
+        return report_failure(reason);
     }
     if (check)
     {
--- a/src/programs/pool/pool_administration.cpp
+++ b/src/programs/pool/pool_administration.cpp
@@ -20,10 +20,10 @@
 using core::common::to_milliseconds;
 using namespace core::pool;
 
-constexpr std::string_view root = "/v1/pool";
-constexpr std::string_view one_job = "/v1/pool/jobs/";
+constexpr std::string_view pool_path = "/v1/pool";
+constexpr std::string_view job_path_prefix = "/v1/pool/jobs/";
 // Bounds the size of an answer.
-constexpr std::size_t most_jobs = 1000;
+constexpr std::size_t max_jobs = 1000;
 
 http::response answer(std::uint16_t status, json::object const& body)
 {
@@ -42,97 +42,98 @@
                    {"why", why}});
 }
 
-json::object to_json(ports::resources const& what)
+json::object to_json(ports::resources const& value)
 {
-    return {{"millicores", what.millicores},
-            {"memory_mb", what.memory_mb},
-            {"accelerators", what.accelerators}};
+    return {{"millicores", value.millicores},
+            {"memory_mb", value.memory_mb},
+            {"accelerators", value.accelerators}};
 }
 
-json::object to_json(instance_status const& what, std::string const& name)
+json::object to_json(instance_status const& value, std::string const& name)
 {
     return {{"name", name},
-            {"owner", what.owner},
-            {"loaded", what.loaded},
-            {"epoch", what.epoch},
-            {"owned_for_ms", to_milliseconds(what.owned_for)},
-            {"configuration_version", what.configuration_version},
-            {"store_silent_ms", to_milliseconds(what.store_silence)},
-            {"data_centres_out", json::value_from(what.data_centres_out)}};
+            {"owner", value.owner},
+            {"loaded", value.loaded},
+            {"epoch", value.epoch},
+            {"owned_for_ms", to_milliseconds(value.owned_for)},
+            {"configuration_version", value.configuration_version},
+            {"store_silent_ms", to_milliseconds(value.store_silence)},
+            {"data_centres_out", json::value_from(value.data_centres_out)}};
 }
 
-json::object to_json(worker_status const& what)
+json::object to_json(worker_status const& value)
 {
-    return {{"id", what.id},
-            {"data_centre", what.data_centre},
-            {"rack", what.rack},
-            {"incarnation", what.incarnation},
-            {"listed", what.listed},
-            {"draining", what.draining},
-            {"silent", what.silent},
-            {"suspected", what.suspected},
-            {"tasks", what.tasks},
-            {"capacity", to_json(what.capacity)},
-            {"reserved", to_json(what.reserved)},
-            {"silent_ms", to_milliseconds(what.silence)},
-            {"lease_left_ms", to_milliseconds(what.lease_left)},
-            {"speed_percent", std::lround(what.speed * 100)}};
+    return {{"id", value.id},
+            {"data_centre", value.data_centre},
+            {"rack", value.rack},
+            {"incarnation", value.incarnation},
+            {"listed", value.listed},
+            {"draining", value.draining},
+            {"silent", value.silent},
+            {"suspected", value.suspected},
+            {"tasks", value.tasks},
+            {"capacity", to_json(value.capacity)},
+            {"reserved", to_json(value.reserved)},
+            {"silent_ms", to_milliseconds(value.silence)},
+            {"lease_left_ms", to_milliseconds(value.lease_left)},
+            {"speed_percent", std::lround(value.speed * 100)}};
 }
 
-json::object to_json(job_status_row const& what)
+json::object to_json(job_status_row const& value)
 {
-    return {{"id", what.id},
-            {"queue", what.queue},
-            {"phase", name_in(job_phase_names, what.phase)},
-            {"started", what.started},
-            {"tasks_left", what.tasks_left},
-            {"tasks_placed", what.tasks_placed},
-            {"rank", what.rank},
-            {"due_in_ms", to_milliseconds(what.due_in)}};
+    return {{"id", value.id},
+            {"queue", value.queue},
+            {"phase", name_in(job_phase_names, value.phase)},
+            {"started", value.started},
+            {"tasks_left", value.tasks_left},
+            {"tasks_placed", value.tasks_placed},
+            {"rank", value.rank},
+            {"due_in_ms", to_milliseconds(value.due_in)}};
 }
 
-json::object to_json(task_status const& what)
+json::object to_json(task_status const& value)
 {
-    return {{"occurrence", what.name.occurrence},
-            {"step", what.name.step},
-            {"index", what.name.index},
-            {"phase", name_in(task_phase_names, what.phase)},
-            {"attempt", what.attempt},
-            {"failures", what.failures},
-            {"worker", what.worker},
-            {"percent", what.percent},
-            {"pace", what.speed_limit}};
+    return {{"occurrence", value.name.occurrence},
+            {"step", value.name.step},
+            {"index", value.name.index},
+            {"phase", name_in(task_phase_names, value.phase)},
+            {"attempt", value.attempt},
+            {"failures", value.failures},
+            {"worker", value.worker},
+            {"percent", value.percent},
+            {"pace", value.speed_limit}};
 }
 
-json::object to_json(step_status const& what)
+json::object to_json(step_status const& value)
 {
     json::object obstacles;
-    for (auto const& [kind, count] : what.obstacles)
+    for (auto const& [kind, count] : value.obstacles)
     {
         obstacles[name_in(obstacle_names, kind)] = count;
     }
-    return {{"occurrence", what.occurrence},
-            {"step", what.step},
-            {"ready", what.ready},
-            {"workers_that_would_take_it", what.possible},
+    return {{"occurrence", value.occurrence},
+            {"step", value.step},
+            {"ready", value.ready},
+            {"workers_that_would_take_it", value.possible},
             {"workers_by_obstacle", std::move(obstacles)}};
 }
 
 template<class Rows>
-json::array all_of(Rows const& rows)
+json::array to_array(Rows const& rows)
 {
-    json::array made;
-    for (auto const& each : rows)
+    json::array result;
+    for (auto const& row : rows)
     {
-        made.push_back(to_json(each));
+        result.push_back(to_json(row));
     }
-    return made;
+    return result;
 }
 
-http::response answer_job(owner& of, time_point now, std::string const& target)
+http::response
+answer_job(owner& current_owner, time_point now, std::string const& target)
 {
-    auto const id = target.substr(one_job.size());
-    auto const found = of.describe(now, id);
+    auto const id = target.substr(job_path_prefix.size());
+    auto const found = current_owner.describe(now, id);
     if (!found)
     {
         return refuse(result_code::not_found,
@@ -141,20 +142,20 @@
                       "told to its submitter for two minutes");
     }
     auto body = to_json(found->job);
-    body["tasks"] = all_of(found->tasks);
-    body["waiting"] = all_of(found->waiting);
+    body["tasks"] = to_array(found->tasks);
+    body["waiting"] = to_array(found->waiting);
     return answer(200, body);
 }
 
-http::response answer_jobs(owner const& of, time_point now)
+http::response answer_jobs(owner const& current_owner, time_point now)
 {
-    auto rows = of.jobs(now);
+    auto rows = current_owner.jobs(now);
     auto const count = rows.size();
-    if (count > most_jobs)
+    if (count > max_jobs)
     {
-        rows.resize(most_jobs);
+        rows.resize(max_jobs);
     }
-    return answer(200, {{"count", count}, {"jobs", all_of(rows)}});
+    return answer(200, {{"count", count}, {"jobs", to_array(rows)}});
 }
 
 } // namespace
@@ -164,20 +165,20 @@
                                time_point now,
                                std::string const& target)
 {
-    if (target == root)
+    if (target == pool_path)
     {
         return answer(200, to_json(engine.status(now), name));
     }
     bool const workers = target == "/v1/pool/workers";
     bool const jobs = target == "/v1/pool/jobs";
-    bool const job = target.starts_with(one_job);
+    bool const job = target.starts_with(job_path_prefix);
     if (!workers && !jobs && !job)
     {
         return refuse(
             result_code::unknown_path, target, "nothing is served there");
     }
-    auto* const of = engine.active_owner();
-    if (of == nullptr || !of->loaded())
+    auto* const current_owner = engine.active_owner();
+    if (current_owner == nullptr || !current_owner->loaded())
     {
         return refuse(result_code::owner_unreachable,
                       name,
@@ -186,9 +187,11 @@
     }
     if (workers)
     {
-        return answer(200, {{"workers", all_of(of->workers(now))}});
+        return answer(200,
+                      {{"workers", to_array(current_owner->workers(now))}});
     }
-    return jobs ? answer_jobs(*of, now) : answer_job(*of, now, target);
+    return jobs ? answer_jobs(*current_owner, now)
+                : answer_job(*current_owner, now, target);
 }
 
 } // namespace fuchsia::programs::pool
--- a/src/programs/pool/pool_metrics.cpp
+++ b/src/programs/pool/pool_metrics.cpp
@@ -8,14 +8,14 @@
 
 using adapters::metrics::seconds;
 
-struct length_row
+struct duration_row
 {
     char const* name;
     char const* help;
 };
 
 // In the order of `ports::pool_measure`.
-constexpr std::array<length_row, 5> lengths{
+constexpr std::array<duration_row, 5> duration_rows{
     {{"fuchsia_pool_accept_seconds", "Submission to answer"},
      {"fuchsia_pool_wait_seconds", "Acceptance to first start"},
      {"fuchsia_pool_job_seconds", "Acceptance to recorded end"},
@@ -47,28 +47,28 @@
 pool_metrics::pool_metrics(adapters::metrics::registry& registry)
     : registry_(registry)
 {
-    for (std::size_t index = 0; index < lengths.size(); ++index)
+    for (std::size_t index = 0; index < duration_rows.size(); ++index)
     {
-        lengths_[index] =
-            &registry_.latency(lengths[index].name, lengths[index].help);
+        durations_[index] = &registry_.latency(duration_rows[index].name,
+                                               duration_rows[index].help);
     }
     sample({}, nullptr);
 }
 
-void pool_metrics::began(core::common::time_point now,
-                         ports::kv_call const& call)
+void pool_metrics::on_call_start(core::common::time_point now,
+                                 ports::kv_call const& call)
 {
     open_[call.id] = {call.operation.index(), now};
 }
 
-void pool_metrics::began(core::common::time_point now,
-                         ports::pool_order const& order)
+void pool_metrics::on_call_start(core::common::time_point now,
+                                 ports::pool_order const& order)
 {
     open_[order.id] = {order.operation.index(), now};
 }
 
-void pool_metrics::ended(core::common::time_point now,
-                         ports::kv_reply const& reply)
+void pool_metrics::on_call_end(core::common::time_point now,
+                               ports::kv_reply const& reply)
 {
     auto const found = open_.find(reply.id);
     if (found == open_.end())
@@ -85,12 +85,12 @@
             "Calls of the store",
             {{"kind", store_kinds[kind]}, {"result", store_results[result]}});
     }
-    histogram->Observe(seconds(now - found->second.began));
+    histogram->Observe(seconds(now - found->second.started_at));
     open_.erase(found);
 }
 
-void pool_metrics::ended(core::common::time_point now,
-                         ports::order_reply const& reply)
+void pool_metrics::on_call_end(core::common::time_point now,
+                               ports::order_reply const& reply)
 {
     auto const found = open_.find(reply.id);
     if (found == open_.end())
@@ -107,26 +107,26 @@
             "Orders to workers",
             {{"kind", order_kinds[kind]}, {"result", order_results[result]}});
     }
-    histogram->Observe(seconds(now - found->second.began));
+    histogram->Observe(seconds(now - found->second.started_at));
     open_.erase(found);
 }
 
-void pool_metrics::observe(ports::duration_sample const& length)
+void pool_metrics::observe(ports::duration_sample const& observation)
 {
-    lengths_[static_cast<std::size_t>(length.metric)]->Observe(
-        seconds(length.elapsed));
+    durations_[static_cast<std::size_t>(observation.metric)]->Observe(
+        seconds(observation.elapsed));
 }
 
 void pool_metrics::sample(core::common::time_point now,
-                          core::pool::owner const* owned)
+                          core::pool::owner const* active_owner)
 {
     registry_.gauge("fuchsia_pool_owner", "1 while this instance schedules")
-        .Set(owned != nullptr ? 1 : 0);
-    if (owned == nullptr)
+        .Set(active_owner != nullptr ? 1 : 0);
+    if (active_owner == nullptr)
     {
         return;
     }
-    auto const& counts = owned->counters();
+    auto const& counts = active_owner->counters();
     auto const set =
         [this](char const* name, char const* help, std::uint64_t value)
     {
@@ -160,11 +160,11 @@
     set("fuchsia_pool_jobs_finished", "Jobs ended", counts.jobs_finished);
     set("fuchsia_pool_commits_waiting",
         "Entries of the owner that are not durable yet",
-        owned->commits().waiting());
+        active_owner->commits().waiting());
     registry_
         .gauge("fuchsia_pool_commit_lag_seconds",
                "How long the oldest entry that is not durable has waited")
-        .Set(seconds(owned->commits().lag(now)));
+        .Set(seconds(active_owner->commits().lag(now)));
 }
 
 std::size_t pool_metrics::open() const noexcept
--- a/src/programs/pool/pool_metrics.hpp
+++ b/src/programs/pool/pool_metrics.hpp
@@ -19,29 +19,29 @@
 public:
     explicit pool_metrics(adapters::metrics::registry& registry);
 
-    void began(core::common::time_point now, ports::kv_call const& call);
-    void began(core::common::time_point now, ports::pool_order const& order);
-    void ended(core::common::time_point now, ports::kv_reply const& reply);
-    void ended(core::common::time_point now, ports::order_reply const& reply);
-    void observe(ports::duration_sample const& length);
+    void on_call_start(core::common::time_point now, ports::kv_call const& call);
+    void on_call_start(core::common::time_point now, ports::pool_order const& order);
+    void on_call_end(core::common::time_point now, ports::kv_reply const& reply);
+    void on_call_end(core::common::time_point now, ports::order_reply const& reply);
+    void observe(ports::duration_sample const& observation);
     /// Copies the owner's counts; null while another instance owns.
-    void sample(core::common::time_point now, core::pool::owner const* owned);
+    void sample(core::common::time_point now, core::pool::owner const* active_owner);
     /// Calls without an answer.
     std::size_t open() const noexcept;
 
 private:
-    static constexpr std::size_t measures = 5;
+    static constexpr std::size_t metric_count = 5;
     static constexpr std::size_t kv_statuses = 6;
     static constexpr std::size_t order_statuses = 12;
     struct open_call
     {
         std::size_t kind = 0;
-        core::common::time_point began{};
+        core::common::time_point started_at{};
     };
 
     adapters::metrics::registry& registry_;
     std::unordered_map<std::uint64_t, open_call> open_;
-    std::array<prometheus::Histogram*, measures> lengths_{};
+    std::array<prometheus::Histogram*, metric_count> durations_{};
     // By kind and result; made when first seen.
     std::array<std::array<prometheus::Histogram*, kv_statuses>,
                std::variant_size_v<ports::kv_operation>>
--- a/src/programs/pool/pool_outside.cpp
+++ b/src/programs/pool/pool_outside.cpp
@@ -13,93 +13,95 @@
 namespace
 {
 
-ports::order_reply held_back(ports::pool_order const& order)
+ports::order_reply not_attempted_reply(ports::pool_order const& order)
 {
-    ports::order_reply made;
-    made.id = order.id;
-    made.status = ports::order_status::not_attempted;
-    return made;
+    ports::order_reply reply;
+    reply.id = order.id;
+    reply.status = ports::order_status::not_attempted;
+    return reply;
 }
 
 } // namespace
 
 // On the outside's thread. An order that waited here for longer than its answer
 // may take rests on what was known too long ago.
-void pool_program::send_outside(outside_call& call)
+void pool_program::send_remote(remote_call& call)
 {
-    auto const waited = clock::now() - call.asked;
-    if (auto* const order = std::get_if<ports::pool_order>(&call.what))
+    auto const waited = clock::now() - call.requested_at;
+    if (auto* const order = std::get_if<ports::pool_order>(&call.operation))
     {
         if (waited > order->timeout)
         {
-            replies_.try_push(outside_reply{held_back(*order)});
+            replies_.try_push(remote_reply{not_attempted_reply(*order)});
             return;
         }
         workers_->send(std::move(*order));
     }
-    else if (auto* const ask = std::get_if<ports::policy_request>(&call.what))
+    else if (auto* const policy =
+                 std::get_if<ports::policy_request>(&call.operation))
     {
-        advice_->send(*ask);
+        policy_->send(*policy);
     }
 }
 
-void pool_program::take_reply(outside_reply& reply)
+void pool_program::on_reply(remote_reply& reply)
 {
     auto const now = clock::now();
     if (auto const* const order = std::get_if<ports::order_reply>(&reply))
     {
-        measures_.ended(now, *order);
+        measurements_.on_call_end(now, *order);
         engine_.on_order_reply(now, *order);
     }
-    else if (auto const* const advice =
+    else if (auto const* const policy =
                  std::get_if<ports::policy_reply>(&reply))
     {
-        engine_.on_policy_reply(now, *advice);
+        engine_.on_policy_reply(now, *policy);
     }
     perform();
 }
 
-void pool_program::take_reply(ports::kv_reply const& reply)
+void pool_program::on_reply(ports::kv_reply const& reply)
 {
     auto const now = clock::now();
-    measures_.ended(now, reply);
+    measurements_.on_call_end(now, reply);
     engine_.on_kv_reply(now, reply);
     perform();
 }
 
 template<class Reply>
-void pool_program::take_reply_soon(Reply reply)
+void pool_program::post_reply(Reply reply)
 {
     boost::asio::post(decisions_.io(),
                       [this, reply = std::move(reply)]() mutable
                       {
-                          take_reply(reply);
+                          on_reply(reply);
                       });
 }
 
 void pool_program::refuse(ports::kv_call const& call)
 {
-    ports::kv_reply made;
-    made.id = call.id;
-    made.status = ports::kv_status::refused;
-    take_reply_soon(std::move(made));
+    ports::kv_reply reply;
+    reply.id = call.id;
+    reply.status = ports::kv_status::refused;
+    post_reply(std::move(reply));
 }
 
 // Nothing went out, and whoever waits for the answer is told so.
-void pool_program::refuse(outside_operation const& call)
+void pool_program::refuse(remote_operation const& call)
 {
-    outside_reply reply;
+    remote_reply reply;
     if (auto const* const order = std::get_if<ports::pool_order>(&call))
     {
-        reply = held_back(*order);
+        reply = not_attempted_reply(*order);
     }
-    else if (auto const* const ask = std::get_if<ports::policy_request>(&call))
+    else if (auto const* const policy =
+                 std::get_if<ports::policy_request>(&call))
     {
-        ports::policy_reply made;
-        made.id = ask->id;
-        reply = std::move(made);
+        ports::policy_reply answer;
+        answer.id = policy->id;
+        reply = std::move(answer);
     }
-    take_reply_soon(std::move(reply));
+    post_reply(std::move(reply));
 }
 
 } // namespace fuchsia::programs::pool
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -20,12 +20,13 @@
 using core::common::clock;
 using ports::severity;
 
-constexpr std::size_t request_ring = 2048;
-constexpr std::size_t outside_ring = 8192;
+constexpr std::size_t request_ring_capacity = 2048;
+constexpr std::size_t remote_ring_capacity = 8192;
 constexpr std::uint32_t log_lines_per_second = 100;
 constexpr core::common::duration sample_interval = std::chrono::seconds(5);
-constexpr core::common::duration finish_poll = std::chrono::milliseconds(10);
-constexpr core::common::duration finish_patience =
+constexpr core::common::duration finish_poll_interval =
+    std::chrono::milliseconds(10);
+constexpr core::common::duration finish_timeout =
     std::chrono::milliseconds(800);
 
 std::string incarnation_of(std::string const& name)
@@ -41,48 +42,48 @@
       engine_(settings_.pool,
               platform::make_platform_records(),
               incarnation_of(settings_.name)),
-      log_(log_lines_per_second), measures_(metrics_),
+      log_(log_lines_per_second), measurements_(metrics_),
       requests_(decisions_,
-                request_ring,
-                [this](request& in)
+                request_ring_capacity,
+                [this](request& message)
                 {
-                    engine_.on_request(clock::now(), in);
+                    engine_.on_request(clock::now(), message);
                     perform();
                 }),
       answers_(callers_,
-               request_ring,
-               [this](answer_out& out)
+               request_ring_capacity,
+               [this](outgoing_answer& answer)
                {
-                   respond(out);
+                   respond(answer);
                }),
-      calls_(outside_,
-             outside_ring,
-             [this](outside_call& call)
+      calls_(remote_calls_,
+             remote_ring_capacity,
+             [this](remote_call& call)
              {
-                 send_outside(call);
+                 send_remote(call);
              }),
       replies_(decisions_,
-               outside_ring,
-               [this](outside_reply& reply)
+               remote_ring_capacity,
+               [this](remote_reply& reply)
                {
-                   take_reply(reply);
+                   on_reply(reply);
                }),
-      store_calls_(store_duty_,
-                   outside_ring,
+      store_calls_(store_thread_,
+                   remote_ring_capacity,
                    [this](ports::kv_call& call)
                    {
                        store_->send(std::move(call));
                    }),
       store_replies_(decisions_,
-                     outside_ring,
+                     remote_ring_capacity,
                      [this](ports::kv_reply& reply)
                      {
-                         take_reply(reply);
+                         on_reply(reply);
                      }),
       ticker_(decisions_.io()), sampler_(decisions_.io()),
       finisher_(callers_.io())
 {
-    store_ = std::make_unique<platform::kv_client>(store_duty_.io(),
+    store_ = std::make_unique<platform::kv_client>(store_thread_.io(),
                                                    settings_.store,
                                                    [this](ports::kv_reply reply)
                                                    {
@@ -93,17 +94,17 @@
                                                            std::move(reply));
                                                    });
     workers_ = std::make_unique<platform::order_client>(
-        outside_.io(),
+        remote_calls_.io(),
         [this](ports::order_reply reply)
         {
-            replies_.try_push(outside_reply{std::move(reply)});
+            replies_.try_push(remote_reply{std::move(reply)});
         });
-    advice_ = std::make_unique<platform::policy_client>(
-        outside_.io(),
+    policy_ = std::make_unique<platform::policy_client>(
+        remote_calls_.io(),
         settings_.policy,
         [this](ports::policy_reply reply)
         {
-            replies_.try_push(outside_reply{std::move(reply)});
+            replies_.try_push(remote_reply{std::move(reply)});
         });
     submissions_ = std::make_unique<http::server>(
         callers_.io(),
@@ -117,9 +118,10 @@
         http::server_limits{},
         [this](http::request const& message, http::responder const& respond)
         {
-            bool const known = message.target == settings_.readiness_path;
-            bool const good = known && ready_;
-            respond({static_cast<std::uint16_t>(good ? 200 : 503), {}, ""});
+            bool const path_matches =
+                message.target == settings_.readiness_path;
+            bool const is_ready = path_matches && ready_;
+            respond({static_cast<std::uint16_t>(is_ready ? 200 : 503), {}, ""});
         });
     exposition_ = std::make_unique<http::server>(
         callers_.io(),
@@ -136,11 +138,11 @@
 {
     decisions_.stop();
     callers_.stop();
-    outside_.stop();
-    store_duty_.stop();
+    remote_calls_.stop();
+    store_thread_.stop();
     store_.reset();
     workers_.reset();
-    advice_.reset();
+    policy_.reset();
     submissions_.reset();
     readiness_.reset();
     exposition_.reset();
@@ -173,7 +175,7 @@
             boost::asio::post(decisions_.io(),
                               [this]
                               {
-                                  closing_ = true;
+                                  stopping_ = true;
                                   engine_.begin_stop(clock::now());
                                   perform();
                               });
@@ -187,14 +189,14 @@
                       [this]
                       {
                           auto const now = clock::now();
-                          set_clock(now);
+                          update_unix_offset(now);
                           engine_.start(now);
                           perform();
                           arm_tick();
                           sample();
                       });
-    outside_.start();
-    store_duty_.start();
+    remote_calls_.start();
+    store_thread_.start();
     callers_.start();
     decisions_.start();
     main_.io().run();
@@ -213,7 +215,8 @@
     }
     decoded->caller = ++next_caller_;
     auto const caller = decoded->caller;
-    if (waiting_.size() >= request_ring || !requests_.try_push(*decoded))
+    if (waiting_.size() >= request_ring_capacity ||
+        !requests_.try_push(*decoded))
     {
         respond(platform::encode(ports::job_refused{
             {core::common::result_code::queue_full, "", "too many wait here"},
@@ -238,19 +241,19 @@
         decisions_.io(),
         [this, target = message.target, respond]
         {
-            auto made =
+            auto answer =
                 answer_operator(engine_, settings_.name, clock::now(), target);
             boost::asio::post(callers_.io(),
-                              [respond, made = std::move(made)]() mutable
+                              [respond, answer = std::move(answer)]() mutable
                               {
-                                  respond(std::move(made));
+                                  respond(std::move(answer));
                               });
         });
 }
 
-void pool_program::respond(answer_out& out)
+void pool_program::respond(outgoing_answer& answer)
 {
-    auto const found = waiting_.find(out.caller);
+    auto const found = waiting_.find(answer.caller);
     if (found == waiting_.end())
     {
         return;
@@ -258,17 +261,17 @@
     auto const respond = std::move(found->second);
     waiting_.erase(found);
     // Callers leave for other instances with their next request.
-    if (closing_)
+    if (stopping_)
     {
         submissions_->close_after_answers();
     }
-    respond(std::move(out.message));
+    respond(std::move(answer.message));
 }
 
 void pool_program::tick()
 {
     auto const now = clock::now();
-    set_clock(now);
+    update_unix_offset(now);
     engine_.tick(now);
     perform();
     arm_tick();
@@ -287,7 +290,7 @@
         });
 }
 
-void pool_program::set_clock(core::common::time_point now)
+void pool_program::update_unix_offset(core::common::time_point now)
 {
     auto const wall = std::chrono::duration_cast<std::chrono::milliseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
@@ -310,7 +313,7 @@
     if (auto* const reply = std::get_if<ports::job_reply>(&action))
     {
         answers_.try_push(
-            answer_out{reply->caller, platform::encode(reply->answer)});
+            outgoing_answer{reply->caller, platform::encode(reply->answer)});
         return;
     }
     if (auto* const event = std::get_if<ports::log_event>(&action))
@@ -318,9 +321,9 @@
         log_.write(clock::now(), std::move(*event));
         return;
     }
-    if (auto const* const told = std::get_if<ports::readiness>(&action))
+    if (auto const* const update = std::get_if<ports::readiness>(&action))
     {
-        ready_ = told->ready;
+        ready_ = update->ready;
         return;
     }
     if (std::holds_alternative<ports::stop_complete>(action))
@@ -328,41 +331,43 @@
         finish();
         return;
     }
-    if (auto const* const length = std::get_if<ports::duration_sample>(&action))
+    if (auto const* const duration =
+            std::get_if<ports::duration_sample>(&action))
     {
-        measures_.observe(*length);
+        measurements_.observe(*duration);
         return;
     }
     if (auto* const kv = std::get_if<ports::kv_call>(&action))
     {
-        measures_.began(clock::now(), *kv);
-        if (measures_.open() > outside_ring || !store_calls_.try_push(*kv))
+        measurements_.on_call_start(clock::now(), *kv);
+        if (measurements_.open() > remote_ring_capacity ||
+            !store_calls_.try_push(*kv))
         {
             refuse(*kv);
         }
         return;
     }
-    outside_call call;
-    call.asked = clock::now();
+    remote_call call;
+    call.requested_at = clock::now();
     if (auto* const order = std::get_if<ports::pool_order>(&action))
     {
-        measures_.began(clock::now(), *order);
-        call.what = std::move(*order);
+        measurements_.on_call_start(clock::now(), *order);
+        call.operation = std::move(*order);
     }
-    else if (auto* const ask = std::get_if<ports::policy_request>(&action))
+    else if (auto* const policy = std::get_if<ports::policy_request>(&action))
     {
-        call.what = std::move(*ask);
+        call.operation = std::move(*policy);
     }
-    if (measures_.open() > outside_ring || !calls_.try_push(call))
+    if (measurements_.open() > remote_ring_capacity || !calls_.try_push(call))
     {
-        refuse(call.what);
+        refuse(call.operation);
     }
 }
 
 // The owner's counts, and whether this instance is the owner.
 void pool_program::sample()
 {
-    measures_.sample(clock::now(), engine_.active_owner());
+    measurements_.sample(clock::now(), engine_.active_owner());
     sampler_.expires_after(sample_interval);
     sampler_.async_wait(
         [this](boost::system::error_code error)
@@ -397,7 +402,7 @@
                       [this]
                       {
                           submissions_->drain();
-                          finish_until_ = clock::now() + finish_patience;
+                          finish_until_ = clock::now() + finish_timeout;
                           finish_callers();
                       });
 }
@@ -407,7 +412,7 @@
 {
     if (submissions_->waiting() > 0 && clock::now() < finish_until_)
     {
-        finisher_.expires_after(finish_poll);
+        finisher_.expires_after(finish_poll_interval);
         finisher_.async_wait(
             [this](boost::system::error_code error)
             {
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -39,19 +39,19 @@
 
 private:
     using request = core::pool::pool_request;
-    struct answer_out
+    struct outgoing_answer
     {
         std::uint64_t caller = 0;
         adapters::http::response message;
     };
-    using outside_operation =
+    using remote_operation =
         std::variant<std::monostate, ports::pool_order, ports::policy_request>;
-    struct outside_call
+    struct remote_call
     {
-        outside_operation what;
-        core::common::time_point asked{};
+        remote_operation operation;
+        core::common::time_point requested_at{};
     };
-    using outside_reply =
+    using remote_reply =
         std::variant<std::monostate, ports::order_reply, ports::policy_reply>;
 
     // pool_program.cpp: duties, time and callers.
@@ -60,25 +60,25 @@
                    adapters::http::responder const& respond);
     void on_operator(adapters::http::request const& message,
                      adapters::http::responder const& respond);
-    void respond(answer_out& out);
+    void respond(outgoing_answer& out);
     void tick();
     void arm_tick();
     void perform();
     void perform(ports::pool_action& action);
-    void set_clock(core::common::time_point now);
+    void update_unix_offset(core::common::time_point now);
     void sample();
     void reload();
     void finish();
     void finish_callers();
 
     // pool_outside.cpp: calls of the store, workers and the policy.
-    void send_outside(outside_call& call);
-    void take_reply(outside_reply& reply);
-    void take_reply(ports::kv_reply const& reply);
+    void send_remote(remote_call& call);
+    void on_reply(remote_reply& reply);
+    void on_reply(ports::kv_reply const& reply);
     /// From the decisions' thread, but not from within what it does now.
     template<class Reply>
-    void take_reply_soon(Reply reply);
-    void refuse(outside_operation const& call);
+    void post_reply(Reply reply);
+    void refuse(remote_operation const& call);
     void refuse(ports::kv_call const& call);
 
     adapters::settings::pool_daemon_settings settings_;
@@ -86,20 +86,20 @@
     core::pool::engine engine_;
     adapters::metrics::registry metrics_;
     adapters::logging::rate_limit log_;
-    pool_metrics measures_;
+    pool_metrics measurements_;
     std::atomic<bool> ready_{false};
-    std::atomic<bool> closing_{false};
+    std::atomic<bool> stopping_{false};
 
     adapters::runtime::io_thread main_{"main"};
     adapters::runtime::io_thread decisions_{"decisions"};
-    adapters::runtime::io_thread outside_{"outside"};
-    adapters::runtime::io_thread store_duty_{"store"};
+    adapters::runtime::io_thread remote_calls_{"outside"};
+    adapters::runtime::io_thread store_thread_{"store"};
     adapters::runtime::io_thread callers_{"callers"};
 
     adapters::runtime::ring<request> requests_;
-    adapters::runtime::ring<answer_out> answers_;
-    adapters::runtime::ring<outside_call> calls_;
-    adapters::runtime::ring<outside_reply> replies_;
+    adapters::runtime::ring<outgoing_answer> answers_;
+    adapters::runtime::ring<remote_call> calls_;
+    adapters::runtime::ring<remote_reply> replies_;
     // The store has a thread and rings of its own: what it says doesn't wait
     // behind the answers of a thousand workers.
     adapters::runtime::ring<ports::kv_call> store_calls_;
@@ -107,7 +107,7 @@
 
     std::unique_ptr<platform::kv_client> store_;
     std::unique_ptr<platform::order_client> workers_;
-    std::unique_ptr<platform::policy_client> advice_;
+    std::unique_ptr<platform::policy_client> policy_;
     std::unique_ptr<adapters::http::server> submissions_;
     std::unique_ptr<adapters::http::server> readiness_;
     std::unique_ptr<adapters::http::server> exposition_;
