--- a/src/programs/entry/entry_metrics.cpp
+++ b/src/programs/entry/entry_metrics.cpp
@@ -118,7 +118,7 @@
                             double total)
 {
     auto& metric = registry_.counter(name, help);
-    // A new incarnation's engine counts from 0 again.
+    // The engine of a new incarnation restarts its counters at 0.
     if (total > metric.Value())
     {
         metric.Increment(total - metric.Value());
--- a/src/programs/entry/entry_metrics.hpp
+++ b/src/programs/entry/entry_metrics.hpp
@@ -11,18 +11,19 @@
 namespace fuchsia::programs::entry
 {
 
-/// What an entry counts and measures (docs/METRICS.md).
+/// Metrics of one entry process (docs/METRICS.md).
 class entry_metrics
 {
 public:
     explicit entry_metrics(adapters::metrics::registry& registry);
 
-    /// One caller's answer. A customer without a contract is counted as
-    /// "unknown": its name is whatever a caller wrote.
+    /// Records one answer to a caller. A customer without a contract is counted
+    /// as "unknown", since callers can send any name.
     void on_answer(std::string const& customer,
                    ports::request_class kind,
                    ports::caller_answer const& answer,
                    core::common::duration elapsed);
+    /// Copies the state and the counters of the engine to the metrics.
     void sample(core::requests::entry_status const& status,
                 core::requests::entry_counts const& counts);
 
@@ -32,7 +33,8 @@
     counter(std::string const& name, std::string const& help, double total);
 
     adapters::metrics::registry& registry_;
-    // References into the registry, so that a request needs no label lookup.
+    // Pointers to metrics of the registry, which save a label lookup per
+    // request.
     std::map<std::pair<std::string, ports::request_class>,
              prometheus::Histogram*>
         latencies_;
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -16,7 +16,7 @@
 namespace http = adapters::http;
 
 constexpr std::size_t send_ring_capacity = 8192;
-/// Each exchange has at most two ends, and slots bound the exchanges.
+/// Each exchange ends at most twice, and slots bound the number of exchanges.
 constexpr std::size_t end_ring_capacity = 32'768;
 constexpr core::common::duration sample_interval = std::chrono::seconds(1);
 
@@ -55,8 +55,8 @@
 {
 }
 
-// The decision thread pushes to the upstream thread's ring and the other way
-// round, so both threads end before either ring does.
+// The decision thread pushes to the upstream thread's ring and vice versa, so
+// both threads must stop before either ring is destroyed.
 entry_program::~entry_program()
 {
     runtime_.decisions().stop();
@@ -181,8 +181,8 @@
     }
 }
 
-// Requests that the buried incarnation has running on upstreams still end and
-// are answered; all else belongs to the new one.
+// The engine of the fenced incarnation is kept until its requests on upstreams
+// have ended and are answered; everything else goes to the new engine.
 void entry_program::on_rejoin(time_point now,
                               ports::member_identity const& self)
 {
@@ -207,7 +207,7 @@
     }
 }
 
-// A buried incarnation may answer its callers but speak to nobody else.
+// A fenced incarnation may answer its callers but must send nothing else.
 void entry_program::perform(time_point now, bool retired)
 {
     auto actions = std::exchange(actions_, {});
@@ -259,7 +259,7 @@
     perform(now, false);
 }
 
-// Deadlines are finer than the shell's tick.
+// Deadlines need a finer resolution than the tick of the daemon runtime.
 void entry_program::arm_timer()
 {
     auto const due = engine_->next_timer();
--- a/src/programs/entry/entry_program.hpp
+++ b/src/programs/entry/entry_program.hpp
@@ -16,8 +16,8 @@
 namespace fuchsia::programs::entry
 {
 
-/// The entry's engine on the decision thread of a daemon shell, with one more
-/// duty for the connections to upstreams.
+/// `fuchsia-entry`: runs the entry's engine on the decision thread of the
+/// daemon runtime, and the connections to upstreams on a thread of their own.
 class entry_program
 {
 public:
@@ -26,14 +26,16 @@
     entry_program(entry_program const&) = delete;
     entry_program& operator=(entry_program const&) = delete;
 
+    /// Binds the addresses; sets `reason` and returns false on failure.
     bool listen(core::common::failure& reason);
+    /// Runs until the process is stopped; returns the exit status.
     int run();
 
 private:
     using time_point = core::common::time_point;
     using engine = core::requests::entry_engine;
 
-    /// A caller's request on its way through the engine.
+    /// A caller's request that the engine has not answered yet.
     struct waiting_request
     {
         std::string customer;
@@ -44,7 +46,7 @@
     adapters::daemon::daemon_handlers handlers();
     std::unique_ptr<engine> make_engine() const;
 
-    // Of the decision thread.
+    // Functions of the decision thread.
     void on_request(time_point now,
                     std::uint64_t id,
                     adapters::http::request& message);
@@ -56,7 +58,7 @@
     void send_upstream(time_point now, ports::upstream_send& send);
     void arm_timer();
 
-    // Of the upstream thread.
+    // Functions of the upstream thread.
     void call_upstream(ports::upstream_send& send);
 
     adapters::settings::entry_daemon_settings options_;
@@ -64,8 +66,8 @@
     entry_metrics metrics_;
     ports::member_identity self_;
     std::unique_ptr<engine> engine_;
-    /// Engines of incarnations that were buried, until what they had running
-    /// on upstreams is answered.
+    /// Engines of fenced incarnations, kept until their requests on upstreams
+    /// are answered.
     std::vector<std::unique_ptr<engine>> retired_;
     ports::actions actions_;
     std::unordered_map<std::uint64_t, waiting_request> waiting_;
--- a/src/programs/entry/main.cpp
+++ b/src/programs/entry/main.cpp
@@ -6,13 +6,13 @@
 #include <iostream>
 #include <string>
 
-// fuchsia-entry: callers' requests. Admits, deduplicates, routes and answers.
+/// `fuchsia-entry`: admits, deduplicates, routes and answers callers' requests.
 int main(int argc, char** argv)
 {
     using namespace fuchsia;
 
-    CLI::App app{"Entry of fuchsialanding: takes callers' requests to "
-                 "upstreams and answers them.",
+    CLI::App app{"Entry of fuchsialanding: forwards callers' requests to "
+                 "upstreams and returns their answers.",
                  "fuchsia-entry"};
     std::string settings_path;
     bool check_only = false;
