--- a/src/programs/planner/administration.cpp
+++ b/src/programs/planner/administration.cpp
@@ -17,13 +17,15 @@
 using core::common::failure;
 using core::common::result_code;
 
-/// Room below the bound of the whole configuration for changes that other
-/// planners accept at the same moment.
+/// Maximum size of a configuration that this planner accepts. It is below the
+/// bound of the whole configuration, which leaves space for changes that other
+/// planners accept concurrently.
 constexpr std::size_t max_accepted_bytes =
     core::config::max_configuration_bytes * 9 / 10;
 
-/// The follower asks the store twice a second; after this long without an
-/// answer a change would only wait in vain.
+/// Time without an answer of the store after which changes are refused at once.
+/// The follower polls the store twice a second, so a change would most likely
+/// wait and then fail.
 constexpr core::common::duration max_store_silence = std::chrono::seconds(3);
 
 constexpr std::array<std::string_view, 5> handled_paths{
@@ -59,7 +61,8 @@
                "this path takes " + std::string(allowed));
     }
 
-    /// Refuses the request, and says so, where its query has other names.
+    /// Whether all query parameters are in `allowed`; refuses the request if
+    /// not.
     bool allow_query(std::initializer_list<std::string_view> allowed) const
     {
         for (auto const& [name, value] : target.query)
@@ -344,8 +347,8 @@
         context.answer(adapters::http::failure_response(reason));
         return;
     }
-    // A mistyped name would be accepted, reported in force, and leave the data
-    // centre that was meant in service.
+    // Unknown names are refused. A misspelt name would be accepted and reported
+    // as in force, while the intended data centre would stay in service.
     auto known_names = context.view.data_centres();
     known_names.insert(context.view.membership.self().data_centre);
     auto const& current = context.view.configuration.current();
@@ -433,8 +436,9 @@
             return;
         }
     }
-    // Refused at once rather than after the writer's patience: the operator
-    // can then ask another planner, which may reach the store.
+    // The change is refused at once instead of after the time-out of the
+    // writer, so that the operator can try another planner, which may reach the
+    // store.
     auto const answered_at = context.view.configuration.store_answered_at();
     if (answered_at && context.now - *answered_at > max_store_silence)
     {
--- a/src/programs/planner/administration_lists.cpp
+++ b/src/programs/planner/administration_lists.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// Role and name in "members/<role>/<name>"; empty where it is none.
+/// Splits `<prefix><role>/<name>` into role and name. Empty if `key` has
+/// another form.
 std::optional<std::pair<std::string, std::string>>
 role_and_name(std::string_view key, std::string_view prefix)
 {
--- a/src/programs/planner/administration_lists.hpp
+++ b/src/programs/planner/administration_lists.hpp
@@ -11,12 +11,13 @@
 #include <string>
 #include <vector>
 
-// What operators are told of all members: read from the store when asked.
+// Lists of members and partitions, read from the store on request.
 namespace fuchsia::programs::planner
 {
 
-/// All keys below one prefix, read again when older than `max_age`, so that
-/// many operators who wait for a revision cost five list calls a second.
+/// Cached list of all keys with one prefix. It is read again when it is older
+/// than `max_age`, so that any number of operators who wait for a revision
+/// cause at most five list calls per second.
 class cached_list
 {
 public:
@@ -25,15 +26,15 @@
 
     explicit cached_list(std::string prefix);
 
-    /// Sends a list call unless a fresh answer or a call is there.
+    /// Sends a list call unless the list is fresh or a call is in flight.
     void refresh(core::common::time_point now,
-              std::uint64_t& next_call,
-              ports::actions& out);
-    /// False where the reply is not for this list.
+                 std::uint64_t& next_call,
+                 ports::actions& out);
+    /// Returns false if the reply is not for this list.
     bool on_store_reply(ports::store_reply const& reply);
 
     bool in_flight() const noexcept;
-    /// The last call failed; until the next one is sent.
+    /// Whether the last call failed; reset when the next one is sent.
     bool failed() const noexcept;
     std::vector<ports::store_entry> const& entries() const noexcept;
 
@@ -48,20 +49,21 @@
     std::vector<ports::store_entry> entries_;
 };
 
-/// Records of the members of both roles, by key; what can't be read is left
-/// out.
+/// Parses the records of the members of both roles, in the order of their keys;
+/// skips malformed records.
 std::vector<core::membership::record>
 read_members(std::vector<ports::store_entry> const& entries);
 
-/// Members that may still act on a configuration older than `revision`: each
-/// whose record stands, is not buried and tells an older one.
+/// Members that may still act on a configuration older than `revision`: those
+/// with a record that is not fenced and that reports an older revision.
 boost::json::array
 not_reported(std::vector<core::membership::record> const& members,
              std::uint64_t revision);
 
+/// Description of a member for answers of the API.
 boost::json::object describe_member(core::membership::record const& member);
 
-/// How many partitions each member owns, by role.
+/// Number of partitions that each member owns, by role.
 boost::json::object
 count_claims(std::vector<ports::store_entry> const& entries);
 
--- a/src/programs/planner/administration_message.cpp
+++ b/src/programs/planner/administration_message.cpp
@@ -28,7 +28,7 @@
     return parts;
 }
 
-/// Undoes percent-encoding; what is no valid escape stays as it is.
+/// Decodes percent-encoding; leaves invalid escapes unchanged.
 std::string percent_decode(std::string_view text)
 {
     std::string result;
--- a/src/programs/planner/administration_message.hpp
+++ b/src/programs/planner/administration_message.hpp
@@ -13,33 +13,37 @@
 #include <string_view>
 #include <vector>
 
-// Reading of administration requests and writing of their answers.
+// Parsing of administration requests and formatting of their answers.
 namespace fuchsia::programs::planner
 {
 
+/// Path and query of a request target.
 struct parsed_target
 {
     std::vector<std::string> path; ///< Without the leading "v1".
     std::map<std::string, std::string, std::less<>> query;
 };
 
-/// Empty where the path is not below /v1/.
+/// Parses a request target. Empty if the path does not begin with /v1/.
 std::optional<parsed_target> parse_target(std::string_view target);
 
+/// Parses a decimal number without sign. Empty if `text` is anything else.
 std::optional<std::uint64_t> parse_number(std::string_view text) noexcept;
 
-/// Reads `{"state":"out"}` or `{"state":"in"}`; whether it is out.
+/// Parses `{"state":"out"}` or `{"state":"in"}`; returns whether the state is
+/// "out".
 std::optional<bool> parse_data_centre_state(std::string_view body,
                                             core::common::failure& reason);
 
+/// A 200 response with `body`.
 adapters::http::response json_answer(boost::json::object const& body);
 
-/// A refusal that tells the newest revision beside its reason.
+/// A refusal that contains the newest revision beside its reason.
 adapters::http::response conflict_answer(core::common::failure const& reason,
                                          std::uint64_t revision);
 
-/// Milliseconds since the store last confirmed the configuration; null where
-/// it never did.
+/// Milliseconds since the store last confirmed the configuration; null if it
+/// never did.
 boost::json::value
 confirmed_ms_ago(core::common::time_point now,
                  core::config::configuration_follower const& follower);
--- a/src/programs/planner/administration_outcomes.cpp
+++ b/src/programs/planner/administration_outcomes.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-// How what was begun in administration.cpp ends.
+// Completion of changes, removals and reports begun in administration.cpp.
 namespace fuchsia::programs::planner
 {
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// What a change is about, for the log.
+/// Describes a change for the log.
 struct describe_change
 {
     std::string operator()(core::config::put_contract const& put) const
--- a/src/programs/planner/administration_removal.cpp
+++ b/src/programs/planner/administration_removal.cpp
@@ -12,7 +12,8 @@
 
 constexpr core::common::duration retry_interval =
     std::chrono::milliseconds(200);
-/// Beyond the time that the record must stand still.
+/// Time before a removal is given up, in addition to the time for which the
+/// record must stay unchanged.
 constexpr core::common::duration extra_time = std::chrono::seconds(5);
 
 } // namespace
@@ -106,7 +107,8 @@
     }
     if (reply.entries.empty())
     {
-        // After the first read: removed by itself or by another.
+        // If the record existed at the first read, the member itself or another
+        // removed it meanwhile.
         finish(last_record_ ? result_code::ok : result_code::not_found,
                "the store has no record of it");
         return;
@@ -131,7 +133,8 @@
         finish(result_code::conflict, "it beat meanwhile: it is running");
         return;
     }
-    // Unchanged after a write whose answer was lost: the same write again.
+    // If the record is unchanged after a write whose answer was lost, the same
+    // write is sent again.
     wait_before_next_call(now, last_record_ ? retry_interval : fence_after_);
     last_record_ = std::move(record);
     version_ = entry.version;
--- a/src/programs/planner/administration_removal.hpp
+++ b/src/programs/planner/administration_removal.hpp
@@ -10,15 +10,16 @@
 namespace fuchsia::programs::planner
 {
 
-/// An operator's burial of a member that is known to be gone, where its
-/// witnesses are gone with it and so can't consent.
+/// Fencing of a member on request of an operator, for a member that is known to
+/// have ended together with its witnesses, so that these can't consent.
 ///
-/// It takes the place of the witnesses' consent and of nothing else: the
-/// record must stand still for `bury`, and the burial is a compare-and-swap on
-/// that same version. A member that runs and reaches the store beats in
-/// between and can't be removed. One that runs and is cut off from the store
-/// can: it goes on by its witnesses' promises while another takes over its
-/// partitions, and a slot may be given twice. Only the operator can tell.
+/// The request replaces the consent of the witnesses and nothing else: the
+/// record must stay unchanged for `fence_after`, and the fencing is a
+/// compare-and-swap on that same version. A member that runs and reaches the
+/// store sends a heartbeat in between and can't be removed. A member that runs
+/// but is partitioned from the store can be removed: it continues to act on the
+/// promises of its witnesses while another member takes over its partitions,
+/// and a slot may be assigned twice. Only the operator can rule this out.
 class member_removal
 {
 public:
@@ -33,7 +34,7 @@
     void tick(core::common::time_point now,
               std::uint64_t& next_call,
               ports::actions& out);
-    /// False where the reply is not for this removal.
+    /// Returns false if the reply is not for this removal.
     bool on_store_reply(core::common::time_point now,
                         ports::store_reply const& reply,
                         std::uint64_t& next_call,
@@ -41,15 +42,17 @@
 
     /// Key of the member's record.
     std::string const& key() const noexcept;
-    /// Set at the end: `ok`, `not_found`, `conflict` (it runs),
-    /// `store_unavailable` (nothing was changed) or `store_unclear`.
+    /// Set when the removal is complete: `ok`, `not_found`, `conflict` (the
+    /// member runs), `store_unavailable` (nothing was changed) or
+    /// `store_unclear`.
     std::optional<core::common::failure> const& result() const noexcept;
 
 private:
     void on_record(core::common::time_point now,
                    ports::store_reply const& reply);
     void on_write(core::common::time_point now, ports::store_status status);
-    void wait_before_next_call(core::common::time_point now, core::common::duration length);
+    void wait_before_next_call(core::common::time_point now,
+                               core::common::duration length);
     void finish(core::common::result_code code, std::string why);
 
     core::common::duration fence_after_;
--- a/src/programs/planner/main.cpp
+++ b/src/programs/planner/main.cpp
@@ -12,11 +12,12 @@
 
 } // namespace
 
-/// `fuchsia-planner`: places and keeps tasks on workers, and answers the
-/// administration API.
+/// `fuchsia-planner`: places tasks on workers, keeps them running, and serves
+/// the administration API.
 int main(int count, char** arguments)
 {
-    CLI::App app("Tasks on workers, and the administration API.");
+    CLI::App app("Planner of fuchsialanding: schedules tasks and serves "
+                 "the administration API.");
     std::string path;
     app.add_option("--settings", path, "settings file (TOML)")->required();
     app.set_version_flag("--version", FUCHSIA_VERSION);
--- a/src/programs/planner/planner_callers.cpp
+++ b/src/programs/planner/planner_callers.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Runs on the HTTP thread, and so touches nothing that changes.
+// Runs on the HTTP thread and therefore reads only constant state.
 std::optional<response>
 planner_program::check_request(request const& message) const
 {
@@ -92,8 +92,8 @@
             }};
 }
 
-// The planner's part of the status: what all cells published last, and what
-// this planner owns.
+// Returns the planner's part of the status: the totals last published by all
+// cells, and the number of cells that this planner owns.
 boost::json::object planner_program::status() const
 {
     auto const totals = engine_->totals();
@@ -124,8 +124,9 @@
     runtime_.answer(request, std::move(message));
 }
 
-// The engine that took them is gone, and nobody else will answer them: an
-// operator would wait for ever, and a planned stop for that operator.
+// Answers the open requests of an engine that was replaced. Nothing else would
+// answer them: the operator would wait for ever, and a planned stop would wait
+// for that operator.
 void planner_program::fail_open_requests()
 {
     for (auto const id : std::exchange(open_requests_, {}))
--- a/src/programs/planner/planner_program.cpp
+++ b/src/programs/planner/planner_program.cpp
@@ -15,7 +15,8 @@
 using core::common::clock;
 using core::common::time_point;
 
-/// Calls to workers under way at once; one more counts as never sent.
+/// Maximum number of worker calls in flight; a call above it is reported as
+/// never sent.
 constexpr std::uint32_t max_worker_calls = 2048;
 constexpr std::size_t report_ring_capacity = 4096;
 constexpr std::size_t small_ring_capacity = 16;
@@ -47,9 +48,10 @@
              max_worker_calls,
              [this](outgoing_call& message)
              {
-                 // Two engines number their calls alike. Kept by those numbers,
-                 // an old "stopped" could be taken for the answer to a new
-                 // call, and the task be started a second time.
+                 // Two engines use the same call numbers. Under these numbers
+                 // a late "stopped" for an earlier engine could be taken for
+                 // the reply to a new call, and the task would be started a
+                 // second time.
                  auto const number = ++last_call_;
                  open_calls_[number] = {message.generation, message.call.id};
                  message.call.id = number;
@@ -98,7 +100,7 @@
     {
         lists_.try_push(std::move(list));
     };
-    // A report that finds no room is replaced by the next one.
+    // A report dropped because the ring is full is superseded by the next one.
     handlers.on_report = [this](ports::worker_report report)
     {
         reports_.try_push(std::move(report));
@@ -107,7 +109,8 @@
     {
         auto const call = open_calls_.extract(reply.id).mapped();
         reply.id = call.id;
-        // Never full: it has a place for each call in flight.
+        // The ring is never full: its capacity is the maximum number of calls
+        // in flight.
         replies_.try_push(incoming_reply{call.generation, std::move(reply)});
     };
     client_ = std::make_unique<adapters::platform::worker_client>(
@@ -117,8 +120,8 @@
         std::move(handlers));
 }
 
-// The decision thread goes first: it must not meet an engine or a ring that is
-// destroyed already.
+// Both threads stop here, the decision thread first, so that neither uses an
+// engine or a ring that is already destroyed.
 planner_program::~planner_program()
 {
     runtime_.decisions().stop();
@@ -128,9 +131,9 @@
 adapters::daemon::daemon_handlers planner_program::handlers()
 {
     adapters::daemon::daemon_handlers handlers;
-    // The workers are asked only from here on. Asked earlier, the first list
-    // could arrive before there is an engine to take it, and the process died
-    // at its start, now and then, without a line in the log.
+    // Requests to the workers begin only after the engine exists. Otherwise the
+    // first list can arrive before there is an engine to handle it, which
+    // crashes the process at start without a log line.
     handlers.on_start = [this](time_point now)
     {
         start_engine(now);
@@ -229,8 +232,8 @@
     perform();
 }
 
-// Reports and answers that waited while the process was frozen must find an
-// engine that knows of the gap.
+// Ticks the engine after a long pause of the process, so that it detects the
+// gap before it handles reports and replies that were queued meanwhile.
 void planner_program::catch_up(time_point now)
 {
     if (now - last_tick_ >= 2 * adapters::daemon::daemon_runtime::tick_interval)
@@ -281,7 +284,8 @@
         ++in_flight_;
         return;
     }
-    // Never sent; posted, since the engine is still being served.
+    // The call was not sent. The reply is posted, because the engine may be in
+    // the middle of the call that caused it.
     boost::asio::post(runtime_.decisions().io(),
                       [this, id, generation = generation_]
                       {
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -17,8 +17,8 @@
 namespace fuchsia::programs::planner
 {
 
-/// `fuchsia-planner`: the engine on the decision thread, the shell that both
-/// daemons have, and a thread for the workers.
+/// `fuchsia-planner`: runs the engine on the decision thread of the daemon
+/// runtime, and the calls to workers on a thread of their own.
 class planner_program
 {
 public:
@@ -26,11 +26,13 @@
         adapters::settings::planner_daemon_settings settings);
     ~planner_program();
 
-    /// The process' exit status; empty, with the reason, where it can't start.
+    /// Runs until the process is stopped and returns the exit status. Empty,
+    /// with `reason` set, if an address can't be bound.
     std::optional<int> run(core::common::failure& reason);
 
 private:
-    // An engine of an earlier incarnation gets no answer to its calls.
+    // The generation counts the engines of this process. Replies to calls of an
+    // earlier engine are dropped.
     struct outgoing_call
     {
         std::uint64_t generation = 0;
@@ -42,7 +44,7 @@
         ports::worker_reply reply;
     };
 
-    // planner_program.cpp: duties, time, the store and workers.
+    // planner_program.cpp: threads, ticks, the store and workers.
     adapters::daemon::daemon_handlers handlers();
     void start_engine(core::common::time_point now);
     void make_engine();
@@ -50,7 +52,8 @@
     void catch_up(core::common::time_point now);
     void on_store_reply(core::common::time_point now,
                         ports::store_reply const& reply);
-    /// Performs what the engine and the administration asked for.
+    /// Performs the actions of the engine and sends the answers of the
+    /// administration API.
     void perform();
     void send_to_worker(ports::worker_call call);
     void follow_racks();
@@ -66,7 +69,7 @@
     void answer(std::uint64_t request, adapters::http::response message);
     void fail_open_requests();
 
-    // planner_samples.cpp: counts.
+    // planner_samples.cpp: metrics.
     void sample(core::common::time_point now);
 
     adapters::settings::planner_daemon_settings settings_;
@@ -79,7 +82,7 @@
     adapters::runtime::ring<std::vector<std::string>> rack_updates_;
     std::unique_ptr<adapters::platform::worker_client> client_;
 
-    // Of the decision thread.
+    // State of the decision thread.
     std::unique_ptr<core::tasks::planner_engine> engine_;
     std::unique_ptr<administration> administration_;
     ports::actions actions_;
@@ -89,13 +92,15 @@
     std::vector<std::string> followed_racks_;
     core::common::time_point last_tick_{};
     core::common::time_point next_sample_{};
-    std::set<std::uint64_t> open_requests_; ///< Taken and not answered.
-    // Of the workers' thread: whose each call in flight is, by its own number.
+    std::set<std::uint64_t> open_requests_; ///< Requests without an answer.
+    // State of the workers' thread.
+    /// Origin of a call in flight.
     struct open_call
     {
         std::uint64_t generation = 0;
-        std::uint64_t id = 0; ///< The engine's number.
+        std::uint64_t id = 0; ///< Number given by the engine.
     };
+    /// Calls in flight by the number given on the workers' thread.
     std::map<std::uint64_t, open_call> open_calls_;
     std::uint64_t last_call_ = 0;
 };
