--- a/src/programs/pool/main.cpp
+++ b/src/programs/pool/main.cpp
@@ -18,7 +18,7 @@
     return bad_settings;
 }
 
-// All duties are over, and all sockets closed, when this returns.
+// Runs the program; all threads are stopped and all sockets closed on return.
 int serve(fuchsia::adapters::settings::pool_daemon_settings settings,
           std::string const& path)
 {
@@ -30,16 +30,17 @@
 
 } // namespace
 
-/// `fuchsia-pool`: takes jobs in and runs their tasks on the pool's workers.
+/// `fuchsia-pool`: accepts jobs and runs their tasks on the pool's workers.
 int main(int count, char** arguments)
 {
-    CLI::App app("Jobs of a pool of workers: accepts, places, keeps them.");
+    CLI::App app("Accepts jobs and schedules them on a pool of workers.");
     std::string path;
     bool check = false;
     app.add_option("--settings", path, "settings file (TOML)")
         ->envname("FUCHSIALANDING_SETTINGS")
         ->required();
-    app.add_flag("--check", check, "read the settings, say what is wrong, end");
+    app.add_flag(
+        "--check", check, "check the settings, report errors and exit");
     app.set_version_flag("--version", FUCHSIA_VERSION);
     CLI11_PARSE(app, count, arguments);
 
--- a/src/programs/pool/pool_administration.cpp
+++ b/src/programs/pool/pool_administration.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::string_view pool_path = "/v1/pool";
 constexpr std::string_view job_path_prefix = "/v1/pool/jobs/";
-// Bounds the size of an answer.
+/// Maximum number of jobs in an answer; bounds its size.
 constexpr std::size_t max_jobs = 1000;
 
 http::response answer(std::uint16_t status, json::object const& body)
--- a/src/programs/pool/pool_administration.hpp
+++ b/src/programs/pool/pool_administration.hpp
@@ -8,12 +8,12 @@
 namespace fuchsia::programs::pool
 {
 
-/// Answers operators' questions; changes nothing. Served beside the metrics:
-///   GET /v1/pool               this instance, on any
-///   GET /v1/pool/workers       on the owner; elsewhere 503
-///   GET /v1/pool/jobs          the same; at most 1,000, those next in line
-///   GET /v1/pool/jobs/ID       the same; 404 where the job is over
-/// Durations are in ms, cores in thousandths, memory in MB.
+/// Answers a read-only request of an operator, served at the metrics address:
+///   GET /v1/pool               state of this instance, on any instance
+///   GET /v1/pool/workers       on the owner; 503 on other instances
+///   GET /v1/pool/jobs          on the owner; the first 1,000 in queue order
+///   GET /v1/pool/jobs/ID       on the owner; 404 if the job has ended
+/// Durations are in ms, CPU in thousandths of a core, memory in MB.
 adapters::http::response answer_operator(core::pool::engine& engine,
                                          std::string const& name,
                                          core::common::time_point now,
--- a/src/programs/pool/pool_metrics.hpp
+++ b/src/programs/pool/pool_metrics.hpp
@@ -12,21 +12,28 @@
 namespace fuchsia::programs::pool
 {
 
-/// Histograms and counts of one instance (docs/METRICS.md). Belongs to the
+/// Histograms and counters of one instance (docs/METRICS.md). Used only on the
 /// decision thread.
 class pool_metrics
 {
 public:
     explicit pool_metrics(adapters::metrics::registry& registry);
 
-    void on_call_start(core::common::time_point now, ports::kv_call const& call);
-    void on_call_start(core::common::time_point now, ports::pool_order const& order);
-    void on_call_end(core::common::time_point now, ports::kv_reply const& reply);
-    void on_call_end(core::common::time_point now, ports::order_reply const& reply);
+    // Measure the time between a call and its reply.
+    void on_call_start(core::common::time_point now,
+                       ports::kv_call const& call);
+    void on_call_start(core::common::time_point now,
+                       ports::pool_order const& order);
+    void on_call_end(core::common::time_point now,
+                     ports::kv_reply const& reply);
+    void on_call_end(core::common::time_point now,
+                     ports::order_reply const& reply);
     void observe(ports::duration_sample const& observation);
-    /// Copies the owner's counts; null while another instance owns.
-    void sample(core::common::time_point now, core::pool::owner const* active_owner);
-    /// Calls without an answer.
+    /// Copies the counters of the owner; null while another instance owns the
+    /// pool.
+    void sample(core::common::time_point now,
+                core::pool::owner const* active_owner);
+    /// Number of calls without a reply.
     std::size_t open() const noexcept;
 
 private:
@@ -42,7 +49,7 @@
     adapters::metrics::registry& registry_;
     std::unordered_map<std::uint64_t, open_call> open_;
     std::array<prometheus::Histogram*, metric_count> durations_{};
-    // By kind and result; made when first seen.
+    // Histograms by kind and result, created at their first use.
     std::array<std::array<prometheus::Histogram*, kv_statuses>,
                std::variant_size_v<ports::kv_operation>>
         store_{};
--- a/src/programs/pool/pool_outside.cpp
+++ b/src/programs/pool/pool_outside.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-// Calls of the store, workers and the policy, and their answers.
+// Calls to the store, workers and the policy, and their replies.
 namespace fuchsia::programs::pool
 {
 
@@ -23,8 +23,8 @@
 
 } // namespace
 
-// On the outside's thread. An order that waited here for longer than its answer
-// may take rests on what was known too long ago.
+// Runs on the thread of remote calls. An order that was queued for longer than
+// its time-out is not sent, because it is based on stale state.
 void pool_program::send_remote(remote_call& call)
 {
     auto const waited = clock::now() - call.requested_at;
@@ -86,7 +86,7 @@
     post_reply(std::move(reply));
 }
 
-// Nothing went out, and whoever waits for the answer is told so.
+// Reports to the engine that the call was not sent.
 void pool_program::refuse(remote_operation const& call)
 {
     remote_reply reply;
--- a/src/programs/pool/pool_program.cpp
+++ b/src/programs/pool/pool_program.cpp
@@ -87,9 +87,10 @@
                                                    settings_.store,
                                                    [this](ports::kv_reply reply)
                                                    {
-                                                       // Never full: no more
-                                                       // calls are open than
-                                                       // the ring has places.
+                                                       // The ring is never
+                                                       // full: its capacity
+                                                       // bounds the number of
+                                                       // open calls.
                                                        store_replies_.try_push(
                                                            std::move(reply));
                                                    });
@@ -132,8 +133,8 @@
         });
 }
 
-// Handlers of open calls use the rings and tables of this object, so the duties
-// stop and the sockets close before any of those goes.
+// Handlers of open calls use the rings and tables of this object, so the
+// threads stop and the sockets close before any of those is destroyed.
 pool_program::~pool_program()
 {
     decisions_.stop();
@@ -226,7 +227,8 @@
     waiting_.emplace(caller, respond);
 }
 
-// Metrics, and what the decisions' thread believes: asked there, answered here.
+// Answers with the metrics, or with state of the engine, which is read on the
+// decision thread; the response is sent on the callers' thread.
 void pool_program::on_operator(http::request const& message,
                                http::responder const& respond)
 {
@@ -260,7 +262,7 @@
     }
     auto const respond = std::move(found->second);
     waiting_.erase(found);
-    // Callers leave for other instances with their next request.
+    // During a stop, callers send their next request to other instances.
     if (stopping_)
     {
         submissions_->close_after_answers();
@@ -364,7 +366,7 @@
     }
 }
 
-// The owner's counts, and whether this instance is the owner.
+// Samples the counters of the owner and whether this instance is the owner.
 void pool_program::sample()
 {
     measurements_.sample(clock::now(), engine_.active_owner());
@@ -379,8 +381,9 @@
         });
 }
 
-// Addresses last for the life of a process; what is read anew is checked, so
-// that a bad file is known before the next start depends on it.
+// Checks the settings file without applying it, since addresses can't change in
+// a running process. An invalid file is thereby detected before the next start
+// depends on it.
 void pool_program::reload()
 {
     core::common::failure reason;
@@ -407,7 +410,8 @@
                       });
 }
 
-// On the callers' thread: what was read meanwhile still gets its answer.
+// Runs on the callers' thread. Requests that were already read are answered
+// before the process stops.
 void pool_program::finish_callers()
 {
     if (submissions_->waiting() > 0 && clock::now() < finish_until_)
--- a/src/programs/pool/pool_program.hpp
+++ b/src/programs/pool/pool_program.hpp
@@ -23,18 +23,18 @@
 namespace fuchsia::programs::pool
 {
 
-/// Threads, rings and sockets of one instance: callers, the store, workers (and
-/// the policy) and decisions are a duty each.
+/// `fuchsia-pool`: threads, rings and sockets of one instance. Callers, the
+/// store, workers (with the policy) and decisions have one thread each.
 class pool_program
 {
 public:
-    /// `path` is where the settings came from; SIGHUP reads it again.
+    /// `path` is the settings file, which SIGHUP reads again.
     pool_program(adapters::settings::pool_daemon_settings settings,
                  std::string path);
     ~pool_program();
 
-    /// Runs until a planned stop is complete; the process' exit status. Empty,
-    /// with the reason, where an address can't be bound.
+    /// Runs until a planned stop is complete and returns the exit status.
+    /// Empty, with `reason` set, if an address can't be bound.
     std::optional<int> run(core::common::failure& reason);
 
 private:
@@ -54,7 +54,7 @@
     using remote_reply =
         std::variant<std::monostate, ports::order_reply, ports::policy_reply>;
 
-    // pool_program.cpp: duties, time and callers.
+    // pool_program.cpp: threads, ticks and callers.
     bool listen(core::common::failure& reason);
     void on_caller(adapters::http::request const& message,
                    adapters::http::responder const& respond);
@@ -71,11 +71,12 @@
     void finish();
     void finish_callers();
 
-    // pool_outside.cpp: calls of the store, workers and the policy.
+    // pool_outside.cpp: calls to the store, workers and the policy.
     void send_remote(remote_call& call);
     void on_reply(remote_reply& reply);
     void on_reply(ports::kv_reply const& reply);
-    /// From the decisions' thread, but not from within what it does now.
+    /// Posts the reply to the decision thread, so that the engine receives it
+    /// after the current call into it has returned.
     template<class Reply>
     void post_reply(Reply reply);
     void refuse(remote_operation const& call);
@@ -100,8 +101,8 @@
     adapters::runtime::ring<outgoing_answer> answers_;
     adapters::runtime::ring<remote_call> calls_;
     adapters::runtime::ring<remote_reply> replies_;
-    // The store has a thread and rings of its own: what it says doesn't wait
-    // behind the answers of a thousand workers.
+    // The store has a thread and rings of its own, so that its replies don't
+    // queue behind those of a thousand workers.
     adapters::runtime::ring<ports::kv_call> store_calls_;
     adapters::runtime::ring<ports::kv_reply> store_replies_;
 
@@ -115,7 +116,7 @@
     adapters::runtime::timer sampler_;
     bool performing_ = false;
 
-    // Of the callers' thread.
+    // State of the callers' thread.
     std::uint64_t next_caller_ = 0;
     std::unordered_map<std::uint64_t, adapters::http::responder> waiting_;
     adapters::runtime::timer finisher_;
