--- a/src/programs/ctl/answers.hpp
+++ b/src/programs/ctl/answers.hpp
@@ -7,16 +7,16 @@
 #include <string>
 #include <string_view>
 
-// What planners answer, as an operator reads it.
+// Output of planners' answers in a form for operators.
 namespace fuchsia::programs::ctl
 {
 
-/// The list under `key`; empty where there is none.
+/// The array under `key`; an empty one if there is none.
 boost::json::array const& array_of(boost::json::object const& body,
                                    std::string_view key);
-/// The value under `key`; "-" where there is none.
+/// The value under `key` as text; "-" if there is none.
 std::string text_of(boost::json::object const& body, std::string_view key);
-/// 0 where there is none.
+/// The value of "revision"; 0 if there is none.
 std::uint64_t revision_of(boost::json::object const& body);
 
 void print_revision(std::ostream& out, boost::json::object const& body);
--- a/src/programs/ctl/command_line.cpp
+++ b/src/programs/ctl/command_line.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr auto* footer = R"(
-Exit status: 0 done; 1 refused, nothing was changed; 2 usage or settings;
-3 unknown: it may have been made; 4 accepted, but not in force in time.
+Exit status: 0 done; 1 refused, nothing was changed; 2 wrong usage or settings;
+3 unknown, the change may have been made; 4 accepted, but not in force in time.
 
 Examples:
   fuchsiactl --settings ctl.toml contract put estate-owners.json --wait
@@ -30,7 +30,7 @@
 
 constexpr std::int64_t max_wait_seconds = 3600;
 
-/// Builds the commands; each fills `line.selected_command` when it was named.
+/// Parser of the command line; each subcommand sets `line_.selected_command`.
 class command_parser
 {
 public:
@@ -77,7 +77,7 @@
         return group;
     }
 
-    /// A command that sets `line_.selected_command` to a `Command` made by
+    /// Adds a command that sets `line_.selected_command` to the result of
     /// `make`.
     template<class Make>
     CLI::App& add_command(CLI::App& group,
@@ -114,8 +114,8 @@
         target.add_flag(
             "--wait",
             line_.wait,
-            "Return when the change is in force everywhere, or tell who has "
-            "not reported it");
+            "Wait until the change is in force everywhere; list the members "
+            "that have not reported it in time");
         target.add_option("--timeout", wait_seconds_, "Seconds to wait")
             ->check(CLI::Range(std::int64_t{1}, max_wait_seconds))
             ->capture_default_str();
@@ -123,8 +123,7 @@
             target
                 .add_option("--if-revision",
                             if_revision_,
-                            "Refuse the change where somebody changed the same "
-                            "thing after "
+                            "Refuse the change if its target was changed after "
                             "this revision")
                 ->check(
                     CLI::Range(std::int64_t{0}, core::config::max_revision)));
@@ -132,8 +131,8 @@
 
     void add_contracts()
     {
-        auto& group = add_group(
-            app_, "contract", "Contracts: all limits on a customer's work");
+        auto& group =
+            add_group(app_, "contract", "Contracts: limits of each customer");
         auto& put = add_command(group,
                                 "put",
                                 "Create or replace a contract",
@@ -158,14 +157,14 @@
                     {
                         return contract_list{};
                     });
-        auto& withdraw =
-            add_command(group,
-                        "withdraw",
-                        "Stop a customer's new work; what runs may end",
-                        [this]
-                        {
-                            return contract_withdraw{name_};
-                        });
+        auto& withdraw = add_command(
+            group,
+            "withdraw",
+            "Refuse new work of a customer; running work may finish",
+            [this]
+            {
+                return contract_withdraw{name_};
+            });
         add_name(withdraw, "NAME");
         add_change_options(withdraw);
     }
@@ -179,20 +178,20 @@
             auto& set = add_command(
                 group,
                 out ? "out" : "in",
-                out ? "Start nothing there any more and evict what runs there"
-                    : "Take it back into service",
+                out ? "Take a data centre out of service and evict its tasks"
+                    : "Put a data centre back into service",
                 [this, out]
                 {
                     return data_centre_set{name_, out, is_new_};
                 });
             add_name(set, "NAME");
             set.add_flag(
-                "--new", is_new_, "The name is new: neither listed nor used");
+                "--new", is_new_, "Allow a name that is not yet in use");
             add_change_options(set);
         }
         add_command(group,
                     "list",
-                    "List the data centres that are known",
+                    "List all known data centres",
                     []
                     {
                         return data_centre_list{};
@@ -205,7 +204,7 @@
         auto& submit =
             add_command(group,
                         "submit",
-                        "Submit a job; the same again changes nothing",
+                        "Submit a job; submitting it again has no effect",
                         [this]
                         {
                             return job_submit{file_};
@@ -256,21 +255,21 @@
         auto& group = add_group(app_, "pool", "Jobs on a pool of workers");
         add_pool_query(group,
                        "status",
-                       "Who owns the pool since when, and what each instance "
-                       "believes; names those that give no answer",
+                       "State of each instance and for how long the owner has "
+                       "owned the pool; lists instances without an answer",
                        pool_subject::instances);
         add_pool_query(group,
                        "workers",
-                       "Workers with leases, silence and suspicion",
+                       "Workers, their load, leases and last signs of life",
                        pool_subject::workers);
         add_pool_query(group,
                        "jobs",
-                       "Jobs at work, those next in line first",
+                       "Unfinished jobs in queue order",
                        pool_subject::jobs);
         auto& job = add_command(group,
                                 "job",
                                 "One job: its tasks and attempts, and why it "
-                                "waits",
+                                "is waiting",
                                 [this]
                                 {
                                     return pool_query{pool_subject::job, name_};
@@ -282,16 +281,17 @@
     {
         add_command(app_,
                     "status",
-                    "Members, claims, workers and tasks",
+                    "Show members, partitions, workers and tasks",
                     []
                     {
                         return show_status{};
                     });
-        auto& members = add_group(app_, "member", "The system's own processes");
+        auto& members =
+            add_group(app_, "member", "Members: entry and planner processes");
         auto& remove = add_command(
             members,
             "remove",
-            "Bury a member that is gone together with its witnesses",
+            "Fence a member that has ended together with its witnesses",
             [this]
             {
                 return member_remove{role_, name_};
@@ -303,9 +303,9 @@
         remove
             .add_flag("--gone",
                       confirmed_gone_,
-                      "You made sure that its process has ended. One that "
-                      "still runs, cut off from the store, could go on "
-                      "beside its successor")
+                      "Confirm that the process of the member has ended. If it "
+                      "still runs, partitioned from the store, it may continue "
+                      "to act beside its successor")
             ->required();
         auto& settings = add_group(app_, "settings", "Settings files");
         auto& check = add_command(settings,
@@ -324,7 +324,7 @@
         check.add_option("FILE", file_)->required();
     }
 
-    /// The same option of several commands.
+    /// One option that several commands share.
     struct option_group
     {
         std::vector<CLI::Option*> options;
--- a/src/programs/ctl/command_line.hpp
+++ b/src/programs/ctl/command_line.hpp
@@ -11,14 +11,14 @@
 namespace fuchsia::programs::ctl
 {
 
-/// What a script may conclude from the end of `fuchsiactl`.
+/// Exit status of `fuchsiactl`, for scripts.
 enum class exit_status : std::uint8_t
 {
     done = 0,
     refused = 1, ///< Nothing was changed.
-    usage = 2,   ///< Command line or settings; nothing was asked.
+    usage = 2,   ///< Wrong command line or settings; no request was sent.
     unknown = 3, ///< The change may have been made.
-    timeout = 4, ///< Accepted, but not in force everywhere in time.
+    timeout = 4, ///< Accepted, but not in force everywhere within the time-out.
 };
 
 struct contract_put
@@ -44,7 +44,7 @@
 {
     std::string name;
     bool out = false;
-    bool is_new = false; ///< A name that nobody has named so far.
+    bool is_new = false; ///< Allows a name that is not yet in use.
 };
 
 struct data_centre_list
@@ -63,7 +63,7 @@
 
 struct job_list
 {
-    std::string state; ///< Empty: all.
+    std::string state; ///< State of the listed jobs; empty for all jobs.
 };
 
 struct job_cancel
@@ -89,11 +89,11 @@
     job,
 };
 
-/// What the pool's instances are asked.
+/// Query to the instances of a pool.
 struct pool_query
 {
     pool_subject subject = pool_subject::instances;
-    std::string id; ///< Of the job.
+    std::string id; ///< Id of the job, for `pool_subject::job`.
 };
 
 struct settings_check
@@ -121,14 +121,15 @@
 {
     std::string settings; ///< Path of the settings file.
     bool json = false;
-    bool wait = false; ///< Until the change is in force everywhere.
+    bool wait =
+        false; ///< Whether to wait until the change is in force everywhere.
     core::common::duration timeout = std::chrono::seconds(14);
     std::optional<std::uint64_t> if_revision;
     command selected_command;
 };
 
-/// Reads the arguments. Empty where there is nothing to run: help, version or
-/// a mistake, which it has printed; `status` is then the exit status.
+/// Parses the arguments. Empty if there is no command to run; help, the version
+/// or an error message has then been printed, and `status` is the exit status.
 std::optional<command_line> parse_command_line(int count,
                                                char const* const* arguments,
                                                std::ostream& out,
--- a/src/programs/ctl/ctl_settings.cpp
+++ b/src/programs/ctl/ctl_settings.cpp
@@ -12,8 +12,8 @@
 using namespace std::chrono_literals;
 using core::common::result_code;
 
-// A change is given up after 6 s by its planner, a removal after 9 s. With
-// less patience than that the outcome would be unknown without need.
+// A planner gives up a change after 6 s and a removal after 9 s. With a shorter
+// time-out the outcome could be unknown although the planner would report it.
 constexpr core::common::duration min_timeout = 10s;
 constexpr core::common::duration max_timeout = 10min;
 constexpr std::size_t max_addresses = 64;
@@ -29,7 +29,7 @@
         {
             root.fail(result_code::out_of_range,
                       key,
-                      text + " is no IP number and port");
+                      text + " is not an IP address and port");
             return endpoints;
         }
         endpoints.push_back(*endpoint);
@@ -41,7 +41,7 @@
     return endpoints;
 }
 
-// A deployment has planners, a pool or both.
+// Reads the addresses. A deployment has planners, a pool or both.
 void read_instances(adapters::settings::toml_table& root, ctl_settings& out)
 {
     out.planners = read_addresses(root, "planners");
@@ -87,7 +87,7 @@
     auto root = file->root();
     ctl_settings settings;
     read_instances(root, settings);
-    // Only planners ask for a token.
+    // Only planners require a token.
     if (!settings.planners.empty() || !root.text_or("token_file", "").empty())
     {
         read_token(root, settings);
--- a/src/programs/ctl/ctl_settings.hpp
+++ b/src/programs/ctl/ctl_settings.hpp
@@ -11,14 +11,13 @@
 namespace fuchsia::programs::ctl
 {
 
-/// What `fuchsiactl` reads from its settings file; examples/ctl.toml documents
-/// each key.
+/// Settings of `fuchsiactl`; examples/ctl.toml documents each key.
 struct ctl_settings
 {
-    std::vector<ports::endpoint> planners; ///< Tried in this order.
+    std::vector<ports::endpoint> planners; ///< Addresses, tried in this order.
     std::vector<ports::endpoint> pools; ///< Metrics addresses of fuchsia-pool.
-    std::string token;                  ///< Read from the file named there.
-    core::common::duration timeout = std::chrono::seconds(15);
+    std::string token;                  ///< Content of the token file.
+    core::common::duration timeout = std::chrono::seconds(15); ///< Per call.
 };
 
 /// Reads and checks the settings; `reason` names file and line.
--- a/src/programs/ctl/planner_client.cpp
+++ b/src/programs/ctl/planner_client.cpp
@@ -23,8 +23,8 @@
     return status >= 200 && status < 300;
 }
 
-/// What an answer that is no success says of the change: its header, else
-/// what its code means; unknown where it has neither.
+/// Outcome of a call with an unsuccessful answer: according to the header of
+/// the answer, else according to its code; unknown if it has neither.
 call_end end_of(adapters::http::response const& response,
                 std::optional<result_code> code) noexcept
 {
@@ -44,7 +44,7 @@
                : call_end::unknown;
 }
 
-/// Turns a planner's answer into a result.
+/// Converts a planner's answer to a result.
 call_result read_answer(adapters::http::response const& response)
 {
     call_result result;
@@ -147,7 +147,8 @@
     {
         last.end = call_end::refused;
     }
-    // A later planner's refusal says nothing about what an earlier one did.
+    // The refusal of a later planner doesn't exclude that an earlier one
+    // executed the call.
     if (may_be_done && last.end == call_end::refused)
     {
         last.end = call_end::unknown;
--- a/src/programs/ctl/planner_client.hpp
+++ b/src/programs/ctl/planner_client.hpp
@@ -15,36 +15,38 @@
 /// Whether a call may be sent to the next planner after its answer was lost.
 enum class repeat : std::uint8_t
 {
-    never,  ///< A second sending could undo what came in between.
-    change, ///< A second sending changes nothing more.
-    read,   ///< Changes nothing at all.
+    never,  ///< Sending it again could undo a later change.
+    change, ///< The call changes state, but is idempotent.
+    read,   ///< The call changes nothing.
 };
 
+/// Outcome of a call.
 enum class call_end : std::uint8_t
 {
-    done,    ///< 2xx.
+    done,    ///< The answer has a 2xx status.
     refused, ///< Nothing was changed.
-    unknown, ///< It may have been done.
+    unknown, ///< The call may have been executed.
 };
 
 struct call_result
 {
     call_end end = call_end::unknown;
-    boost::json::object body;          ///< The planner's, where it sent one.
-    core::common::failure reason;      ///< Where `end` is not `done`.
-    std::uint64_t newest_revision = 0; ///< Of a conflict.
+    boost::json::object body;          ///< Body of the answer, if any.
+    core::common::failure reason;      ///< Set unless `end` is `done`.
+    std::uint64_t newest_revision = 0; ///< Set after a conflict.
 };
 
-/// Calls the administration API, one call at a time. Planners are tried in
-/// turn: the next one where this one can't be reached, or says that it did
-/// nothing and can't now (503).
+/// Calls the administration API, one call at a time. If a planner can't be
+/// reached, or answers that it did nothing and is unavailable (503), the next
+/// one is tried.
 class planner_client
 {
 public:
-    /// `whom` names what is asked in reasons.
+    /// `server_name` denotes the called program in error messages.
     explicit planner_client(ctl_settings settings,
                             std::string server_name = "planner");
 
+    /// Sends a request and waits for its result.
     call_result call(std::string const& method,
                      std::string const& target,
                      std::string const& body,
@@ -66,7 +68,7 @@
     std::string server_name_;
     boost::asio::io_context io_;
     adapters::http::client client_;
-    std::size_t first_ = 0; ///< The planner that answered last.
+    std::size_t first_ = 0; ///< Index of the planner that answered last.
 };
 
 } // namespace fuchsia::programs::ctl
--- a/src/programs/ctl/pool_questions.cpp
+++ b/src/programs/ctl/pool_questions.cpp
@@ -20,7 +20,8 @@
 
 constexpr auto* pool_instance_label = "instance of the pool";
 
-// The pool's instances are asked like planners, without the planners' token.
+// Settings of a client for instances of the pool, which are called like
+// planners but without the planners' token.
 ctl_settings settings_for(ctl_settings const& base,
                           std::vector<ports::endpoint> instances)
 {
--- a/src/programs/ctl/pool_questions.hpp
+++ b/src/programs/ctl/pool_questions.hpp
@@ -8,12 +8,12 @@
 namespace fuchsia::programs::ctl
 {
 
-/// Asks the instances of the pool: each of them for `pool status`, the owner
-/// for everything else. Instances that give no answer are named.
+/// Queries the pool: every instance for `pool status`, the owner for everything
+/// else. Instances that don't answer `pool status` are listed in `error`.
 exit_status run_pool_query(command_line const& line,
-                     pool_query const& query,
-                     ctl_settings const& settings,
-                     std::ostream& out,
-                     std::ostream& error);
+                           pool_query const& query,
+                           ctl_settings const& settings,
+                           std::ostream& out,
+                           std::ostream& error);
 
 } // namespace fuchsia::programs::ctl
--- a/src/programs/ctl/runner.cpp
+++ b/src/programs/ctl/runner.cpp
@@ -29,7 +29,7 @@
 
 constexpr auto poll_interval = 300ms;
 
-/// `text` as one part of a path, percent-encoded.
+/// `text` percent-encoded as one segment of a path.
 std::string escaped(std::string_view text)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
@@ -51,7 +51,7 @@
     return result;
 }
 
-/// Carries out the commands that ask a planner.
+/// Runs the commands that call a planner.
 class planner_commands
 {
 public:
@@ -226,7 +226,7 @@
                       });
     }
 
-    // Ask no planner; never come here.
+    // The commands below call no planner; `run` handles them before.
     exit_status operator()(pool_query const&)
     {
         return exit_status::usage;
@@ -250,7 +250,7 @@
         return finish(client_.call("GET", target, "", repeat::read), print);
     }
 
-    /// Prints a result, or why there is none.
+    /// Prints the result of a call, or the reason of its failure.
     template<class Print>
     exit_status finish(call_result const& result, Print print)
     {
@@ -287,7 +287,7 @@
         return unknown ? exit_status::unknown : exit_status::refused;
     }
 
-    /// Makes one change of the configuration and waits where that was asked.
+    /// Changes the configuration and, with --wait, waits until it is in force.
     exit_status change(std::string const& method,
                        std::string target,
                        std::string const& body,
@@ -298,8 +298,9 @@
             target += target.find('?') == std::string::npos ? '?' : '&';
             target += "if-revision=" + std::to_string(*line_.if_revision);
         }
-        // Sent again after a lost answer it could undo description another
-        // operator changed in between, or conflict with its own first sending.
+        // A change is not sent again after its answer was lost: it could undo a
+        // later change by another operator, or conflict with its own first
+        // execution.
         auto const result = client_.call(method, target, body, repeat::never);
         if (result.end != call_end::done)
         {
@@ -322,7 +323,8 @@
         return exit_status::done;
     }
 
-    /// Polls until nobody acts on an older revision, or the time is over.
+    /// Polls until no member acts on an older revision, or the time-out
+    /// expires.
     exit_status wait_for(std::uint64_t revision)
     {
         auto const started_at = clock::now();
--- a/src/programs/ctl/runner.hpp
+++ b/src/programs/ctl/runner.hpp
@@ -7,7 +7,7 @@
 namespace fuchsia::programs::ctl
 {
 
-/// Runs one command: results to `out`, mistakes and warnings to `error`.
+/// Runs one command; writes results to `out`, errors and warnings to `error`.
 exit_status
 run(command_line const& line, std::ostream& out, std::ostream& error);
 
--- a/src/programs/ctl/settings_checks.hpp
+++ b/src/programs/ctl/settings_checks.hpp
@@ -10,11 +10,11 @@
 namespace fuchsia::programs::ctl
 {
 
-/// Binaries whose settings can be checked.
+/// Names of the programs whose settings can be checked.
 std::vector<std::string_view> checked_binaries();
 
-/// Checks `file` as a start of `binary` would; what is wrong with it, or `ok`.
-/// Empty where the binary is not known.
+/// Checks `file` as `binary` does at start; returns the first error, or `ok`.
+/// Empty if `binary` is unknown.
 std::optional<core::common::failure> check_settings(std::string_view binary,
                                                     std::string const& file);
 
