--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -16,12 +16,13 @@
 namespace
 {
 
-constexpr auto* mill = R"({"customer":"mill","millicores":1000,"memory_mb":1,
+constexpr auto* mill_contract =
+    R"({"customer":"mill","millicores":1000,"memory_mb":1,
 "requests_in_flight":9,"requests_per_second":10,"latency_target_ms":250})";
 
-std::string mill_with_in_flight(int limit)
+std::string mill_contract_with_in_flight(int limit)
 {
-    std::string text = mill;
+    std::string text = mill_contract;
     return text.replace(text.find("9,"), 1, std::to_string(limit));
 }
 
@@ -37,13 +38,13 @@
     }
 };
 
-/// One planner's administration over the store in memory.
-struct administration_bench
+/// Administration API of one planner on an in-memory store.
+struct administration_fixture
 {
-    explicit administration_bench(tests::memory_store& shared,
-                                  std::string name = "planner-a-1",
-                                  std::uint64_t incarnation = 0x10)
-        : store(shared), subject({}, {name, incarnation}),
+    explicit administration_fixture(tests::memory_store& shared,
+                                    std::string name = "planner-a-1",
+                                    std::uint64_t incarnation = 0x10)
+        : store(shared), api({}, {name, incarnation}),
           self({}, {{name, incarnation}, "planner", "kochi-a", {}, {}}, 1)
     {
     }
@@ -56,63 +57,64 @@
         message.target = std::move(target);
         message.body = std::move(body);
         message.remote_address = "127.0.0.1";
-        subject.on_request(now, ++requests_, message, view(), out_, answers_);
+        api.on_request(now, ++requests_, message, view(), out_, answers_);
         collect();
         return requests_;
     }
 
-    /// Answers one store call; without one, lets 100 ms pass.
-    void step(fault how = fault::none)
+    /// Answers one store call; if there is none, advances the time by 100 ms.
+    void step(fault store_fault = fault::none)
     {
         if (calls.empty())
         {
             now += 100ms;
-            subject.tick(now, view(), out_, answers_);
+            api.tick(now, view(), out_, answers_);
         }
         else
         {
             auto const call = calls.front();
             calls.pop_front();
-            subject.on_store_reply(
-                now, store.answer(call, how), view(), out_, answers_);
+            api.on_store_reply(
+                now, store.answer(call, store_fault), view(), out_, answers_);
         }
         collect();
     }
 
-    reply wait_for(std::uint64_t request, fault how = fault::none)
+    reply wait_for(std::uint64_t request, fault store_fault = fault::none)
     {
         for (int count = 0; count < 1000 && !replies.count(request); ++count)
         {
-            step(how);
+            step(store_fault);
         }
-        EXPECT_EQ(replies.count(request), 1U) << "never answered";
+        EXPECT_EQ(replies.count(request), 1U) << "request was not answered";
         return replies[request];
     }
 
     reply request(std::string method,
                   std::string target,
                   std::string body = "",
-                  fault how = fault::none)
+                  fault store_fault = fault::none)
     {
         return wait_for(
-            ask(std::move(method), std::move(target), std::move(body)), how);
+            ask(std::move(method), std::move(target), std::move(body)),
+            store_fault);
     }
 
     void put_member(std::string const& role,
                     std::string const& name,
                     std::uint64_t revision,
-                    bool buried = false)
+                    bool fenced = false)
     {
         record value;
         value.info = {{name, 7}, role, "thrissur-b", {"127.0.0.1", 1}, {}};
         value.info.http_address = {"127.0.0.1", 2};
         value.info.config_revision = revision;
-        value.fenced = buried;
+        value.fenced = fenced;
         value.heartbeat_count = ++beats_;
         store.put("members/" + role + "/" + name, to_json(value));
     }
 
-    bool is_buried(std::string const& role, std::string const& name) const
+    bool is_fenced(std::string const& role, std::string const& name) const
     {
         core::common::failure reason;
         auto const value = core::membership::parse_record(
@@ -121,7 +123,7 @@
     }
 
     tests::memory_store& store;
-    administration subject;
+    administration api;
     core::config::configuration_follower configuration{{}};
     core::membership::member self;
     core::common::time_point now{100s};
@@ -162,7 +164,8 @@
         out_.clear();
         for (auto const& answer : answers_)
         {
-            EXPECT_EQ(replies.count(answer.request), 0U) << "answered twice";
+            EXPECT_EQ(replies.count(answer.request), 0U)
+                << "request was answered twice";
             core::common::failure reason;
             auto body = core::common::parse_json_object(
                 answer.response.body, "answer", reason);
@@ -184,42 +187,42 @@
 TEST(administration, a_contract_is_put_shown_listed_and_withdrawn)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    auto put = bench.request("PUT", "/v1/contracts/mill", mill);
+    administration_fixture fixture(store);
+    auto put = fixture.request("PUT", "/v1/contracts/mill", mill_contract);
     EXPECT_EQ(put.status, 200);
     EXPECT_EQ(put.text("revision"), "1");
 
-    auto const shown = bench.request("GET", "/v1/contracts/mill");
+    auto const shown = fixture.request("GET", "/v1/contracts/mill");
     EXPECT_EQ(shown.status, 200);
     EXPECT_EQ(shown.body.at("contract").at("requests_in_flight"), 9);
-    auto const listed = bench.request("GET", "/v1/contracts");
+    auto const listed = fixture.request("GET", "/v1/contracts");
     EXPECT_EQ(listed.body.at("contracts").as_array().size(), 1U);
 
-    EXPECT_EQ(bench.request("DELETE", "/v1/contracts/mill").text("revision"),
+    EXPECT_EQ(fixture.request("DELETE", "/v1/contracts/mill").text("revision"),
               "2");
-    EXPECT_EQ(bench.request("GET", "/v1/contracts/mill").status, 404);
-    EXPECT_EQ(bench.request("GET", "/v1/contracts").text("withdrawn"),
+    EXPECT_EQ(fixture.request("GET", "/v1/contracts/mill").status, 404);
+    EXPECT_EQ(fixture.request("GET", "/v1/contracts").text("withdrawn"),
               "[\"mill\"]");
-    EXPECT_EQ(bench.request("DELETE", "/v1/contracts/mill").status, 404);
+    EXPECT_EQ(fixture.request("DELETE", "/v1/contracts/mill").status, 404);
 }
 
-TEST(administration, a_data_centre_goes_out_and_in_again)
+TEST(administration, a_data_centre_is_taken_out_of_service_and_put_back)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    auto const out =
-        bench.request("PUT", "/v1/data-centres/kochi-a", R"({"state":"out"})");
+    administration_fixture fixture(store);
+    auto const out = fixture.request(
+        "PUT", "/v1/data-centres/kochi-a", R"({"state":"out"})");
     EXPECT_EQ(out.text("revision"), "1");
-    EXPECT_EQ(bench.configuration.current().data_centres_out_of_service.count(
+    EXPECT_EQ(fixture.configuration.current().data_centres_out_of_service.count(
                   "kochi-a"),
               1U)
-        << "in force here before anybody reads the store";
-    auto const listed = bench.request("GET", "/v1/data-centres");
+        << "must be in force on this planner without a read of the store";
+    auto const listed = fixture.request("GET", "/v1/data-centres");
     EXPECT_EQ(listed.text("data_centres"),
               R"([{"name":"kochi-a","state":"out","changed_at":1},)"
               R"({"name":"thrissur-b","state":"in","changed_at":0}])");
     EXPECT_EQ(
-        bench.request("PUT", "/v1/data-centres/kochi-a", R"({"state":"in"})")
+        fixture.request("PUT", "/v1/data-centres/kochi-a", R"({"state":"in"})")
             .text("revision"),
         "2");
 }
@@ -233,7 +236,7 @@
     int code;
 };
 
-TEST(administration, bad_requests_get_a_numbered_code_and_change_nothing)
+TEST(administration, malformed_requests_get_an_error_code_and_change_nothing)
 {
     std::vector<refusal_case> const cases{
         {"PUT", "/v1/contracts/mill", "{", 400, 1004},
@@ -245,13 +248,17 @@
          R"({"customer":"mill","x":1})",
          400,
          1007},
-        {"PUT", "/v1/contracts/mill", mill_with_in_flight(-1), 400, 1009},
-        {"PUT", "/v1/contracts/shop", mill, 400, 1010},
-        {"PUT", "/v1/contracts/mill?if-revision=x", mill, 400, 1009},
-        {"PUT", "/v1/contracts/mill?if-revision=", mill, 400, 1009},
-        {"PUT", "/v1/contracts/mill?force=1", mill, 400, 1007},
-        {"POST", "/v1/contracts/mill", mill, 405, 1015},
-        {"PUT", "/v1/contracts", mill, 405, 1015},
+        {"PUT",
+         "/v1/contracts/mill",
+         mill_contract_with_in_flight(-1),
+         400,
+         1009},
+        {"PUT", "/v1/contracts/shop", mill_contract, 400, 1010},
+        {"PUT", "/v1/contracts/mill?if-revision=x", mill_contract, 400, 1009},
+        {"PUT", "/v1/contracts/mill?if-revision=", mill_contract, 400, 1009},
+        {"PUT", "/v1/contracts/mill?force=1", mill_contract, 400, 1007},
+        {"POST", "/v1/contracts/mill", mill_contract, 405, 1015},
+        {"PUT", "/v1/contracts", mill_contract, 405, 1015},
         {"GET", "/v1/contracts?x=1", "", 400, 1007},
         {"GET", "/v1/contracts/mill/9", "", 404, 1014},
         {"GET", "/v1/nothing", "", 404, 1014},
@@ -273,22 +280,25 @@
         {"DELETE", "/v1/members/entry/e-1", "", 404, 4004},
     };
     tests::memory_store store;
-    administration_bench bench(store);
-    for (auto const& each : cases)
+    administration_fixture fixture(store);
+    for (auto const& test_case : cases)
     {
-        auto const answer = bench.request(each.method, each.target, each.body);
-        EXPECT_EQ(answer.status, each.status) << each.target << each.body;
-        EXPECT_EQ(answer.text("code"), std::to_string(each.code))
-            << each.method << " " << each.target << " " << each.body;
+        auto const answer =
+            fixture.request(test_case.method, test_case.target, test_case.body);
+        EXPECT_EQ(answer.status, test_case.status)
+            << test_case.target << test_case.body;
+        EXPECT_EQ(answer.text("code"), std::to_string(test_case.code))
+            << test_case.method << " " << test_case.target << " "
+            << test_case.body;
     }
     EXPECT_TRUE(store.keys("").empty());
 }
 
-TEST(administration, a_new_data_centre_must_be_said_to_be_new)
+TEST(administration, a_new_data_centre_is_accepted_with_the_new_parameter)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    EXPECT_EQ(bench
+    administration_fixture fixture(store);
+    EXPECT_EQ(fixture
                   .request("PUT",
                            "/v1/data-centres/kottayam-c?new=true",
                            R"({"state":"out"})")
@@ -296,38 +306,40 @@
               200);
 }
 
-// Two operators lower one contract at once, each through another planner. The
-// loser must learn that it lost and against which revision.
-TEST(administration, the_loser_of_a_race_gets_the_newer_revision)
+// Two operators change one contract concurrently through different planners.
+// The one whose compare-and-swap fails must get a conflict with the newer
+// revision.
+TEST(administration, a_lost_race_is_refused_with_the_newer_revision)
 {
     tests::memory_store store;
-    administration_bench first(store, "planner-a-1", 0x10);
-    administration_bench second(store, "planner-b-1", 0x20);
-    auto const one = first.ask("PUT", "/v1/contracts/mill", mill);
-    auto const two =
-        second.ask("PUT", "/v1/contracts/mill", mill_with_in_flight(5));
+    administration_fixture first(store, "planner-a-1", 0x10);
+    administration_fixture second(store, "planner-b-1", 0x20);
+    auto const first_request =
+        first.ask("PUT", "/v1/contracts/mill", mill_contract);
+    auto const second_request = second.ask(
+        "PUT", "/v1/contracts/mill", mill_contract_with_in_flight(5));
     first.step();
     second.step();
-    EXPECT_EQ(first.wait_for(one).text("revision"), "1");
-    auto const lost = second.wait_for(two);
-    EXPECT_EQ(lost.status, 409);
-    EXPECT_EQ(lost.text("code"), "4003");
-    EXPECT_EQ(lost.text("name"), "\"conflict\"");
-    EXPECT_EQ(lost.text("revision"), "1");
+    EXPECT_EQ(first.wait_for(first_request).text("revision"), "1");
+    auto const refusal = second.wait_for(second_request);
+    EXPECT_EQ(refusal.status, 409);
+    EXPECT_EQ(refusal.text("code"), "4003");
+    EXPECT_EQ(refusal.text("name"), "\"conflict\"");
+    EXPECT_EQ(refusal.text("revision"), "1");
 }
 
 struct outage_case
 {
     char const* name;
-    int at; ///< Calls answered before the store falls silent.
-    fault how;
+    int answered_calls; ///< Store calls answered before the outage.
+    fault store_fault;
     int status;
     char const* code;
 };
 
-// The store falls silent in the middle of an operator's change. "Nothing was
-// changed" must be true, and what can't be known must be said to be unknown.
-TEST(administration, an_outage_is_told_truthfully)
+// The store fails in the middle of an operator's change. "Nothing was changed"
+// must be true, and an uncertain outcome must be reported as unknown.
+TEST(administration, a_change_during_an_outage_reports_its_true_outcome)
 {
     std::vector<outage_case> const cases{
         {"from the start", 0, fault::unavailable, 503, "4001"},
@@ -335,122 +347,129 @@
         {"swap lost", 2, fault::lost_before, 504, "4002"},
         {"answer of the swap lost", 2, fault::lost_after, 504, "4002"},
     };
-    for (auto const& each : cases)
+    for (auto const& test_case : cases)
     {
         tests::memory_store store;
-        administration_bench bench(store);
-        auto const request = bench.ask("PUT", "/v1/contracts/mill", mill);
-        for (int count = 0; count < each.at; ++count)
+        administration_fixture fixture(store);
+        auto const request =
+            fixture.ask("PUT", "/v1/contracts/mill", mill_contract);
+        for (int count = 0; count < test_case.answered_calls; ++count)
         {
-            bench.step();
+            fixture.step();
         }
-        auto const answer = bench.wait_for(request, each.how);
-        EXPECT_EQ(answer.status, each.status) << each.name;
-        EXPECT_EQ(answer.text("code"), each.code) << each.name;
+        auto const answer = fixture.wait_for(request, test_case.store_fault);
+        EXPECT_EQ(answer.status, test_case.status) << test_case.name;
+        EXPECT_EQ(answer.text("code"), test_case.code) << test_case.name;
     }
 }
 
-// The store has been down for a while. An operator who waits for each planner
-// in turn to lose its patience learns late that nothing can be changed.
-TEST(administration, a_known_outage_is_told_at_once)
+// The store has been unavailable for some time. If each planner waited for its
+// time-out, an operator who tries all of them would get the refusal late.
+TEST(administration, a_change_during_a_known_outage_is_refused_at_once)
 {
     tests::memory_store store;
-    administration_bench bench(store);
+    administration_fixture fixture(store);
     ports::actions started;
-    bench.configuration.start(bench.now, started);
+    fixture.configuration.start(fixture.now, started);
     auto const& call = std::get<ports::store_call>(started.at(0));
-    bench.configuration.on_store_reply(bench.now, store.answer(call), started);
-    bench.now += 3s;
-    EXPECT_EQ(bench.request("PUT", "/v1/contracts/mill", mill).status, 200);
-    bench.now += 1ms;
-    auto const request = bench.ask("PUT", "/v1/contracts/mill", mill);
-    EXPECT_EQ(bench.replies[request].text("code"), "4001");
+    fixture.configuration.on_store_reply(
+        fixture.now, store.answer(call), started);
+    fixture.now += 3s;
+    EXPECT_EQ(
+        fixture.request("PUT", "/v1/contracts/mill", mill_contract).status,
+        200);
+    fixture.now += 1ms;
+    auto const request =
+        fixture.ask("PUT", "/v1/contracts/mill", mill_contract);
+    EXPECT_EQ(fixture.replies[request].text("code"), "4001");
 }
 
 TEST(administration, too_many_changes_at_once_are_refused_as_not_run)
 {
     tests::memory_store store;
-    administration_bench bench(store);
+    administration_fixture fixture(store);
     for (std::size_t count = 0; count < administration::max_changes; ++count)
     {
-        bench.ask("PUT", "/v1/contracts/mill", mill);
+        fixture.ask("PUT", "/v1/contracts/mill", mill_contract);
     }
-    auto const refused = bench.ask("PUT", "/v1/contracts/mill", mill);
-    EXPECT_EQ(bench.replies[refused].text("code"), "2008");
+    auto const refused =
+        fixture.ask("PUT", "/v1/contracts/mill", mill_contract);
+    EXPECT_EQ(fixture.replies[refused].text("code"), "2008");
 }
 
-// A revision is in force when nobody acts on an older one any more. A crashed
-// member counts until it is buried: it may have frozen and may wake up.
+// A revision is in force when no member acts on an older one. A member without
+// heartbeats counts until it is fenced, since its process may only be frozen.
 TEST(administration, a_revision_is_in_force_when_every_member_reported_it)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry-a-1", 3);
-    bench.put_member("entry", "entry-b-1", 4);
-    bench.put_member("planner", "planner-a-1", 2);
-    bench.put_member("planner", "planner-b-1", 0, true);
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry-a-1", 3);
+    fixture.put_member("entry", "entry-b-1", 4);
+    fixture.put_member("planner", "planner-a-1", 2);
+    fixture.put_member("planner", "planner-b-1", 0, true);
 
-    auto const early = bench.request("GET", "/v1/revisions/3");
+    auto const early = fixture.request("GET", "/v1/revisions/3");
     EXPECT_EQ(early.text("in_force"), "false");
     auto const& waiting = early.body.at("waiting_for").as_array();
     ASSERT_EQ(waiting.size(), 1U);
     EXPECT_EQ(waiting[0].at("name"), "planner-a-1");
     EXPECT_EQ(waiting[0].at("role"), "planner");
 
-    bench.put_member("planner", "planner-a-1", 3);
-    bench.now += 1s;
-    EXPECT_EQ(bench.request("GET", "/v1/revisions/3").text("in_force"), "true");
+    fixture.put_member("planner", "planner-a-1", 3);
+    fixture.now += 1s;
+    EXPECT_EQ(fixture.request("GET", "/v1/revisions/3").text("in_force"),
+              "true");
 }
 
-TEST(administration, many_who_wait_share_one_list_call)
+TEST(administration, concurrent_reports_share_one_list_call)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry-a-1", 3);
-    std::vector<std::uint64_t> asked;
-    asked.reserve(100);
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry-a-1", 3);
+    std::vector<std::uint64_t> requests;
+    requests.reserve(100);
     for (int count = 0; count < 100; ++count)
     {
-        asked.push_back(bench.ask("GET", "/v1/revisions/3"));
+        requests.push_back(fixture.ask("GET", "/v1/revisions/3"));
     }
-    for (auto const request : asked)
+    for (auto const request : requests)
     {
-        EXPECT_EQ(bench.wait_for(request).text("in_force"), "true");
+        EXPECT_EQ(fixture.wait_for(request).text("in_force"), "true");
     }
     EXPECT_EQ(store.calls, 1U);
 }
 
-TEST(administration, a_slow_store_still_gets_reports_answered)
+TEST(administration, a_report_is_answered_after_a_slow_list_call)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    auto const request = bench.ask("GET", "/v1/status");
-    bench.now += 900ms;
-    EXPECT_EQ(bench.wait_for(request).status, 200);
+    administration_fixture fixture(store);
+    auto const request = fixture.ask("GET", "/v1/status");
+    fixture.now += 900ms;
+    EXPECT_EQ(fixture.wait_for(request).status, 200);
 }
 
 TEST(administration, reports_without_the_store_are_refused)
 {
     tests::memory_store store;
-    administration_bench bench(store);
+    administration_fixture fixture(store);
     for (char const* target : {"/v1/revisions/1", "/v1/status"})
     {
         EXPECT_EQ(
-            bench.request("GET", target, "", fault::unavailable).text("code"),
+            fixture.request("GET", target, "", fault::unavailable).text("code"),
             "4001");
     }
 }
 
-TEST(administration, status_names_members_claims_and_the_planners_own_part)
+TEST(administration, status_contains_members_claims_and_the_part_of_the_planner)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry-a-1", 0);
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry-a-1", 0);
     store.put("partitions/entry/0",
               R"({"owner":"entry-a-1","incarnation":"7","epoch":1,)"
               R"("write_id":"1"})");
     store.put("partitions/entry/1", "damaged");
-    auto const status = bench.request("GET", "/v1/status");
+    auto const status = fixture.request("GET", "/v1/status");
     EXPECT_EQ(status.status, 200);
     EXPECT_EQ(status.text("workers"), "50");
     EXPECT_EQ(status.text("claims"), R"({"entry":{"entry-a-1":1}})");
@@ -460,47 +479,48 @@
 TEST(administration, names_in_a_path_may_be_percent_encoded)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry a:1", 0);
-    EXPECT_EQ(bench.request("DELETE", "/v1/members/entry/entry%20a%3A1").status,
-              200);
-    EXPECT_EQ(bench.request("DELETE", "/v1/members/entry/%2").status, 404);
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry a:1", 0);
+    EXPECT_EQ(
+        fixture.request("DELETE", "/v1/members/entry/entry%20a%3A1").status,
+        200);
+    EXPECT_EQ(fixture.request("DELETE", "/v1/members/entry/%2").status, 404);
 }
 
-TEST(administration, a_member_that_stands_still_can_be_removed)
+TEST(administration, a_member_without_heartbeats_can_be_removed)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry-a-1", 0);
-    auto const begun = bench.now;
-    EXPECT_EQ(bench.request("DELETE", "/v1/members/entry/entry-a-1").status,
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry-a-1", 0);
+    auto const started_at = fixture.now;
+    EXPECT_EQ(fixture.request("DELETE", "/v1/members/entry/entry-a-1").status,
               200);
-    EXPECT_TRUE(bench.is_buried("entry", "entry-a-1"));
-    EXPECT_GE(bench.now - begun, 3s);
+    EXPECT_TRUE(fixture.is_fenced("entry", "entry-a-1"));
+    EXPECT_GE(fixture.now - started_at, 3s);
 }
 
-// An operator removes the wrong member. It runs and beats; buried, it would
-// stop serving until it has joined again.
-TEST(administration, a_member_that_beats_can_not_be_removed)
+// An operator removes the wrong member, which runs and sends heartbeats. If it
+// were fenced, it would stop serving until it has joined again.
+TEST(administration, a_member_with_heartbeats_can_not_be_removed)
 {
     tests::memory_store store;
-    administration_bench bench(store);
-    bench.put_member("entry", "entry-a-1", 0);
-    auto const request = bench.ask("DELETE", "/v1/members/entry/entry-a-1");
-    bench.step();
-    bench.put_member("entry", "entry-a-1", 0);
-    EXPECT_EQ(bench.wait_for(request).text("code"), "4003");
-    EXPECT_FALSE(bench.is_buried("entry", "entry-a-1"));
+    administration_fixture fixture(store);
+    fixture.put_member("entry", "entry-a-1", 0);
+    auto const request = fixture.ask("DELETE", "/v1/members/entry/entry-a-1");
+    fixture.step();
+    fixture.put_member("entry", "entry-a-1", 0);
+    EXPECT_EQ(fixture.wait_for(request).text("code"), "4003");
+    EXPECT_FALSE(fixture.is_fenced("entry", "entry-a-1"));
 }
 
-TEST(administration, the_fate_of_a_removal_is_told_truthfully)
+TEST(administration, a_removal_with_store_faults_reports_its_true_outcome)
 {
     struct removal_case
     {
-        fault how;
+        fault store_fault;
         int times;
-        char const* code; ///< "" where it is done.
-        bool buried;
+        char const* code; ///< Empty if the removal succeeds.
+        bool fenced;
     };
     std::vector<removal_case> const cases{
         {fault::lost_after, 1, "", true},
@@ -510,28 +530,30 @@
         {fault::lost_before, 1000, "4002", false},
         {fault::unavailable, 1000, "4001", false},
     };
-    for (auto const& each : cases)
+    for (auto const& test_case : cases)
     {
         tests::memory_store store;
-        administration_bench bench(store);
-        bench.put_member("entry", "entry-a-1", 0);
-        auto const request = bench.ask("DELETE", "/v1/members/entry/entry-a-1");
-        bench.step();
-        while (bench.calls.empty())
+        administration_fixture fixture(store);
+        fixture.put_member("entry", "entry-a-1", 0);
+        auto const request =
+            fixture.ask("DELETE", "/v1/members/entry/entry-a-1");
+        fixture.step();
+        while (fixture.calls.empty())
         {
-            bench.step();
+            fixture.step();
         }
-        for (int count = 0; count < each.times && !bench.replies.count(request);
+        for (int count = 0;
+             count < test_case.times && !fixture.replies.count(request);
              ++count)
         {
-            bench.step(each.how);
+            fixture.step(test_case.store_fault);
         }
-        EXPECT_EQ(bench.wait_for(request).text("code"), each.code);
-        EXPECT_EQ(bench.is_buried("entry", "entry-a-1"), each.buried);
+        EXPECT_EQ(fixture.wait_for(request).text("code"), test_case.code);
+        EXPECT_EQ(fixture.is_fenced("entry", "entry-a-1"), test_case.fenced);
     }
 }
 
-TEST(administration, the_token_is_needed_whole)
+TEST(administration, only_the_complete_token_is_accepted)
 {
     using programs::planner::has_token;
     EXPECT_TRUE(has_token("Bearer 0123456789abcdef", "0123456789abcdef"));
@@ -548,7 +570,7 @@
     EXPECT_FALSE(has_token("Bearer ", ""));
 }
 
-TEST(administration, paths_of_other_parts_are_left_alone)
+TEST(administration, only_its_own_paths_are_handled)
 {
     for (char const* own : {"/v1/contracts",
                             "/v1/contracts/mill?if-revision=1",
--- a/tests/contract/ctl/ctl_test.cpp
+++ b/tests/contract/ctl/ctl_test.cpp
@@ -21,17 +21,19 @@
 namespace
 {
 
-constexpr auto* mill = R"({"customer":"mill","millicores":1000,"memory_mb":1,
+constexpr auto* mill_contract =
+    R"({"customer":"mill","millicores":1000,"memory_mb":1,
 "requests_in_flight":9,"requests_per_second":10,"latency_target_ms":250})";
 
-/// A planner that answers by a function of the test.
+/// HTTP server that answers like a planner with the responses of a test
+/// function.
 class scripted_planner
 {
 public:
-    using script = std::function<response(request const&)>;
+    using response_function = std::function<response(request const&)>;
 
-    explicit scripted_planner(script answer)
-        : server_(duty_.io(),
+    explicit scripted_planner(response_function answer)
+        : server_(thread_.io(),
                   {},
                   [this, answer = std::move(answer)](
                       request const& message,
@@ -39,7 +41,7 @@
                   {
                       {
                           std::lock_guard const lock(mutex_);
-                          seen_.push_back(message);
+                          requests_.push_back(message);
                       }
                       respond(answer(message));
                   })
@@ -48,20 +50,20 @@
         auto const where = server_.listen({"127.0.0.1", 0}, reason);
         EXPECT_TRUE(where) << to_string(reason);
         address_ = adapters::http::to_string(*where);
-        duty_.start();
+        thread_.start();
     }
 
     ~scripted_planner()
     {
         std::promise<void> closed;
-        boost::asio::post(duty_.io(),
+        boost::asio::post(thread_.io(),
                           [&]
                           {
                               server_.close();
                               closed.set_value();
                           });
         closed.get_future().wait();
-        duty_.stop();
+        thread_.stop();
     }
 
     std::string const& address() const
@@ -69,34 +71,36 @@
         return address_;
     }
 
-    std::vector<request> seen()
+    std::vector<request> requests()
     {
         std::lock_guard const lock(mutex_);
-        return seen_;
+        return requests_;
     }
 
 private:
-    adapters::runtime::io_thread duty_{"planner"};
+    adapters::runtime::io_thread thread_{"planner"};
     std::mutex mutex_;
-    std::vector<request> seen_;
+    std::vector<request> requests_;
     adapters::http::server server_;
     std::string address_;
 };
 
-/// Takes each connection and closes it once a request has come in.
+/// Server that accepts each connection and closes it after the first bytes of a
+/// request.
 class closing_planner
 {
 public:
     closing_planner()
-        : acceptor_(duty_.io(), {boost::asio::ip::make_address("127.0.0.1"), 0})
+        : acceptor_(thread_.io(),
+                    {boost::asio::ip::make_address("127.0.0.1"), 0})
     {
         accept();
-        duty_.start();
+        thread_.start();
     }
 
     ~closing_planner()
     {
-        duty_.stop();
+        thread_.stop();
     }
 
     std::string address() const
@@ -116,25 +120,27 @@
                 {
                     return;
                 }
-                auto held = std::make_shared<tcp::socket>(std::move(socket));
-                held->async_wait(tcp::socket::wait_read,
-                                 [held](boost::system::error_code)
-                                 {
-                                     char bytes[4096];
-                                     boost::system::error_code ignored;
-                                     held->read_some(boost::asio::buffer(bytes),
-                                                     ignored);
-                                 });
+                auto connection =
+                    std::make_shared<tcp::socket>(std::move(socket));
+                connection->async_wait(tcp::socket::wait_read,
+                                       [connection](boost::system::error_code)
+                                       {
+                                           char bytes[4096];
+                                           boost::system::error_code ignored;
+                                           connection->read_some(
+                                               boost::asio::buffer(bytes),
+                                               ignored);
+                                       });
                 accept();
             });
     }
 
-    adapters::runtime::io_thread duty_{"closing"};
+    adapters::runtime::io_thread thread_{"closing"};
     tcp::acceptor acceptor_;
 };
 
-/// An address at which nothing listens.
-std::string dead_address()
+/// Returns an address on which no server listens.
+std::string unused_address()
 {
     boost::asio::io_context io;
     boost::asio::ip::tcp::acceptor const acceptor(
@@ -142,7 +148,7 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-struct ended
+struct run_result
 {
     int status = 0;
     std::string out;
@@ -165,20 +171,20 @@
         return path(name);
     }
 
-    /// Settings that name these planners.
+    /// Writes settings with these planners; returns the path of the file.
     std::string settings(std::vector<std::string> const& planners) const
     {
         std::string list;
-        for (auto const& each : planners)
+        for (auto const& planner : planners)
         {
-            list += "\"" + each + "\", ";
+            list += "\"" + planner + "\", ";
         }
         return file("ctl.toml",
                     "planners = [" + list + "]\ntoken_file = \"" +
                         file("token", "0123456789abcdef\n") + "\"\n");
     }
 
-    ended run(std::vector<std::string> arguments) const
+    run_result run(std::vector<std::string> arguments) const
     {
         arguments.insert(arguments.begin(), "fuchsiactl");
         std::vector<char const*> pointers;
@@ -203,8 +209,8 @@
         return {static_cast<int>(status), out.str(), error.str()};
     }
 
-    ended run_with(std::vector<std::string> const& planners,
-                   std::vector<std::string> arguments) const
+    run_result run_with(std::vector<std::string> const& planners,
+                        std::vector<std::string> arguments) const
     {
         arguments.insert(arguments.begin(), {"--settings", settings(planners)});
         return run(std::move(arguments));
@@ -238,23 +244,23 @@
     auto const end = run_with({planner.address()},
                               {"contract",
                                "put",
-                               file("c.json", mill),
+                               file("c.json", mill_contract),
                                "--wait",
                                "--if-revision",
                                "6"});
     EXPECT_EQ(end.status, 0) << end.error;
     EXPECT_THAT(end.out, HasSubstr("contract mill: accepted as revision 7"));
     EXPECT_THAT(end.out, HasSubstr("revision 7: in force everywhere"));
-    auto const seen = planner.seen();
-    ASSERT_EQ(seen.size(), 2U);
-    EXPECT_EQ(seen[0].method, "PUT");
-    EXPECT_EQ(seen[0].target, "/v1/contracts/mill?if-revision=6");
-    EXPECT_EQ(seen[0].body, mill);
-    EXPECT_EQ(seen[0].header("Authorization"), "Bearer 0123456789abcdef");
-    EXPECT_EQ(seen[1].target, "/v1/revisions/7");
+    auto const requests = planner.requests();
+    ASSERT_EQ(requests.size(), 2U);
+    EXPECT_EQ(requests[0].method, "PUT");
+    EXPECT_EQ(requests[0].target, "/v1/contracts/mill?if-revision=6");
+    EXPECT_EQ(requests[0].body, mill_contract);
+    EXPECT_EQ(requests[0].header("Authorization"), "Bearer 0123456789abcdef");
+    EXPECT_EQ(requests[1].target, "/v1/revisions/7");
 }
 
-TEST_F(fuchsiactl, names_who_has_not_reported_when_the_time_is_over)
+TEST_F(fuchsiactl, lists_members_that_have_not_reported_after_the_timeout)
 {
     scripted_planner planner(
         [](request const& message)
@@ -287,9 +293,9 @@
     char const* error;
 };
 
-// Whether a script may go on, must look, or must tell its owner depends on
-// the exit status alone.
-TEST_F(fuchsiactl, exit_status_tells_refused_from_unknown)
+// Scripts decide by the exit status alone whether to go on, to check the
+// outcome, or to alert an operator.
+TEST_F(fuchsiactl, exit_status_distinguishes_refused_from_unknown)
 {
     using core::common::result_code;
     auto conflict = refusal(result_code::conflict);
@@ -315,21 +321,22 @@
         {"no json", ok("<html>"), 3, "1004"},
         {"no json refusal", {500, {}, "oops"}, 3, "HTTP status 500"},
     };
-    for (auto const& each : cases)
+    for (auto const& test_case : cases)
     {
         scripted_planner planner(
-            [&each](request const&)
+            [&test_case](request const&)
             {
-                return each.answer;
+                return test_case.answer;
             });
-        auto const end = run_with({planner.address()},
-                                  {"contract", "put", file("c.json", mill)});
-        EXPECT_EQ(end.status, each.status) << each.name;
-        EXPECT_THAT(end.error, HasSubstr(each.error)) << each.name;
+        auto const end =
+            run_with({planner.address()},
+                     {"contract", "put", file("c.json", mill_contract)});
+        EXPECT_EQ(end.status, test_case.status) << test_case.name;
+        EXPECT_THAT(end.error, HasSubstr(test_case.error)) << test_case.name;
     }
 }
 
-TEST_F(fuchsiactl, a_read_that_fails_has_changed_nothing)
+TEST_F(fuchsiactl, a_failed_read_is_refused_not_unknown)
 {
     scripted_planner planner(
         [](request const&)
@@ -339,7 +346,7 @@
     EXPECT_EQ(run_with({planner.address()}, {"status"}).status, 1);
 }
 
-TEST_F(fuchsiactl, tries_the_next_planner_where_one_did_nothing)
+TEST_F(fuchsiactl, tries_the_next_planner_if_one_did_nothing)
 {
     scripted_planner cut_off(
         [](request const&)
@@ -348,20 +355,20 @@
         });
     scripted_planner planner(accept_and_report);
     auto const end =
-        run_with({dead_address(), cut_off.address(), planner.address()},
+        run_with({unused_address(), cut_off.address(), planner.address()},
                  {"contract", "withdraw", "mill"});
     EXPECT_EQ(end.status, 0) << end.error;
-    EXPECT_EQ(planner.seen().size(), 1U);
-    EXPECT_EQ(planner.seen()[0].method, "DELETE");
+    EXPECT_EQ(planner.requests().size(), 1U);
+    EXPECT_EQ(planner.requests()[0].method, "DELETE");
 
-    auto const nobody =
-        run_with({dead_address(), dead_address()}, {"contract", "list"});
-    EXPECT_EQ(nobody.status, 1);
-    EXPECT_THAT(nobody.error, HasSubstr("no planner can be reached"));
+    auto const unreachable =
+        run_with({unused_address(), unused_address()}, {"contract", "list"});
+    EXPECT_EQ(unreachable.status, 1);
+    EXPECT_THAT(unreachable.error, HasSubstr("no planner can be reached"));
 }
 
-// The planner dies after it took a change. Sent again, the change could undo
-// what another operator did in between, so the operator decides.
+// The planner crashes after it received a change. Sending the change again
+// could undo a later change by another operator, so the operator has to decide.
 TEST_F(fuchsiactl, a_change_whose_answer_was_lost_is_not_sent_again)
 {
     closing_planner closing;
@@ -371,15 +378,15 @@
     auto const change = run_with(both, {"data-centre", "in", "kochi-a"});
     EXPECT_EQ(change.status, 3);
     EXPECT_THAT(change.error, HasSubstr("outcome unknown"));
-    EXPECT_TRUE(planner.seen().empty());
+    EXPECT_TRUE(planner.requests().empty());
 
     EXPECT_EQ(run_with(both, {"contract", "list"}).status, 0)
-        << "a read is sent again";
+        << "a read must be sent again";
     EXPECT_EQ(run_with(both, {"job", "cancel", "j-1"}).status, 0)
-        << "a cancellation sent twice cancels once";
+        << "a cancellation is idempotent and must be sent again";
 }
 
-TEST_F(fuchsiactl, a_job_whose_first_sending_was_lost_is_unknown_if_refused)
+TEST_F(fuchsiactl, a_refused_retry_after_a_lost_answer_is_unknown)
 {
     closing_planner closing;
     scripted_planner planner(
@@ -392,7 +399,7 @@
     EXPECT_EQ(end.status, 3);
 }
 
-TEST_F(fuchsiactl, lists_are_tables_and_json_is_the_planners)
+TEST_F(fuchsiactl, lists_are_printed_as_tables_or_as_the_json_of_the_planner)
 {
     constexpr auto* body =
         R"({"revision":12,"confirmed_ms_ago":40,"contracts":[)"
@@ -415,7 +422,7 @@
     EXPECT_EQ(json.out, std::string(body) + "\n");
 }
 
-TEST_F(fuchsiactl, every_command_asks_for_its_path)
+TEST_F(fuchsiactl, every_command_requests_its_path)
 {
     scripted_planner planner(
         [](request const& message)
@@ -440,16 +447,16 @@
         {{"member", "remove", "entry", "e-1", "--gone"},
          "DELETE /v1/members/entry/e-1"},
     };
-    for (auto const& [arguments, wanted] : cases)
+    for (auto const& [arguments, expected] : cases)
     {
         auto const end = run_with({planner.address()}, arguments);
-        EXPECT_EQ(end.status, 0) << wanted << end.error;
-        auto const last = planner.seen().back();
-        EXPECT_EQ(last.method + " " + last.target, wanted);
+        EXPECT_EQ(end.status, 0) << expected << end.error;
+        auto const last = planner.requests().back();
+        EXPECT_EQ(last.method + " " + last.target, expected);
     }
 }
 
-TEST_F(fuchsiactl, mistakes_of_usage_ask_nobody)
+TEST_F(fuchsiactl, usage_errors_send_no_request)
 {
     scripted_planner planner(accept_and_report);
     std::vector<std::vector<std::string>> const cases{
@@ -474,10 +481,10 @@
     }
     EXPECT_EQ(run({"contract", "list"}).status, 2) << "no settings";
     EXPECT_EQ(run({"--settings", "/none", "contract", "list"}).status, 2);
-    EXPECT_TRUE(planner.seen().empty());
+    EXPECT_TRUE(planner.requests().empty());
 }
 
-TEST_F(fuchsiactl, bad_files_are_refused_before_anybody_is_asked)
+TEST_F(fuchsiactl, invalid_files_are_refused_without_a_request)
 {
     scripted_planner planner(accept_and_report);
     std::vector<std::pair<std::string, std::string>> const cases{
@@ -497,10 +504,10 @@
     EXPECT_THAT(
         run_with({planner.address()}, {"contract", "put", "/none"}).error,
         HasSubstr("1016"));
-    EXPECT_TRUE(planner.seen().empty());
+    EXPECT_TRUE(planner.requests().empty());
 }
 
-TEST_F(fuchsiactl, settings_check_names_the_line)
+TEST_F(fuchsiactl, settings_check_reports_the_line)
 {
     auto const good = settings({"127.0.0.1:1"});
     EXPECT_EQ(run({"settings", "check", "fuchsiactl", good}).status, 0);
@@ -538,11 +545,12 @@
     EXPECT_THAT(run({"--version"}).out, HasSubstr("."));
 }
 
-// One instance of the pool is down and another does not own it. The operator
-// hears of both, and of the owner's epoch; questions about jobs find the owner.
-TEST_F(fuchsiactl, asks_the_pool_and_names_who_is_silent)
+// One instance of the pool is down and another does not own it. The status
+// shows both and the owner's epoch; queries about jobs are answered by the
+// owner.
+TEST_F(fuchsiactl, pool_queries_report_the_owner_and_unreachable_instances)
 {
-    scripted_planner front(
+    scripted_planner other_instance(
         [](request const& message)
         {
             return message.target == "/v1/pool"
@@ -561,40 +569,45 @@
                                   R"({"id":"j1","tasks":[],"waiting":[
 {"step":0,"ready":3,"workers_by_obstacle":{"room":48}}]})"};
         });
-    auto const dead = dead_address();
-    auto const named = file("pool.toml",
-                            "pools = [\"" + dead + "\", \"" + front.address() +
-                                "\", \"" + owner.address() + "\"]\n");
-    auto const status = run({"--settings", named, "pool", "status"});
+    auto const unreachable_address = unused_address();
+    auto const settings_file = file("pool.toml",
+                                    "pools = [\"" + unreachable_address +
+                                        "\", \"" + other_instance.address() +
+                                        "\", \"" + owner.address() + "\"]\n");
+    auto const status = run({"--settings", settings_file, "pool", "status"});
     EXPECT_EQ(status.status, 0) << status.error;
     EXPECT_THAT(status.out, HasSubstr("42"));
-    EXPECT_THAT(status.error, HasSubstr("no answer from " + dead));
+    EXPECT_THAT(status.error,
+                HasSubstr("no answer from " + unreachable_address));
 
-    auto const job = run({"--settings", named, "pool", "job", "j1"});
+    auto const job = run({"--settings", settings_file, "pool", "job", "j1"});
     EXPECT_EQ(job.status, 0) << job.error;
     EXPECT_THAT(job.out, HasSubstr("room"));
-    EXPECT_EQ(owner.seen().back().target, "/v1/pool/jobs/j1");
-    EXPECT_EQ(owner.seen().back().header("Authorization").value_or("Bearer"),
-              "Bearer");
-
-    auto const none = run({"--settings",
-                           file("none.toml", "pools = [\"" + dead + "\"]\n"),
-                           "pool",
-                           "workers"});
+    EXPECT_EQ(owner.requests().back().target, "/v1/pool/jobs/j1");
+    EXPECT_EQ(
+        owner.requests().back().header("Authorization").value_or("Bearer"),
+        "Bearer");
+
+    auto const none =
+        run({"--settings",
+             file("none.toml", "pools = [\"" + unreachable_address + "\"]\n"),
+             "pool",
+             "workers"});
     EXPECT_EQ(none.status, 1);
     EXPECT_THAT(none.error,
                 HasSubstr("no instance of the pool can be reached"));
 }
 
-// A deployment with planners only has no pool to ask, and the other way round.
-TEST_F(fuchsiactl, settings_without_the_instances_that_a_command_needs)
+// A deployment may have only planners or only a pool, so that commands for the
+// other one can't be run.
+TEST_F(fuchsiactl, commands_without_the_instances_they_need_are_refused)
 {
-    auto const planners = run_with({dead_address()}, {"pool", "status"});
+    auto const planners = run_with({unused_address()}, {"pool", "status"});
     EXPECT_EQ(planners.status, 2);
     EXPECT_THAT(planners.error, HasSubstr("pools"));
     auto const pools =
         run({"--settings",
-             file("pool.toml", "pools = [\"" + dead_address() + "\"]\n"),
+             file("pool.toml", "pools = [\"" + unused_address() + "\"]\n"),
              "contract",
              "list"});
     EXPECT_EQ(pools.status, 2);
