--- a/src/programs/entry/entry_metrics.cpp
+++ b/src/programs/entry/entry_metrics.cpp
@@ -13,12 +13,13 @@
 void entry_metrics::on_answer(std::string const& customer,
                               ports::request_class kind,
                               ports::caller_answer const& answer,
-                              core::common::duration took)
+                              core::common::duration elapsed)
 {
-    bool const known = answer.code != result_code::unknown_customer &&
-                       answer.code != result_code::contract_withdrawn &&
-                       answer.code != result_code::no_proof;
-    std::string const name = known ? customer : "unknown";
+    bool const customer_is_known =
+        answer.code != result_code::unknown_customer &&
+        answer.code != result_code::contract_withdrawn &&
+        answer.code != result_code::no_proof;
+    std::string const name = customer_is_known ? customer : "unknown";
     std::string const class_name(ports::name_of(kind));
     auto& latency = latencies_[{name, kind}];
     if (latency == nullptr)
@@ -29,7 +30,7 @@
                                "answer, refusals included",
                                {{"customer", name}, {"class", class_name}});
     }
-    latency->Observe(adapters::metrics::seconds(took));
+    latency->Observe(adapters::metrics::seconds(elapsed));
     auto& count = answers_[{kind, answer.outcome, answer.code}];
     if (count == nullptr)
     {
@@ -50,7 +51,7 @@
           "Age of the newest proof of membership",
           adapters::metrics::seconds(status.proof_age));
     gauge("fuchsia_may_act",
-          "1 while a proof of membership stands",
+          "1 while a proof of membership is valid",
           status.may_act ? 1 : 0);
     gauge("fuchsia_config_revision",
           "Configuration revision in force",
@@ -71,7 +72,7 @@
           "Requests that wait for a slot",
           static_cast<double>(status.queued));
     gauge("fuchsia_requests_open",
-          "Requests known, those that may still run somewhere included",
+          "Known requests, including those that may still run somewhere",
           static_cast<double>(status.open));
     gauge("fuchsia_keys_remembered",
           "Idempotency keys remembered",
@@ -92,10 +93,10 @@
             "Requests passed to a peer for a free slot",
             static_cast<double>(counts.spilled));
     counter("fuchsia_keys_joined_total",
-            "Sendings that waited for another sending of their key",
+            "Requests that waited for another request with their key",
             static_cast<double>(counts.joined_keys));
     counter("fuchsia_keys_replayed_total",
-            "Sendings that got the remembered answer of their key",
+            "Requests answered with the remembered answer of their key",
             static_cast<double>(counts.replayed_keys));
     counter("fuchsia_takeovers_total",
             "Partitions taken over without their keys",
@@ -116,11 +117,11 @@
                             std::string const& help,
                             double total)
 {
-    auto& counted = registry_.counter(name, help);
-    // A new incarnation's engine counts from 0 again.
-    if (total > counted.Value())
+    auto& metric = registry_.counter(name, help);
+    // The engine of a new incarnation restarts its counters at 0.
+    if (total > metric.Value())
     {
-        counted.Increment(total - counted.Value());
+        metric.Increment(total - metric.Value());
     }
 }
 
--- a/src/programs/pool/pool_metrics.cpp
+++ b/src/programs/pool/pool_metrics.cpp
@@ -8,19 +8,20 @@
 
 using adapters::metrics::seconds;
 
-struct length_row
+struct duration_row
 {
     char const* name;
     char const* help;
 };
 
 // In the order of `ports::pool_measure`.
-constexpr std::array<length_row, 5> lengths{
+constexpr std::array<duration_row, 5> duration_rows{
     {{"fuchsia_pool_accept_seconds", "Submission to answer"},
      {"fuchsia_pool_wait_seconds", "Acceptance to first start"},
      {"fuchsia_pool_job_seconds", "Acceptance to recorded end"},
-     {"fuchsia_pool_end_durable_seconds", "End heard to end written"},
-     {"fuchsia_pool_takeover_seconds", "Claim to knowing what runs"}}};
+     {"fuchsia_pool_end_durable_seconds", "End heard to end written durably"},
+     {"fuchsia_pool_takeover_seconds",
+      "Claim until the running tasks are known"}}};
 
 // In the order of the alternatives of `ports::kv_operation`.
 constexpr std::array<char const*, 7> store_kinds{
@@ -47,28 +48,28 @@
 pool_metrics::pool_metrics(adapters::metrics::registry& registry)
     : registry_(registry)
 {
-    for (std::size_t index = 0; index < lengths.size(); ++index)
+    for (std::size_t index = 0; index < duration_rows.size(); ++index)
     {
-        lengths_[index] =
-            &registry_.latency(lengths[index].name, lengths[index].help);
+        durations_[index] = &registry_.latency(duration_rows[index].name,
+                                               duration_rows[index].help);
     }
     sample({}, nullptr);
 }
 
-void pool_metrics::began(core::common::time_point now,
-                         ports::kv_call const& call)
+void pool_metrics::on_call_start(core::common::time_point now,
+                                 ports::kv_call const& call)
 {
     open_[call.id] = {call.operation.index(), now};
 }
 
-void pool_metrics::began(core::common::time_point now,
-                         ports::pool_order const& order)
+void pool_metrics::on_call_start(core::common::time_point now,
+                                 ports::pool_order const& order)
 {
     open_[order.id] = {order.operation.index(), now};
 }
 
-void pool_metrics::ended(core::common::time_point now,
-                         ports::kv_reply const& reply)
+void pool_metrics::on_call_end(core::common::time_point now,
+                               ports::kv_reply const& reply)
 {
     auto const found = open_.find(reply.id);
     if (found == open_.end())
@@ -82,15 +83,15 @@
     {
         histogram = &registry_.latency(
             "fuchsia_pool_store_seconds",
-            "Calls of the store",
+            "Calls to the store",
             {{"kind", store_kinds[kind]}, {"result", store_results[result]}});
     }
-    histogram->Observe(seconds(now - found->second.began));
+    histogram->Observe(seconds(now - found->second.started_at));
     open_.erase(found);
 }
 
-void pool_metrics::ended(core::common::time_point now,
-                         ports::order_reply const& reply)
+void pool_metrics::on_call_end(core::common::time_point now,
+                               ports::order_reply const& reply)
 {
     auto const found = open_.find(reply.id);
     if (found == open_.end())
@@ -107,26 +108,26 @@
             "Orders to workers",
             {{"kind", order_kinds[kind]}, {"result", order_results[result]}});
     }
-    histogram->Observe(seconds(now - found->second.began));
+    histogram->Observe(seconds(now - found->second.started_at));
     open_.erase(found);
 }
 
-void pool_metrics::observe(ports::duration_sample const& length)
+void pool_metrics::observe(ports::duration_sample const& observation)
 {
-    lengths_[static_cast<std::size_t>(length.metric)]->Observe(
-        seconds(length.elapsed));
+    durations_[static_cast<std::size_t>(observation.metric)]->Observe(
+        seconds(observation.elapsed));
 }
 
 void pool_metrics::sample(core::common::time_point now,
-                          core::pool::owner const* owned)
+                          core::pool::owner const* active_owner)
 {
     registry_.gauge("fuchsia_pool_owner", "1 while this instance schedules")
-        .Set(owned != nullptr ? 1 : 0);
-    if (owned == nullptr)
+        .Set(active_owner != nullptr ? 1 : 0);
+    if (active_owner == nullptr)
     {
         return;
     }
-    auto const& counts = owned->counters();
+    auto const& counts = active_owner->counters();
     auto const set =
         [this](char const* name, char const* help, std::uint64_t value)
     {
@@ -140,31 +141,33 @@
         "Starts without an answer",
         counts.starts_unclear);
     set("fuchsia_pool_tasks_done", "Tasks done", counts.tasks_done);
-    set("fuchsia_pool_tasks_failed", "Runs that failed", counts.tasks_failed);
+    set("fuchsia_pool_tasks_failed",
+        "Attempts that failed",
+        counts.tasks_failed);
     set("fuchsia_pool_tasks_lost",
-        "Runs that ended with their worker or lease",
+        "Attempts lost with their worker or lease",
         counts.tasks_lost);
     set("fuchsia_pool_paced",
-        "Changes of a task's speed",
+        "Changes of a task's speed limit",
         counts.speed_limit_changes);
     set("fuchsia_pool_evicted",
-        "Tasks moved away from serving ones",
+        "Tasks evicted from the workers of serving tasks",
         counts.evicted);
     set("fuchsia_pool_regrouped",
-        "Serving tasks moved to where they keep less work out",
+        "Serving tasks moved to workers where they keep out less work",
         counts.rebalanced);
-    set("fuchsia_pool_rounds", "Rounds of placing", counts.rounds);
+    set("fuchsia_pool_rounds", "Rounds of placing tasks", counts.rounds);
     set("fuchsia_pool_workers_scored",
-        "Workers looked at for a task",
+        "Workers scored for a task",
         counts.scored);
     set("fuchsia_pool_jobs_finished", "Jobs ended", counts.jobs_finished);
     set("fuchsia_pool_commits_waiting",
         "Entries of the owner that are not durable yet",
-        owned->commits().waiting());
+        active_owner->commits().waiting());
     registry_
         .gauge("fuchsia_pool_commit_lag_seconds",
-               "How long the oldest entry that is not durable has waited")
-        .Set(seconds(owned->commits().lag(now)));
+               "Age of the oldest entry that is not durable yet")
+        .Set(seconds(active_owner->commits().lag(now)));
 }
 
 std::size_t pool_metrics::open() const noexcept
