--- a/standins/pool/fault_gate.cpp
+++ b/standins/pool/fault_gate.cpp
@@ -15,58 +15,58 @@
     delay_ = delay;
     if (mode_ == fault_gate_mode::open)
     {
-        for (auto& each : held_)
+        for (auto& pending : pending_)
         {
-            each.due = time_point{};
+            pending.due = time_point{};
         }
     }
 }
 
 void fault_gate::handle(time_point now,
-                        work carry_out,
+                        operation execute,
                         adapters::http::responder const& respond)
 {
-    constexpr std::uint64_t prompt_one_of = 3;
-    bool const prompt =
-        mode_ == fault_gate_mode::delayed && ++passed_ % prompt_one_of == 0;
-    switch (prompt ? fault_gate_mode::open : mode_)
+    constexpr std::uint64_t immediate_every = 3;
+    bool const immediate = mode_ == fault_gate_mode::delayed &&
+                           ++delayed_mode_requests_ % immediate_every == 0;
+    switch (immediate ? fault_gate_mode::open : mode_)
     {
     case fault_gate_mode::open:
-        carry_out(respond);
+        execute(respond);
         break;
     case fault_gate_mode::delayed:
-        held_.push_back({now + delay_, std::move(carry_out), respond});
+        pending_.push_back({now + delay_, std::move(execute), respond});
         break;
     case fault_gate_mode::response_lost:
-        carry_out([](adapters::http::response const&) {});
+        execute([](adapters::http::response const&) {});
         break;
     case fault_gate_mode::suspended:
-        held_.push_back({time_point::max(), std::move(carry_out), respond});
+        pending_.push_back({time_point::max(), std::move(execute), respond});
         break;
     case fault_gate_mode::unavailable:
-        respond(error_response(503, "unwilling"));
+        respond(error_response(503, "service unavailable (injected fault)"));
         break;
     }
 }
 
 void fault_gate::process_due(time_point now)
 {
-    for (auto each = held_.begin(); each != held_.end();)
+    for (auto pending = pending_.begin(); pending != pending_.end();)
     {
-        if (each->due > now)
+        if (pending->due > now)
         {
-            ++each;
+            ++pending;
             continue;
         }
-        auto const due = std::move(*each);
-        each = held_.erase(each);
-        due.carry_out(due.respond);
+        auto const request = std::move(*pending);
+        pending = pending_.erase(pending);
+        request.execute(request.respond);
     }
 }
 
 void fault_gate::clear()
 {
-    held_.clear();
+    pending_.clear();
 }
 
 } // namespace fuchsia::standins::pool
--- a/standins/pool/fault_gate.hpp
+++ b/standins/pool/fault_gate.hpp
@@ -10,46 +10,46 @@
 namespace fuchsia::standins::pool
 {
 
-/// What becomes of the requests that a service gets.
+/// How the gate treats the requests to the service behind it.
 enum class fault_gate_mode : std::uint8_t
 {
     open,
-    delayed,       ///< Two of three are carried out, and answered, after the
-                   ///< delay: newer ones may overtake them.
-    response_lost, ///< Carried out and never answered.
-    suspended,     ///< Carried out once the gate opens again.
-    unavailable,   ///< Answered with 503; nothing is done.
+    delayed,       ///< Two of three requests are executed and answered after
+                   ///< the delay, so that newer requests may overtake them.
+    response_lost, ///< Requests are executed but never answered.
+    suspended,     ///< Requests are executed once the gate opens again.
+    unavailable,   ///< Requests are answered with 503 and not executed.
 };
 
-/// Stands before a service and makes it late, deaf or unwilling.
+/// Injects delays, lost responses and refusals in front of a service.
 class fault_gate
 {
 public:
-    using work = std::function<void(adapters::http::responder const&)>;
+    using operation = std::function<void(adapters::http::responder const&)>;
 
-    /// Requests that wait are let through by the next `pump` where the gate
-    /// opens.
+    /// Switches the mode. When the gate opens, the next `process_due` executes
+    /// all pending requests.
     void set(fault_gate_mode mode, core::common::duration delay = {});
     void handle(core::common::time_point now,
-                work carry_out,
+                operation execute,
                 adapters::http::responder const& respond);
-    /// Carries out what is due.
+    /// Executes the pending requests that are due.
     void process_due(core::common::time_point now);
-    /// Forgets what waits.
+    /// Drops all pending requests.
     void clear();
 
 private:
-    struct held
+    struct pending_request
     {
         core::common::time_point due{};
-        work carry_out;
+        operation execute;
         adapters::http::responder respond;
     };
 
     fault_gate_mode mode_ = fault_gate_mode::open;
     core::common::duration delay_{};
-    std::uint64_t passed_ = 0;
-    std::list<held> held_;
+    std::uint64_t delayed_mode_requests_ = 0;
+    std::list<pending_request> pending_;
 };
 
 } // namespace fuchsia::standins::pool
--- a/standins/pool/kv_state.cpp
+++ b/standins/pool/kv_state.cpp
@@ -16,12 +16,12 @@
 
 constexpr std::size_t page_items = 500;
 
-kv_reply reply_of(kv_status status, std::uint64_t revision)
+kv_reply make_reply(kv_status status, std::uint64_t revision)
 {
-    kv_reply made;
-    made.status = status;
-    made.revision = revision;
-    return made;
+    kv_reply reply;
+    reply.status = status;
+    reply.revision = revision;
+    return reply;
 }
 
 } // namespace
@@ -48,36 +48,36 @@
     }
     if (auto const* const call = std::get_if<ports::kv_lease_grant>(&operation))
     {
-        auto made = reply_of(kv_status::done, revision_);
-        made.lease = ++next_lease_;
-        leases_[made.lease] = {call->ttl, now + call->ttl};
-        return made;
+        auto reply = make_reply(kv_status::done, revision_);
+        reply.lease = ++last_lease_id_;
+        leases_[reply.lease] = {call->ttl, now + call->ttl};
+        return reply;
     }
     if (auto const* const call = std::get_if<ports::kv_lease_renew>(&operation))
     {
         auto const found = leases_.find(call->lease);
         if (found == leases_.end())
         {
-            return reply_of(kv_status::missing, revision_);
+            return make_reply(kv_status::missing, revision_);
         }
-        found->second.until = now + found->second.ttl;
-        return reply_of(kv_status::done, revision_);
+        found->second.expires_at = now + found->second.ttl;
+        return make_reply(kv_status::done, revision_);
     }
     end_lease(std::get<ports::kv_lease_revoke>(operation).lease);
-    return reply_of(kv_status::done, revision_);
+    return make_reply(kv_status::done, revision_);
 }
 
 void kv_state::expire(time_point now)
 {
-    std::vector<std::uint64_t> over;
-    for (auto const& [id, each] : leases_)
+    std::vector<std::uint64_t> expired;
+    for (auto const& [id, lease] : leases_)
     {
-        if (each.until <= now)
+        if (lease.expires_at <= now)
         {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (auto const id : over)
+    for (auto const id : expired)
     {
         end_lease(id);
     }
@@ -85,7 +85,7 @@
 
 void kv_state::compact() noexcept
 {
-    compacted_ = revision_;
+    compacted_revision_ = revision_;
     history_.clear();
 }
 
@@ -109,9 +109,9 @@
 {
     items_.erase(key);
     std::erase_if(history_,
-                  [&key](kv_item const& each)
+                  [&key](kv_item const& event)
                   {
-                      return each.key == key;
+                      return event.key == key;
                   });
 }
 
@@ -136,99 +136,103 @@
 
 std::optional<time_point> kv_state::next_expiry() const
 {
-    std::optional<time_point> first;
-    for (auto const& [id, each] : leases_)
+    std::optional<time_point> earliest;
+    for (auto const& [id, lease] : leases_)
     {
-        first = first ? std::min(*first, each.until) : each.until;
+        earliest =
+            earliest ? std::min(*earliest, lease.expires_at) : lease.expires_at;
     }
-    return first;
+    return earliest;
 }
 
 kv_reply kv_state::range(ports::kv_range const& call) const
 {
-    auto made = reply_of(kv_status::done, revision_);
-    auto const& from = call.after.empty() ? call.prefix : call.after;
-    for (auto each = items_.lower_bound(from);
-         each != items_.end() && each->first.starts_with(call.prefix);
-         ++each)
+    auto reply = make_reply(kv_status::done, revision_);
+    auto const& start = call.after.empty() ? call.prefix : call.after;
+    for (auto it = items_.lower_bound(start);
+         it != items_.end() && it->first.starts_with(call.prefix);
+         ++it)
     {
-        if (each->first == call.after)
+        if (it->first == call.after)
         {
             continue;
         }
-        if (made.items.size() == page_items)
+        if (reply.items.size() == page_items)
         {
-            made.more = true;
+            reply.more = true;
             break;
         }
-        made.items.push_back(each->second);
+        reply.items.push_back(it->second);
     }
-    return made;
+    return reply;
 }
 
 kv_reply kv_state::read(ports::kv_read const& call) const
 {
-    auto const& from = call.allow_stale && old_items_ ? *old_items_ : items_;
-    auto const found = from.find(call.key);
-    if (found == from.end())
+    auto const& source =
+        call.allow_stale && stale_items_ ? *stale_items_ : items_;
+    auto const found = source.find(call.key);
+    if (found == source.end())
     {
-        return reply_of(kv_status::missing, revision_);
+        return make_reply(kv_status::missing, revision_);
     }
-    auto made = reply_of(kv_status::done, revision_);
-    made.items.push_back(found->second);
-    return made;
+    auto reply = make_reply(kv_status::done, revision_);
+    reply.items.push_back(found->second);
+    return reply;
 }
 
 void kv_state::freeze_stale_reads()
 {
-    old_items_ = items_;
+    stale_items_ = items_;
 }
 
 std::optional<kv_reply> kv_state::watch(ports::kv_watch const& call) const
 {
-    if (call.after < compacted_)
+    if (call.after < compacted_revision_)
     {
-        return reply_of(kv_status::compacted, revision_);
+        return make_reply(kv_status::compacted, revision_);
     }
-    auto made = reply_of(kv_status::done, revision_);
+    auto reply = make_reply(kv_status::done, revision_);
     for (auto const& event : history_)
     {
         if (event.revision > call.after && event.key.starts_with(call.prefix))
         {
-            made.items.push_back(event);
+            reply.items.push_back(event);
         }
     }
-    return made.items.empty() ? std::nullopt : std::optional(made);
+    return reply.items.empty() ? std::nullopt : std::optional(reply);
 }
 
 kv_reply kv_state::commit(ports::kv_commit const& call)
 {
-    bool holds = true;
-    auto refused = reply_of(kv_status::conflict, revision_);
-    for (auto const& each : call.preconditions)
+    bool preconditions_met = true;
+    auto conflict_reply = make_reply(kv_status::conflict, revision_);
+    for (auto const& precondition : call.preconditions)
     {
-        auto const found = find(each.key);
-        holds = holds && (found ? found->revision : 0) == each.revision;
+        auto const found = find(precondition.key);
+        preconditions_met =
+            preconditions_met &&
+            (found ? found->revision : 0) == precondition.revision;
         if (found)
         {
-            refused.items.push_back(*found);
+            conflict_reply.items.push_back(*found);
         }
     }
-    if (!holds)
+    if (!preconditions_met)
     {
-        return refused;
+        return conflict_reply;
     }
-    for (auto const& each : call.puts)
+    for (auto const& put : call.puts)
     {
-        if (each.lease != 0 && !leases_.contains(each.lease))
+        if (put.lease != 0 && !leases_.contains(put.lease))
         {
-            return reply_of(kv_status::missing, revision_);
+            return make_reply(kv_status::missing, revision_);
         }
     }
     ++revision_;
-    for (auto const& each : call.puts)
+    for (auto const& put : call.puts)
     {
-        store(each);
+        store(put);
     }
     for (auto const& key : call.erases)
     {
@@ -237,7 +241,7 @@
             history_.push_back({key, "", revision_, 0, 0, true});
         }
     }
-    return reply_of(kv_status::done, revision_);
+    return make_reply(kv_status::done, revision_);
 }
 
 void kv_state::store(ports::kv_put const& put)
@@ -264,15 +268,15 @@
 void kv_state::end_lease(std::uint64_t id)
 {
     leases_.erase(id);
-    std::vector<std::string> gone;
+    std::vector<std::string> keys;
     for (auto const& [key, item] : items_)
     {
         if (item.lease == id)
         {
-            gone.push_back(key);
+            keys.push_back(key);
         }
     }
-    for (auto const& key : gone)
+    for (auto const& key : keys)
     {
         remove(key);
     }
--- a/standins/pool/kv_state.hpp
+++ b/standins/pool/kv_state.hpp
@@ -11,41 +11,45 @@
 namespace fuchsia::standins::pool
 {
 
-/// A revisioned key-value store in memory: transactions, leases, watches, and
-/// a history that can be forgotten. No sockets and no clock of its own.
+/// In-memory key-value store with revisions, transactions, leases, watches and
+/// a history that can be compacted. It has no sockets and no clock of its own.
 class kv_state
 {
 public:
-    /// Empty for a watch that has nothing to say yet; ask again after a change
-    /// or when its wait is over.
+    /// Executes an operation. Empty for a watch without matching events; the
+    /// caller repeats it after a change or answers it when its wait is over.
     std::optional<ports::kv_reply> answer(core::common::time_point now,
                                           ports::kv_operation const& operation);
-    /// Removes the keys of leases that ran out.
+    /// Ends the leases that have expired and removes their keys.
     void expire(core::common::time_point now);
-    /// A watch from before this moment is told that its history is gone.
+    /// Drops the history: a watch from an earlier revision is answered with
+    /// `compacted`.
     void compact() noexcept;
-    /// From now on reads that may be old are answered as of now.
+    /// Answers all later reads that allow stale data from a snapshot of the
+    /// present state.
     void freeze_stale_reads();
-    /// Takes a key away, whatever its lease says.
+    /// Removes a key even if its lease is still valid.
     void expire_key(std::string const& key);
-    /// Writes as the operator or a worker would.
+    /// Writes a key without a lease or precondition, as the operator or a
+    /// worker does.
     void put(std::string const& key, std::string value);
     void erase(std::string const& key);
-    /// Loses a key and the memory of it, as no store may.
+    /// Removes a key and its history without a new revision. A correct store
+    /// never does this; it simulates lost data.
     void lose_key(std::string const& key);
     /// Ends all leases at once.
     void expire_all_leases();
 
     std::uint64_t revision() const noexcept;
     std::optional<ports::kv_item> find(std::string const& key) const;
-    /// When the next lease runs out; empty where there is none.
+    /// Time at which the next lease expires; empty if there are no leases.
     std::optional<core::common::time_point> next_expiry() const;
 
 private:
     struct lease
     {
         core::common::duration ttl{};
-        core::common::time_point until{};
+        core::common::time_point expires_at{};
     };
 
     ports::kv_reply range(ports::kv_range const& call) const;
@@ -57,10 +61,10 @@
     void end_lease(std::uint64_t id);
 
     std::uint64_t revision_ = 1;
-    std::uint64_t compacted_ = 0;
-    std::uint64_t next_lease_ = 100;
+    std::uint64_t compacted_revision_ = 0;
+    std::uint64_t last_lease_id_ = 100;
     std::map<std::string, ports::kv_item> items_;
-    std::optional<std::map<std::string, ports::kv_item>> old_items_;
+    std::optional<std::map<std::string, ports::kv_item>> stale_items_;
     std::map<std::uint64_t, lease> leases_;
     std::deque<ports::kv_item> history_;
 };
--- a/standins/pool/pool_codec.cpp
+++ b/standins/pool/pool_codec.cpp
@@ -18,17 +18,17 @@
 using adapters::platform::from_base64;
 using adapters::platform::to_base64;
 
-std::uint64_t number(json::object const& from, char const* key)
+std::uint64_t unsigned_field(json::object const& object, char const* key)
 {
-    auto const* const found = from.if_contains(key);
+    auto const* const found = object.if_contains(key);
     return found != nullptr && found->is_int64()
                ? static_cast<std::uint64_t>(found->as_int64())
                : 0;
 }
 
-std::string text(json::object const& from, char const* key)
+std::string text_field(json::object const& object, char const* key)
 {
-    auto const* const found = from.if_contains(key);
+    auto const* const found = object.if_contains(key);
     return found != nullptr && found->is_string()
                ? std::string(found->as_string())
                : std::string();
@@ -43,48 +43,50 @@
 
 json::object to_object(ports::kv_item const& item)
 {
-    json::object made{{"key", item.key}, {"revision", item.revision}};
+    json::object object{{"key", item.key}, {"revision", item.revision}};
     if (item.erased)
     {
-        made["deleted"] = true;
-        return made;
+        object["deleted"] = true;
+        return object;
     }
-    made["value"] = to_base64(item.value);
-    made["created"] = item.create_revision;
-    made["leaseId"] = item.lease;
-    return made;
+    object["value"] = to_base64(item.value);
+    object["created"] = item.create_revision;
+    object["leaseId"] = item.lease;
+    return object;
 }
 
 json::array to_array(std::vector<ports::kv_item> const& items)
 {
-    json::array made;
-    for (auto const& each : items)
+    json::array array;
+    for (auto const& item : items)
     {
-        made.push_back(to_object(each));
+        array.push_back(to_object(item));
     }
-    return made;
+    return array;
 }
 
 ports::kv_commit decode_commit(json::object const& body)
 {
-    ports::kv_commit made;
-    for (auto const& each : body.at("expectedRev").as_array())
+    ports::kv_commit commit;
+    for (auto const& precondition : body.at("expectedRev").as_array())
     {
-        made.preconditions.push_back({text(each.as_object(), "key"),
-                                      number(each.as_object(), "revision")});
+        commit.preconditions.push_back(
+            {text_field(precondition.as_object(), "key"),
+             unsigned_field(precondition.as_object(), "revision")});
     }
-    for (auto const& each : body.at("puts").as_array())
+    for (auto const& element : body.at("puts").as_array())
     {
-        auto const& put = each.as_object();
-        made.puts.push_back({text(put, "key"),
-                             from_base64(text(put, "value")).value_or(""),
-                             number(put, "leaseId")});
+        auto const& put = element.as_object();
+        commit.puts.push_back(
+            {text_field(put, "key"),
+             from_base64(text_field(put, "value")).value_or(""),
+             unsigned_field(put, "leaseId")});
     }
-    for (auto const& each : body.at("remove").as_array())
+    for (auto const& key : body.at("remove").as_array())
     {
-        made.erases.emplace_back(each.as_string());
+        commit.erases.emplace_back(key.as_string());
     }
-    return made;
+    return commit;
 }
 
 std::uint16_t status_of(ports::kv_status status)
@@ -141,7 +143,7 @@
     if (target->path == "/v1/kv-lease")
     {
         return ports::kv_lease_grant{
-            std::chrono::milliseconds(number(*body, "ttlMs"))};
+            std::chrono::milliseconds(unsigned_field(*body, "ttlMs"))};
     }
     if (auto const lease = target->after("/v1/kv-keep/"))
     {
@@ -154,21 +156,21 @@
     return std::nullopt;
 }
 
-adapters::http::response encode(ports::kv_operation const& call,
+adapters::http::response encode(ports::kv_operation const& operation,
                                 ports::kv_reply const& reply)
 {
     json::object body{{"atRevision", reply.revision}};
-    bool const one = std::holds_alternative<ports::kv_read>(call);
-    if (one && !reply.items.empty())
+    bool const single_key = std::holds_alternative<ports::kv_read>(operation);
+    if (single_key && !reply.items.empty())
     {
         body = to_object(reply.items.front());
         body["atRevision"] = reply.revision;
     }
-    else if (std::holds_alternative<ports::kv_watch>(call))
+    else if (std::holds_alternative<ports::kv_watch>(operation))
     {
         body["events"] = to_array(reply.items);
     }
-    else if (std::holds_alternative<ports::kv_commit>(call))
+    else if (std::holds_alternative<ports::kv_commit>(operation))
     {
         body = {{"revision", reply.revision}, {"items", to_array(reply.items)}};
     }
@@ -190,39 +192,41 @@
     {
         return std::nullopt;
     }
-    auto const fence = number(*body, "fenceToken");
+    auto const fence = unsigned_field(*body, "fenceToken");
     if (request.target == "/v1/hold")
     {
         return ports::poll_order{
             fence,
-            number(*body, "lastSeen"),
-            number(*body, "untilMs"),
-            std::chrono::milliseconds(number(*body, "waitMs"))};
+            unsigned_field(*body, "lastSeen"),
+            unsigned_field(*body, "untilMs"),
+            std::chrono::milliseconds(unsigned_field(*body, "waitMs"))};
     }
-    auto const name = platform::decode_task_name(text(*body, "task"));
+    auto const name = platform::decode_task_name(text_field(*body, "task"));
     if (!name)
     {
         return std::nullopt;
     }
-    ports::pool_attempt const what{
-        *name, static_cast<std::uint32_t>(number(*body, "attempt"))};
+    ports::pool_attempt const attempt_id{
+        *name, static_cast<std::uint32_t>(unsigned_field(*body, "attempt"))};
     if (request.target == "/v1/run-start")
     {
         return ports::start_order{fence,
-                                  what,
-                                  text(*body, "taskSpec"),
-                                  number(*body, "untilMs"),
-                                  text(*body, "checkpoint"),
-                                  text(*body, "ticket")};
+                                  attempt_id,
+                                  text_field(*body, "taskSpec"),
+                                  unsigned_field(*body, "untilMs"),
+                                  text_field(*body, "checkpoint"),
+                                  text_field(*body, "ticket")};
     }
     if (request.target == "/v1/run-stop")
     {
-        return ports::stop_order{fence, what};
+        return ports::stop_order{fence, attempt_id};
     }
     if (request.target == "/v1/pace")
     {
         return ports::speed_limit_order{
-            fence, what, static_cast<std::uint32_t>(number(*body, "percent"))};
+            fence,
+            attempt_id,
+            static_cast<std::uint32_t>(unsigned_field(*body, "percent"))};
     }
     return std::nullopt;
 }
@@ -243,22 +247,22 @@
     constexpr std::array<char const*, 6> kinds{
         "done", "failed", "stopped", "lapsed", "broken", "alone"};
     json::array running;
-    for (auto const& row : reply.running)
+    for (auto const& attempt : reply.running)
     {
-        running.push_back(json::array{platform::encode(row.attempt_id.task),
-                                      row.attempt_id.attempt,
-                                      row.checkpoint,
-                                      row.progress_percent,
-                                      row.measurement});
+        running.push_back(json::array{platform::encode(attempt.attempt_id.task),
+                                      attempt.attempt_id.attempt,
+                                      attempt.checkpoint,
+                                      attempt.progress_percent,
+                                      attempt.measurement});
     }
     json::array ended;
-    for (auto const& row : reply.ended)
+    for (auto const& end : reply.ended)
     {
-        ended.push_back(json::array{row.sequence,
-                                    platform::encode(row.attempt_id.task),
-                                    row.attempt_id.attempt,
-                                    kinds[static_cast<std::size_t>(row.kind)],
-                                    row.checkpoint});
+        ended.push_back(json::array{end.sequence,
+                                    platform::encode(end.attempt_id.task),
+                                    end.attempt_id.attempt,
+                                    kinds[static_cast<std::size_t>(end.kind)],
+                                    end.checkpoint});
     }
     body["running"] = std::move(running);
     body["ended"] = std::move(ended);
@@ -267,7 +271,7 @@
 
 std::string encode(ports::pool_worker const& worker)
 {
-    json::object const made{
+    json::object const entry{
         {"service", worker.service},
         {"address", adapters::http::to_string(worker.remote_endpoint)},
         {"zone", worker.data_centre},
@@ -282,20 +286,20 @@
                       {"gpu", worker.capacity.accelerators}}},
         {"labels", json::array{"a", worker.rack}},
         {"born", worker.incarnation}};
-    return json::serialize(made);
+    return json::serialize(entry);
 }
 
 std::string encode_config(std::uint64_t version,
                           std::vector<queue_entry> const& queues)
 {
     json::array routes;
-    for (auto const& each : queues)
+    for (auto const& queue : queues)
     {
-        routes.push_back(json::object{{"name", each.name},
-                                      {"host", each.host},
-                                      {"prefix", each.prefix},
+        routes.push_back(json::object{{"name", queue.name},
+                                      {"host", queue.host},
+                                      {"prefix", queue.prefix},
                                       {"service", "pool"},
-                                      {"priority", each.priority},
+                                      {"priority", queue.priority},
                                       {"attempts", 3},
                                       {"stretch", 1.5},
                                       {"targetDurationMs", 1000}});
--- a/standins/pool/pool_codec.hpp
+++ b/standins/pool/pool_codec.hpp
@@ -8,20 +8,21 @@
 #include <string>
 #include <vector>
 
-// The platform's formats from its own side: requests in, answers out.
+// The platform's side of its wire formats: decodes requests and encodes
+// answers.
 namespace fuchsia::standins::pool
 {
 
 std::optional<ports::kv_operation>
 decode_store_call(adapters::http::request const& request);
-adapters::http::response encode(ports::kv_operation const& call,
+adapters::http::response encode(ports::kv_operation const& operation,
                                 ports::kv_reply const& reply);
 
 std::optional<ports::pool_operation>
 decode_order(adapters::http::request const& request);
 adapters::http::response encode(ports::order_reply const& reply);
 
-/// A worker's entry in the store's list.
+/// Encodes a worker's entry in the store's list.
 std::string encode(ports::pool_worker const& worker);
 /// One queue of the operators' configuration.
 struct queue_entry
@@ -32,7 +33,7 @@
     std::uint32_t priority = 0;
 };
 
-/// The operators' configuration.
+/// Encodes the operators' configuration.
 std::string encode_config(std::uint64_t version,
                           std::vector<queue_entry> const& queues);
 
--- a/standins/pool/pool_server.cpp
+++ b/standins/pool/pool_server.cpp
@@ -15,13 +15,14 @@
 
 using core::common::clock;
 constexpr core::common::duration tick_interval = std::chrono::milliseconds(20);
-// So that incarnations differ between two runs of the stand-in.
-constexpr std::uint64_t first_born = 1'700'000'000'000;
-constexpr std::uint64_t life_step = 1000;
-// An entry outlives its worker by a few of its heartbeats.
-constexpr core::common::duration listed_after_death =
+// Base of the incarnation numbers, so that they differ between two runs of the
+// stand-in.
+constexpr std::uint64_t first_incarnation = 1'700'000'000'000;
+constexpr std::uint64_t incarnation_step = 1000;
+// A crashed worker's entry stays in the list for a few heartbeat intervals.
+constexpr core::common::duration list_entry_retention =
     std::chrono::milliseconds(900);
-constexpr std::uint64_t again_ms = 1000;
+constexpr std::uint64_t rerun_lease_ms = 1000;
 
 } // namespace
 
@@ -32,39 +33,40 @@
 {
     store_.put("op/config",
                encode_config(1, {{"jobs", settings_.host, settings_.prefix}}));
-    for (std::size_t number = 0; number < workers_.size(); ++number)
+    for (std::size_t index = 0; index < workers_.size(); ++index)
     {
-        be_born(number, "w" + std::to_string(number));
+        start_incarnation(index, "w" + std::to_string(index));
     }
 }
 
-void pool_server::be_born(std::size_t number, std::string const& id)
+void pool_server::start_incarnation(std::size_t index, std::string const& id)
 {
-    auto& made = workers_[number];
-    auto const first = settings_.advertised_worker_port != 0
-                           ? settings_.advertised_worker_port
-                           : settings_.first_worker_port;
+    auto& worker = workers_[index];
+    auto const first_port = settings_.advertised_worker_port != 0
+                                ? settings_.advertised_worker_port
+                                : settings_.first_worker_port;
     ports::pool_worker entry;
     entry.id = id;
     entry.service = "pool";
     entry.remote_endpoint = {settings_.store.address,
-                             static_cast<std::uint16_t>(first + number)};
-    entry.data_centre = number % 2 == 0 ? "a" : "b";
+                             static_cast<std::uint16_t>(first_port + index)};
+    entry.data_centre = index % 2 == 0 ? "a" : "b";
     entry.rack = "r" + entry.data_centre;
     entry.capacity = settings_.capacity;
-    entry.incarnation = first_born + number + made.incarnations * life_step;
-    made.state = std::make_unique<worker_state>(entry, clock::now(), 1.0);
-    made.listed_until.reset();
-    ++made.incarnations;
-    made.state->observe(
-        [this, number](worker_event const& event)
+    entry.incarnation =
+        first_incarnation + index + worker.incarnations * incarnation_step;
+    worker.state = std::make_unique<worker_state>(entry, clock::now(), 1.0);
+    worker.listed_until.reset();
+    ++worker.incarnations;
+    worker.state->observe(
+        [this, index](worker_event const& event)
         {
             if (observer_)
             {
-                observer_(info(number), event);
+                observer_(info(index), event);
             }
         });
-    publish(number);
+    publish(index);
 }
 
 std::optional<ports::endpoint>
@@ -75,12 +77,12 @@
         adapters::http::server_limits{},
         [this](auto request, auto respond)
         {
-            on_store(request, respond);
+            handle_store_request(request, respond);
         });
     auto bound = store_server_->listen(settings_.store, reason);
-    for (std::size_t number = 0; bound && number < workers_.size(); ++number)
+    for (std::size_t index = 0; bound && index < workers_.size(); ++index)
     {
-        if (!serve(number, reason))
+        if (!serve(index, reason))
         {
             return std::nullopt;
         }
@@ -89,17 +91,17 @@
     return bound;
 }
 
-bool pool_server::serve(std::size_t number, core::common::failure& reason)
+bool pool_server::serve(std::size_t index, core::common::failure& reason)
 {
-    auto& server = workers_[number].server;
+    auto& server = workers_[index].server;
     server = std::make_unique<adapters::http::server>(
         io_,
         adapters::http::server_limits{},
-        [this, number](auto request, auto respond)
+        [this, index](auto request, auto respond)
         {
-            on_worker(number, request, respond);
+            handle_worker_request(index, request, respond);
         });
-    auto const port = settings_.first_worker_port + number;
+    auto const port = settings_.first_worker_port + index;
     return server
         ->listen({settings_.store.address, static_cast<std::uint16_t>(port)},
                  reason)
@@ -110,20 +112,20 @@
 {
     ticker_.cancel();
     store_server_->close();
-    for (auto& each : workers_)
+    for (auto& worker : workers_)
     {
-        each.server->close();
+        worker.server->close();
     }
 }
 
-void pool_server::observe(observer tell)
+void pool_server::observe(observer callback)
 {
-    observer_ = std::move(tell);
+    observer_ = std::move(callback);
 }
 
-void pool_server::plant_defect(planted_defect what)
+void pool_server::plant_defect(planted_defect defect)
 {
-    planted_ = what;
+    planted_defect_ = defect;
 }
 
 kv_state& pool_server::store() noexcept
@@ -133,7 +135,7 @@
 
 fault_gate& pool_server::store_fault_gate() noexcept
 {
-    return before_store_;
+    return store_gate_;
 }
 
 void pool_server::stall_watches()
@@ -153,26 +155,27 @@
 
 fault_gate& pool_server::worker_fault_gate(std::size_t worker)
 {
-    return workers_[worker].before;
+    return workers_[worker].gate;
 }
 
 void pool_server::crash(std::size_t worker)
 {
-    auto& dead = workers_[worker];
-    dead.server->close();
-    dead.before.clear();
-    dead.before.set(fault_gate_mode::open);
-    dead.state =
+    auto& crashed = workers_[worker];
+    crashed.server->close();
+    crashed.gate.clear();
+    crashed.gate.set(fault_gate_mode::open);
+    crashed.state =
         std::make_unique<worker_state>(info(worker), clock::now(), 1.0);
-    dead.listed_until = clock::now() + listed_after_death;
+    crashed.listed_until = clock::now() + list_entry_retention;
 }
 
 void pool_server::restart(std::size_t worker, bool same_id)
 {
     store_.erase("servers/" + info(worker).id);
     auto const id = "w" + std::to_string(worker);
-    auto const lives = std::to_string(workers_[worker].incarnations);
-    be_born(worker, same_id ? info(worker).id : id + "-" + lives);
+    auto const incarnation = std::to_string(workers_[worker].incarnations);
+    start_incarnation(worker,
+                      same_id ? info(worker).id : id + "-" + incarnation);
     core::common::failure reason;
     serve(worker, reason);
 }
@@ -183,59 +186,60 @@
     publish(worker);
 }
 
-void pool_server::on_store(adapters::http::request const& request,
-                           adapters::http::responder const& respond)
+void pool_server::handle_store_request(adapters::http::request const& request,
+                                       adapters::http::responder const& respond)
 {
     if (request.target == "/control/counts")
     {
-        respond(counts());
+        respond(counters_answer());
         return;
     }
-    auto const call = decode_store_call(request);
-    if (!call)
+    auto const operation = decode_store_call(request);
+    if (!operation)
     {
-        respond(error_response(400, "no such call"));
+        respond(error_response(400, "unknown store operation"));
         return;
     }
-    before_store_.handle(
+    store_gate_.handle(
         clock::now(),
-        [this, call = *call](auto const& answer)
+        [this, operation = *operation](auto const& gated_respond)
         {
-            carry_out(call, answer);
+            execute(operation, gated_respond);
         },
         respond);
 }
 
-void pool_server::carry_out(ports::kv_operation const& call,
-                            adapters::http::responder const& respond)
+void pool_server::execute(ports::kv_operation const& operation,
+                          adapters::http::responder const& respond)
 {
-    if (auto const* const watch = std::get_if<ports::kv_watch>(&call))
+    if (auto const* const watch = std::get_if<ports::kv_watch>(&operation))
     {
         answer_watch(*watch, respond);
         return;
     }
-    auto const reply = store_.answer(clock::now(), call);
-    respond(encode(call, *reply));
-    forget_planted(call);
+    auto const reply = store_.answer(clock::now(), operation);
+    respond(encode(operation, *reply));
+    apply_planted_loss(operation);
     wake_watches();
 }
 
-void pool_server::forget_planted(ports::kv_operation const& call)
+void pool_server::apply_planted_loss(ports::kv_operation const& operation)
 {
     constexpr std::string_view job_prefix = "pool/job/";
     constexpr std::string_view cancel_suffix = "/cancel";
     constexpr std::uint64_t lost_every = 5;
-    auto const* const commit = std::get_if<ports::kv_commit>(&call);
+    auto const* const commit = std::get_if<ports::kv_commit>(&operation);
     if (commit == nullptr || commit->puts.size() != 1 ||
         !commit->puts.front().key.starts_with(job_prefix))
     {
         return;
     }
     auto const& key = commit->puts.front().key;
-    bool const cancel = key.ends_with(cancel_suffix);
-    bool const lost = planted_ == planted_defect::lost_job && !cancel &&
-                      ++commits_of_jobs_ % lost_every == 0;
-    if (lost || (planted_ == planted_defect::lost_cancel && cancel))
+    bool const is_cancel = key.ends_with(cancel_suffix);
+    bool const lost_job_due = planted_defect_ == planted_defect::lost_job &&
+                              !is_cancel && ++job_commits_ % lost_every == 0;
+    if (lost_job_due ||
+        (planted_defect_ == planted_defect::lost_cancel && is_cancel))
     {
         store_.lose_key(key);
     }
@@ -256,12 +260,12 @@
 void pool_server::wake_watches()
 {
     auto const now = clock::now();
-    for (auto each = watches_.begin(); each != watches_.end();)
+    for (auto watch = watches_.begin(); watch != watches_.end();)
     {
-        auto reply = store_.answer(now, each->call);
-        if (!reply && now < each->until)
+        auto reply = store_.answer(now, watch->call);
+        if (!reply && now < watch->expires_at)
         {
-            ++each;
+            ++watch;
             continue;
         }
         if (!reply)
@@ -270,131 +274,136 @@
             reply->status = ports::kv_status::done;
             reply->revision = store_.revision();
         }
-        each->respond(encode(each->call, *reply));
-        each = watches_.erase(each);
+        watch->respond(encode(watch->call, *reply));
+        watch = watches_.erase(watch);
     }
 }
 
-void pool_server::on_worker(std::size_t number,
-                            adapters::http::request const& request,
-                            adapters::http::responder const& respond)
+void pool_server::handle_worker_request(
+    std::size_t index,
+    adapters::http::request const& request,
+    adapters::http::responder const& respond)
 {
     auto const order = decode_order(request);
     if (!order)
     {
-        respond(error_response(400, "no such order"));
+        respond(error_response(400, "unknown worker order"));
         return;
     }
-    if (auto const meant = request.header("Fuchsialanding-Target-Instance");
-        meant && *meant != info(number).id)
+    if (auto const target_id = request.header("Fuchsialanding-Target-Instance");
+        target_id && *target_id != info(index).id)
     {
-        respond(error_response(421, "another instance lives here"));
+        respond(error_response(421, "another instance serves this address"));
         return;
     }
-    workers_[number].before.handle(
+    workers_[index].gate.handle(
         clock::now(),
-        [this, number, order = *order](auto const& answer)
+        [this, index, order = *order](auto const& gated_respond)
         {
-            carry_out(number, order, answer);
+            execute(index, order, gated_respond);
         },
         respond);
 }
 
-// All workers first come to this moment: no run seems to overlap another that
-// was over.
-void pool_server::carry_out(std::size_t number,
-                            ports::pool_operation const& order,
-                            adapters::http::responder const& respond)
+// Advances all workers to `now` first, so that a run that has already ended on
+// another worker is not counted as an overlapping one.
+void pool_server::execute(std::size_t index,
+                          ports::pool_operation const& order,
+                          adapters::http::responder const& respond)
 {
     auto const now = clock::now();
     advance(now);
-    auto& by = *workers_[number].state;
-    auto const before = by.started_runs().size();
-    auto const ends = by.acknowledged_ends().size();
-    auto const reply = by.apply(now, order);
-    check(before, by);
+    auto& worker = *workers_[index].state;
+    auto const starts_before = worker.started_runs().size();
+    auto const ends_before = worker.acknowledged_ends().size();
+    auto const reply = worker.apply(now, order);
+    count_violations(starts_before, worker);
     respond(encode(reply));
-    bool const news = by.started_runs().size() > before ||
-                      by.acknowledged_ends().size() > ends;
-    if (news && planted_ != planted_defect::none)
+    bool const changed = worker.started_runs().size() > starts_before ||
+                         worker.acknowledged_ends().size() > ends_before;
+    if (changed && planted_defect_ != planted_defect::none)
     {
-        violate_on_worker(number, order);
+        violate_on_worker(index, order);
     }
 }
 
-void pool_server::violate_on_worker(std::size_t number,
+void pool_server::violate_on_worker(std::size_t index,
                                     ports::pool_operation const& order)
 {
     auto const now = clock::now();
-    auto& by = *workers_[number].state;
-    auto const* const begun = std::get_if<ports::start_order>(&order);
-    if (begun != nullptr && planted_ == planted_defect::duplicate_placement)
+    auto& worker = *workers_[index].state;
+    auto const* const start = std::get_if<ports::start_order>(&order);
+    if (start != nullptr &&
+        planted_defect_ == planted_defect::duplicate_placement)
     {
-        workers_[(number + 1) % workers_.size()].state->apply(now, order);
+        workers_[(index + 1) % workers_.size()].state->apply(now, order);
     }
-    if (begun != nullptr && planted_ == planted_defect::early_dependent_step)
+    if (start != nullptr &&
+        planted_defect_ == planted_defect::early_dependent_step)
     {
-        auto next = *begun;
-        ++next.attempt_id.task.step;
-        by.apply(now, next);
+        auto next_step = *start;
+        ++next_step.attempt_id.task.step;
+        worker.apply(now, next_step);
     }
-    if (begun == nullptr && planted_ == planted_defect::rerun_after_end)
+    if (start == nullptr && planted_defect_ == planted_defect::rerun_after_end)
     {
-        ports::start_order again;
-        again.fencing_token = std::get<ports::poll_order>(order).fencing_token;
-        again.attempt_id = by.acknowledged_ends().back().attempt_id;
-        ++again.attempt_id.attempt;
-        again.spec = "work=200";
-        again.lease_until_ms = by.apply(now, order).clock_ms + again_ms;
-        by.apply(now, again);
+        ports::start_order rerun;
+        rerun.fencing_token = std::get<ports::poll_order>(order).fencing_token;
+        rerun.attempt_id = worker.acknowledged_ends().back().attempt_id;
+        ++rerun.attempt_id.attempt;
+        rerun.spec = "work=200";
+        rerun.lease_until_ms =
+            worker.apply(now, order).clock_ms + rerun_lease_ms;
+        worker.apply(now, rerun);
     }
 }
 
-// What the users would see: a task at work in two places, or again after its
-// end was taken note of.
-void pool_server::check(std::size_t begun_before, worker_state const& by)
+// Counts the violations that users would see: a task that runs on two workers
+// at once, or that starts again after its end as done was acknowledged.
+void pool_server::count_violations(std::size_t starts_before,
+                                   worker_state const& started_on)
 {
-    if (by.started_runs().size() == begun_before)
+    if (started_on.started_runs().size() == starts_before)
     {
         return;
     }
     ++starts_;
-    auto const& task = by.started_runs().back().task;
-    std::size_t places = 0;
-    for (auto const& each : workers_)
+    auto const& task = started_on.started_runs().back().task;
+    std::size_t running_workers = 0;
+    for (auto const& worker : workers_)
     {
-        places += each.state->runs(task) ? 1U : 0U;
-        auto const& ends = each.state->acknowledged_ends();
-        after_done_ += static_cast<std::uint64_t>(
+        running_workers += worker.state->runs(task) ? 1U : 0U;
+        auto const& ends = worker.state->acknowledged_ends();
+        starts_after_done_ += static_cast<std::uint64_t>(
             std::count_if(ends.begin(),
                           ends.end(),
-                          [&task](ports::ended_attempt const& row)
+                          [&task](ports::ended_attempt const& end)
                           {
-                              return row.attempt_id.task == task &&
-                                     row.kind == ports::end_kind::done;
+                              return end.attempt_id.task == task &&
+                                     end.kind == ports::end_kind::done;
                           }));
     }
-    two_places_ += places > 1 ? 1U : 0U;
+    concurrent_runs_ += running_workers > 1 ? 1U : 0U;
 }
 
-adapters::http::response pool_server::counts() const
+adapters::http::response pool_server::counters_answer() const
 {
     return counters_response({{"starts", starts_},
-                              {"two_places", two_places_},
-                              {"after_done", after_done_}});
+                              {"two_places", concurrent_runs_},
+                              {"after_done", starts_after_done_}});
 }
 
-void pool_server::publish(std::size_t number)
+void pool_server::publish(std::size_t index)
 {
-    auto const& entry = info(number);
+    auto const& entry = info(index);
     store_.put("servers/" + entry.id, encode(entry));
 }
 
 void pool_server::advance(core::common::time_point now)
 {
-    for (auto& each : workers_)
+    for (auto& worker : workers_)
     {
-        each.state->advance(now);
+        worker.state->advance(now);
     }
 }
 
@@ -402,16 +411,16 @@
 {
     auto const now = clock::now();
     advance(now);
-    for (auto& each : workers_)
+    for (auto& worker : workers_)
     {
-        each.before.process_due(now);
-        if (each.listed_until && *each.listed_until <= now)
+        worker.gate.process_due(now);
+        if (worker.listed_until && *worker.listed_until <= now)
         {
-            store_.erase("servers/" + each.state->info().id);
-            each.listed_until.reset();
+            store_.erase("servers/" + worker.state->info().id);
+            worker.listed_until.reset();
         }
     }
-    before_store_.process_due(now);
+    store_gate_.process_due(now);
     store_.expire(now);
     wake_watches();
     ticker_.expires_after(tick_interval);
--- a/standins/pool/pool_server.hpp
+++ b/standins/pool/pool_server.hpp
@@ -20,9 +20,11 @@
 struct pool_server_settings
 {
     ports::endpoint store;
-    /// Workers listen at the store's address, on the ports from here on.
+    /// Port of the first worker; the others follow it. All workers listen at
+    /// the store's address.
     std::uint16_t first_worker_port = 0;
-    /// Where the list says that they listen, such as behind relays; 0: there.
+    /// First worker port in the published list, for workers behind relays; 0 is
+    /// `first_worker_port`.
     std::uint16_t advertised_worker_port = 0;
     std::uint32_t workers = 4;
     ports::resources capacity{8000, 8000, 0};
@@ -31,20 +33,22 @@
     std::string prefix = "/jobs/";
 };
 
-/// Lies that a check has to find out.
+/// Defects of the stand-in that a check has to detect.
 enum class planted_defect : std::uint8_t
 {
     none,
-    duplicate_placement,  ///< A worker also runs what another was told to run.
-    lost_job,             ///< The store loses some accepted jobs.
-    lost_cancel,          ///< The store loses accepted cancels.
-    rerun_after_end,      ///< A worker runs again what ended as done.
-    early_dependent_step, ///< A worker starts the second step with the first.
+    duplicate_placement, ///< A second worker also starts each task.
+    lost_job,            ///< The store loses every fifth accepted job.
+    lost_cancel,         ///< The store loses accepted cancellations.
+    rerun_after_end,     ///< A worker reruns a task whose end was acknowledged.
+    early_dependent_step, ///< A worker starts the next step of a job together
+                          ///< with each step.
 };
 
-/// The users' platform in one process: its store and some workers, over HTTP in
-/// its formats. GET /control/counts on the store's address tells what the
-/// workers saw: starts, and the promises that were broken.
+/// Stand-in for the users' platform in one process: the store and some workers,
+/// over HTTP in the platform's formats. GET /control/counts on the store's
+/// address returns the number of starts and of violated guarantees that the
+/// workers have counted.
 class pool_server
 {
 public:
@@ -54,20 +58,22 @@
 
     using observer =
         std::function<void(ports::pool_worker const&, worker_event const&)>;
-    void observe(observer tell);
-    void plant_defect(planted_defect what);
-    /// For the operator's words and for faults of the store itself.
+    void observe(observer callback);
+    void plant_defect(planted_defect defect);
+    /// Store, for writes of the operator's records and for faults of the store.
     kv_state& store() noexcept;
     fault_gate& store_fault_gate() noexcept;
-    /// Watches that wait now never hear anything.
+    /// Drops the watches that wait now: they are never answered.
     void stall_watches();
 
     std::size_t workers() const noexcept;
     ports::pool_worker const& info(std::size_t worker) const;
     fault_gate& worker_fault_gate(std::size_t worker);
-    /// All that runs there is gone; its entry stays in the list for a while.
+    /// Ends the worker with all its tasks. Its entry stays in the list for a
+    /// while.
     void crash(std::size_t worker);
-    /// A new incarnation at the same address, under a new id or the same.
+    /// Starts a new incarnation at the same address, under the same id or a new
+    /// one.
     void restart(std::size_t worker, bool same_id);
     void drain(std::size_t worker);
 
@@ -76,57 +82,58 @@
     {
         std::unique_ptr<worker_state> state;
         std::unique_ptr<adapters::http::server> server;
-        fault_gate before;
+        fault_gate gate;
         std::uint32_t incarnations = 0;
-        /// When the entry of a dead one leaves the list.
+        /// Time at which the entry of a crashed worker leaves the list.
         std::optional<core::common::time_point> listed_until;
     };
 
-    struct waiting
+    struct pending_watch
     {
         ports::kv_watch call;
-        core::common::time_point until{};
+        core::common::time_point expires_at{};
         adapters::http::responder respond;
     };
 
-    void on_store(adapters::http::request const& request,
-                  adapters::http::responder const& respond);
+    void handle_store_request(adapters::http::request const& request,
+                              adapters::http::responder const& respond);
     void answer_watch(ports::kv_watch const& call,
                       adapters::http::responder const& respond);
     void wake_watches();
-    void carry_out(ports::kv_operation const& call,
-                   adapters::http::responder const& respond);
-    void forget_planted(ports::kv_operation const& call);
-    bool serve(std::size_t number, core::common::failure& reason);
-    void on_worker(std::size_t number,
-                   adapters::http::request const& request,
-                   adapters::http::responder const& respond);
-    void carry_out(std::size_t number,
-                   ports::pool_operation const& order,
-                   adapters::http::responder const& respond);
-    void violate_on_worker(std::size_t number,
+    void execute(ports::kv_operation const& operation,
+                 adapters::http::responder const& respond);
+    void apply_planted_loss(ports::kv_operation const& operation);
+    bool serve(std::size_t index, core::common::failure& reason);
+    void handle_worker_request(std::size_t index,
+                               adapters::http::request const& request,
+                               adapters::http::responder const& respond);
+    void execute(std::size_t index,
+                 ports::pool_operation const& order,
+                 adapters::http::responder const& respond);
+    void violate_on_worker(std::size_t index,
                            ports::pool_operation const& order);
-    void be_born(std::size_t number, std::string const& id);
-    void check(std::size_t begun_before, worker_state const& by);
-    adapters::http::response counts() const;
-    void publish(std::size_t number);
+    void start_incarnation(std::size_t index, std::string const& id);
+    void count_violations(std::size_t starts_before,
+                          worker_state const& started_on);
+    adapters::http::response counters_answer() const;
+    void publish(std::size_t index);
     void advance(core::common::time_point now);
     void tick();
 
     boost::asio::io_context& io_;
     pool_server_settings settings_;
     kv_state store_;
-    fault_gate before_store_;
+    fault_gate store_gate_;
     std::unique_ptr<adapters::http::server> store_server_;
     std::vector<simulated_worker> workers_;
-    std::list<waiting> watches_;
+    std::list<pending_watch> watches_;
     observer observer_;
-    planted_defect planted_ = planted_defect::none;
-    std::uint64_t commits_of_jobs_ = 0;
+    planted_defect planted_defect_ = planted_defect::none;
+    std::uint64_t job_commits_ = 0;
     adapters::runtime::timer ticker_;
     std::uint64_t starts_ = 0;
-    std::uint64_t two_places_ = 0;
-    std::uint64_t after_done_ = 0;
+    std::uint64_t concurrent_runs_ = 0;
+    std::uint64_t starts_after_done_ = 0;
 };
 
 } // namespace fuchsia::standins::pool
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -16,47 +16,47 @@
 namespace
 {
 
-// Clocks of workers start anywhere but at 0, which stands for "not told".
+// Worker clocks do not start at 0, because 0 stands for "unknown".
 constexpr std::uint64_t clock_start_ms = 1000;
 
-std::uint64_t fence_of(ports::pool_operation const& order)
+std::uint64_t fencing_token_of(ports::pool_operation const& order)
 {
     return std::visit(
-        [](auto const& each)
+        [](auto const& typed_order)
         {
-            return each.fencing_token;
+            return typed_order.fencing_token;
         },
         order);
 }
 
-// The number behind `name` in a script; `fallback` where it is not there.
+// Returns the number after `name` in a script, or `fallback` if it is absent.
 std::uint64_t
 number_in(std::string_view spec, std::string_view name, std::uint64_t fallback)
 {
-    auto const at = spec.find(name);
-    if (at == std::string_view::npos)
+    auto const position = spec.find(name);
+    if (position == std::string_view::npos)
     {
         return fallback;
     }
-    auto const number = spec.substr(at + name.size());
-    std::uint64_t made = fallback;
-    std::from_chars(number.data(), number.data() + number.size(), made);
-    return made;
+    auto const number = spec.substr(position + name.size());
+    std::uint64_t value = fallback;
+    std::from_chars(number.data(), number.data() + number.size(), value);
+    return value;
 }
 
 } // namespace
 
 task_script parse_task_script(std::string_view spec)
 {
-    task_script made;
-    made.fails = spec.find("fail") != std::string_view::npos;
-    made.fails_once = spec.find("fail_first") != std::string_view::npos;
-    made.runs_until_stopped = spec.find("lasts") != std::string_view::npos;
-    made.work_ms = number_in(spec, "work=", made.work_ms);
-    made.tail_latency_ms = number_in(spec, "tail=", 0);
-    made.neighbour_latency_ms = number_in(spec, "strain=", 0);
-    made.millicores = number_in(spec, "cores=", 0);
-    return made;
+    task_script script;
+    script.fails = spec.find("fail") != std::string_view::npos;
+    script.fails_once = spec.find("fail_first") != std::string_view::npos;
+    script.runs_until_stopped = spec.find("lasts") != std::string_view::npos;
+    script.work_ms = number_in(spec, "work=", script.work_ms);
+    script.tail_latency_ms = number_in(spec, "tail=", 0);
+    script.neighbour_latency_ms = number_in(spec, "strain=", 0);
+    script.millicores = number_in(spec, "cores=", 0);
+    return script;
 }
 
 worker_state::worker_state(ports::pool_worker info,
@@ -66,18 +66,18 @@
 {
 }
 
-void worker_state::observe(std::function<void(worker_event const&)> tell)
+void worker_state::observe(std::function<void(worker_event const&)> callback)
 {
-    observer_ = std::move(tell);
+    observer_ = std::move(callback);
 }
 
-void worker_state::tell(worker_event_kind when,
-                        ports::pool_attempt const& what,
-                        end_kind how) const
+void worker_state::notify(worker_event_kind kind,
+                          ports::pool_attempt const& attempt,
+                          end_kind end_result) const
 {
     if (observer_)
     {
-        observer_({when, what, how, fence_});
+        observer_({kind, attempt, end_result, fencing_token_});
     }
 }
 
@@ -91,57 +91,60 @@
                                 ports::pool_operation const& order)
 {
     advance(now);
-    order_reply made;
-    made.clock_ms = clock_ms(now);
-    made.incarnation = info_.incarnation;
-    if (fence_of(order) < fence_)
+    order_reply reply;
+    reply.clock_ms = clock_ms(now);
+    reply.incarnation = info_.incarnation;
+    if (fencing_token_of(order) < fencing_token_)
     {
-        made.status = order_status::stale_fencing_token;
-        return made;
+        reply.status = order_status::stale_fencing_token;
+        return reply;
     }
-    fence_ = fence_of(order);
-    made.status = order_status::done;
-    if (auto const* const hold = std::get_if<ports::poll_order>(&order))
+    fencing_token_ = fencing_token_of(order);
+    reply.status = order_status::done;
+    if (auto const* const poll = std::get_if<ports::poll_order>(&order))
     {
-        extend(hold->lease_until_ms);
-        list(now, *hold, made);
+        extend(poll->lease_until_ms);
+        report(now, *poll, reply);
     }
-    else if (auto const* const begin = std::get_if<ports::start_order>(&order))
+    else if (auto const* const start_call =
+                 std::get_if<ports::start_order>(&order))
     {
-        made.status = start(now, *begin);
+        reply.status = start(now, *start_call);
     }
-    else if (auto const* const halt = std::get_if<ports::stop_order>(&order))
+    else if (auto const* const stop_call =
+                 std::get_if<ports::stop_order>(&order))
     {
-        stop(*halt);
+        stop(*stop_call);
     }
-    return made;
+    return reply;
 }
 
 void worker_state::advance(time_point now)
 {
-    std::vector<std::pair<ports::task_name, end_kind>> over;
-    bool const lapsed = clock_ms(now) >= lease_ms_;
-    for (auto const& [task, each] : running_)
+    std::vector<std::pair<ports::task_name, end_kind>> ends;
+    bool const lease_expired = clock_ms(now) >= lease_until_ms_;
+    for (auto const& [task, run] : running_)
     {
-        bool const done =
-            !each.script.runs_until_stopped &&
-            now - each.began >= std::chrono::milliseconds(each.script.work_ms);
+        bool const done = !run.script.runs_until_stopped &&
+                          now - run.started_at >=
+                              std::chrono::milliseconds(run.script.work_ms);
         if (done)
         {
-            bool const fails = each.script.fails &&
-                               (!each.script.fails_once || each.attempt == 1);
-            over.emplace_back(task, fails ? end_kind::failed : end_kind::done);
+            bool const fails = run.script.fails &&
+                               (!run.script.fails_once || run.attempt == 1);
+            ends.emplace_back(task, fails ? end_kind::failed : end_kind::done);
         }
-        else if (lapsed)
+        else if (lease_expired)
         {
-            over.emplace_back(task, end_kind::lease_expired);
+            ends.emplace_back(task, end_kind::lease_expired);
         }
     }
-    for (auto const& [task, how] : over)
+    for (auto const& [task, end_result] : ends)
     {
-        end(task, how);
+        end(task, end_result);
     }
-    outlived_end_ = lapsed ? last_end_ : outlived_end_;
+    last_end_before_expiry_ =
+        lease_expired ? last_end_sequence_ : last_end_before_expiry_;
 }
 
 order_status worker_state::start(time_point now,
@@ -154,11 +157,11 @@
     {
         return order_status::done;
     }
-    auto const settled = settled_.find(task);
-    bool const old = present != running_.end() ||
-                     (settled != settled_.end() &&
-                      settled->second >= order.attempt_id.attempt);
-    if (old)
+    auto const highest_ended = highest_ended_attempt_.find(task);
+    bool const superseded = present != running_.end() ||
+                            (highest_ended != highest_ended_attempt_.end() &&
+                             highest_ended->second >= order.attempt_id.attempt);
+    if (superseded)
     {
         return order_status::superseded;
     }
@@ -169,16 +172,16 @@
     extend(order.lease_until_ms);
     running_[task] = {
         order.attempt_id.attempt, now, parse_task_script(order.spec)};
-    begun_.push_back(order.attempt_id);
-    tell(worker_event_kind::started, order.attempt_id);
+    started_runs_.push_back(order.attempt_id);
+    notify(worker_event_kind::started, order.attempt_id);
     return order_status::done;
 }
 
 void worker_state::stop(ports::stop_order const& order)
 {
     auto const& task = order.attempt_id.task;
-    auto& settled = settled_[task];
-    settled = std::max(settled, order.attempt_id.attempt);
+    auto& highest_ended = highest_ended_attempt_[task];
+    highest_ended = std::max(highest_ended, order.attempt_id.attempt);
     auto const present = running_.find(task);
     if (present != running_.end() &&
         present->second.attempt <= order.attempt_id.attempt)
@@ -187,75 +190,80 @@
     }
 }
 
-std::uint32_t worker_state::percent_of(run const& of, time_point now)
+std::uint32_t worker_state::percent_of(run const& target, time_point now)
 {
-    if (of.script.runs_until_stopped)
+    if (target.script.runs_until_stopped)
     {
         return 100;
     }
-    auto const worked =
-        static_cast<std::uint64_t>(to_milliseconds(now - of.began));
+    auto const worked_ms =
+        static_cast<std::uint64_t>(to_milliseconds(now - target.started_at));
     return static_cast<std::uint32_t>(
-        100 * worked / std::max<std::uint64_t>(of.script.work_ms, 1));
+        100 * worked_ms / std::max<std::uint64_t>(target.script.work_ms, 1));
 }
 
-void worker_state::list(time_point now,
-                        ports::poll_order const& order,
-                        order_reply& out)
+void worker_state::report(time_point now,
+                          ports::poll_order const& order,
+                          order_reply& reply)
 {
-    auto const known = [&order](ports::ended_attempt const& row)
+    auto const acknowledged = [&order](ports::ended_attempt const& end)
     {
-        return row.sequence <= order.acknowledged_end;
+        return end.sequence <= order.acknowledged_end;
     };
-    for (auto const& row : ended_)
+    for (auto const& end : unacknowledged_ends_)
     {
-        if (known(row))
+        if (acknowledged(end))
         {
-            acknowledged_.push_back(row);
-            if (row.sequence > outlived_end_)
+            acknowledged_ends_.push_back(end);
+            if (end.sequence > last_end_before_expiry_)
             {
-                tell(worker_event_kind::acknowledged, row.attempt_id, row.kind);
+                notify(
+                    worker_event_kind::acknowledged, end.attempt_id, end.kind);
             }
         }
     }
-    std::erase_if(ended_, known);
-    for (auto const& [task, each] : running_)
+    std::erase_if(unacknowledged_ends_, acknowledged);
+    for (auto const& [task, run] : running_)
     {
-        out.running.push_back(
-            {{task, each.attempt}, "", percent_of(each, now), level_of(each)});
+        reply.running.push_back({{task, run.attempt},
+                                 "",
+                                 percent_of(run, now),
+                                 measurement_of(run)});
     }
-    out.ended = ended_;
+    reply.ended = unacknowledged_ends_;
 }
 
-// The tail of a task that serves, the cores in use of any other.
-std::int64_t worker_state::level_of(run const& of) const
+// Returns the tail latency of a serving task in milliseconds, or the CPU use of
+// any other task in thousandths of a core.
+std::int64_t worker_state::measurement_of(run const& target) const
 {
-    if (of.script.tail_latency_ms == 0)
+    if (target.script.tail_latency_ms == 0)
     {
-        return static_cast<std::int64_t>(of.script.millicores);
+        return static_cast<std::int64_t>(target.script.millicores);
     }
-    auto tail = of.script.tail_latency_ms;
-    for (auto const& [task, each] : running_)
+    auto tail_latency_ms = target.script.tail_latency_ms;
+    for (auto const& [task, run] : running_)
     {
-        tail += each.script.neighbour_latency_ms;
+        tail_latency_ms += run.script.neighbour_latency_ms;
     }
-    return static_cast<std::int64_t>(tail);
+    return static_cast<std::int64_t>(tail_latency_ms);
 }
 
-void worker_state::end(ports::task_name const& task, end_kind how)
+void worker_state::end(ports::task_name const& task, end_kind end_result)
 {
     auto const found = running_.find(task);
     auto const attempt = found->second.attempt;
     running_.erase(found);
-    auto& settled = settled_[task];
-    settled = std::max(settled, attempt);
-    ended_.push_back({++last_end_, {task, attempt}, how, ""});
-    tell(worker_event_kind::ended, {task, attempt}, how);
+    auto& highest_ended = highest_ended_attempt_[task];
+    highest_ended = std::max(highest_ended, attempt);
+    unacknowledged_ends_.push_back(
+        {++last_end_sequence_, {task, attempt}, end_result, ""});
+    notify(worker_event_kind::ended, {task, attempt}, end_result);
 }
 
 void worker_state::extend(std::uint64_t until_ms) noexcept
 {
-    lease_ms_ = std::max(lease_ms_, until_ms);
+    lease_until_ms_ = std::max(lease_until_ms_, until_ms);
 }
 
 ports::pool_worker const& worker_state::info() const noexcept
@@ -276,13 +284,13 @@
 std::vector<ports::ended_attempt> const&
 worker_state::acknowledged_ends() const noexcept
 {
-    return acknowledged_;
+    return acknowledged_ends_;
 }
 
 std::vector<ports::pool_attempt> const&
 worker_state::started_runs() const noexcept
 {
-    return begun_;
+    return started_runs_;
 }
 
 void worker_state::drain() noexcept
--- a/standins/pool/worker_state.hpp
+++ b/standins/pool/worker_state.hpp
@@ -11,19 +11,24 @@
 namespace fuchsia::standins::pool
 {
 
-/// What a task does, as its job's spec says: "work=500" (milliseconds),
-/// "fail" (after its work), "fail_first" (the same, only its first attempt),
-/// "lasts" (until it is stopped), "tail=20" (it
-/// serves, and that is its tail alone, in milliseconds), "strain=30" (what it
-/// adds to the tails of tasks that serve beside it), "cores=1000" (thousandths
-/// that it uses), divided by spaces.
+/// Behaviour of a task, read from its job's spec. The words are separated by
+/// spaces:
+/// "work=500" is the duration of the work in milliseconds;
+/// "fail" makes the task fail after its work;
+/// "fail_first" does so in its first attempt only;
+/// "lasts" makes the task run until it is stopped;
+/// "tail=20" makes it a serving task with this tail latency in milliseconds
+/// when it runs alone;
+/// "strain=30" is what it adds to the tail latency of serving tasks on the same
+/// worker, in milliseconds;
+/// "cores=1000" is its CPU use in thousandths of a core.
 struct task_script
 {
     std::uint64_t work_ms = 100;
     bool fails = false;
-    bool fails_once = false; ///< Attempts after the first don't.
+    bool fails_once = false; ///< Only the first attempt fails.
     bool runs_until_stopped = false;
-    std::uint64_t tail_latency_ms = 0; ///< 0: it serves nobody.
+    std::uint64_t tail_latency_ms = 0; ///< 0: not a serving task.
     std::uint64_t neighbour_latency_ms = 0;
     std::uint64_t millicores = 0;
 };
@@ -34,12 +39,12 @@
 {
     started,
     ended,
-    /// The owner said that it has written this end down; not told of an end
-    /// that the worker's lease did not outlast until then.
+    /// The owner acknowledged that it has stored this end. Not reported if the
+    /// worker's lease expired between the end and the acknowledgement.
     acknowledged,
 };
 
-/// What an onlooker at a worker sees; `how` is of an end.
+/// Event on a worker; `end_result` is valid for ends only.
 struct worker_event
 {
     worker_event_kind kind = worker_event_kind::started;
@@ -48,9 +53,10 @@
     std::uint64_t fence = 0;
 };
 
-/// One incarnation of a worker in memory: a fence, one lease for all that runs,
-/// ends that are listed until they are acknowledged. Its clock starts at
-/// `clock_start` and runs at `speed` of true time.
+/// One incarnation of a worker in memory: the highest fencing token, one lease
+/// for all running tasks, and the ends that are reported until they are
+/// acknowledged. Its clock starts at `clock_start_ms` and runs at `speed` times
+/// true time.
 class worker_state
 {
 public:
@@ -58,19 +64,20 @@
                  core::common::time_point born,
                  double speed);
 
-    /// Called at every event from now on, from within `apply` and `advance`.
-    void observe(std::function<void(worker_event const&)> tell);
+    /// Sets the function that `apply` and `advance` call at each event.
+    void observe(std::function<void(worker_event const&)> callback);
     ports::order_reply apply(core::common::time_point now,
                              ports::pool_operation const& order);
-    /// Ends what is done by now, and everything once the lease is over.
+    /// Ends the tasks whose work is done by `now`, and all tasks once the lease
+    /// has expired.
     void advance(core::common::time_point now);
 
     ports::pool_worker const& info() const noexcept;
     bool runs(ports::task_name const& task) const;
     std::size_t running() const noexcept;
-    /// Ends that were acknowledged, in order.
+    /// Acknowledged ends, in order of acknowledgement.
     std::vector<ports::ended_attempt> const& acknowledged_ends() const noexcept;
-    /// Runs that were begun, in order.
+    /// Started attempts, in order of their start.
     std::vector<ports::pool_attempt> const& started_runs() const noexcept;
     void drain() noexcept;
 
@@ -78,7 +85,7 @@
     struct run
     {
         std::uint32_t attempt = 0;
-        core::common::time_point began{};
+        core::common::time_point started_at{};
         task_script script;
     };
 
@@ -86,33 +93,35 @@
     ports::order_status start(core::common::time_point now,
                               ports::start_order const& order);
     void stop(ports::stop_order const& order);
-    static std::uint32_t percent_of(run const& of,
+    static std::uint32_t percent_of(run const& target,
                                     core::common::time_point now);
-    std::int64_t level_of(run const& of) const;
-    void list(core::common::time_point now,
-              ports::poll_order const& order,
-              ports::order_reply& out);
-    void end(ports::task_name const& task, ports::end_kind how);
+    std::int64_t measurement_of(run const& target) const;
+    void report(core::common::time_point now,
+                ports::poll_order const& order,
+                ports::order_reply& reply);
+    void end(ports::task_name const& task, ports::end_kind end_result);
     void extend(std::uint64_t until_ms) noexcept;
 
-    void tell(worker_event_kind when,
-              ports::pool_attempt const& what,
-              ports::end_kind how = ports::end_kind::done) const;
+    void notify(worker_event_kind kind,
+                ports::pool_attempt const& attempt,
+                ports::end_kind end_result = ports::end_kind::done) const;
 
     ports::pool_worker info_;
     std::function<void(worker_event const&)> observer_;
     core::common::time_point born_;
     double speed_;
-    std::uint64_t fence_ = 0;
-    std::uint64_t lease_ms_ = 0;
-    std::uint64_t last_end_ = 0;
-    std::uint64_t outlived_end_ = 0; ///< The lease lapsed after it.
+    std::uint64_t fencing_token_ = 0;
+    std::uint64_t lease_until_ms_ = 0;
+    std::uint64_t last_end_sequence_ = 0;
+    /// Sequence number of the last end before the lease was last found expired.
+    std::uint64_t last_end_before_expiry_ = 0;
     std::map<ports::task_name, run> running_;
-    std::map<ports::task_name, std::uint32_t>
-        settled_; ///< No lower run starts.
-    std::vector<ports::ended_attempt> ended_;
-    std::vector<ports::ended_attempt> acknowledged_;
-    std::vector<ports::pool_attempt> begun_;
+    /// Highest ended or stopped attempt of each task; attempts up to this
+    /// number are not started.
+    std::map<ports::task_name, std::uint32_t> highest_ended_attempt_;
+    std::vector<ports::ended_attempt> unacknowledged_ends_;
+    std::vector<ports::ended_attempt> acknowledged_ends_;
+    std::vector<ports::pool_attempt> started_runs_;
 };
 
 } // namespace fuchsia::standins::pool
