--- a/standins/workers/interference.cpp
+++ b/standins/workers/interference.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// A number from 0 to 1 that is the same for the same text and seed.
+// Returns a pseudo-random number from 0 to 1, determined by text and seed.
 double fraction_of(std::string_view text, std::uint64_t seed)
 {
     constexpr std::uint64_t steps = 1'000'003;
@@ -20,7 +20,8 @@
 }
 
 constexpr std::uint64_t size_seed_shift = 7'919;
-constexpr std::uint64_t wave_share = 3; // One period in so many is noisy.
+constexpr std::uint64_t noisy_period_every =
+    3; // Every third period, on average.
 
 } // namespace
 
@@ -28,13 +29,13 @@
 {
 }
 
-double interference::disturbance(std::string_view on,
-                                 std::string_view by,
+double interference::disturbance(std::string_view task_class,
+                                 std::string_view neighbour_class,
                                  double share) const
 {
-    std::string pair(on);
-    pair.append(">").append(by);
-    // Cubed: most pairs get on well, and a few disturb each other badly.
+    std::string pair(task_class);
+    pair.append(">").append(neighbour_class);
+    // The cube makes most pairs disturb each other little and a few strongly.
     double const weight = fraction_of(pair, settings_.seed);
     return settings_.strength * weight * weight * weight * share;
 }
@@ -45,18 +46,19 @@
 {
     double const noise = settings_.noise + extra_noise;
     auto const period = now.time_since_epoch() / settings_.wave_period;
-    std::string place(worker);
-    place.append("@").append(std::to_string(period));
-    bool const noisy =
-        core::common::hash_of(place, settings_.seed) % wave_share == 0;
+    std::string worker_period(worker);
+    worker_period.append("@").append(std::to_string(period));
+    bool const noisy = core::common::hash_of(worker_period, settings_.seed) %
+                           noisy_period_every ==
+                       0;
     return noisy ? 1.0 + noise : 1.0;
 }
 
 double interference::size_factor(std::string_view task_class) const
 {
-    double const place =
+    double const position =
         fraction_of(task_class, settings_.seed + size_seed_shift);
-    return std::pow(settings_.size_error, 2.0 * place - 1.0);
+    return std::pow(settings_.size_error, 2.0 * position - 1.0);
 }
 
 } // namespace fuchsia::standins::workers
--- a/standins/workers/interference.hpp
+++ b/standins/workers/interference.hpp
@@ -5,22 +5,23 @@
 #include <cstdint>
 #include <string_view>
 
-// How tasks that share a worker disturb each other, and how wrong declared
-// sizes are; all fixed by a seed, so that runs can be compared.
+// Simulated interference between tasks that share a worker, and the error of
+// declared sizes. Both are determined by a seed, so that runs can be compared.
 namespace fuchsia::standins::workers
 {
 
 struct interference_settings
 {
     std::uint64_t seed = 1;
-    /// Slowdown by a neighbour of the worst class that fills the worker: 2 is
-    /// three times as long.
+    /// Slowdown that a neighbour of the most disturbing class adds if it uses
+    /// the whole worker: with 2, a task takes three times as long.
     double strength = 2.0;
-    /// Noisy waves: every disturbance is (1 + noise) times as strong while a
-    /// wave passes the worker.
+    /// Strength of noisy periods: in a worker's noisy period every disturbance
+    /// is (1 + noise) times as strong.
     double noise = 0.0;
+    /// Length of a period. Each period is noisy on one worker in three.
     core::common::duration wave_period = std::chrono::seconds(20);
-    /// True sizes are up to this factor above or below the declared ones.
+    /// Maximum factor by which true sizes are above or below declared ones.
     double size_error = 4.0;
 };
 
@@ -29,15 +30,17 @@
 public:
     explicit interference(interference_settings settings);
 
-    /// How much a neighbour of class `by` that uses `share` of the worker
-    /// (0 to 1) adds to the slowdown of class `on`.
-    double
-    disturbance(std::string_view on, std::string_view by, double share) const;
-    /// Factor of all disturbance on a worker at a time: above 1 in a wave.
+    /// Slowdown that a neighbour of class `neighbour_class`, which uses `share`
+    /// of the worker (0 to 1), adds to a task of class `task_class`.
+    double disturbance(std::string_view task_class,
+                       std::string_view neighbour_class,
+                       double share) const;
+    /// Factor of all disturbances on a worker at `now`: above 1 in a noisy
+    /// period, otherwise 1.
     double noise_factor(std::string_view worker,
                         core::common::time_point now,
                         double extra_noise) const;
-    /// True size of a class by its declared size.
+    /// Ratio of the true size of a class to its declared size.
     double size_factor(std::string_view task_class) const;
 
 private:
--- a/standins/workers/worker_calls.cpp
+++ b/standins/workers/worker_calls.cpp
@@ -15,9 +15,9 @@
 using core::common::result_code;
 namespace json = boost::json;
 
-constexpr std::int64_t largest = std::numeric_limits<std::int64_t>::max();
-constexpr std::int64_t largest_attempt = 1'000'000'000;
-constexpr std::int64_t whole_permille = 1'000;
+constexpr std::int64_t max_integer = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t max_attempt = 1'000'000'000;
+constexpr std::int64_t max_permille = 1'000;
 constexpr std::size_t max_renewed = 4'096;
 
 std::string_view name_of(ports::attempt_state state) noexcept
@@ -27,41 +27,42 @@
     return names[static_cast<std::size_t>(state)];
 }
 
-std::uint64_t natural(json_reader& reader, std::string_view key)
+std::uint64_t read_unsigned(json_reader& reader, std::string_view key)
 {
-    return static_cast<std::uint64_t>(reader.integer(key, 0, largest));
+    return static_cast<std::uint64_t>(reader.integer(key, 0, max_integer));
 }
 
 ports::task_attempt read_attempt(json_reader& reader)
 {
-    ports::task_attempt what;
-    what.task = reader.text("task");
-    what.attempt = static_cast<std::uint32_t>(
-        reader.integer("attempt", 1, largest_attempt));
-    return what;
+    ports::task_attempt attempt;
+    attempt.task = reader.text("task");
+    attempt.attempt =
+        static_cast<std::uint32_t>(reader.integer("attempt", 1, max_attempt));
+    return attempt;
 }
 
 ports::worker_start read_start(json_reader& reader)
 {
     ports::worker_start start;
     start.attempt_id = read_attempt(reader);
-    start.declared.millicores = reader.integer("millicores", 0, largest);
-    start.declared.memory_mb = reader.integer("memory_mb", 0, largest);
-    start.declared.accelerators = reader.integer("accelerators", 0, largest);
+    start.declared.millicores = reader.integer("millicores", 0, max_integer);
+    start.declared.memory_mb = reader.integer("memory_mb", 0, max_integer);
+    start.declared.accelerators =
+        reader.integer("accelerators", 0, max_integer);
     start.task_class = reader.text("class");
     start.service = reader.flag_or("service", false);
-    start.work_ms =
-        static_cast<std::uint64_t>(reader.integer_or("work_ms", 0, 0, largest));
+    start.work_ms = static_cast<std::uint64_t>(
+        reader.integer_or("work_ms", 0, 0, max_integer));
     start.checkpoint = reader.text_or("checkpoint", "");
-    start.start_before_ms = natural(reader, "start_before_ms");
-    start.lease_until_ms = natural(reader, "lease_until_ms");
+    start.start_before_ms = read_unsigned(reader, "start_before_ms");
+    start.lease_until_ms = read_unsigned(reader, "lease_until_ms");
     return start;
 }
 
 ports::worker_renew read_renew(json_reader& reader)
 {
     ports::worker_renew renew;
-    renew.lease_until_ms = natural(reader, "lease_until_ms");
+    renew.lease_until_ms = read_unsigned(reader, "lease_until_ms");
     auto const* attempts = reader.array("attempts");
     if (attempts == nullptr || attempts->size() > max_renewed)
     {
@@ -70,19 +71,21 @@
                     "an array of at most 4096 attempts is expected");
         return renew;
     }
-    for (auto const& each : *attempts)
+    for (auto const& element : *attempts)
     {
-        if (!each.is_object())
+        if (!element.is_object())
         {
             reader.fail(
                 result_code::wrong_type, "attempts", "an object is expected");
             return renew;
         }
-        json_reader one(each.as_object(), "attempt");
-        renew.attempts.push_back(read_attempt(one));
-        if (!one.ok())
+        json_reader element_reader(element.as_object(), "attempt");
+        renew.attempts.push_back(read_attempt(element_reader));
+        if (!element_reader.ok())
         {
-            reader.fail(one.reason().code, "attempts", one.reason().why);
+            reader.fail(element_reader.reason().code,
+                        "attempts",
+                        element_reader.reason().why);
         }
     }
     return renew;
@@ -90,9 +93,9 @@
 
 ports::worker_throttle read_throttle(json_reader& reader)
 {
-    auto what = read_attempt(reader);
-    auto const permille = reader.integer("permille", 1, whole_permille);
-    return {std::move(what), static_cast<std::uint32_t>(permille)};
+    auto attempt_id = read_attempt(reader);
+    auto const permille = reader.integer("permille", 1, max_permille);
+    return {std::move(attempt_id), static_cast<std::uint32_t>(permille)};
 }
 
 std::optional<ports::worker_operation> read_call(std::string_view operation,
@@ -121,9 +124,9 @@
     return std::nullopt;
 }
 
-json::object attempt_json(ports::task_attempt const& what)
+json::object attempt_json(ports::task_attempt const& attempt)
 {
-    return {{"task", what.task}, {"attempt", what.attempt}};
+    return {{"task", attempt.task}, {"attempt", attempt.attempt}};
 }
 
 } // namespace
@@ -145,7 +148,7 @@
         reason = call ? reader.reason()
                       : core::common::failure{result_code::unknown_path,
                                               std::string(operation),
-                                              "no such call"};
+                                              "unknown worker call"};
         return std::nullopt;
     }
     return call;
@@ -166,16 +169,16 @@
 json::object to_json(ports::worker_report const& report)
 {
     json::array attempts;
-    for (auto const& each : report.attempts)
+    for (auto const& attempt : report.attempts)
     {
-        auto object = attempt_json(each.attempt_id);
-        object["state"] = name_of(each.state);
-        object["millicores"] = each.used.millicores;
-        object["memory_mb"] = each.used.memory_mb;
-        object["accelerators"] = each.used.accelerators;
-        object["latency_p99_us"] = each.latency_p99_us;
-        object["work_done_ms"] = each.work_done_ms;
-        object["why"] = each.reason;
+        auto object = attempt_json(attempt.attempt_id);
+        object["state"] = name_of(attempt.state);
+        object["millicores"] = attempt.used.millicores;
+        object["memory_mb"] = attempt.used.memory_mb;
+        object["accelerators"] = attempt.used.accelerators;
+        object["latency_p99_us"] = attempt.latency_p99_us;
+        object["work_done_ms"] = attempt.work_done_ms;
+        object["why"] = attempt.reason;
         attempts.push_back(std::move(object));
     }
     return {{"worker", report.worker},
@@ -195,12 +198,12 @@
     {
         object["checkpoint"] = result.checkpoint;
     }
-    json::array gone;
-    for (auto const& what : result.unknown_attempts)
+    json::array unknown_attempts;
+    for (auto const& attempt : result.unknown_attempts)
     {
-        gone.push_back(attempt_json(what));
+        unknown_attempts.push_back(attempt_json(attempt));
     }
-    object["gone"] = std::move(gone);
+    object["gone"] = std::move(unknown_attempts);
     return object;
 }
 
--- a/standins/workers/worker_calls.hpp
+++ b/standins/workers/worker_calls.hpp
@@ -8,11 +8,11 @@
 #include <optional>
 #include <string_view>
 
-// The workers' agent's messages as docs/API.md writes them.
+// Messages of the workers' agent in the formats that docs/API.md defines.
 namespace fuchsia::standins::workers
 {
 
-/// Reads the body of a call whose path ends in `operation`.
+/// Parses the body of a call whose path ends in `operation`.
 std::optional<ports::worker_operation>
 parse_call(std::string_view operation,
            std::string_view body,
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -13,8 +13,9 @@
 
 using ports::attempt_state;
 
-// Worker clocks start at different readings, so that a reading taken from one
-// worker is plainly wrong on another.
+// Maximum initial reading of a worker clock. Clocks start at different
+// readings, so that a reading taken from one worker is clearly wrong on
+// another.
 constexpr std::uint64_t max_clock_offset_ms = 3'600'000;
 
 std::string worker_name(std::uint32_t number)
@@ -38,25 +39,25 @@
     for (std::uint32_t number = 0; number < settings_.count; ++number)
     {
         worker_record worker;
-        worker.listed.id = worker_name(number);
+        worker.instance.id = worker_name(number);
         auto const rack = number / settings_.per_rack;
-        worker.listed.rack = rack_name(rack);
+        worker.instance.rack = rack_name(rack);
         auto const& names = settings_.data_centres;
-        worker.listed.data_centre =
+        worker.instance.data_centre =
             names.empty() ? "" : names[rack % names.size()];
-        worker.listed.capacity = settings_.capacity;
+        worker.instance.capacity = settings_.capacity;
         if (settings_.accelerator_every > 0 &&
             number % settings_.accelerator_every == 0)
         {
-            worker.listed.capacity.accelerators = settings_.accelerators;
+            worker.instance.capacity.accelerators = settings_.accelerators;
         }
-        auto const draw = core::common::hash_of(worker.listed.id,
+        auto const hash = core::common::hash_of(worker.instance.id,
                                                 settings_.interference.seed);
         worker.clock_offset_ms =
-            static_cast<std::int64_t>(draw % max_clock_offset_ms);
+            static_cast<std::int64_t>(hash % max_clock_offset_ms);
         worker.clock_drift_ppm =
-            static_cast<std::int64_t>(draw >> 32) % (2 * drift + 1) - drift;
-        worker.advanced = start;
+            static_cast<std::int64_t>(hash >> 32) % (2 * drift + 1) - drift;
+        worker.advanced_until = start;
         worker.next_report = start + settings_.report_interval * number /
                                          std::max(1U, settings_.count);
         worker.report_lag = settings_.report_lag;
@@ -73,9 +74,9 @@
 {
     auto const found = std::find_if(workers_.begin(),
                                     workers_.end(),
-                                    [id](auto const& each)
+                                    [id](auto const& candidate)
                                     {
-                                        return each.listed.id == id;
+                                        return candidate.instance.id == id;
                                     });
     if (found == workers_.end())
     {
@@ -86,15 +87,15 @@
 
 std::vector<ports::worker_instance> worker_pool::list() const
 {
-    std::vector<ports::worker_instance> listed;
+    std::vector<ports::worker_instance> instances;
     for (auto const& worker : workers_)
     {
         if (!worker.crashed)
         {
-            listed.push_back(worker.listed);
+            instances.push_back(worker.instance);
         }
     }
-    return listed;
+    return instances;
 }
 
 std::vector<ports::worker_report>
@@ -103,20 +104,20 @@
     std::vector<ports::worker_report> newest;
     for (auto const& worker : workers_)
     {
-        if (!rack.empty() && worker.listed.rack != rack)
+        if (!rack.empty() && worker.instance.rack != rack)
         {
             continue;
         }
-        auto const visible =
-            std::find_if(worker.reports.rbegin(),
-                         worker.reports.rend(),
-                         [&](auto const& each)
-                         {
-                             return each.made + worker.report_lag <= now;
-                         });
+        auto const visible = std::find_if(
+            worker.reports.rbegin(),
+            worker.reports.rend(),
+            [&](auto const& published)
+            {
+                return published.published_at + worker.report_lag <= now;
+            });
         if (visible != worker.reports.rend())
         {
-            newest.push_back(visible->what);
+            newest.push_back(visible->report);
         }
     }
     return newest;
@@ -125,11 +126,13 @@
 std::uint64_t worker_pool::clock_ms(std::size_t worker,
                                     core::common::time_point now) const
 {
-    constexpr std::int64_t millionths = 1'000'000;
-    auto const& at = workers_[worker];
-    auto const gone = (now - start_).count();
-    auto const own = gone + gone * at.clock_drift_ppm / millionths;
-    return static_cast<std::uint64_t>(at.clock_offset_ms + own / 1'000);
+    constexpr std::int64_t parts_per_million = 1'000'000;
+    auto const& w = workers_[worker];
+    auto const elapsed_us = (now - start_).count();
+    auto const worker_elapsed_us =
+        elapsed_us + elapsed_us * w.clock_drift_ppm / parts_per_million;
+    return static_cast<std::uint64_t>(w.clock_offset_ms +
+                                      worker_elapsed_us / 1'000);
 }
 
 call_result worker_pool::start(core::common::time_point now,
@@ -137,36 +140,37 @@
                                ports::worker_start const& call)
 {
     advance(worker, now);
-    auto& at = workers_[worker];
-    if (at.attempts.contains(call.attempt_id))
+    auto& w = workers_[worker];
+    if (w.attempts.contains(call.attempt_id))
     {
         return {};
     }
-    auto const refused = refusal_of(at, clock_ms(worker, now), call);
-    if (refused)
+    auto const refusal = refusal_of(w, clock_ms(worker, now), call);
+    if (refusal)
     {
-        ++books_.refused;
-        return {false, *refused, {}, {}};
+        ++counters_.refused;
+        return {false, *refusal, {}, {}};
     }
-    settle(now, call.attempt_id.task);
-    note_violations(now, at, call);
-    ++books_.starts;
-    ++books_.running;
+    advance_task(now, call.attempt_id.task);
+    note_violations(now, w, call);
+    ++counters_.starts;
+    ++counters_.running;
     running_[call.attempt_id.task].push_back({worker, call.attempt_id});
     attempt_record attempt;
     attempt.call = call;
     attempt.lease_until_ms = call.lease_until_ms;
     attempt.work_done_ms = resume_from(call);
-    auto const& broken = settings_.failing_classes;
-    bool const is_broken =
-        std::find(broken.begin(), broken.end(), call.task_class) !=
-        broken.end();
-    attempt.doomed = at.fail_starts || is_broken;
-    attempt.why = at.fail_starts ? "the worker fails every start"
-                  : is_broken    ? "the task's program fails"
-                                 : "";
-    at.attempts.emplace(call.attempt_id, std::move(attempt));
-    measure(at, now);
+    auto const& failing_classes = settings_.failing_classes;
+    bool const class_fails =
+        std::find(failing_classes.begin(),
+                  failing_classes.end(),
+                  call.task_class) != failing_classes.end();
+    attempt.fails_next = w.fail_starts || class_fails;
+    attempt.why = w.fail_starts ? "the worker fails every start"
+                  : class_fails ? "the task's program fails"
+                                : "";
+    w.attempts.emplace(call.attempt_id, std::move(attempt));
+    measure(w, now);
     return {};
 }
 
@@ -175,21 +179,21 @@
                         std::uint64_t clock,
                         ports::worker_start const& call) const
 {
-    if (worker.barred.contains(call.attempt_id))
+    if (worker.refused_starts.contains(call.attempt_id))
     {
-        return "the attempt was stopped before it came";
+        return "the attempt was stopped before its start arrived";
     }
     if (clock > call.start_before_ms)
     {
-        return "the start came too late";
+        return "the start arrived after start_before_ms";
     }
     if (clock >= call.lease_until_ms)
     {
-        return "the lease is over";
+        return "the lease has expired";
     }
     if (worker.attempts.size() >= settings_.attempts_per_worker)
     {
-        return "too many attempts are listed here";
+        return "the worker holds too many attempts";
     }
     if (!call.checkpoint.empty() && !checkpoints_.contains(call.checkpoint))
     {
@@ -202,33 +206,35 @@
                                   worker_record const& worker,
                                   ports::worker_start const& call)
 {
-    auto const elsewhere = running_.find(call.attempt_id.task);
-    if (elsewhere != running_.end() && !elsewhere->second.empty())
+    auto const locations = running_.find(call.attempt_id.task);
+    if (locations != running_.end() && !locations->second.empty())
     {
-        ++books_.concurrent_attempts;
+        ++counters_.concurrent_attempts;
     }
-    ports::resources wanted = call.declared;
-    for (auto const& [what, attempt] : worker.attempts)
+    ports::resources declared_sum = call.declared;
+    for (auto const& [attempt_id, attempt] : worker.attempts)
     {
         if (attempt.state == attempt_state::running)
         {
-            wanted += attempt.call.declared;
+            declared_sum += attempt.call.declared;
         }
     }
-    if (!worker.listed.capacity.covers(wanted))
+    if (!worker.instance.capacity.covers(declared_sum))
     {
-        ++books_.over_capacity;
+        ++counters_.over_capacity;
     }
-    auto const out = out_since_.find(worker.listed.data_centre);
-    if (out != out_since_.end() &&
-        now - out->second > settings_.late_start_grace)
+    auto const out_of_service =
+        out_of_service_since_.find(worker.instance.data_centre);
+    if (out_of_service != out_of_service_since_.end() &&
+        now - out_of_service->second > settings_.late_start_grace)
     {
-        ++books_.late_starts;
+        ++counters_.late_starts;
     }
 }
 
-// A resume is a second one where the first resumer still runs or did the work.
-// Resuming again what a failed or expired attempt had resumed is recovery.
+// Returns the work that the checkpoint holds. A repeated resume counts as a
+// violation only if the first resuming attempt still runs or has finished.
+// After a failed or expired attempt it is a normal recovery.
 double worker_pool::resume_from(ports::worker_start const& call)
 {
     auto const found = checkpoints_.find(call.checkpoint);
@@ -236,49 +242,52 @@
     {
         return 0;
     }
-    auto& kept = found->second;
-    ++books_.resumed;
-    bool const again = kept.resumed_by && *kept.resumed_by != call.attempt_id;
-    if (again && (kept.resumer_finished || is_running(*kept.resumed_by)))
+    auto& record = found->second;
+    ++counters_.resumed;
+    bool const repeated =
+        record.resumed_by && *record.resumed_by != call.attempt_id;
+    if (repeated && (record.resumer_finished || is_running(*record.resumed_by)))
     {
-        ++books_.resumed_twice;
+        ++counters_.resumed_twice;
     }
-    kept.resumed_by = call.attempt_id;
-    return kept.work_done_ms;
+    record.resumed_by = call.attempt_id;
+    return record.work_done_ms;
 }
 
-bool worker_pool::is_running(ports::task_attempt const& what) const
+bool worker_pool::is_running(ports::task_attempt const& attempt_id) const
 {
-    auto const places = running_.find(what.task);
-    return places != running_.end() && std::any_of(places->second.begin(),
-                                                   places->second.end(),
-                                                   [&](place const& each)
-                                                   {
-                                                       return each.what == what;
-                                                   });
+    auto const locations = running_.find(attempt_id.task);
+    return locations != running_.end() &&
+           std::any_of(locations->second.begin(),
+                       locations->second.end(),
+                       [&](task_location const& location)
+                       {
+                           return location.attempt_id == attempt_id;
+                       });
 }
 
-void worker_pool::settle(core::common::time_point now, std::string const& task)
+void worker_pool::advance_task(core::common::time_point now,
+                               std::string const& task)
 {
-    auto const places = running_.find(task);
-    if (places == running_.end())
+    auto const locations = running_.find(task);
+    if (locations == running_.end())
     {
         return;
     }
-    auto const copy = places->second;
-    for (auto const& each : copy)
+    auto const copy = locations->second;
+    for (auto const& location : copy)
     {
-        advance(each.worker, now);
+        advance(location.worker, now);
     }
 }
 
 worker_pool::attempt_record*
 worker_pool::running_attempt(core::common::time_point now,
                              std::size_t worker,
-                             ports::task_attempt const& what)
+                             ports::task_attempt const& attempt_id)
 {
     advance(worker, now);
-    auto const found = workers_[worker].attempts.find(what);
+    auto const found = workers_[worker].attempts.find(attempt_id);
     bool const runs = found != workers_[worker].attempts.end() &&
                       found->second.state == attempt_state::running;
     return runs ? &found->second : nullptr;
@@ -289,12 +298,12 @@
                                ports::worker_renew const& call)
 {
     call_result result;
-    for (auto const& what : call.attempts)
+    for (auto const& attempt_id : call.attempts)
     {
-        auto* attempt = running_attempt(now, worker, what);
+        auto* attempt = running_attempt(now, worker, attempt_id);
         if (attempt == nullptr)
         {
-            result.unknown_attempts.push_back(what);
+            result.unknown_attempts.push_back(attempt_id);
             continue;
         }
         attempt->lease_until_ms =
@@ -310,7 +319,7 @@
     auto* attempt = running_attempt(now, worker, call.attempt_id);
     if (attempt == nullptr)
     {
-        return {false, "it does not run here", {}, {}};
+        return {false, "the attempt is not running on this worker", {}, {}};
     }
     attempt->permille = call.permille;
     measure(workers_[worker], now);
@@ -324,7 +333,7 @@
     auto* attempt = running_attempt(now, worker, call.attempt_id);
     if (attempt == nullptr)
     {
-        return {false, "it does not run here", {}, {}};
+        return {false, "the attempt is not running on this worker", {}, {}};
     }
     auto id = "checkpoint-" + std::to_string(++checkpoint_number_);
     checkpoints_[id] = {
@@ -335,7 +344,7 @@
         checkpoints_.erase(checkpoint_order_.front());
         checkpoint_order_.pop_front();
     }
-    ++books_.checkpoints;
+    ++counters_.checkpoints;
     return {true, {}, std::move(id), {}};
 }
 
@@ -344,47 +353,48 @@
                               ports::worker_stop const& call)
 {
     auto* attempt = running_attempt(now, worker, call.attempt_id);
-    auto& at = workers_[worker];
+    auto& w = workers_[worker];
     if (attempt != nullptr)
     {
         end_attempt(*attempt, attempt_state::stopped, now, {});
-        measure(at, now);
+        measure(w, now);
     }
-    else if (!at.attempts.contains(call.attempt_id))
+    else if (!w.attempts.contains(call.attempt_id))
     {
-        bar(at, call.attempt_id);
+        refuse_start(w, call.attempt_id);
     }
     return {};
 }
 
-void worker_pool::bar(worker_record& worker, ports::task_attempt const& what)
+void worker_pool::refuse_start(worker_record& worker,
+                               ports::task_attempt const& attempt_id)
 {
-    if (!worker.barred.insert(what).second)
+    if (!worker.refused_starts.insert(attempt_id).second)
     {
         return;
     }
-    worker.barred_order.push_back(what);
-    if (worker.barred_order.size() > settings_.attempts_per_worker)
+    worker.refused_order.push_back(attempt_id);
+    if (worker.refused_order.size() > settings_.attempts_per_worker)
     {
-        worker.barred.erase(worker.barred_order.front());
-        worker.barred_order.pop_front();
+        worker.refused_starts.erase(worker.refused_order.front());
+        worker.refused_order.pop_front();
     }
 }
 
-void worker_pool::lose_all(worker_record& worker)
+void worker_pool::drop_all_attempts(worker_record& worker)
 {
-    for (auto const& [what, attempt] : worker.attempts)
+    for (auto const& [attempt_id, attempt] : worker.attempts)
     {
         if (attempt.state == attempt_state::running)
         {
-            forget_running(what);
-            --books_.running;
-            ++books_.lost;
+            remove_running(attempt_id);
+            --counters_.running;
+            ++counters_.lost;
         }
     }
     worker.attempts.clear();
-    worker.barred.clear();
-    worker.barred_order.clear();
+    worker.refused_starts.clear();
+    worker.refused_order.clear();
     worker.reports.clear();
 }
 
@@ -395,23 +405,23 @@
     bool found = false;
     for (std::size_t worker = 0; worker < workers_.size(); ++worker)
     {
-        auto& at = workers_[worker];
-        if (id != "*" && at.listed.id != id)
+        auto& w = workers_[worker];
+        if (id != "*" && w.instance.id != id)
         {
             continue;
         }
         found = true;
         advance(worker, now);
-        at.fail_starts = faults.fail_starts.value_or(at.fail_starts);
-        at.frozen = faults.freeze.value_or(at.frozen);
-        at.report_lag = faults.report_lag.value_or(at.report_lag);
-        at.noise = faults.noise.value_or(at.noise);
-        if (faults.crashed && *faults.crashed && !at.crashed)
+        w.fail_starts = faults.fail_starts.value_or(w.fail_starts);
+        w.frozen = faults.freeze.value_or(w.frozen);
+        w.report_lag = faults.report_lag.value_or(w.report_lag);
+        w.noise = faults.noise.value_or(w.noise);
+        if (faults.crashed && *faults.crashed && !w.crashed)
         {
-            lose_all(at);
+            drop_all_attempts(w);
         }
-        at.crashed = faults.crashed.value_or(at.crashed);
-        at.advanced = now;
+        w.crashed = faults.crashed.value_or(w.crashed);
+        w.advanced_until = now;
     }
     return found;
 }
@@ -428,22 +438,22 @@
 
 void worker_pool::set_data_centre_out_of_service(core::common::time_point now,
                                                  std::string const& name,
-                                                 bool out)
+                                                 bool out_of_service)
 {
     constexpr std::size_t max_data_centres = 1'000;
-    if (!out)
+    if (!out_of_service)
     {
-        out_since_.erase(name);
+        out_of_service_since_.erase(name);
     }
-    else if (out_since_.size() < max_data_centres)
+    else if (out_of_service_since_.size() < max_data_centres)
     {
-        out_since_.emplace(name, now);
+        out_of_service_since_.emplace(name, now);
     }
 }
 
 worker_counters const& worker_pool::counters() const noexcept
 {
-    return books_;
+    return counters_;
 }
 
 } // namespace fuchsia::standins::workers
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -66,9 +66,9 @@
       pool_(settings_.pool, clock::now()),
       server_(io,
               {},
-              [this](request const& asked, responder const& answer)
+              [this](request const& message, responder const& respond)
               {
-                  handle(asked, answer);
+                  handle(message, respond);
               }),
       timer_(io)
 {
@@ -77,12 +77,12 @@
 std::optional<ports::endpoint>
 worker_server::listen(core::common::failure& reason)
 {
-    auto where = server_.listen(settings_.listen, reason);
-    if (!where)
+    auto endpoint = server_.listen(settings_.listen, reason);
+    if (!endpoint)
     {
         return std::nullopt;
     }
-    where_ = *where;
+    bound_endpoint_ = *endpoint;
     tick();
     if (settings_.platform)
     {
@@ -95,13 +95,13 @@
                                return instance_registration{
                                    "worker-agent-1",
                                    "worker-agent",
-                                   where_,
+                                   bound_endpoint_,
                                    "",
                                    {{"state", "live"}}};
                            });
         registrar_->start();
     }
-    return where;
+    return endpoint;
 }
 
 void worker_server::stop()
@@ -115,64 +115,64 @@
     server_.close();
 }
 
-void worker_server::handle(request const& asked, responder const& answer)
+void worker_server::handle(request const& message, responder const& respond)
 {
-    auto const target = parse_target(asked.target);
+    auto const target = parse_target(message.target);
     if (!target)
     {
-        answer(error_response(bad_request, "malformed target"));
+        respond(error_response(bad_request, "malformed target"));
     }
     else if (target->path.starts_with("/control/"))
     {
-        answer(handle_control(*target, asked));
+        respond(handle_control(*target, message));
     }
-    else if (target->path == "/v1/workers" && asked.method == "GET")
+    else if (target->path == "/v1/workers" && message.method == "GET")
     {
-        answer(list());
+        respond(list());
     }
-    else if (target->path == "/v1/reports" && asked.method == "GET")
+    else if (target->path == "/v1/reports" && message.method == "GET")
     {
-        answer(reports(target->text("rack")));
+        respond(reports(target->text("rack")));
     }
     else if (auto const path = target->after(workers_path);
-             path && asked.method == "POST")
+             path && message.method == "POST")
     {
-        handle_worker(*path, asked, answer);
+        handle_worker(*path, message, respond);
     }
     else
     {
-        answer(error_response(not_found, "unknown path"));
+        respond(error_response(not_found, "unknown path"));
     }
 }
 
 void worker_server::handle_worker(std::string_view path,
-                                  request const& asked,
-                                  responder const& answer)
+                                  request const& message,
+                                  responder const& respond)
 {
     auto const slash = path.find('/');
     auto const worker = pool_.find(path.substr(0, slash));
     if (slash == std::string_view::npos || !worker)
     {
-        answer(error_response(conflict, "no such worker"));
+        respond(error_response(conflict, "no such worker"));
         return;
     }
     if (pool_.crashed(*worker))
     {
-        return; // The dropped responder closes the connection.
+        return; // Dropping the responder closes the connection.
     }
     auto const operation = path.substr(slash + 1);
     if (!pool_.frozen(*worker))
     {
-        answer(call(*worker, operation, asked.body));
+        respond(call(*worker, operation, message.body));
         return;
     }
     if (parked_.size() >= max_parked)
     {
-        answer(error_response(unavailable,
-                              "too many calls wait for frozen workers"));
+        respond(error_response(
+            unavailable, "too many calls are pending for frozen workers"));
         return;
     }
-    parked_.push_back({*worker, std::string(operation), asked.body, answer});
+    parked_.push_back({*worker, std::string(operation), message.body, respond});
 }
 
 worker_server::response worker_server::call(std::size_t worker,
@@ -214,20 +214,20 @@
 
 worker_server::response
 worker_server::handle_control(request_target const& target,
-                              request const& asked)
+                              request const& message)
 {
-    if (target.path == "/control/counts" && asked.method == "GET")
+    if (target.path == "/control/counts" && message.method == "GET")
     {
-        return books();
+        return counters_answer();
     }
-    if (target.path == "/control/faults" && asked.method == "POST")
+    if (target.path == "/control/faults" && message.method == "POST")
     {
-        return set_faults(asked.body);
+        return set_faults(message.body);
     }
     if (auto const name = target.after("/control/data-centres/");
-        name && asked.method == "POST")
+        name && message.method == "POST")
     {
-        return set_data_centre(*name, asked.body);
+        return set_data_centre(*name, message.body);
     }
     return error_response(not_found, "unknown control path");
 }
@@ -267,25 +267,25 @@
     {
         return error_response(not_found, "no such worker");
     }
-    thaw();
+    answer_parked();
     return json_response(boost::json::object{{"set", true}});
 }
 
-void worker_server::thaw()
+void worker_server::answer_parked()
 {
     auto calls = std::exchange(parked_, {});
-    for (auto& each : calls)
+    for (auto& parked : calls)
     {
-        if (pool_.crashed(each.worker))
+        if (pool_.crashed(parked.worker))
         {
             continue;
         }
-        if (pool_.frozen(each.worker))
+        if (pool_.frozen(parked.worker))
         {
-            parked_.push_back(std::move(each));
+            parked_.push_back(std::move(parked));
             continue;
         }
-        each.answer(call(each.worker, each.operation, each.body));
+        parked.respond(call(parked.worker, parked.operation, parked.body));
     }
 }
 
@@ -304,14 +304,14 @@
     auto const state = reader.text("state");
     if (!reader.ok() || (state != "out" && state != "in"))
     {
-        return error_response(bad_request, "state is out or in");
+        return error_response(bad_request, "state must be out or in");
     }
     pool_.set_data_centre_out_of_service(
         clock::now(), std::string(name), state == "out");
     return json_response(boost::json::object{{"set", true}});
 }
 
-worker_server::response worker_server::books() const
+worker_server::response worker_server::counters_answer() const
 {
     auto const& counts = pool_.counters();
     return counters_response({{"starts", counts.starts},
--- a/standins/workers/worker_server.hpp
+++ b/standins/workers/worker_server.hpp
@@ -15,12 +15,12 @@
 struct worker_server_settings
 {
     ports::endpoint listen{"127.0.0.1", 20200};
-    /// Where the agent registers; absent: nowhere.
+    /// Platform at which the agent registers; absent: it does not register.
     std::optional<ports::endpoint> platform;
     worker_pool_settings pool;
 };
 
-/// The workers' agent, its faults and books behind one HTTP port.
+/// HTTP server of the workers' agent, with its fault injection and counters.
 class worker_server
 {
 public:
@@ -34,29 +34,31 @@
     using response = adapters::http::response;
     using responder = adapters::http::responder;
 
-    /// One call to a frozen worker: it is handled when the worker thaws.
+    /// Call to a frozen worker. It is handled when the worker is unfrozen.
     struct parked_call
     {
         std::size_t worker = 0;
         std::string operation;
         std::string body;
-        responder answer;
+        responder respond;
     };
 
-    void handle(request const& asked, responder const& answer);
+    void handle(request const& message, responder const& respond);
     void handle_worker(std::string_view path,
-                       request const& asked,
-                       responder const& answer);
+                       request const& message,
+                       responder const& respond);
     response call(std::size_t worker,
                   std::string_view operation,
                   std::string const& body);
-    response handle_control(request_target const& target, request const& asked);
+    response handle_control(request_target const& target,
+                            request const& message);
     response set_faults(std::string const& body);
     response set_data_centre(std::string_view name, std::string const& body);
     response list() const;
     response reports(std::string_view rack) const;
-    response books() const;
-    void thaw();
+    response counters_answer() const;
+    /// Handles the parked calls whose workers are no longer frozen.
+    void answer_parked();
     void tick();
 
     boost::asio::io_context& io_;
@@ -66,7 +68,7 @@
     adapters::runtime::timer timer_;
     std::deque<parked_call> parked_;
     std::optional<registrar> registrar_;
-    ports::endpoint where_;
+    ports::endpoint bound_endpoint_;
 };
 
 } // namespace fuchsia::standins::workers
