--- a/tests/contract/load/bench_pool_test.cpp
+++ b/tests/contract/load/bench_pool_test.cpp
@@ -7,28 +7,30 @@
 
 using namespace fuchsia::tools::load;
 
-constexpr pool_bench_settings small{.workers = 24, .seconds = 2, .seed = 3};
+constexpr pool_bench_settings small_settings{
+    .workers = 24, .seconds = 2, .seed = 3};
 
 } // namespace
 
-// Figures of two commits that were taken on different decisions.
-TEST(bench_pool, decides_the_same_each_time)
+// Guards against comparing the times of two commits that made different
+// decisions: equal settings must give equal decisions.
+TEST(bench_pool, makes_the_same_decisions_on_every_run)
 {
-    auto const first = bench_pool(small);
-    auto const second = bench_pool(small);
+    auto const first = bench_pool(small_settings);
+    auto const second = bench_pool(small_settings);
     EXPECT_GT(first.starts, 0U);
     EXPECT_EQ(first.signature, second.signature);
     EXPECT_EQ(first.scored, second.scored);
 }
 
-// A pool that stands empty, or one whose jobs never end, costs its owner
-// little.
-TEST(bench_pool, keeps_a_pool_busy)
+// Guards against a benchmark of an idle pool, or of one whose jobs never end:
+// its owner would have little work to measure.
+TEST(bench_pool, reserves_most_cores_and_finishes_jobs)
 {
-    auto const seen = bench_pool(small);
-    EXPECT_GT(seen.reserved, 0.6);
-    EXPECT_LT(seen.reserved, 0.8);
-    EXPECT_GT(seen.jobs_finished, 0U);
-    EXPECT_GT(seen.placement_rounds, 0U);
-    EXPECT_GT(seen.total_s(), 0);
+    auto const result = bench_pool(small_settings);
+    EXPECT_GT(result.reserved, 0.6);
+    EXPECT_LT(result.reserved, 0.8);
+    EXPECT_GT(result.jobs_finished, 0U);
+    EXPECT_GT(result.placement_rounds, 0U);
+    EXPECT_GT(result.total_s(), 0);
 }
--- a/tests/contract/load/caller_test.cpp
+++ b/tests/contract/load/caller_test.cpp
@@ -23,46 +23,48 @@
     return answer;
 }
 
-response whole(request const& asked)
+response complete_answer(request const& message)
 {
     auto const token =
-        std::string(asked.header("Fuchsia-Load-Token").value_or(""));
+        std::string(message.header("Fuchsia-Load-Token").value_or(""));
     response answer;
     answer.headers = {{"Fuchsia-Outcome", "ran"}};
     answer.body = token + "\nfine\n" + token;
     return answer;
 }
 
-// Two entries that answer as the test says, and a caller of them.
-class load_caller : public testing::Test
+// Entries that answer with the handlers of a test, and a request client that
+// sends to them.
+class request_client_test : public testing::Test
 {
 protected:
-    using behaviour = std::function<void(request const&, responder const&)>;
+    using request_handler =
+        std::function<void(request const&, responder const&)>;
 
-    load_caller()
+    request_client_test()
     {
-        what.streams.resize(1);
-        what.streams[0].customer = "c";
-        what.streams[0].path = "/lots/{n}";
-        what.streams[0].deadline = 10s;
-        what.retries = {3, true, true, false};
+        config.streams.resize(1);
+        config.streams[0].customer = "c";
+        config.streams[0].path = "/lots/{n}";
+        config.streams[0].deadline = 10s;
+        config.retries = {3, true, true, false};
     }
 
-    ports::endpoint entry(behaviour answer)
+    ports::endpoint entry(request_handler handler)
     {
         servers.push_back(std::make_unique<adapters::http::server>(
             io,
             adapters::http::server_limits(),
-            [this, answer = std::move(answer)](request const& asked,
-                                               responder const& reply)
+            [this, handler = std::move(handler)](request const& message,
+                                                 responder const& reply)
             {
-                if (asked.target == "/readyz")
+                if (message.target == "/readyz")
                 {
                     reply({});
                     return;
                 }
-                seen.push_back(asked);
-                answer(asked, reply);
+                received_requests.push_back(message);
+                handler(message, reply);
             }));
         core::common::failure reason;
         return servers.back()->listen({"127.0.0.1", 0}, reason).value();
@@ -77,16 +79,16 @@
             {
                 return targets.checked_all();
             });
-        request_client load(io, what, targets, into, "run");
+        request_client client(io, config, targets, statistics, "run");
         auto const now = core::common::clock::now();
-        load.begin(now);
-        load.send(0, now);
+        client.begin(now);
+        client.send(0, now);
         wait_for(
             [&]
             {
-                return into.total().requests == 1;
+                return statistics.total().requests == 1;
             });
-        load.close();
+        client.close();
     }
 
     void wait_for(std::function<bool()> const& condition)
@@ -100,45 +102,47 @@
     }
 
     boost::asio::io_context io;
-    experiment what;
-    request_statistics into;
+    experiment config;
+    request_statistics statistics;
     std::vector<std::unique_ptr<adapters::http::server>> servers;
-    std::vector<request> seen;
+    std::vector<request> received_requests;
 };
 
 } // namespace
 
-TEST_F(load_caller, retries_a_refusal_with_its_key_through_another_entry)
+TEST_F(request_client_test,
+       retries_a_refused_request_with_its_key_at_another_entry)
 {
-    auto const refuses = [](request const&, responder const& reply)
+    auto const refuse_request = [](request const&, responder const& reply)
     {
         reply(refusal("not-run", "1"));
     };
-    auto const answers = [](request const& asked, responder const& reply)
+    auto const answer_request =
+        [](request const& message, responder const& reply)
     {
-        reply(whole(asked));
+        reply(complete_answer(message));
     };
-    // The turn begins at the second entry.
-    auto const second = entry(answers);
-    auto const first = entry(refuses);
-    send_one({second, first});
-    EXPECT_EQ(into.total().count(request_result::answered), 1U);
-    EXPECT_EQ(into.total().attempts, 2U);
-    ASSERT_EQ(seen.size(), 2U);
-    EXPECT_EQ(seen[0].header("Idempotency-Key"),
-              seen[1].header("Idempotency-Key"));
-    EXPECT_EQ(seen[0].header("Fuchsia-Attempt"), "1");
-    EXPECT_EQ(seen[1].header("Fuchsia-Attempt"), "2");
-    EXPECT_EQ(seen[1].target, "/lots/1");
+    // The round-robin order starts at the second entry.
+    auto const answering_entry = entry(answer_request);
+    auto const refusing_entry = entry(refuse_request);
+    send_one({answering_entry, refusing_entry});
+    EXPECT_EQ(statistics.total().count(request_result::answered), 1U);
+    EXPECT_EQ(statistics.total().attempts, 2U);
+    ASSERT_EQ(received_requests.size(), 2U);
+    EXPECT_EQ(received_requests[0].header("Idempotency-Key"),
+              received_requests[1].header("Idempotency-Key"));
+    EXPECT_EQ(received_requests[0].header("Fuchsia-Attempt"), "1");
+    EXPECT_EQ(received_requests[1].header("Fuchsia-Attempt"), "2");
+    EXPECT_EQ(received_requests[1].target, "/lots/1");
 }
 
-TEST_F(load_caller, ends_each_request_once_by_its_last_answer)
+TEST_F(request_client_test, records_each_request_once_with_its_last_answer)
 {
     struct row
     {
-        std::string_view what;
-        behaviour answer;
-        request_result wanted;
+        std::string_view situation;
+        request_handler handler;
+        request_result expected_result;
         std::uint64_t attempts;
     };
     std::vector<row> const rows{
@@ -156,7 +160,7 @@
          },
          request_result::refused,
          1},
-        {"always unknown",
+        {"outcome always unknown",
          [](request const&, responder const& reply)
          {
              reply(refusal("unknown", "1"));
@@ -167,7 +171,7 @@
          [](request const&, responder const&) {},
          request_result::lost,
          1},
-        {"another's answer",
+        {"answer to another request",
          [](request const&, responder const& reply)
          {
              response answer;
@@ -180,41 +184,43 @@
     };
     for (auto const& row : rows)
     {
-        into = request_statistics();
-        send_one({entry(row.answer), entry(row.answer)});
-        EXPECT_EQ(into.total().count(row.wanted), 1U) << row.what;
-        EXPECT_EQ(into.total().attempts, row.attempts) << row.what;
+        statistics = request_statistics();
+        send_one({entry(row.handler), entry(row.handler)});
+        EXPECT_EQ(statistics.total().count(row.expected_result), 1U)
+            << row.situation;
+        EXPECT_EQ(statistics.total().attempts, row.attempts) << row.situation;
     }
 }
 
-TEST_F(load_caller, goes_on_to_the_next_entry_where_none_listens)
+TEST_F(request_client_test, tries_the_next_entry_if_the_connection_is_refused)
 {
-    // An entry was replaced, and the balancer doesn't know yet. A refused
-    // connection carried nothing, so the next entry gets the request.
-    auto const gone = entry([](request const&, responder const&) {});
+    // An entry was replaced, and the balancer has not noticed yet. A refused
+    // connection has transferred nothing, so the next entry gets the request.
+    auto const closed_entry = entry([](request const&, responder const&) {});
     servers.back()->close();
-    auto const live = entry(
-        [](request const& asked, responder const& reply)
+    auto const live_entry = entry(
+        [](request const& message, responder const& reply)
         {
-            reply(whole(asked));
+            reply(complete_answer(message));
         });
-    send_one({live, gone});
-    EXPECT_EQ(into.total().count(request_result::answered), 1U);
-    EXPECT_EQ(into.total().attempts, 1U);
+    send_one({live_entry, closed_entry});
+    EXPECT_EQ(statistics.total().count(request_result::answered), 1U);
+    EXPECT_EQ(statistics.total().attempts, 1U);
 }
 
-TEST_F(load_caller, no_answer_by_the_deadline_and_the_bound_is_lost)
+TEST_F(request_client_test,
+       a_request_unanswered_after_deadline_and_timeout_is_lost)
 {
-    std::vector<responder> kept;
-    auto const silent = entry(
+    std::vector<responder> pending_responders;
+    auto const silent_entry = entry(
         [&](request const&, responder const& reply)
         {
-            kept.push_back(reply);
+            pending_responders.push_back(reply);
         });
-    what.streams[0].deadline = 5ms;
-    what.answer_timeout = 20ms;
-    send_one({silent});
-    EXPECT_EQ(into.total().count(request_result::lost), 1U);
+    config.streams[0].deadline = 5ms;
+    config.answer_timeout = 20ms;
+    send_one({silent_entry});
+    EXPECT_EQ(statistics.total().count(request_result::lost), 1U);
 }
 
 } // namespace fuchsia::tools::load
--- a/tests/contract/load/load_parts_test.cpp
+++ b/tests/contract/load/load_parts_test.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 using core::common::duration;
 
-std::vector<duration> all_of(arrival_stream stream)
+std::vector<duration> all_arrivals(arrival_stream stream)
 {
     std::vector<duration> times;
     while (auto const due = stream.next())
@@ -34,14 +34,15 @@
 {
     return static_cast<std::size_t>(std::count_if(times.begin(),
                                                   times.end(),
-                                                  [&](duration at)
+                                                  [&](duration time)
                                                   {
-                                                      return at >= from &&
-                                                             at < until;
+                                                      return time >= from &&
+                                                             time < until;
                                                   }));
 }
 
-experiment parsed(std::string_view text, core::common::failure& reason)
+experiment parse_experiment(std::string_view text,
+                            core::common::failure& reason)
 {
     auto const file =
         adapters::settings::toml_file::parse(text, "e.toml", reason);
@@ -50,14 +51,14 @@
         return {};
     }
     auto root = file->root();
-    auto what = read_experiment(root, {});
+    auto config = read_experiment(root, {});
     reason = file->reason();
-    return what;
+    return config;
 }
 
 } // namespace
 
-TEST(histogram, quantiles_are_exact_to_the_width_of_a_bucket)
+TEST(histogram, quantiles_are_exact_to_the_bucket_width)
 {
     histogram times;
     for (int value = 1; value <= 100'000; ++value)
@@ -75,7 +76,7 @@
     EXPECT_EQ(times.count(), 100'000U);
 }
 
-TEST(histogram, takes_every_value)
+TEST(histogram, accepts_negative_and_maximum_values)
 {
     histogram times;
     EXPECT_EQ(times.quantile(0.5), 0);
@@ -93,9 +94,9 @@
     arrival_stream::shape shape;
     shape.rate = 100;
     std::vector<phase> const phases{{"", 10s, 1.0, 1.0}};
-    auto const first = all_of(arrival_stream(shape, phases, 7));
-    EXPECT_EQ(first, all_of(arrival_stream(shape, phases, 7)));
-    EXPECT_NE(first, all_of(arrival_stream(shape, phases, 8)));
+    auto const first = all_arrivals(arrival_stream(shape, phases, 7));
+    EXPECT_EQ(first, all_arrivals(arrival_stream(shape, phases, 7)));
+    EXPECT_NE(first, all_arrivals(arrival_stream(shape, phases, 8)));
     EXPECT_NEAR(static_cast<double>(first.size()), 1'000, 150);
 }
 
@@ -103,12 +104,12 @@
 {
     struct row
     {
-        std::string_view what;
+        std::string_view situation;
         arrival_stream::shape shape;
         duration from;
         duration until;
-        std::size_t least;
-        std::size_t most;
+        std::size_t min_count;
+        std::size_t max_count;
     };
     arrival_stream::shape even;
     even.rate = 100;
@@ -132,38 +133,49 @@
         {"", 5s, 1.0, 1.0}, {"", 5s, 2.0, 2.0}, {"", 2s, 2.0, 0.0}};
     for (auto const& row : rows)
     {
-        auto const times = all_of(arrival_stream(row.shape, phases, 1));
-        EXPECT_TRUE(std::is_sorted(times.begin(), times.end())) << row.what;
+        auto const times = all_arrivals(arrival_stream(row.shape, phases, 1));
+        EXPECT_TRUE(std::is_sorted(times.begin(), times.end()))
+            << row.situation;
         auto const count = count_within(times, row.from, row.until);
-        EXPECT_GE(count, row.least) << row.what;
-        EXPECT_LE(count, row.most) << row.what;
+        EXPECT_GE(count, row.min_count) << row.situation;
+        EXPECT_LE(count, row.max_count) << row.situation;
     }
 }
 
-TEST(book, judges_each_answer_by_its_token_and_outcome)
+TEST(request_statistics, classifies_answers_by_token_and_outcome)
 {
-    // Answers come late, cut short or for somebody else. A tool that counted
-    // by status alone would call them good.
+    // Answers may be late, truncated or those to another request. A tool that
+    // looked only at the status would count them as good.
     struct row
     {
-        std::string_view what;
+        std::string_view situation;
         std::uint16_t status;
         std::string outcome;
         std::string body;
         bool direct;
-        request_result wanted;
+        request_result expected_result;
     };
     std::vector<row> const rows{
-        {"whole", 200, "ran", "T1\nx\nT1", false, request_result::answered},
+        {"complete answer",
+         200,
+         "ran",
+         "T1\nx\nT1",
+         false,
+         request_result::answered},
         {"an upstream's error",
          500,
          "ran",
          "T1\n\nT1",
          false,
          request_result::answered},
-        {"a part", 200, "ran", "T1\nx", false, request_result::mixed},
-        {"the token alone", 200, "ran", "T1", false, request_result::mixed},
-        {"another's", 200, "ran", "T2\nx\nT2", false, request_result::mixed},
+        {"truncated answer", 200, "ran", "T1\nx", false, request_result::mixed},
+        {"token only", 200, "ran", "T1", false, request_result::mixed},
+        {"answer to another request",
+         200,
+         "ran",
+         "T2\nx\nT2",
+         false,
+         request_result::mixed},
         {"a longer token",
          200,
          "ran",
@@ -173,9 +185,19 @@
         {"refused", 503, "not-run", "{}", false, request_result::refused},
         {"unknown", 502, "unknown", "{}", false, request_result::unknown},
         {"no outcome", 200, "", "T1\nx\nT1", false, request_result::lost},
-        {"no such outcome", 200, "maybe", "", false, request_result::lost},
+        {"unknown outcome value",
+         200,
+         "maybe",
+         "",
+         false,
+         request_result::lost},
         {"direct", 200, "", "T1\nx\nT1", true, request_result::answered},
-        {"direct, a part", 200, "", "T1\n", true, request_result::mixed},
+        {"direct, truncated answer",
+         200,
+         "",
+         "T1\n",
+         true,
+         request_result::mixed},
     };
     for (auto const& row : rows)
     {
@@ -186,7 +208,8 @@
         {
             answer.headers.push_back({"Fuchsia-Outcome", row.outcome});
         }
-        EXPECT_EQ(judge(answer, "T1", row.direct), row.wanted) << row.what;
+        EXPECT_EQ(judge(answer, "T1", row.direct), row.expected_result)
+            << row.situation;
     }
     adapters::http::response refusal;
     refusal.status = 503;
@@ -194,37 +217,37 @@
     EXPECT_EQ(judge(refusal, "T1", true), request_result::refused);
 }
 
-TEST(book, counts_late_and_failed_answers_out_of_the_goodput)
+TEST(request_statistics, excludes_late_and_failed_answers_from_goodput)
 {
-    request_statistics all;
+    request_statistics statistics;
     ended_request request;
     request.label = "a";
     request.result = request_result::answered;
     request.status = 200;
-    all.record(0, request);
+    statistics.record(0, request);
     request.late = true;
-    all.record(1, request);
+    statistics.record(1, request);
     request.status = 500;
-    all.record(1, request);
+    statistics.record(1, request);
     request.result = request_result::refused;
-    all.record(2, request);
-    EXPECT_EQ(all.total().requests, 4U);
-    EXPECT_EQ(all.total().good(), 1U);
-    EXPECT_EQ(all.total().failed, 1U);
-    EXPECT_EQ(all.total().latency.count(), 3U);
-    ASSERT_EQ(all.by_second().size(), 3U);
-    EXPECT_EQ(all.by_second()[2].count(request_result::refused), 1U);
+    statistics.record(2, request);
+    EXPECT_EQ(statistics.total().requests, 4U);
+    EXPECT_EQ(statistics.total().good(), 1U);
+    EXPECT_EQ(statistics.total().failed, 1U);
+    EXPECT_EQ(statistics.total().latency.count(), 3U);
+    ASSERT_EQ(statistics.by_second().size(), 3U);
+    EXPECT_EQ(statistics.by_second()[2].count(request_result::refused), 1U);
 }
 
-TEST(verdict, breaks_for_each_promise_alone)
+TEST(verdict, fails_for_each_single_violation)
 {
     struct row
     {
-        std::string_view what;
+        std::string_view situation;
         std::string summary;
         counts upstreams;
         counts workers;
-        bool holds;
+        bool passes;
     };
     auto const summary = [](int lost, int mixed)
     {
@@ -233,7 +256,7 @@
                "}";
     };
     std::vector<row> const rows{
-        {"all is well", summary(0, 0), {{"received", 9}}, {}, true},
+        {"no violation", summary(0, 0), {{"received", 9}}, {}, true},
         {"lost", summary(1, 0), {}, {}, false},
         {"mixed", summary(0, 1), {}, {}, false},
         {"doubled", summary(0, 0), {{"doubled", 1}}, {}, false},
@@ -243,28 +266,28 @@
          {},
          false},
         {"a worker overfilled", summary(0, 0), {}, {{"overfilled", 1}}, false},
-        {"two places", summary(0, 0), {}, {{"two_places", 1}}, false},
+        {"concurrent attempts", summary(0, 0), {}, {{"two_places", 1}}, false},
         {"resumed twice", summary(0, 0), {}, {{"resumed_twice", 1}}, false},
         {"late start", summary(0, 0), {}, {{"late_starts", 1}}, false},
     };
     for (auto const& row : rows)
     {
-        verdict all;
-        ASSERT_TRUE(all.add_summary(row.summary));
-        all.add_upstreams(row.upstreams);
-        all.add_workers(row.workers);
-        EXPECT_EQ(all.passed(), row.holds) << row.what;
+        verdict result;
+        ASSERT_TRUE(result.add_summary(row.summary));
+        result.add_upstreams(row.upstreams);
+        result.add_workers(row.workers);
+        EXPECT_EQ(result.passed(), row.passes) << row.situation;
     }
-    verdict all;
-    all.add_summary(summary(0, 0));
-    EXPECT_EQ(to_line(all),
+    verdict result;
+    result.add_summary(summary(0, 0));
+    EXPECT_EQ(to_line(result),
               "requests=9 answered=5 refused=2 unknown=1 lost=0 doubled=0 "
               "mixed=0 overfilled=0 two_places=0 late_starts=0");
-    EXPECT_FALSE(all.add_summary("{}"));
-    EXPECT_FALSE(all.add_summary("["));
+    EXPECT_FALSE(result.add_summary("{}"));
+    EXPECT_FALSE(result.add_summary("["));
 }
 
-TEST(report, summary_csv_and_plot_carry_the_run)
+TEST(report, summary_csv_and_plot_contain_the_results)
 {
     run_report report;
     report.name = "e";
@@ -274,21 +297,21 @@
     request.status = 200;
     request.took = 7ms;
     report.requests.record(1, request);
-    verdict all;
-    EXPECT_TRUE(all.add_summary(to_json(report)));
-    EXPECT_EQ(all.answered, 1U);
+    verdict result;
+    EXPECT_TRUE(result.add_summary(to_json(report)));
+    EXPECT_EQ(result.answered, 1U);
     EXPECT_EQ(to_csv(report),
               "second,ended,answered,good,refused,unknown,lost,mixed,p50_us,"
               "p99_us\n0,0,0,0,0,0,0,0,0,0\n1,1,1,1,0,0,0,0,7000,7000\n");
     EXPECT_TRUE(to_svg(report).ends_with("</svg>\n"));
 }
 
-TEST(experiment, names_the_place_of_what_is_wrong)
+TEST(experiment, reports_file_and_line_of_an_error)
 {
     struct row
     {
         std::string text;
-        std::string_view place;
+        std::string_view expected_place;
     };
     std::string const head = "name = \"e\"\n[[phase]]\nlength_ms = 1000\n";
     std::vector<row> const rows{
@@ -303,15 +326,15 @@
     for (auto const& row : rows)
     {
         core::common::failure reason;
-        parsed(row.text, reason);
+        parse_experiment(row.text, reason);
         EXPECT_NE(reason.code, core::common::result_code::ok) << row.text;
-        EXPECT_TRUE(reason.where.starts_with(row.place))
+        EXPECT_TRUE(reason.where.starts_with(row.expected_place))
             << to_string(reason) << " in\n"
             << row.text;
     }
 }
 
-TEST(experiment, the_files_that_are_shipped_are_read)
+TEST(experiment, shipped_files_are_valid)
 {
     namespace files = std::filesystem;
     files::path const source = FUCHSIA_SOURCE_DIR;
@@ -338,24 +361,25 @@
     }
 }
 
-TEST(experiment, stretches_all_times_alike)
+TEST(experiment, scales_all_times_by_the_same_factor)
 {
     core::common::failure reason;
-    auto what = parsed("name = \"e\"\n"
-                       "[targets]\nworkers = \"127.0.0.1:1\"\n"
-                       "[[phase]]\nlength_ms = 1000\n"
-                       "[[phase]]\nlength_ms = 3000\n"
-                       "[[traffic]]\ncustomer = \"c\"\npath = \"/\"\n"
-                       "from_ms = 1000\nuntil_ms = 2000\n"
-                       "[[event]]\nat_ms = 500\nto = \"workers\"\n"
-                       "path = \"/x\"\n",
-                       reason);
+    auto config =
+        parse_experiment("name = \"e\"\n"
+                         "[targets]\nworkers = \"127.0.0.1:1\"\n"
+                         "[[phase]]\nlength_ms = 1000\n"
+                         "[[phase]]\nlength_ms = 3000\n"
+                         "[[traffic]]\ncustomer = \"c\"\npath = \"/\"\n"
+                         "from_ms = 1000\nuntil_ms = 2000\n"
+                         "[[event]]\nat_ms = 500\nto = \"workers\"\n"
+                         "path = \"/x\"\n",
+                         reason);
     ASSERT_EQ(reason.code, core::common::result_code::ok) << to_string(reason);
-    what.scale_to(40s);
-    EXPECT_EQ(what.length(), 40s);
-    EXPECT_EQ(what.streams[0].from, 10s);
-    EXPECT_EQ(what.streams[0].until, 20s);
-    EXPECT_EQ(what.events[0].at, 5s);
+    config.scale_to(40s);
+    EXPECT_EQ(config.length(), 40s);
+    EXPECT_EQ(config.streams[0].from, 10s);
+    EXPECT_EQ(config.streams[0].until, 20s);
+    EXPECT_EQ(config.events[0].at, 5s);
 }
 
 } // namespace fuchsia::tools::load
