--- a/standins/pool/fault_gate.cpp
+++ b/standins/pool/fault_gate.cpp
@@ -44,7 +44,7 @@
         pending_.push_back({time_point::max(), std::move(execute), respond});
         break;
     case fault_gate_mode::unavailable:
-        respond(error_response(503, "service unavailable (injected fault)"));
+        respond(error_response(503, "unwilling"));
         break;
     }
 }
--- a/standins/workers/worker_pool.cpp
+++ b/standins/workers/worker_pool.cpp
@@ -189,11 +189,11 @@
     }
     if (clock >= call.lease_until_ms)
     {
-        return "the lease has expired";
+        return "the lease is over";
     }
     if (worker.attempts.size() >= settings_.attempts_per_worker)
     {
-        return "the worker holds too many attempts";
+        return "too many attempts are listed on this worker";
     }
     if (!call.checkpoint.empty() && !checkpoints_.contains(call.checkpoint))
     {
--- a/standins/workers/worker_server.cpp
+++ b/standins/workers/worker_server.cpp
@@ -168,8 +168,8 @@
     }
     if (parked_.size() >= max_parked)
     {
-        respond(error_response(
-            unavailable, "too many calls are pending for frozen workers"));
+        respond(error_response(unavailable,
+                               "too many calls wait for frozen workers"));
         return;
     }
     parked_.push_back({*worker, std::string(operation), message.body, respond});
