--- a/tools/load/balancer.cpp
+++ b/tools/load/balancer.cpp
@@ -19,9 +19,9 @@
                    core::common::duration lag)
     : io_(io), interval_(interval), lag_(lag), client_(io, {}), timer_(io)
 {
-    for (auto& where : targets)
+    for (auto& address : targets)
     {
-        targets_.push_back({std::move(where), false, false});
+        targets_.push_back({std::move(address), false, false});
     }
 }
 
@@ -38,18 +38,19 @@
 
 void balancer::check_all()
 {
-    for (std::size_t number = 0; number < targets_.size(); ++number)
+    for (std::size_t index = 0; index < targets_.size(); ++index)
     {
         adapters::http::client_call call;
-        call.remote_endpoint = targets_[number].where;
+        call.remote_endpoint = targets_[index].address;
         call.message.method = "GET";
         call.message.target = "/readyz";
         call.timeout = check_timeout;
         client_.send(std::move(call),
-                     [this, number](ports::exchange_status status,
-                                    adapters::http::response const& answer)
+                     [this, index](ports::exchange_status status,
+                                   adapters::http::response const& answer)
                      {
-                         see(number,
+                         record_check(
+                             index,
                              status == ports::exchange_status::answered &&
                                  answer.status == ok);
                      });
@@ -65,22 +66,23 @@
         });
 }
 
-void balancer::see(std::size_t number, bool ready)
+void balancer::record_check(std::size_t index, bool ready)
 {
-    auto& seen = targets_[number];
-    if (!seen.checked)
+    auto& current = targets_[index];
+    if (!current.checked)
     {
-        seen.checked = true;
-        seen.ready = ready;
+        current.checked = true;
+        current.ready = ready;
         return;
     }
-    auto const later = std::make_shared<adapters::runtime::timer>(io_, lag_);
-    later->async_wait(
-        [this, later, number, ready](auto error)
+    auto const delay_timer =
+        std::make_shared<adapters::runtime::timer>(io_, lag_);
+    delay_timer->async_wait(
+        [this, delay_timer, index, ready](auto error)
         {
             if (!error)
             {
-                targets_[number].ready = ready;
+                targets_[index].ready = ready;
             }
         });
 }
@@ -89,29 +91,29 @@
 {
     return std::all_of(targets_.begin(),
                        targets_.end(),
-                       [](target const& each)
+                       [](target const& t)
                        {
-                           return each.checked;
+                           return t.checked;
                        });
 }
 
-std::size_t balancer::pick(std::optional<std::size_t> not_this)
+std::size_t balancer::pick(std::optional<std::size_t> excluded)
 {
     for (std::size_t tried = 0; tried < targets_.size(); ++tried)
     {
-        turn_ = (turn_ + 1) % targets_.size();
-        if (targets_[turn_].ready && turn_ != not_this)
+        last_picked_ = (last_picked_ + 1) % targets_.size();
+        if (targets_[last_picked_].ready && last_picked_ != excluded)
         {
-            return turn_;
+            return last_picked_;
         }
     }
-    turn_ = (turn_ + 1) % targets_.size();
-    return turn_;
+    last_picked_ = (last_picked_ + 1) % targets_.size();
+    return last_picked_;
 }
 
 ports::endpoint const& balancer::at(std::size_t target) const
 {
-    return targets_[target].where;
+    return targets_[target].address;
 }
 
 std::size_t balancer::size() const noexcept
@@ -123,9 +125,9 @@
 {
     return static_cast<std::size_t>(std::count_if(targets_.begin(),
                                                   targets_.end(),
-                                                  [](target const& each)
+                                                  [](target const& t)
                                                   {
-                                                      return each.ready;
+                                                      return t.ready;
                                                   }));
 }
 
--- a/tools/load/balancer.hpp
+++ b/tools/load/balancer.hpp
@@ -28,7 +28,7 @@
 
     /// The next ready target, another than `not_this` where there is one; any
     /// target where none is ready. There must be a target.
-    std::size_t pick(std::optional<std::size_t> not_this);
+    std::size_t pick(std::optional<std::size_t> excluded);
     ports::endpoint const& at(std::size_t target) const;
     std::size_t size() const noexcept;
     std::size_t ready() const noexcept;
@@ -36,13 +36,13 @@
 private:
     struct target
     {
-        ports::endpoint where;
+        ports::endpoint address;
         bool ready = false;
         bool checked = false;
     };
 
     void check_all();
-    void see(std::size_t number, bool ready);
+    void record_check(std::size_t index, bool ready);
 
     boost::asio::io_context& io_;
     std::vector<target> targets_;
@@ -50,7 +50,7 @@
     core::common::duration lag_;
     adapters::http::client client_;
     adapters::runtime::timer timer_;
-    std::size_t turn_ = 0;
+    std::size_t last_picked_ = 0;
 };
 
 } // namespace fuchsia::tools::load
--- a/tools/load/bench.cpp
+++ b/tools/load/bench.cpp
@@ -12,22 +12,22 @@
 {
 
 // The signature in a commit message: eight digits tell changes apart.
-constexpr std::uint64_t shown_digits = 100'000'000;
+constexpr std::uint64_t signature_modulus = 100'000'000;
 
-void timed(std::ostream& out,
-           char const* name,
-           signature& all,
-           std::function<void(signature&)> const& run)
+void run_timed(std::ostream& out,
+               char const* name,
+               signature& total,
+               std::function<void(signature&)> const& run)
 {
-    auto const before = all.count();
+    auto const before = total.count();
     auto const start = std::chrono::steady_clock::now();
-    run(all);
-    std::chrono::duration<double> const taken =
+    run(total);
+    std::chrono::duration<double> const elapsed =
         std::chrono::steady_clock::now() - start;
-    auto const decisions = all.count() - before;
+    auto const decisions = total.count() - before;
     out << std::left << std::setw(10) << name << std::right << std::setw(9)
         << decisions << " decisions  " << std::fixed << std::setprecision(0)
-        << std::setw(9) << static_cast<double>(decisions) / taken.count()
+        << std::setw(9) << static_cast<double>(decisions) / elapsed.count()
         << " a second\n";
 }
 
@@ -35,10 +35,10 @@
 
 int run_bench(std::ostream& out)
 {
-    signature all;
-    timed(out, "requests", all, bench_requests);
-    timed(out, "tasks", all, bench_tasks);
-    out << "Bench: " << all.value() % shown_digits << '\n';
+    signature total;
+    run_timed(out, "requests", total, bench_requests);
+    run_timed(out, "tasks", total, bench_tasks);
+    out << "Bench: " << total.value() % signature_modulus << '\n';
     return 0;
 }
 
--- a/tools/load/bench_pool.cpp
+++ b/tools/load/bench_pool.cpp
@@ -13,141 +13,141 @@
 {
 
 // Eight digits tell changes apart.
-constexpr std::uint64_t shown_digits = 100'000'000;
-constexpr int first_column = 26;
-constexpr int column = 12;
+constexpr std::uint64_t signature_modulus = 100'000'000;
+constexpr int name_column_width = 26;
+constexpr int column_width = 12;
 
 using results = std::vector<pool_bench_result>;
 
 template<class Value>
 void print_row(std::ostream& out,
                std::string_view name,
-               results const& all,
+               results const& all_results,
                int digits,
                Value value)
 {
-    out << std::left << std::setw(first_column) << name << std::right
+    out << std::left << std::setw(name_column_width) << name << std::right
         << std::fixed << std::setprecision(digits);
-    for (auto const& each : all)
+    for (auto const& result : all_results)
     {
-        out << std::setw(column) << value(each);
+        out << std::setw(column_width) << value(result);
     }
     out << '\n';
 }
 
-double per_start(double amount, pool_bench_result const& of)
+double per_start(double amount, pool_bench_result const& result)
 {
-    return of.starts == 0 ? 0 : amount / static_cast<double>(of.starts);
+    return result.starts == 0 ? 0 : amount / static_cast<double>(result.starts);
 }
 
-double microseconds(double seconds, pool_bench_result const& of)
+double microseconds(double seconds, pool_bench_result const& result)
 {
     constexpr double in_a_second = 1e6;
-    return per_start(seconds * in_a_second, of);
+    return per_start(seconds * in_a_second, result);
 }
 
-double placing_s(pool_bench_result const& of)
+double total_placement_s(pool_bench_result const& result)
 {
-    return std::accumulate(of.time_by_event_kind.begin(),
-                           of.time_by_event_kind.end(),
+    return std::accumulate(result.time_by_event_kind.begin(),
+                           result.time_by_event_kind.end(),
                            0.0,
-                           [](double sum, pool_event_time const& each)
+                           [](double sum, pool_event_time const& time)
                            {
-                               return sum + each.placement_s();
+                               return sum + time.placement_s();
                            });
 }
 
-void print_duties(std::ostream& out, results const& all)
+void print_event_times(std::ostream& out, results const& all_results)
 {
     out << "processor time of a start, microseconds:\n";
     print_row(out,
               "  placing",
-              all,
+              all_results,
               1,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return microseconds(placing_s(each), each);
+                  return microseconds(total_placement_s(result), result);
               });
-    for (std::size_t duty = 0; duty < pool_event_kind_names.size(); ++duty)
+    for (std::size_t kind = 0; kind < pool_event_kind_names.size(); ++kind)
     {
         print_row(out,
-                  "  " + std::string(pool_event_kind_names[duty]),
-                  all,
+                  "  " + std::string(pool_event_kind_names[kind]),
+                  all_results,
                   1,
-                  [duty](pool_bench_result const& each)
+                  [kind](pool_bench_result const& result)
                   {
                       return microseconds(
-                          each.time_by_event_kind[duty].other_s(), each);
+                          result.time_by_event_kind[kind].other_s(), result);
                   });
     }
     print_row(out,
               "  of it JSON of progress",
-              all,
+              all_results,
               1,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return microseconds(each.progress_json_s, each);
+                  return microseconds(result.progress_json_s, result);
               });
 }
 
-void print_decisions(std::ostream& out, results const& all)
+void print_decisions(std::ostream& out, results const& all_results)
 {
     print_row(out,
               "choices",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.starts;
+                  return result.starts;
               });
     print_row(out,
               "choices a second",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return static_cast<double>(each.starts) /
-                         std::max(each.total_s(), 1e-9);
+                  return static_cast<double>(result.starts) /
+                         std::max(result.total_s(), 1e-9);
               });
     print_row(out,
               "scored for each",
-              all,
+              all_results,
               1,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return per_start(static_cast<double>(each.scored), each);
+                  return per_start(static_cast<double>(result.scored), result);
               });
     print_row(out,
               "rounds",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.placement_rounds;
+                  return result.placement_rounds;
               });
     print_row(out,
               "jobs finished",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.jobs_finished;
+                  return result.jobs_finished;
               });
     print_row(out,
               "tasks at work at the end",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.running;
+                  return result.running;
               });
     print_row(out,
               "share of cores reserved",
-              all,
+              all_results,
               2,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.reserved;
+                  return result.reserved;
               });
 }
 
@@ -155,13 +155,14 @@
 
 double pool_event_time::placement_s() const noexcept
 {
-    double const usual =
+    double const mean_time_s =
         events_without_placement == 0
             ? 0
             : time_without_placement_s /
                   static_cast<double>(events_without_placement);
     return std::max(time_with_placement_s -
-                        usual * static_cast<double>(events_with_placement),
+                        mean_time_s *
+                            static_cast<double>(events_with_placement),
                     0.0);
 }
 
@@ -175,10 +176,10 @@
     return std::accumulate(time_by_event_kind.begin(),
                            time_by_event_kind.end(),
                            0.0,
-                           [](double sum, pool_event_time const& each)
+                           [](double sum, pool_event_time const& time)
                            {
-                               return sum + each.time_without_placement_s +
-                                      each.time_with_placement_s;
+                               return sum + time.time_without_placement_s +
+                                      time.time_with_placement_s;
                            });
 }
 
@@ -191,25 +192,25 @@
                    pool_bench_settings const& settings,
                    std::ostream& out)
 {
-    results all;
-    out << std::left << std::setw(first_column) << "workers" << std::right;
+    results all_results;
+    out << std::left << std::setw(name_column_width) << "workers" << std::right;
     for (auto const size : sizes)
     {
-        out << std::setw(column) << size << std::flush;
-        auto one = settings;
-        one.workers = size;
-        all.push_back(bench_pool(one));
+        out << std::setw(column_width) << size << std::flush;
+        auto sized_settings = settings;
+        sized_settings.workers = size;
+        all_results.push_back(bench_pool(sized_settings));
     }
     out << '\n';
-    print_decisions(out, all);
-    print_duties(out, all);
+    print_decisions(out, all_results);
+    print_event_times(out, all_results);
     print_row(out,
               "Decisions",
-              all,
+              all_results,
               0,
-              [](pool_bench_result const& each)
+              [](pool_bench_result const& result)
               {
-                  return each.signature % shown_digits;
+                  return result.signature % signature_modulus;
               });
     return 0;
 }
--- a/tools/load/bench_pool_simulation.cpp
+++ b/tools/load/bench_pool_simulation.cpp
@@ -19,16 +19,16 @@
 using core::pool::engine;
 
 constexpr std::int64_t unix_offset_ms = 1'700'000'000'000;
-constexpr std::uint32_t per_rack = 8;
+constexpr std::uint32_t workers_per_rack = 8;
 constexpr std::uint32_t data_centres = 5;
 constexpr std::int64_t worker_millicores = 64'000;
 constexpr std::int64_t worker_memory_mb = 256'000;
 constexpr duration store_delay = 1ms;  ///< One way.
 constexpr duration worker_delay = 1ms; ///< One way.
 constexpr duration tick_interval = 25ms;
-constexpr duration owning_time = 3s;
-constexpr duration serving_time = 4s;
-constexpr duration filling_time = 8s;
+constexpr duration ownership_time = 3s;
+constexpr duration serving_warm_up = 4s;
+constexpr duration filling_warm_up = 8s;
 constexpr auto host = "jobs.example";
 constexpr auto serving_queue = "serve";
 constexpr auto filling_queue = "fill";
@@ -74,21 +74,22 @@
 
 ports::pool_worker make_info(std::uint32_t number)
 {
-    ports::pool_worker made;
-    made.id = worker_id(number);
-    made.service = "s";
-    made.remote_endpoint = {"10.0.0.1", static_cast<std::uint16_t>(number + 1)};
-    made.data_centre = "dc-" + std::to_string(number % data_centres);
-    made.rack = "rack-" + std::to_string(number / per_rack);
-    made.capacity = {worker_millicores, worker_memory_mb, 0};
-    made.incarnation = number + 1;
-    return made;
+    ports::pool_worker worker;
+    worker.id = worker_id(number);
+    worker.service = "s";
+    worker.remote_endpoint = {"10.0.0.1",
+                              static_cast<std::uint16_t>(number + 1)};
+    worker.data_centre = "dc-" + std::to_string(number % data_centres);
+    worker.rack = "rack-" + std::to_string(number / workers_per_rack);
+    worker.capacity = {worker_millicores, worker_memory_mb, 0};
+    worker.incarnation = number + 1;
+    return worker;
 }
 
 core::pool::configuration make_configuration()
 {
-    core::pool::configuration made;
-    made.version = 1;
+    core::pool::configuration configuration;
+    configuration.version = 1;
     for (auto const* name : queues)
     {
         core::pool::queue queue;
@@ -100,29 +101,29 @@
         queue.deadline_stretch = 2;
         queue.deadline_slack = 1s;
         queue.priority = name == filling_queue ? 2 : 0;
-        made.queues.push_back(queue);
+        configuration.queues.push_back(queue);
     }
-    return made;
+    return configuration;
 }
 
-core::pool::platform_records make_words()
+core::pool::platform_records make_platform_records()
 {
-    core::pool::platform_records made;
-    made.workers_prefix = "workers/";
-    made.operators_prefix = "operators/";
-    made.read_worker =
+    core::pool::platform_records records;
+    records.workers_prefix = "workers/";
+    records.operators_prefix = "operators/";
+    records.read_worker =
         [](ports::kv_item const& item,
            core::common::failure&) -> std::optional<ports::pool_worker>
     {
         return make_info(static_cast<std::uint32_t>(std::stoul(item.value)));
     };
-    made.read_operator =
+    records.read_operator =
         [](ports::kv_item const&,
            core::common::failure&) -> std::optional<core::pool::operator_change>
     {
         return make_configuration();
     };
-    return made;
+    return records;
 }
 
 core::pool::step make_step(std::uint32_t width,
@@ -131,12 +132,12 @@
                            std::string image)
 {
     constexpr std::int64_t memory_mb = 3'000;
-    core::pool::step made;
-    made.count = width;
-    made.declared = {millicores, memory_mb, 0};
-    made.estimate = std::chrono::milliseconds(work_ms);
-    made.image = std::move(image);
-    return made;
+    core::pool::step step;
+    step.count = width;
+    step.declared = {millicores, memory_mb, 0};
+    step.estimate = std::chrono::milliseconds(work_ms);
+    step.image = std::move(image);
+    return step;
 }
 
 std::string text(std::string const& name, std::uint64_t value)
@@ -148,7 +149,7 @@
 
 bench_pool_simulation::bench_pool_simulation(
     pool_bench_settings const& settings)
-    : settings_(settings), world_(settings.seed)
+    : settings_(settings), loop_(settings.seed)
 {
     store_.put("operators/config", "1");
     for (std::uint32_t number = 0; number < settings.workers; ++number)
@@ -156,14 +157,14 @@
         add_worker(number);
     }
     engine_ = std::make_unique<engine>(
-        core::pool::pool_settings{}, make_words(), "i0");
+        core::pool::pool_settings{}, make_platform_records(), "i0");
 }
 
 void bench_pool_simulation::add_worker(std::uint32_t number)
 {
     auto const info = make_info(number);
     workers_[info.id].state = std::make_unique<standins::pool::worker_state>(
-        info, world_.now() - 1s, 1.0);
+        info, loop_.now() - 1s, 1.0);
     store_.put("workers/" + info.id, std::to_string(number));
 }
 
@@ -171,21 +172,21 @@
 {
     engine_->set_unix_offset(unix_offset_ms);
     deliver(pool_event_kind::ticks,
-            [this](engine& to)
+            [this](engine& target)
             {
-                to.start(world_.now());
+                target.start(loop_.now());
             });
     tick();
-    world_.run_until(world_.now() + owning_time);
+    loop_.run_until(loop_.now() + ownership_time);
     submit_serving(static_cast<std::uint32_t>(
         settings_.workers * worker_millicores * 2 / 3 / serving_millicores));
-    world_.run_until(world_.now() + serving_time);
+    loop_.run_until(loop_.now() + serving_warm_up);
     submit_best_effort();
     submit_short();
-    world_.run_until(world_.now() + filling_time);
+    loop_.run_until(loop_.now() + filling_warm_up);
     auto const before = engine_->active_owner()->counters();
     measuring_ = true;
-    world_.run_until(world_.now() + std::chrono::seconds(settings_.seconds));
+    loop_.run_until(loop_.now() + std::chrono::seconds(settings_.seconds));
     measuring_ = false;
     auto const& after = engine_->active_owner()->counters();
     result_.starts = after.starts - before.starts;
@@ -193,91 +194,94 @@
     result_.placement_rounds = after.rounds - before.rounds;
     result_.jobs_finished = after.jobs_finished - before.jobs_finished;
     std::int64_t reserved = 0;
-    for (auto const& each : engine_->active_owner()->workers(world_.now()))
+    for (auto const& worker : engine_->active_owner()->workers(loop_.now()))
     {
-        reserved += each.reserved.millicores;
+        reserved += worker.reserved.millicores;
     }
     result_.reserved =
         static_cast<double>(reserved) /
         static_cast<double>(settings_.workers * worker_millicores);
-    for (auto const& [id, each] : workers_)
+    for (auto const& [id, worker] : workers_)
     {
-        result_.running += each.state->running();
+        result_.running += worker.state->running();
     }
     result_.signature = orders_.value();
     return result_;
 }
 
-void bench_pool_simulation::deliver(pool_event_kind duty, event const& what)
+void bench_pool_simulation::deliver(pool_event_kind kind,
+                                    event_handler const& handler)
 {
     if (measuring_)
     {
-        measure(duty, what);
+        measure(kind, handler);
     }
     else
     {
-        what(*engine_);
+        handler(*engine_);
     }
-    perform();
+    execute_actions();
 }
 
-void bench_pool_simulation::measure(pool_event_kind duty, event const& what)
+void bench_pool_simulation::measure(pool_event_kind kind,
+                                    event_handler const& handler)
 {
     auto const& counters = engine_->active_owner()->counters();
     auto const rounds = counters.rounds;
-    auto const from = processor_seconds();
-    what(*engine_);
-    auto const took = processor_seconds() - from;
-    auto& into = result_.time_by_event_kind[static_cast<std::size_t>(duty)];
+    auto const start = processor_seconds();
+    handler(*engine_);
+    auto const elapsed = processor_seconds() - start;
+    auto& event_time =
+        result_.time_by_event_kind[static_cast<std::size_t>(kind)];
     if (counters.rounds > rounds)
     {
-        ++into.events_with_placement;
-        into.time_with_placement_s += took;
+        ++event_time.events_with_placement;
+        event_time.time_with_placement_s += elapsed;
         return;
     }
-    ++into.events_without_placement;
-    into.time_without_placement_s += took;
+    ++event_time.events_without_placement;
+    event_time.time_without_placement_s += elapsed;
 }
 
-void bench_pool_simulation::perform()
+void bench_pool_simulation::execute_actions()
 {
     auto const actions = engine_->take_actions();
     for (auto const& action : actions)
     {
         if (auto const* const call = std::get_if<ports::kv_call>(&action))
         {
-            ask_store(*call);
+            send_store_call(*call);
         }
         else if (auto const* const order =
                      std::get_if<ports::pool_order>(&action))
         {
-            order_worker(*order);
+            send_order(*order);
         }
     }
 }
 
 void bench_pool_simulation::tick()
 {
-    store_.expire(world_.now());
+    store_.expire(loop_.now());
     deliver(pool_event_kind::ticks,
-            [this](engine& to)
+            [this](engine& target)
             {
-                to.tick(world_.now());
+                target.tick(loop_.now());
             });
-    world_.after(tick_interval,
-                 [this]
-                 {
-                     tick();
-                 });
+    loop_.after(tick_interval,
+                [this]
+                {
+                    tick();
+                });
 }
 
-void bench_pool_simulation::ask_store(ports::kv_call const& call)
+void bench_pool_simulation::send_store_call(ports::kv_call const& call)
 {
-    world_.after(store_delay,
-                 [this, call]
-                 {
-                     apply_store(call);
-                 });
+    loop_.after(store_delay,
+                [this, call]
+                {
+                    apply_store(call);
+                });
 }
 
 void bench_pool_simulation::apply_store(ports::kv_call const& call)
@@ -285,61 +289,62 @@
     if (auto const* const commit =
             std::get_if<ports::kv_commit>(&call.operation))
     {
-        time_progress(*commit);
+        measure_progress_json(*commit);
     }
-    auto reply = store_.answer(world_.now(), call.operation);
+    auto reply = store_.answer(loop_.now(), call.operation);
     if (reply)
     {
-        answer_store(call, std::move(*reply));
-        wake_watches();
+        send_store_reply(call, std::move(*reply));
+        answer_watches();
         return;
     }
     auto const wait = std::get<ports::kv_watch>(call.operation).wait;
-    watches_.push_back({call, world_.now() + wait});
-    world_.after(wait,
-                 [this]
-                 {
-                     wake_watches();
-                 });
+    watches_.push_back({call, loop_.now() + wait});
+    loop_.after(wait,
+                [this]
+                {
+                    answer_watches();
+                });
 }
 
-void bench_pool_simulation::answer_store(ports::kv_call const& call,
-                                         ports::kv_reply reply)
+void bench_pool_simulation::send_store_reply(ports::kv_call const& call,
+                                             ports::kv_reply reply)
 {
     reply.id = call.id;
-    auto const duty = std::holds_alternative<ports::kv_watch>(call.operation)
+    auto const kind = std::holds_alternative<ports::kv_watch>(call.operation)
                           ? pool_event_kind::jobs
                           : pool_event_kind::commits;
-    world_.after(store_delay,
-                 [this, duty, reply = std::move(reply)]
-                 {
-                     deliver(duty,
-                             [&](engine& to)
-                             {
-                                 to.on_kv_reply(world_.now(), reply);
-                             });
-                 });
+    loop_.after(store_delay,
+                [this, kind, reply = std::move(reply)]
+                {
+                    deliver(kind,
+                            [&](engine& target)
+                            {
+                                target.on_kv_reply(loop_.now(), reply);
+                            });
+                });
 }
 
-void bench_pool_simulation::wake_watches()
+void bench_pool_simulation::answer_watches()
 {
-    for (auto each = watches_.begin(); each != watches_.end();)
+    for (auto it = watches_.begin(); it != watches_.end();)
     {
-        auto reply = store_.answer(world_.now(), each->call.operation);
-        if (!reply && world_.now() < each->until)
+        auto reply = store_.answer(loop_.now(), it->call.operation);
+        if (!reply && loop_.now() < it->until)
         {
-            ++each;
+            ++it;
             continue;
         }
-        ports::kv_reply nothing;
-        nothing.status = ports::kv_status::done;
-        nothing.revision = store_.revision();
-        answer_store(each->call, reply.value_or(nothing));
-        each = watches_.erase(each);
+        ports::kv_reply timeout_reply;
+        timeout_reply.status = ports::kv_status::done;
+        timeout_reply.revision = store_.revision();
+        send_store_reply(it->call, reply.value_or(timeout_reply));
+        it = watches_.erase(it);
     }
 }
 
-void bench_pool_simulation::time_progress(ports::kv_commit const& commit)
+void bench_pool_simulation::measure_progress_json(
+    ports::kv_commit const& commit)
 {
     for (auto const& put : commit.puts)
     {
@@ -349,107 +354,109 @@
             continue;
         }
         core::common::failure reason;
-        auto const known = core::pool::parse_progress(put.value, reason);
-        if (known)
+        auto const progress = core::pool::parse_progress(put.value, reason);
+        if (progress)
         {
-            auto const from = processor_seconds();
-            auto const again = core::pool::to_json(*known);
-            result_.progress_json_s += processor_seconds() - from;
+            auto const start = processor_seconds();
+            auto const json = core::pool::to_json(*progress);
+            result_.progress_json_s += processor_seconds() - start;
         }
     }
 }
 
-void bench_pool_simulation::order_worker(ports::pool_order const& order)
+void bench_pool_simulation::send_order(ports::pool_order const& order)
 {
-    note(order);
-    world_.after(worker_delay,
-                 [this, order]
-                 {
-                     apply_order(order);
-                 });
+    record_order(order);
+    loop_.after(worker_delay,
+                [this, order]
+                {
+                    apply_order(order);
+                });
 }
 
 void bench_pool_simulation::apply_order(ports::pool_order const& order)
 {
-    auto& at = workers_.at(order.worker);
+    auto& target = workers_.at(order.worker);
     if (std::holds_alternative<ports::poll_order>(order.operation))
     {
-        hold(at, order);
+        poll(target, order);
         return;
     }
-    answer_order(pool_event_kind::orders,
-                 order.id,
-                 at.state->apply(world_.now(), order.operation));
+    send_order_reply(pool_event_kind::orders,
+                     order.id,
+                     target.state->apply(loop_.now(), order.operation));
     if (auto const* const start =
             std::get_if<ports::start_order>(&order.operation))
     {
         auto const script = standins::pool::parse_task_script(start->spec);
-        world_.after(std::chrono::milliseconds(script.work_ms),
-                     [this, &at]
-                     {
-                         release(at, at.hold.call);
-                     });
+        loop_.after(std::chrono::milliseconds(script.work_ms),
+                    [this, &target]
+                    {
+                        answer_parked_poll(target, target.poll.call);
+                    });
     }
     else if (std::holds_alternative<ports::stop_order>(order.operation))
     {
-        release(at, at.hold.call);
+        answer_parked_poll(target, target.poll.call);
     }
 }
 
-void bench_pool_simulation::hold(pool_worker& at,
+void bench_pool_simulation::poll(pool_worker& target,
                                  ports::pool_order const& order)
 {
-    auto const& wanted = std::get<ports::poll_order>(order.operation);
-    auto reply = at.state->apply(world_.now(), wanted);
-    if (!reply.ended.empty() || wanted.wait <= duration{})
+    auto const& poll_request = std::get<ports::poll_order>(order.operation);
+    auto reply = target.state->apply(loop_.now(), poll_request);
+    if (!reply.ended.empty() || poll_request.wait <= duration{})
     {
-        answer_order(pool_event_kind::holds, order.id, std::move(reply));
+        send_order_reply(pool_event_kind::holds, order.id, std::move(reply));
         return;
     }
-    at.hold = {order.id, wanted};
-    world_.after(wanted.wait,
-                 [this, &at, call = order.id]
-                 {
-                     release(at, call);
-                 });
+    target.poll = {order.id, poll_request};
+    loop_.after(poll_request.wait,
+                [this, &target, call = order.id]
+                {
+                    answer_parked_poll(target, call);
+                });
 }
 
-void bench_pool_simulation::release(pool_worker& at, std::uint64_t call)
+void bench_pool_simulation::answer_parked_poll(pool_worker& target,
+                                               std::uint64_t call)
 {
-    if (call == 0 || at.hold.call != call)
+    if (call == 0 || target.poll.call != call)
     {
         return;
     }
-    auto const parked = std::exchange(at.hold, {});
-    answer_order(pool_event_kind::holds,
-                 parked.call,
-                 at.state->apply(world_.now(), parked.order));
+    auto const parked = std::exchange(target.poll, {});
+    send_order_reply(pool_event_kind::holds,
+                     parked.call,
+                     target.state->apply(loop_.now(), parked.order));
 }
 
-void bench_pool_simulation::answer_order(pool_event_kind duty,
-                                         std::uint64_t call,
-                                         ports::order_reply reply)
+void bench_pool_simulation::send_order_reply(pool_event_kind kind,
+                                             std::uint64_t call,
+                                             ports::order_reply reply)
 {
     reply.id = call;
-    world_.after(worker_delay,
-                 [this, duty, reply = std::move(reply)]
-                 {
-                     deliver(duty,
-                             [&](engine& to)
-                             {
-                                 to.on_order_reply(world_.now(), reply);
-                             });
-                 });
+    loop_.after(worker_delay,
+                [this, kind, reply = std::move(reply)]
+                {
+                    deliver(kind,
+                            [&](engine& target)
+                            {
+                                target.on_order_reply(loop_.now(), reply);
+                            });
+                });
 }
 
-void bench_pool_simulation::note(ports::pool_order const& order)
+void bench_pool_simulation::record_order(ports::pool_order const& order)
 {
-    auto const add = [&](char const* kind, ports::pool_attempt const& what)
+    auto const add =
+        [&](char const* kind, ports::pool_attempt const& attempt_id)
     {
-        orders_.add(kind + order.worker + ' ' + what.task.job + ' ' +
-                    std::to_string(what.task.step) + ' ' +
-                    std::to_string(what.task.index) + ' ' +
-                    std::to_string(what.attempt));
+        orders_.add(kind + order.worker + ' ' + attempt_id.task.job + ' ' +
+                    std::to_string(attempt_id.task.step) + ' ' +
+                    std::to_string(attempt_id.task.index) + ' ' +
+                    std::to_string(attempt_id.attempt));
     };
     if (auto const* const start =
             std::get_if<ports::start_order>(&order.operation))
@@ -469,69 +476,69 @@
 }
 
 void bench_pool_simulation::submit(std::string const& queue,
-                                   core::pool::job what)
+                                   core::pool::job new_job)
 {
     core::pool::pool_request request;
     request.caller = ++next_request_;
     request.host = host;
     request.path = "/" + queue + "/job-" + std::to_string(request.caller);
-    request.action = core::pool::submit_request{std::move(what)};
+    request.action = core::pool::submit_request{std::move(new_job)};
     deliver(pool_event_kind::submissions,
-            [&](engine& to)
+            [&](engine& target)
             {
-                to.on_request(world_.now(), request);
+                target.on_request(loop_.now(), request);
             });
 }
 
-void bench_pool_simulation::submit_serving(std::uint32_t left)
+void bench_pool_simulation::submit_serving(std::uint32_t remaining)
 {
-    if (left == 0)
+    if (remaining == 0)
     {
         return;
     }
-    auto const width = std::min(left, serving_width);
-    auto const image = world_.random_below(serving_images);
-    core::pool::job made;
-    made.steps.push_back(make_step(
+    auto const width = std::min(remaining, serving_width);
+    auto const image = loop_.random_below(serving_images);
+    core::pool::job new_job;
+    new_job.steps.push_back(make_step(
         width, serving_millicores, 1'000, "serving-" + std::to_string(image)));
-    made.steps.back().long_running = true;
-    made.steps.back().tail_target = serving_target;
-    made.spec =
-        "lasts" + text("tail", serving_tail_ms + world_.random_below(10));
-    submit(serving_queue, std::move(made));
-    constexpr duration apart = 5ms;
-    world_.after(apart,
-                 [this, left, width]
-                 {
-                     submit_serving(left - width);
-                 });
+    new_job.steps.back().long_running = true;
+    new_job.steps.back().tail_target = serving_target;
+    new_job.spec =
+        "lasts" + text("tail", serving_tail_ms + loop_.random_below(10));
+    submit(serving_queue, std::move(new_job));
+    constexpr duration submit_interval = 5ms;
+    loop_.after(submit_interval,
+                [this, remaining, width]
+                {
+                    submit_serving(remaining - width);
+                });
 }
 
 void bench_pool_simulation::submit_best_effort()
 {
-    auto const image = world_.random_below(filling_images);
+    auto const image = loop_.random_below(filling_images);
     constexpr std::int64_t sizes = 8;
     auto const millicores =
         filling_millicores / 2 +
         filling_millicores / sizes *
-            static_cast<std::int64_t>(world_.random_below(sizes + 1));
-    core::pool::job made;
-    made.steps.push_back(make_step(filling_width,
-                                   millicores,
-                                   filling_ms,
-                                   "filling-" + std::to_string(image)));
-    made.steps.back().best_effort = true;
-    made.steps.back().checkpoints = true;
-    made.steps.push_back(made.steps.back());
-    made.steps.back().after = {0};
-    auto const work = filling_ms / 2 + world_.random_below(filling_ms);
-    made.spec = text("work", work) +
-                text("cores", static_cast<std::uint64_t>(millicores)) +
-                text("strain", image < disturbing_images ? strain_ms : 0);
-    submit(filling_queue, std::move(made));
+            static_cast<std::int64_t>(loop_.random_below(sizes + 1));
+    core::pool::job new_job;
+    new_job.steps.push_back(make_step(filling_width,
+                                      millicores,
+                                      filling_ms,
+                                      "filling-" + std::to_string(image)));
+    new_job.steps.back().best_effort = true;
+    new_job.steps.back().checkpoints = true;
+    new_job.steps.push_back(new_job.steps.back());
+    new_job.steps.back().after = {0};
+    auto const work = filling_ms / 2 + loop_.random_below(filling_ms);
+    new_job.spec = text("work", work) +
+                   text("cores", static_cast<std::uint64_t>(millicores)) +
+                   text("strain", image < disturbing_images ? strain_ms : 0);
+    submit(filling_queue, std::move(new_job));
     auto const rate = settings_.load * settings_.workers * filling_starts /
                       (2 * filling_width);
-    world_.after(
+    loop_.after(
         std::chrono::microseconds(static_cast<std::int64_t>(1e6 / rate)),
         [this]
         {
@@ -541,15 +548,15 @@
 
 void bench_pool_simulation::submit_short()
 {
-    core::pool::job made;
-    made.steps.push_back(
+    core::pool::job new_job;
+    new_job.steps.push_back(
         make_step(short_width, short_millicores, short_ms, "short"));
-    auto const work = short_ms / 2 + world_.random_below(short_ms);
-    made.spec = text("work", work) + text("cores", short_millicores);
-    submit(short_queue, std::move(made));
+    auto const work = short_ms / 2 + loop_.random_below(short_ms);
+    new_job.spec = text("work", work) + text("cores", short_millicores);
+    submit(short_queue, std::move(new_job));
     auto const rate =
         settings_.load * settings_.workers * short_starts / short_width;
-    world_.after(
+    loop_.after(
         std::chrono::microseconds(static_cast<std::int64_t>(1e6 / rate)),
         [this]
         {
--- a/tools/load/bench_pool_simulation.hpp
+++ b/tools/load/bench_pool_simulation.hpp
@@ -26,14 +26,14 @@
     pool_bench_result run();
 
 private:
-    using event = std::function<void(core::pool::engine&)>;
+    using event_handler = std::function<void(core::pool::engine&)>;
     struct parked_watch
     {
         ports::kv_call call;
         core::common::time_point until;
     };
     /// A hold that waits for an end.
-    struct parked_hold
+    struct parked_poll
     {
         std::uint64_t call = 0; ///< 0: none.
         ports::poll_order order;
@@ -41,37 +41,37 @@
     struct pool_worker
     {
         std::unique_ptr<standins::pool::worker_state> state;
-        parked_hold hold;
+        parked_poll poll;
     };
 
     void add_worker(std::uint32_t number);
-    void deliver(pool_event_kind duty, event const& what);
-    void measure(pool_event_kind duty, event const& what);
-    void perform();
+    void deliver(pool_event_kind kind, event_handler const& handler);
+    void measure(pool_event_kind kind, event_handler const& handler);
+    void execute_actions();
     void tick();
 
-    void ask_store(ports::kv_call const& call);
+    void send_store_call(ports::kv_call const& call);
     void apply_store(ports::kv_call const& call);
-    void answer_store(ports::kv_call const& call, ports::kv_reply reply);
-    void wake_watches();
-    void time_progress(ports::kv_commit const& commit);
+    void send_store_reply(ports::kv_call const& call, ports::kv_reply reply);
+    void answer_watches();
+    void measure_progress_json(ports::kv_commit const& commit);
 
-    void order_worker(ports::pool_order const& order);
+    void send_order(ports::pool_order const& order);
     void apply_order(ports::pool_order const& order);
-    void hold(pool_worker& at, ports::pool_order const& order);
-    void release(pool_worker& at, std::uint64_t call);
-    void answer_order(pool_event_kind duty,
+    void poll(pool_worker& target, ports::pool_order const& order);
+    void answer_parked_poll(pool_worker& target, std::uint64_t call);
+    void send_order_reply(pool_event_kind kind,
                       std::uint64_t call,
                       ports::order_reply reply);
-    void note(ports::pool_order const& order);
+    void record_order(ports::pool_order const& order);
 
-    void submit(std::string const& queue, core::pool::job what);
-    void submit_serving(std::uint32_t left);
+    void submit(std::string const& queue, core::pool::job new_job);
+    void submit_serving(std::uint32_t remaining);
     void submit_best_effort();
     void submit_short();
 
     pool_bench_settings settings_;
-    bench_event_loop world_;
+    bench_event_loop loop_;
     standins::pool::kv_state store_;
     std::map<std::string, pool_worker> workers_;
     std::unique_ptr<core::pool::engine> engine_;
--- a/tools/load/bench_requests.cpp
+++ b/tools/load/bench_requests.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint64_t seed = 20'261'202;
 constexpr int entry_count = 3;
 constexpr int upstream_count = 48;
-constexpr std::uint32_t slots_each = 8;
+constexpr std::uint32_t slots_per_upstream = 8;
 constexpr int request_count = 60'000;
 constexpr std::array<char const*, 4> customers{
     "estate-owners", "sawmill-buyers", "forest-cooperatives", "web-shop"};
@@ -37,7 +37,8 @@
 class request_bench
 {
 public:
-    explicit request_bench(signature& out) : out_(out), world_(seed)
+    explicit request_bench(signature& decisions)
+        : decisions_(decisions), loop_(seed)
     {
         write_configuration();
         for (int index = 0; index < entry_count; ++index)
@@ -48,18 +49,18 @@
 
     void run()
     {
-        auto const start = world_.now();
-        world_.run_until(start + joining_time);
+        auto const start = loop_.now();
+        loop_.run_until(start + joining_time);
         for (int number = 0; number < request_count; ++number)
         {
-            world_.after(number * request_interval,
-                         [this, number]
-                         {
-                             send_request(number);
-                         });
+            loop_.after(number * request_interval,
+                        [this, number]
+                        {
+                            send_request(number);
+                        });
         }
-        world_.run_until(world_.now() + request_count * request_interval +
-                         ending_time);
+        loop_.run_until(loop_.now() + request_count * request_interval +
+                        ending_time);
     }
 
 private:
@@ -94,24 +95,24 @@
     void add_entry(int index)
     {
         auto const number = std::to_string(index + 1);
-        entry made;
-        made.self.id = {"entry-" + number, seed + index};
-        made.self.role = "entry";
-        made.self.data_centre = "dc-" + number;
-        made.self.peer_address = {"10.0.0." + number, 8081};
-        made.self.http_address = {"10.0.0." + number, 8080};
-        made.engine = std::make_unique<entry_engine>(
-            core::requests::entry_settings{}, made.self, seed + index);
-        entries_.push_back(std::move(made));
-        world_.after(index * 100ms,
-                     [this, index]
-                     {
-                         ports::actions actions;
-                         engine(index).start(world_.now(), actions);
-                         perform(index, actions);
-                         tick(index);
-                         list_instances(index);
-                     });
+        entry new_entry;
+        new_entry.self.id = {"entry-" + number, seed + index};
+        new_entry.self.role = "entry";
+        new_entry.self.data_centre = "dc-" + number;
+        new_entry.self.peer_address = {"10.0.0." + number, 8081};
+        new_entry.self.http_address = {"10.0.0." + number, 8080};
+        new_entry.engine = std::make_unique<entry_engine>(
+            core::requests::entry_settings{}, new_entry.self, seed + index);
+        entries_.push_back(std::move(new_entry));
+        loop_.after(index * 100ms,
+                    [this, index]
+                    {
+                        ports::actions actions;
+                        engine(index).start(loop_.now(), actions);
+                        execute_actions(index, actions);
+                        tick(index);
+                        list_instances(index);
+                    });
     }
 
     entry_engine& engine(int index)
@@ -121,33 +122,33 @@
 
     // Tells one engine of an event and performs what it answers.
     template<class Event>
-    void tell(int index, Event event)
+    void dispatch(int index, Event event)
     {
         ports::actions actions;
         event(engine(index), actions);
-        perform(index, actions);
+        execute_actions(index, actions);
     }
 
     void tick(int index)
     {
-        tell(index,
-             [this](entry_engine& to, ports::actions& out)
-             {
-                 to.tick(world_.now(), out);
-             });
-        world_.after(tick_interval,
-                     [this, index]
-                     {
-                         tick(index);
-                     });
+        dispatch(index,
+                 [this](entry_engine& target, ports::actions& actions)
+                 {
+                     target.tick(loop_.now(), actions);
+                 });
+        loop_.after(tick_interval,
+                    [this, index]
+                    {
+                        tick(index);
+                    });
     }
 
     void list_instances(int index)
     {
         ports::instance_list list;
-        for (auto const& each : entries_)
+        for (auto const& member : entries_)
         {
-            list.members.push_back(each.self.id.name);
+            list.members.push_back(member.self.id.name);
         }
         for (int number = 0; number < upstream_count; ++number)
         {
@@ -157,75 +158,76 @@
                 "10.0.1.1", static_cast<std::uint16_t>(9000 + number)};
             upstream.data_centre =
                 "dc-" + std::to_string(number % entry_count + 1);
-            upstream.slots = slots_each;
+            upstream.slots = slots_per_upstream;
             upstream.connections = 60;
             upstream.slots_in_use = in_use_[upstream.id];
             list.upstreams.push_back(std::move(upstream));
         }
-        list.received = world_.now();
-        tell(index,
-             [this, &list](entry_engine& to, ports::actions& out)
-             {
-                 to.on_instances(world_.now(), list, out);
-             });
-        world_.after(1s,
-                     [this, index]
-                     {
-                         list_instances(index);
-                     });
+        list.received = loop_.now();
+        dispatch(index,
+                 [this, &list](entry_engine& target, ports::actions& actions)
+                 {
+                     target.on_instances(loop_.now(), list, actions);
+                 });
+        loop_.after(1s,
+                    [this, index]
+                    {
+                        list_instances(index);
+                    });
     }
 
     void send_request(int number)
     {
         ports::caller_request request;
-        request.customer = customers[world_.random_below(customers.size())];
-        request.kind = world_.random_below(5) == 0
+        request.customer = customers[loop_.random_below(customers.size())];
+        request.kind = loop_.random_below(5) == 0
                            ? ports::request_class::batch
                            : ports::request_class::latency_critical;
-        request.method = world_.random_below(2) == 0 ? "GET" : "POST";
-        request.target = "/lots/" + std::to_string(world_.random_below(100));
+        request.method = loop_.random_below(2) == 0 ? "GET" : "POST";
+        request.target = "/lots/" + std::to_string(loop_.random_below(100));
         request.body = "bid";
         request.attempt = 1;
         request.deadline = 300ms;
         bool const keyed =
-            request.method == "POST" && world_.random_below(4) != 0;
+            request.method == "POST" && loop_.random_below(4) != 0;
         if (keyed)
         {
             request.idempotency_key = "key-" + std::to_string(number);
         }
-        if (keyed && world_.random_below(10) == 0)
+        if (keyed && loop_.random_below(10) == 0)
         {
             auto retry = request;
             retry.attempt = 2;
-            world_.after(duration(world_.random_below(200'000)),
-                         [this, number, retry]
-                         {
-                             arrive(request_count + number, retry);
-                         });
+            loop_.after(duration(loop_.random_below(200'000)),
+                        [this, number, retry]
+                        {
+                            arrive(request_count + number, retry);
+                        });
         }
         arrive(number, request);
     }
 
     void arrive(int caller, ports::caller_request const& request)
     {
-        auto const index = static_cast<int>(world_.random_below(entry_count));
-        tell(index,
-             [&](entry_engine& to, ports::actions& out)
-             {
-                 to.on_caller_request(world_.now(),
-                                      static_cast<std::uint64_t>(caller),
-                                      request,
-                                      out);
-             });
+        auto const index = static_cast<int>(loop_.random_below(entry_count));
+        dispatch(index,
+                 [&](entry_engine& target, ports::actions& actions)
+                 {
+                     target.on_caller_request(
+                         loop_.now(),
+                         static_cast<std::uint64_t>(caller),
+                         request,
+                         actions);
+                 });
     }
 
-    void perform(int index, ports::actions& actions)
+    void execute_actions(int index, ports::actions& actions)
     {
         for (auto& action : actions)
         {
             if (auto* const call = std::get_if<ports::store_call>(&action))
             {
-                ask_store(index, std::move(*call));
+                send_store_call(index, std::move(*call));
             }
             else if (auto* const send = std::get_if<ports::peer_send>(&action))
             {
@@ -239,46 +241,48 @@
             else if (auto* const reply =
                          std::get_if<ports::caller_reply>(&action))
             {
-                note(*reply);
+                record_reply(*reply);
             }
         }
     }
 
-    void ask_store(int index, ports::store_call call)
+    void send_store_call(int index, ports::store_call call)
     {
-        store_.call(std::move(call),
-                    [this, index](ports::store_reply const& reply)
-                    {
-                        tell(index,
-                             [&](entry_engine& to, ports::actions& out)
-                             {
-                                 to.on_store_reply(world_.now(), reply, out);
-                             });
-                    });
+        store_.call(
+            std::move(call),
+            [this, index](ports::store_reply const& reply)
+            {
+                dispatch(index,
+                         [&](entry_engine& target, ports::actions& actions)
+                         {
+                             target.on_store_reply(loop_.now(), reply, actions);
+                         });
+            });
     }
 
     void deliver(int from, ports::peer_send send)
     {
         for (int index = 0; index < entry_count; ++index)
         {
-            auto const& to = entries_[static_cast<std::size_t>(index)].self.id;
-            if (to != send.to)
+            auto const& receiver =
+                entries_[static_cast<std::size_t>(index)].self.id;
+            if (receiver != send.to)
             {
                 continue;
             }
             ports::peer_receive const receive{
                 entries_[static_cast<std::size_t>(from)].self.id,
                 std::move(send.message)};
-            world_.after(peer_delay,
-                         [this, index, receive]
-                         {
-                             tell(index,
-                                  [&](entry_engine& engine, ports::actions& out)
-                                  {
-                                      engine.on_peer(
-                                          world_.now(), receive, out);
-                                  });
-                         });
+            loop_.after(
+                peer_delay,
+                [this, index, receive]
+                {
+                    dispatch(index,
+                             [&](entry_engine& engine, ports::actions& actions)
+                             {
+                                 engine.on_peer(loop_.now(), receive, actions);
+                             });
+                });
             return;
         }
     }
@@ -287,33 +291,33 @@
     // 200 connections is refused; the rest take 10 to 60 ms.
     void run_upstream(int index, ports::upstream_send const& send)
     {
-        auto const fate = world_.random_below(1000);
-        duration const service(10'000 + world_.random_below(50'000));
-        if (fate >= 5)
+        auto const outcome = loop_.random_below(1000);
+        duration const service(10'000 + loop_.random_below(50'000));
+        if (outcome >= 5)
         {
             ++in_use_[send.upstream];
-            world_.after(service,
-                         [this, id = send.upstream]
-                         {
-                             --in_use_[id];
-                         });
+            loop_.after(service,
+                        [this, id = send.upstream]
+                        {
+                            --in_use_[id];
+                        });
         }
         ports::upstream_end end;
         end.exchange = send.exchange;
         end.http_status = 200;
         end.headers.push_back({"Upstream-Id", send.upstream});
         end.status = ports::exchange_status::answered;
-        if (fate < 5)
+        if (outcome < 5)
         {
             end.status = ports::exchange_status::not_sent;
             end_exchange(index, end, peer_delay);
             return;
         }
-        if (fate < 7)
+        if (outcome < 7)
         {
             end.status = ports::exchange_status::lost;
         }
-        if (fate < 9 && fate >= 7)
+        if (outcome < 9 && outcome >= 7)
         {
             end.status = ports::exchange_status::timed_out;
             end_exchange(index, end, std::min(send.timeout, service));
@@ -326,18 +330,19 @@
 
     void end_exchange(int index, ports::upstream_end const& end, duration after)
     {
-        world_.after(after,
-                     [this, index, end]
-                     {
-                         tell(index,
-                              [&](entry_engine& to, ports::actions& out)
-                              {
-                                  to.on_exchange_end(world_.now(), end, out);
-                              });
-                     });
+        loop_.after(
+            after,
+            [this, index, end]
+            {
+                dispatch(index,
+                         [&](entry_engine& target, ports::actions& actions)
+                         {
+                             target.on_exchange_end(loop_.now(), end, actions);
+                         });
+            });
     }
 
-    void note(ports::caller_reply const& reply)
+    void record_reply(ports::caller_reply const& reply)
     {
         std::string text =
             std::to_string(reply.caller) + ' ' +
@@ -347,22 +352,22 @@
         {
             text += ' ' + header.value;
         }
-        text += ' ' + std::to_string(world_.now().time_since_epoch().count());
-        out_.add(text);
+        text += ' ' + std::to_string(loop_.now().time_since_epoch().count());
+        decisions_.add(text);
     }
 
-    signature& out_;
-    bench_event_loop world_;
-    bench_store store_{world_};
+    signature& decisions_;
+    bench_event_loop loop_;
+    bench_store store_{loop_};
     std::map<std::string, std::uint32_t> in_use_; ///< Slots, by upstream.
     std::vector<entry> entries_;
 };
 
 } // namespace
 
-void bench_requests(signature& out)
+void bench_requests(signature& decisions)
 {
-    request_bench(out).run();
+    request_bench(decisions).run();
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/bench_simulation.cpp
+++ b/tools/load/bench_simulation.cpp
@@ -12,7 +12,7 @@
 constexpr core::common::duration store_delay = std::chrono::milliseconds(2);
 }
 
-bench_store::bench_store(bench_event_loop& world) : world_(world)
+bench_store::bench_store(bench_event_loop& loop) : loop_(loop)
 {
 }
 
@@ -23,11 +23,11 @@
         watch(call.id, *wait, std::move(handle));
         return;
     }
-    world_.after(store_delay,
-                 [this, call = std::move(call), handle = std::move(handle)]
-                 {
-                     handle(apply(call));
-                 });
+    loop_.after(store_delay,
+                [this, call = std::move(call), handle = std::move(handle)]
+                {
+                    handle(apply(call));
+                });
 }
 
 ports::store_reply bench_store::apply(ports::store_call const& call)
@@ -48,13 +48,15 @@
     else if (auto const* write =
                  std::get_if<ports::store_write>(&call.operation))
     {
-        reply.status = swap(write->key, write->expected_version, &write->value);
+        reply.status = compare_and_swap(
+            write->key, write->expected_version, &write->value);
         reply.index = index_;
     }
     else if (auto const* erase =
                  std::get_if<ports::store_erase>(&call.operation))
     {
-        reply.status = swap(erase->key, erase->expected_version, nullptr);
+        reply.status =
+            compare_and_swap(erase->key, erase->expected_version, nullptr);
         reply.index = index_;
     }
     return reply;
@@ -66,12 +68,12 @@
 {
     auto const number = ++next_watcher_;
     watchers_.emplace(number, watcher{id, watch.prefix, std::move(handle)});
-    bool const newer = changed(watch.prefix) > watch.index;
-    world_.after(newer ? store_delay : watch.wait,
-                 [this, number]
-                 {
-                     end_watch(number);
-                 });
+    bool const newer = last_change_index(watch.prefix) > watch.index;
+    loop_.after(newer ? store_delay : watch.wait,
+                [this, number]
+                {
+                    end_watch(number);
+                });
 }
 
 void bench_store::end_watch(std::uint64_t number)
@@ -93,23 +95,23 @@
     {
         if (key.starts_with(waiting.prefix))
         {
-            world_.after(store_delay,
-                         [this, number = number]
-                         {
-                             end_watch(number);
-                         });
+            loop_.after(store_delay,
+                        [this, number = number]
+                        {
+                            end_watch(number);
+                        });
         }
     }
 }
 
-std::uint64_t bench_store::changed(std::string const& prefix) const
+std::uint64_t bench_store::last_change_index(std::string const& prefix) const
 {
     std::uint64_t newest = 0;
-    for (auto at = changes_.lower_bound(prefix);
-         at != changes_.end() && at->first.starts_with(prefix);
-         ++at)
+    for (auto it = changes_.lower_bound(prefix);
+         it != changes_.end() && it->first.starts_with(prefix);
+         ++it)
     {
-        newest = std::max(newest, at->second);
+        newest = std::max(newest, it->second);
     }
     return newest;
 }
@@ -121,9 +123,9 @@
     notify(key);
 }
 
-ports::store_status bench_store::swap(std::string const& key,
-                                      std::uint64_t expected,
-                                      std::string const* to)
+ports::store_status bench_store::compare_and_swap(std::string const& key,
+                                                  std::uint64_t expected,
+                                                  std::string const* new_value)
 {
     auto const found = entries_.find(key);
     std::uint64_t const version =
@@ -132,25 +134,25 @@
     {
         return ports::store_status::conflict;
     }
-    if (to == nullptr)
+    if (new_value == nullptr)
     {
         entries_.erase(key);
         changes_[key] = ++index_;
         notify(key);
         return ports::store_status::done;
     }
-    put(key, *to);
+    put(key, *new_value);
     return ports::store_status::done;
 }
 
 void bench_store::list(std::string const& prefix,
                        ports::store_reply& reply) const
 {
-    for (auto at = entries_.lower_bound(prefix);
-         at != entries_.end() && at->first.starts_with(prefix);
-         ++at)
+    for (auto it = entries_.lower_bound(prefix);
+         it != entries_.end() && it->first.starts_with(prefix);
+         ++it)
     {
-        reply.entries.push_back(at->second);
+        reply.entries.push_back(it->second);
     }
 }
 
--- a/tools/load/bench_simulation.hpp
+++ b/tools/load/bench_simulation.hpp
@@ -64,7 +64,7 @@
 public:
     using handler = std::function<void(ports::store_reply const&)>;
 
-    explicit bench_store(bench_event_loop& world);
+    explicit bench_store(bench_event_loop& loop);
 
     /// Answers after a fixed delay; a watch when something below its prefix
     /// changed, or its wait is over.
@@ -84,12 +84,12 @@
     watch(ports::call_id id, ports::store_watch const& watch, handler handle);
     void end_watch(std::uint64_t number);
     void notify(std::string const& key);
-    std::uint64_t changed(std::string const& prefix) const;
+    std::uint64_t last_change_index(std::string const& prefix) const;
     ports::store_status
-    swap(std::string const& key, std::uint64_t expected, std::string const* to);
+    compare_and_swap(std::string const& key, std::uint64_t expected, std::string const* new_value);
     void list(std::string const& prefix, ports::store_reply& reply) const;
 
-    bench_event_loop& world_;
+    bench_event_loop& loop_;
     std::map<std::string, ports::store_entry> entries_;
     std::map<std::string, std::uint64_t> changes_; ///< Erasures too.
     std::map<std::uint64_t, watcher> watchers_;
--- a/tools/load/bench_tasks.cpp
+++ b/tools/load/bench_tasks.cpp
@@ -22,9 +22,9 @@
 
 constexpr std::uint64_t seed = 20'261'203;
 constexpr int worker_count = 400;
-constexpr int per_rack = 8;
+constexpr int workers_per_rack = 8;
 constexpr int job_count = 1'000;
-constexpr int tasks_each = 4;
+constexpr int tasks_per_job = 4;
 constexpr auto customer = "estate-owners";
 constexpr std::array<char const*, 6> classes{
     "bidding", "catalogue", "valuation", "settlement", "index", "export"};
@@ -38,7 +38,8 @@
 class task_bench
 {
 public:
-    explicit task_bench(signature& out) : out_(out), world_(seed)
+    explicit task_bench(signature& decisions)
+        : decisions_(decisions), loop_(seed)
     {
         write_configuration();
         self_.id = {"planner-1", seed};
@@ -55,25 +56,25 @@
 
     void run()
     {
-        auto const start = world_.now();
-        tell(
-            [this](planner_engine& to, ports::actions& out)
+        auto const start = loop_.now();
+        dispatch(
+            [this](planner_engine& target, ports::actions& actions)
             {
-                to.start(world_.now(), out);
+                target.start(loop_.now(), actions);
             });
         tick();
         list();
         report();
-        world_.run_until(start + joining_time);
+        loop_.run_until(start + joining_time);
         for (int number = 0; number < job_count; ++number)
         {
-            world_.after(number * job_interval,
-                         [this, number]
-                         {
-                             submit(number);
-                         });
+            loop_.after(number * job_interval,
+                        [this, number]
+                        {
+                            submit(number);
+                        });
         }
-        world_.run_until(world_.now() + job_count * job_interval + ending_time);
+        loop_.run_until(loop_.now() + job_count * job_interval + ending_time);
     }
 
 private:
@@ -104,25 +105,25 @@
     }
 
     template<class Event>
-    void tell(Event event)
+    void dispatch(Event event)
     {
         ports::actions actions;
         event(*engine_, actions);
-        perform(actions);
+        execute_actions(actions);
     }
 
     void tick()
     {
-        tell(
-            [this](planner_engine& to, ports::actions& out)
+        dispatch(
+            [this](planner_engine& target, ports::actions& actions)
             {
-                to.tick(world_.now(), out);
+                target.tick(loop_.now(), actions);
             });
-        world_.after(tick_interval,
-                     [this]
-                     {
-                         tick();
-                     });
+        loop_.after(tick_interval,
+                    [this]
+                    {
+                        tick();
+                    });
     }
 
     static std::string worker_name(int number)
@@ -132,42 +133,43 @@
 
     void list()
     {
-        ports::instance_list const members{{}, {self_.id.name}, world_.now()};
+        ports::instance_list const members{{}, {self_.id.name}, loop_.now()};
         ports::worker_list all;
-        all.received = world_.now();
+        all.received = loop_.now();
         for (int number = 0; number < worker_count; ++number)
         {
             ports::worker_instance worker;
             worker.id = worker_name(number);
-            worker.rack = "rack-" + std::to_string(number / per_rack);
+            worker.rack = "rack-" + std::to_string(number / workers_per_rack);
             worker.data_centre = "dc-1";
             worker.capacity = {64'000, 250'000, 0};
             all.workers.push_back(std::move(worker));
         }
-        tell(
-            [&](planner_engine& to, ports::actions& out)
+        dispatch(
+            [&](planner_engine& target, ports::actions& actions)
             {
-                to.on_instances(world_.now(), members, out);
-                to.on_workers(world_.now(), all, out);
+                target.on_instances(loop_.now(), members, actions);
+                target.on_workers(loop_.now(), all, actions);
             });
-        world_.after(1s,
-                     [this]
-                     {
-                         list();
-                     });
+        loop_.after(1s,
+                    [this]
+                    {
+                        list();
+                    });
     }
 
     std::uint64_t clock_ms() const
     {
         return static_cast<std::uint64_t>(
-            core::common::to_milliseconds(world_.now().time_since_epoch()));
+            core::common::to_milliseconds(loop_.now().time_since_epoch()));
     }
 
     // Services are slower the more attempts share their worker, so that there
     // is something to learn.
-    static std::uint64_t latency_us(attempt const& one, std::size_t neighbours)
+    static std::uint64_t latency_us(attempt const& current,
+                                    std::size_t neighbours)
     {
-        return one.work_ms == 0 ? 5'000 + 4'000 * neighbours : 0;
+        return current.work_ms == 0 ? 5'000 + 4'000 * neighbours : 0;
     }
 
     void report()
@@ -175,31 +177,31 @@
         ++sequence_;
         for (int number = 0; number < worker_count; ++number)
         {
-            ports::worker_report made;
-            made.worker = worker_name(number);
-            made.sequence = sequence_;
-            made.clock_ms = clock_ms();
-            for (auto const& [what, one] : workers_[made.worker])
+            ports::worker_report report;
+            report.worker = worker_name(number);
+            report.sequence = sequence_;
+            report.clock_ms = clock_ms();
+            for (auto const& [attempt_id, current] : workers_[report.worker])
             {
-                ports::attempt_report each;
-                each.attempt_id = what;
-                each.state = one.state;
-                each.used = one.declared;
-                each.latency_p99_us =
-                    latency_us(one, workers_[made.worker].size());
-                made.attempts.push_back(each);
+                ports::attempt_report item;
+                item.attempt_id = attempt_id;
+                item.state = current.state;
+                item.used = current.declared;
+                item.latency_p99_us =
+                    latency_us(current, workers_[report.worker].size());
+                report.attempts.push_back(item);
             }
-            tell(
-                [&](planner_engine& to, ports::actions& out)
+            dispatch(
+                [&](planner_engine& target, ports::actions& actions)
                 {
-                    to.on_worker_report(world_.now(), made, out);
+                    target.on_worker_report(loop_.now(), report, actions);
                 });
         }
-        world_.after(report_interval,
-                     [this]
-                     {
-                         report();
-                     });
+        loop_.after(report_interval,
+                    [this]
+                    {
+                        report();
+                    });
     }
 
     void submit(int number)
@@ -207,63 +209,64 @@
         core::tasks::job job;
         job.id = "job-" + std::to_string(number);
         job.customer = customer;
-        job.task_class = classes[world_.random_below(classes.size())];
-        job.kind = world_.random_below(3) == 0 ? core::tasks::job_kind::service
-                                               : core::tasks::job_kind::batch;
-        job.tasks = tasks_each;
+        job.task_class = classes[loop_.random_below(classes.size())];
+        job.kind = loop_.random_below(3) == 0 ? core::tasks::job_kind::service
+                                              : core::tasks::job_kind::batch;
+        job.tasks = tasks_per_job;
         job.declared = {
-            static_cast<std::int64_t>(500 * (1 + world_.random_below(8))),
-            static_cast<std::int64_t>(1'000 * (1 + world_.random_below(8))),
+            static_cast<std::int64_t>(500 * (1 + loop_.random_below(8))),
+            static_cast<std::int64_t>(1'000 * (1 + loop_.random_below(8))),
             0};
         bool const batch = job.kind == core::tasks::job_kind::batch;
-        job.work_ms = batch ? 2'000 + world_.random_below(10'000) : 0;
+        job.work_ms = batch ? 2'000 + loop_.random_below(10'000) : 0;
         job.checkpointable = batch;
-        job.urgent = world_.random_below(20) == 0;
+        job.urgent = loop_.random_below(20) == 0;
         core::tasks::job_request request{static_cast<std::uint64_t>(number),
                                          "POST",
                                          "/v1/jobs",
                                          core::tasks::to_json(job)};
-        tell(
-            [&](planner_engine& to, ports::actions& out)
+        dispatch(
+            [&](planner_engine& target, ports::actions& actions)
             {
-                to.on_job_request(world_.now(), request, out);
+                target.on_job_request(loop_.now(), request, actions);
             });
     }
 
-    void perform(ports::actions& actions)
+    void execute_actions(ports::actions& actions)
     {
         for (auto& action : actions)
         {
             if (auto* const call = std::get_if<ports::store_call>(&action))
             {
-                ask_store(std::move(*call));
+                send_store_call(std::move(*call));
             }
             else if (auto* const work =
                          std::get_if<ports::worker_call>(&action))
             {
-                world_.after(worker_delay,
-                             [this, call = std::move(*work)]
-                             {
-                                 work_on(call);
-                             });
+                loop_.after(worker_delay,
+                            [this, call = std::move(*work)]
+                            {
+                                apply_call(call);
+                            });
             }
         }
     }
 
-    void ask_store(ports::store_call call)
+    void send_store_call(ports::store_call call)
     {
         store_.call(std::move(call),
                     [this](ports::store_reply const& reply)
                     {
-                        tell(
-                            [&](planner_engine& to, ports::actions& out)
+                        dispatch(
+                            [&](planner_engine& target, ports::actions& actions)
                             {
-                                to.on_store_reply(world_.now(), reply, out);
+                                target.on_store_reply(
+                                    loop_.now(), reply, actions);
                             });
                     });
     }
 
-    void work_on(ports::worker_call const& call)
+    void apply_call(ports::worker_call const& call)
     {
         ports::worker_reply reply;
         reply.id = call.id;
@@ -272,16 +275,16 @@
         if (auto const* start =
                 std::get_if<ports::worker_start>(&call.operation))
         {
-            begin(call.worker, *start);
+            start_attempt(call.worker, *start);
         }
         else if (auto const* renew =
                      std::get_if<ports::worker_renew>(&call.operation))
         {
-            for (auto const& what : renew->attempts)
+            for (auto const& attempt_id : renew->attempts)
             {
-                if (!running.contains(what))
+                if (!running.contains(attempt_id))
                 {
-                    reply.unknown_attempts.push_back(what);
+                    reply.unknown_attempts.push_back(attempt_id);
                 }
             }
         }
@@ -289,58 +292,58 @@
                      std::get_if<ports::worker_stop>(&call.operation))
         {
             running.erase(stop->attempt_id);
-            note(call.worker, "stop", stop->attempt_id);
+            record_order(call.worker, "stop", stop->attempt_id);
         }
         else if (auto const* checkpoint =
                      std::get_if<ports::worker_checkpoint>(&call.operation))
         {
             reply.checkpoint = checkpoint->attempt_id.task + "-checkpoint";
         }
-        world_.after(worker_delay,
-                     [this, reply]
-                     {
-                         tell(
-                             [&](planner_engine& to, ports::actions& out)
-                             {
-                                 to.on_worker_reply(world_.now(), reply, out);
-                             });
-                     });
+        loop_.after(worker_delay,
+                    [this, reply]
+                    {
+                        dispatch(
+                            [&](planner_engine& target, ports::actions& actions)
+                            {
+                                target.on_worker_reply(
+                                    loop_.now(), reply, actions);
+                            });
+                    });
     }
 
-    void begin(std::string const& worker, ports::worker_start const& start)
+    void start_attempt(std::string const& worker,
+                       ports::worker_start const& start)
     {
-        note(worker, "start", start.attempt_id);
-        workers_[worker][start.attempt_id] = {attempt_state::running,
-                                              start.declared,
-                                              start.work_ms,
-                                              world_.now()};
+        record_order(worker, "start", start.attempt_id);
+        workers_[worker][start.attempt_id] = {
+            attempt_state::running, start.declared, start.work_ms, loop_.now()};
         if (start.service)
         {
             return;
         }
-        world_.after(std::chrono::milliseconds(start.work_ms),
-                     [this, worker, what = start.attempt_id]
-                     {
-                         auto const found = workers_[worker].find(what);
-                         if (found != workers_[worker].end())
-                         {
-                             found->second.state = attempt_state::finished;
-                         }
-                     });
+        loop_.after(std::chrono::milliseconds(start.work_ms),
+                    [this, worker, attempt_id = start.attempt_id]
+                    {
+                        auto const found = workers_[worker].find(attempt_id);
+                        if (found != workers_[worker].end())
+                        {
+                            found->second.state = attempt_state::finished;
+                        }
+                    });
     }
 
-    void note(std::string const& worker,
-              std::string const& kind,
-              ports::task_attempt const& what)
+    void record_order(std::string const& worker,
+                      std::string const& kind,
+                      ports::task_attempt const& attempt_id)
     {
-        out_.add(kind + ' ' + worker + ' ' + what.task + ' ' +
-                 std::to_string(what.attempt) + ' ' +
-                 std::to_string(clock_ms()));
+        decisions_.add(kind + ' ' + worker + ' ' + attempt_id.task + ' ' +
+                       std::to_string(attempt_id.attempt) + ' ' +
+                       std::to_string(clock_ms()));
     }
 
-    signature& out_;
-    bench_event_loop world_;
-    bench_store store_{world_};
+    signature& decisions_;
+    bench_event_loop loop_;
+    bench_store store_{loop_};
     core::membership::member_info self_;
     std::unique_ptr<planner_engine> engine_;
     std::map<std::string, attempts> workers_;
@@ -349,9 +352,9 @@
 
 } // namespace
 
-void bench_tasks(signature& out)
+void bench_tasks(signature& decisions)
 {
-    task_bench(out).run();
+    task_bench(decisions).run();
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/commands.cpp
+++ b/tools/load/commands.cpp
@@ -15,13 +15,13 @@
 
 using core::common::result_code;
 
-constexpr int broken_promise = 1;
-constexpr int bad_input = 2;
+constexpr int failed_check_status = 1;
+constexpr int bad_input_status = 2;
 
-int complain(core::common::failure const& reason)
+int report_error(core::common::failure const& reason)
 {
     std::cerr << "fuchsia-load: " << to_string(reason) << '\n';
-    return bad_input;
+    return bad_input_status;
 }
 
 bool write_file(std::string const& path,
@@ -42,7 +42,7 @@
     return true;
 }
 
-std::optional<target_settings> targets_from(std::string const& path,
+std::optional<target_settings> load_targets(std::string const& path,
                                             core::common::failure& reason)
 {
     if (path.empty())
@@ -62,10 +62,10 @@
                       : std::nullopt;
 }
 
-std::optional<experiment> experiment_from(run_options const& options,
+std::optional<experiment> load_experiment(run_options const& options,
                                           core::common::failure& reason)
 {
-    auto const targets = targets_from(options.targets, reason);
+    auto const targets = load_targets(options.targets, reason);
     auto const file =
         targets
             ? adapters::settings::toml_file::open(options.experiment, reason)
@@ -75,44 +75,45 @@
         return std::nullopt;
     }
     auto root = file->root();
-    auto what = read_experiment(root, *targets);
+    auto spec = read_experiment(root, *targets);
     if (!file->ok())
     {
         reason = file->reason();
         return std::nullopt;
     }
-    return what;
+    return spec;
 }
 
-void apply(run_options const& options, experiment& what)
+void apply(run_options const& options, experiment& spec)
 {
     if (options.seconds)
     {
-        what.scale_to(std::chrono::duration_cast<core::common::duration>(
+        spec.scale_to(std::chrono::duration_cast<core::common::duration>(
             std::chrono::duration<double>(*options.seconds)));
     }
-    what.seed = options.seed.value_or(what.seed);
-    for (auto& stream : what.streams)
+    spec.seed = options.seed.value_or(spec.seed);
+    for (auto& stream : spec.streams)
     {
         stream.rate *= options.rate_factor;
         stream.direct = stream.direct || options.direct;
     }
 }
 
-std::optional<counts> counts_of_standin(std::string const& where,
+std::optional<counts> counts_of_standin(std::string const& address,
                                         core::common::failure& reason)
 {
-    if (where.empty())
+    if (address.empty())
     {
         return counts();
     }
-    auto const endpoint = adapters::http::parse_endpoint(where);
-    auto books = endpoint ? fetch_counts(*endpoint) : std::optional<counts>();
-    if (!books)
+    auto const endpoint = adapters::http::parse_endpoint(address);
+    auto counters =
+        endpoint ? fetch_counts(*endpoint) : std::optional<counts>();
+    if (!counters)
     {
-        reason = {result_code::not_found, where, "its books can't be read"};
+        reason = {result_code::not_found, address, "its books can't be read"};
     }
-    return books;
+    return counters;
 }
 
 } // namespace
@@ -120,17 +121,17 @@
 int run_experiment(run_options const& options)
 {
     core::common::failure reason;
-    auto what = experiment_from(options, reason);
-    if (!what)
+    auto spec = load_experiment(options, reason);
+    if (!spec)
     {
-        return complain(reason);
+        return report_error(reason);
     }
-    apply(options, *what);
-    load_run load(std::move(*what));
+    apply(options, *spec);
+    load_run load(std::move(*spec));
     auto const report = load.run(reason);
     if (!report)
     {
-        return complain(reason);
+        return report_error(reason);
     }
     print_tables(std::cout, *report);
     bool const written =
@@ -139,9 +140,9 @@
         write_file(options.svg, to_svg(*report), reason);
     if (!written)
     {
-        return complain(reason);
+        return report_error(reason);
     }
-    return report->events_failed == 0 ? EXIT_SUCCESS : broken_promise;
+    return report->events_failed == 0 ? EXIT_SUCCESS : failed_check_status;
 }
 
 int print_verdict(verdict_options const& options)
@@ -153,7 +154,7 @@
         auto const text = adapters::settings::read_file(path, reason);
         if (!text || !all.add_summary(*text))
         {
-            return complain(
+            return report_error(
                 text ? core::common::failure{result_code::malformed_json,
                                              path,
                                              "no summary of a run"}
@@ -165,12 +166,12 @@
         upstreams ? counts_of_standin(options.workers, reason) : std::nullopt;
     if (!workers)
     {
-        return complain(reason);
+        return report_error(reason);
     }
     all.add_upstreams(*upstreams);
     all.add_workers(*workers);
     std::cout << to_line(all) << '\n';
-    return all.passed() ? EXIT_SUCCESS : broken_promise;
+    return all.passed() ? EXIT_SUCCESS : failed_check_status;
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/experiment.hpp
+++ b/tools/load/experiment.hpp
@@ -84,7 +84,7 @@
 struct timed_event
 {
     core::common::duration at{};
-    ports::endpoint where;
+    ports::endpoint endpoint;
     bool planner = false; ///< To any planner, instead of `where`.
     std::string method = "POST";
     std::string path;
--- a/tools/load/histogram.cpp
+++ b/tools/load/histogram.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned sub_bits = 6;
 constexpr std::uint64_t sub_count = 1U << sub_bits;
 constexpr unsigned value_bits = 40; // 12 days in microseconds.
-constexpr std::uint64_t most = (std::uint64_t{1} << value_bits) - 1;
+constexpr std::uint64_t max_value = (std::uint64_t{1} << value_bits) - 1;
 constexpr std::size_t bucket_count = (value_bits - sub_bits + 1) * sub_count;
 
 // Values below `sub_count` have a bucket each; above, the leading bits choose.
@@ -25,8 +25,8 @@
     }
     auto const shift =
         static_cast<unsigned>(std::bit_width(value)) - sub_bits - 1;
-    auto const lead = (value >> shift) - sub_count;
-    return (shift + 1) * sub_count + lead;
+    auto const leading_bits = (value >> shift) - sub_count;
+    return (shift + 1) * sub_count + leading_bits;
 }
 
 std::uint64_t upper_bound_of(std::size_t bucket) noexcept
@@ -36,8 +36,8 @@
         return bucket;
     }
     auto const shift = bucket / sub_count - 1;
-    auto const lead = bucket % sub_count + sub_count;
-    return ((lead + 1) << shift) - 1;
+    auto const leading_bits = bucket % sub_count + sub_count;
+    return ((leading_bits + 1) << shift) - 1;
 }
 
 } // namespace
@@ -48,11 +48,12 @@
 
 void histogram::record(std::int64_t value) noexcept
 {
-    auto const whole = std::min(
-        most, static_cast<std::uint64_t>(std::max<std::int64_t>(0, value)));
-    ++buckets_[bucket_of(whole)];
+    auto const clamped =
+        std::min(max_value,
+                 static_cast<std::uint64_t>(std::max<std::int64_t>(0, value)));
+    ++buckets_[bucket_of(clamped)];
     ++count_;
-    largest_ = std::max(largest_, static_cast<std::int64_t>(whole));
+    largest_ = std::max(largest_, static_cast<std::int64_t>(clamped));
 }
 
 void histogram::add(histogram const& other) noexcept
@@ -83,15 +84,15 @@
     {
         return 0;
     }
-    auto const wanted =
+    auto const rank =
         std::max<std::uint64_t>(1,
                                 static_cast<std::uint64_t>(std::ceil(
                                     share * static_cast<double>(count_))));
-    std::uint64_t seen = 0;
+    std::uint64_t cumulative = 0;
     for (std::size_t bucket = 0; bucket < buckets_.size(); ++bucket)
     {
-        seen += buckets_[bucket];
-        if (seen >= wanted)
+        cumulative += buckets_[bucket];
+        if (cumulative >= rank)
         {
             return std::min(largest_,
                             static_cast<std::int64_t>(upper_bound_of(bucket)));
--- a/tools/load/load_run.cpp
+++ b/tools/load/load_run.cpp
@@ -18,44 +18,44 @@
 using core::common::duration;
 using core::common::result_code;
 
-constexpr duration longest_check = std::chrono::seconds(10);
+constexpr duration max_check_time = std::chrono::seconds(10);
 constexpr duration progress_interval = std::chrono::seconds(1);
-constexpr duration idle_check = std::chrono::milliseconds(50);
+constexpr duration idle_check_interval = std::chrono::milliseconds(50);
 // Arrivals sent before other handlers get their turn.
 constexpr std::size_t arrival_batch = 128;
 constexpr std::uint64_t stream_seed_step = 1'000'003;
 constexpr std::uint16_t ok = 200;
-constexpr std::size_t max_event_tries = 20;
+constexpr std::size_t max_event_attempts = 20;
 
 // Different for every run, so that its keys and job ids are new ones.
-std::string run_name()
+std::string make_run_id()
 {
     auto const now = std::chrono::system_clock::now().time_since_epoch();
     auto const count =
         std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     constexpr std::string_view digits = "0123456789abcdefghijklmnopqrstuvwxyz";
     std::string name;
-    for (auto left = count; left > 0;
-         left /= static_cast<std::int64_t>(digits.size()))
+    for (auto remaining = count; remaining > 0;
+         remaining /= static_cast<std::int64_t>(digits.size()))
     {
-        name += digits[static_cast<std::size_t>(left) % digits.size()];
+        name += digits[static_cast<std::size_t>(remaining) % digits.size()];
     }
     return name;
 }
 
-counts counts_now(std::optional<ports::endpoint> const& where)
+counts counts_now(std::optional<ports::endpoint> const& endpoint)
 {
-    return where ? fetch_counts(*where).value_or(counts()) : counts();
+    return endpoint ? fetch_counts(*endpoint).value_or(counts()) : counts();
 }
 
-std::optional<adapters::http::response> get(ports::endpoint const& where,
+std::optional<adapters::http::response> get(ports::endpoint const& endpoint,
                                             std::string target)
 {
     boost::asio::io_context io(1);
     adapters::http::client client(io, {});
-    std::optional<adapters::http::response> got;
+    std::optional<adapters::http::response> result;
     adapters::http::client_call call;
-    call.remote_endpoint = where;
+    call.remote_endpoint = endpoint;
     call.message.method = "GET";
     call.message.target = std::move(target);
     bool ended = false;
@@ -66,26 +66,26 @@
             ended = true;
             if (status == ports::exchange_status::answered)
             {
-                got = std::move(answer);
+                result = std::move(answer);
             }
         });
     while (!ended && io.run_one() > 0)
     {
     }
-    return got;
+    return result;
 }
 
 } // namespace
 
-load_run::load_run(experiment what)
-    : what_(std::move(what)), run_(run_name()), io_(1),
+load_run::load_run(experiment spec)
+    : experiment_(std::move(spec)), run_id_(make_run_id()), io_(1),
       entries_(io_,
-               what_.targets.entries,
-               what_.targets.check_interval,
-               what_.targets.check_lag),
-      caller_(io_, what_, entries_, book_, run_), submitter_(io_, what_, run_),
-      events_(io_, {}), arrival_timer_(io_), progress_timer_(io_),
-      end_timer_(io_)
+               experiment_.targets.entries,
+               experiment_.targets.check_interval,
+               experiment_.targets.check_lag),
+      client_(io_, experiment_, entries_, statistics_, run_id_),
+      submitter_(io_, experiment_, run_id_), events_(io_, {}),
+      arrival_timer_(io_), progress_timer_(io_), end_timer_(io_)
 {
 }
 
@@ -96,7 +96,7 @@
         return std::nullopt;
     }
     start_ = clock::now();
-    caller_.begin(start_);
+    client_.begin(start_);
     make_arrivals();
     start_events();
     adapters::runtime::on_stop_signal(io_,
@@ -105,7 +105,7 @@
                                           arrivals_ = {};
                                       });
     start_sampler();
-    serve_arrivals();
+    send_due_arrivals();
     show_progress();
     end_when_idle();
     io_.run();
@@ -114,19 +114,19 @@
 
 bool load_run::prepare(core::common::failure& reason)
 {
-    auto const is_direct = [](request_stream const& each)
+    auto const is_direct = [](request_stream const& stream)
     {
-        return each.direct;
+        return stream.direct;
     };
-    auto const& streams = what_.streams;
+    auto const& streams = experiment_.streams;
     bool const needs_entries =
         !std::all_of(streams.begin(), streams.end(), is_direct);
-    if (needs_entries && what_.targets.entries.empty())
+    if (needs_entries && experiment_.targets.entries.empty())
     {
         reason = {result_code::missing_key, "targets.entries", "none is given"};
         return false;
     }
-    if (!what_.jobs.empty() && what_.targets.planners.empty())
+    if (!experiment_.jobs.empty() && experiment_.targets.planners.empty())
     {
         reason = {
             result_code::missing_key, "targets.planners", "none is given"};
@@ -137,21 +137,21 @@
     {
         return false;
     }
-    platform_before_ = counts_now(what_.targets.platform);
-    upstreams_before_ = counts_now(what_.targets.upstreams);
-    workers_before_ = counts_now(what_.targets.workers);
+    platform_before_ = counts_now(experiment_.targets.platform);
+    upstreams_before_ = counts_now(experiment_.targets.upstreams);
+    workers_before_ = counts_now(experiment_.targets.workers);
     entries_.start();
-    auto const give_up = clock::now() + longest_check;
-    while (!entries_.checked_all() && clock::now() < give_up)
+    auto const deadline = clock::now() + max_check_time;
+    while (!entries_.checked_all() && clock::now() < deadline)
     {
-        io_.run_one_for(idle_check);
+        io_.run_one_for(idle_check_interval);
     }
     return true;
 }
 
 bool load_run::find_direct_targets(core::common::failure& reason)
 {
-    if (!what_.targets.platform)
+    if (!experiment_.targets.platform)
     {
         reason = {result_code::missing_key,
                   "targets.platform",
@@ -159,13 +159,13 @@
         return false;
     }
     auto const answer =
-        get(*what_.targets.platform, "/v1/catalog/service/upstream");
+        get(*experiment_.targets.platform, "/v1/catalog/service/upstream");
     auto const listed = adapters::platform::parse_upstreams(
         answer ? answer->body : std::string());
     std::vector<ports::endpoint> targets;
-    for (auto const& each : listed.value_or(decltype(listed)::value_type()))
+    for (auto const& upstream : listed.value_or(decltype(listed)::value_type()))
     {
-        targets.push_back(each.remote_endpoint);
+        targets.push_back(upstream.remote_endpoint);
     }
     if (targets.empty())
     {
@@ -173,34 +173,34 @@
             result_code::not_found, "targets.platform", "it lists no upstream"};
         return false;
     }
-    caller_.set_direct_targets(std::move(targets));
+    client_.set_direct_targets(std::move(targets));
     return true;
 }
 
 void load_run::make_arrivals()
 {
-    std::uint64_t seed = what_.seed;
-    for (auto const& each : what_.streams)
+    std::uint64_t seed = experiment_.seed;
+    for (auto const& traffic : experiment_.streams)
     {
         seed += stream_seed_step;
-        streams_.emplace_back(arrival_stream::shape{each.rate,
-                                                    each.poisson,
-                                                    each.from,
-                                                    each.until,
-                                                    each.burst_size,
-                                                    each.burst_every},
-                              what_.phases,
+        streams_.emplace_back(arrival_stream::shape{traffic.rate,
+                                                    traffic.poisson,
+                                                    traffic.from,
+                                                    traffic.until,
+                                                    traffic.burst_size,
+                                                    traffic.burst_every},
+                              experiment_.phases,
                               seed);
     }
     constexpr double minute = 60.0;
-    for (auto const& each : what_.jobs)
+    for (auto const& jobs : experiment_.jobs)
     {
         seed += stream_seed_step;
         arrival_stream::shape shape;
-        shape.rate = each.per_minute / minute;
-        shape.from = each.from;
-        shape.until = each.until;
-        streams_.emplace_back(shape, what_.phases, seed);
+        shape.rate = jobs.per_minute / minute;
+        shape.from = jobs.from;
+        shape.until = jobs.until;
+        streams_.emplace_back(shape, experiment_.phases, seed);
     }
     for (std::size_t stream = 0; stream < streams_.size(); ++stream)
     {
@@ -216,24 +216,24 @@
     }
 }
 
-void load_run::serve_arrivals()
+void load_run::send_due_arrivals()
 {
-    std::size_t served = 0;
-    while (!arrivals_.empty() && served < arrival_batch &&
+    std::size_t handled = 0;
+    while (!arrivals_.empty() && handled < arrival_batch &&
            start_ + arrivals_.top().due <= clock::now())
     {
         auto const next = arrivals_.top();
         arrivals_.pop();
         push_next(next.stream);
-        if (next.stream < what_.streams.size())
+        if (next.stream < experiment_.streams.size())
         {
-            caller_.send(next.stream, start_ + next.due);
+            client_.send(next.stream, start_ + next.due);
         }
         else
         {
-            submitter_.submit(next.stream - what_.streams.size());
+            submitter_.submit(next.stream - experiment_.streams.size());
         }
-        ++served;
+        ++handled;
     }
     if (arrivals_.empty())
     {
@@ -245,14 +245,14 @@
         {
             if (!error)
             {
-                serve_arrivals();
+                send_due_arrivals();
             }
         });
 }
 
 void load_run::start_events()
 {
-    for (auto const& event : what_.events)
+    for (auto const& event : experiment_.events)
     {
         auto const timer =
             std::make_shared<adapters::runtime::timer>(io_, event.at);
@@ -269,26 +269,27 @@
 
 void load_run::start_sampler()
 {
-    if (!what_.targets.workers || what_.jobs.empty())
+    if (!experiment_.targets.workers || experiment_.jobs.empty())
     {
         return;
     }
     auto const phase = [this]
     {
-        return what_.phases[what_.phase_at(clock::now() - start_)].name;
+        return experiment_.phases[experiment_.phase_at(clock::now() - start_)]
+            .name;
     };
-    services_.emplace(io_, *what_.targets.workers, phase);
+    services_.emplace(io_, *experiment_.targets.workers, phase);
     services_->start();
 }
 
-void load_run::send_event(timed_event const& event, std::size_t tries)
+void load_run::send_event(timed_event const& event, std::size_t attempts)
 {
     adapters::http::client_call call;
-    call.remote_endpoint = event.where;
+    call.remote_endpoint = event.endpoint;
     if (event.planner)
     {
-        auto const& planners = what_.targets.planners;
-        call.remote_endpoint = planners[tries % planners.size()];
+        auto const& planners = experiment_.targets.planners;
+        call.remote_endpoint = planners[attempts % planners.size()];
     }
     call.message.method = event.method;
     call.message.target = event.path;
@@ -296,20 +297,21 @@
     if (event.with_token)
     {
         call.message.headers = {
-            {"Authorization", "Bearer " + what_.targets.token}};
+            {"Authorization", "Bearer " + experiment_.targets.token}};
     }
-    events_.send(std::move(call),
-                 [this, &event, tries](ports::exchange_status status,
-                                       adapters::http::response const& answer)
-                 {
-                     on_event_end(event, tries, status, answer);
-                 });
+    events_.send(
+        std::move(call),
+        [this, &event, attempts](ports::exchange_status status,
+                                 adapters::http::response const& answer)
+        {
+            on_event_end(event, attempts, status, answer);
+        });
 }
 
 // An operator whose planner doesn't answer, or who lost a race, asks again.
 // An experiment whose event never happened has measured something else.
 void load_run::on_event_end(timed_event const& event,
-                            std::size_t tries,
+                            std::size_t attempts,
                             ports::exchange_status status,
                             adapters::http::response const& answer)
 {
@@ -320,9 +322,9 @@
               << (answered ? std::to_string(answer.status) + " " + answer.body
                            : std::string("no answer"))
               << std::endl;
-    if (!done && event.planner && tries + 1 < max_event_tries)
+    if (!done && event.planner && attempts + 1 < max_event_attempts)
     {
-        send_event(event, tries + 1);
+        send_event(event, attempts + 1);
         return;
     }
     events_failed_ += done ? 0 : 1;
@@ -338,24 +340,26 @@
             {
                 return;
             }
-            auto const& all = book_.total();
-            auto const& last = book_.by_second();
+            auto const& total = statistics_.total();
+            auto const& by_second = statistics_.by_second();
             auto const second =
                 std::chrono::duration_cast<std::chrono::seconds>(clock::now() -
                                                                  start_)
                     .count();
             auto const index = static_cast<std::size_t>(second - 1);
-            std::cout << "t=" << second << " sent=" << caller_.sent()
-                      << " answered=" << all.count(request_result::answered)
-                      << " refused=" << all.count(request_result::refused)
-                      << " unknown=" << all.count(request_result::unknown)
-                      << " lost=" << all.count(request_result::lost)
-                      << " in_flight=" << caller_.in_flight()
+            std::cout << "t=" << second << " sent=" << client_.sent()
+                      << " answered=" << total.count(request_result::answered)
+                      << " refused=" << total.count(request_result::refused)
+                      << " unknown=" << total.count(request_result::unknown)
+                      << " lost=" << total.count(request_result::lost)
+                      << " in_flight=" << client_.in_flight()
                       << " ready=" << entries_.ready();
-            if (index < last.size())
+            if (index < by_second.size())
             {
-                std::cout << " p50_us=" << last[index].latency.quantile(0.5)
-                          << " p99_us=" << last[index].latency.quantile(0.99);
+                std::cout << " p50_us="
+                          << by_second[index].latency.quantile(0.5)
+                          << " p99_us="
+                          << by_second[index].latency.quantile(0.99);
             }
             std::cout << " jobs=" << submitter_.counts().accepted << std::endl;
             show_progress();
@@ -366,10 +370,11 @@
 // last try, so this comes to an end.
 void load_run::end_when_idle()
 {
-    bool const idle = arrivals_.empty() && caller_.in_flight() == 0 &&
+    bool const idle = arrivals_.empty() && client_.in_flight() == 0 &&
                       submitter_.pending_jobs() == 0 &&
-                      clock::now() >= start_ + what_.length();
-    end_timer_.expires_after(idle ? what_.drain_time : idle_check);
+                      clock::now() >= start_ + experiment_.length();
+    end_timer_.expires_after(idle ? experiment_.drain_time
+                                  : idle_check_interval);
     end_timer_.async_wait(
         [this, idle](auto error)
         {
@@ -395,11 +400,11 @@
 run_report load_run::make_report()
 {
     run_report report;
-    report.name = what_.name;
-    report.seed = what_.seed;
+    report.name = experiment_.name;
+    report.seed = experiment_.seed;
     report.seconds =
         std::chrono::duration<double>(clock::now() - start_).count();
-    report.requests = std::move(book_);
+    report.requests = std::move(statistics_);
     report.jobs = submitter_.counts();
     report.job_reason = submitter_.last_reason();
     report.events_failed = events_failed_;
@@ -408,11 +413,11 @@
         report.services = services_->by_phase();
     }
     report.platform =
-        difference(platform_before_, counts_now(what_.targets.platform));
-    report.upstreams =
-        difference(upstreams_before_, counts_now(what_.targets.upstreams));
+        difference(platform_before_, counts_now(experiment_.targets.platform));
+    report.upstreams = difference(upstreams_before_,
+                                  counts_now(experiment_.targets.upstreams));
     report.workers =
-        difference(workers_before_, counts_now(what_.targets.workers));
+        difference(workers_before_, counts_now(experiment_.targets.workers));
     return report;
 }
 
--- a/tools/load/load_run.hpp
+++ b/tools/load/load_run.hpp
@@ -24,7 +24,7 @@
 class load_run
 {
 public:
-    explicit load_run(experiment what);
+    explicit load_run(experiment spec);
 
     /// Runs to the end, or until SIGTERM; empty, with the reason, where it
     /// can't begin.
@@ -48,12 +48,12 @@
     bool find_direct_targets(core::common::failure& reason);
     void make_arrivals();
     void push_next(std::size_t stream);
-    void serve_arrivals();
+    void send_due_arrivals();
     void start_events();
     void start_sampler();
-    void send_event(timed_event const& event, std::size_t tries);
+    void send_event(timed_event const& event, std::size_t attempts);
     void on_event_end(timed_event const& event,
-                      std::size_t tries,
+                      std::size_t attempts,
                       ports::exchange_status status,
                       adapters::http::response const& answer);
     void show_progress();
@@ -61,12 +61,12 @@
     void stop();
     run_report make_report();
 
-    experiment what_;
-    std::string run_;
+    experiment experiment_;
+    std::string run_id_;
     boost::asio::io_context io_;
-    request_statistics book_;
+    request_statistics statistics_;
     balancer entries_;
-    request_client caller_;
+    request_client client_;
     submitter submitter_;
     std::optional<service_sampler> services_;
     adapters::http::client events_;
--- a/tools/load/plot.cpp
+++ b/tools/load/plot.cpp
@@ -14,9 +14,9 @@
 
 constexpr double width = 760;
 constexpr double panel_height = 180;
-constexpr double left = 70;
-constexpr double top = 40;
-constexpr double gap = 60;
+constexpr double left_margin = 70;
+constexpr double top_margin = 40;
+constexpr double panel_gap = 60;
 constexpr double millisecond_us = 1'000.0;
 
 struct line
@@ -39,21 +39,21 @@
            std::string(text) + "</text>\n";
 }
 
-std::string polyline(line const& what, double origin, double highest)
+std::string polyline(line const& series, double origin, double highest)
 {
     std::string points;
     double const step =
-        what.values.size() < 2
+        series.values.size() < 2
             ? 0
-            : width / static_cast<double>(what.values.size() - 1);
-    for (std::size_t at = 0; at < what.values.size(); ++at)
+            : width / static_cast<double>(series.values.size() - 1);
+    for (std::size_t index = 0; index < series.values.size(); ++index)
     {
-        double const x = left + step * static_cast<double>(at);
+        double const x = left_margin + step * static_cast<double>(index);
         double const y =
-            origin + panel_height * (1.0 - what.values[at] / highest);
+            origin + panel_height * (1.0 - series.values[index] / highest);
         points += number(x) + "," + number(y) + " ";
     }
-    return "<polyline fill=\"none\" stroke=\"" + std::string(what.colour) +
+    return "<polyline fill=\"none\" stroke=\"" + std::string(series.colour) +
            "\" points=\"" + points + "\"/>\n";
 }
 
@@ -61,26 +61,26 @@
 panel(std::string_view title, std::vector<line> const& lines, double origin)
 {
     double highest = 1.0;
-    for (auto const& each : lines)
+    for (auto const& series : lines)
     {
-        for (double const value : each.values)
+        for (double const value : series.values)
         {
             highest = std::max(highest, value);
         }
     }
-    std::string svg = "<rect x=\"" + number(left) + "\" y=\"" + number(origin) +
-                      "\" width=\"" + number(width) + "\" height=\"" +
-                      number(panel_height) +
+    std::string svg = "<rect x=\"" + number(left_margin) + "\" y=\"" +
+                      number(origin) + "\" width=\"" + number(width) +
+                      "\" height=\"" + number(panel_height) +
                       "\" fill=\"none\" stroke=\"#888\"/>\n";
-    svg += label(left, origin - 8, title);
+    svg += label(left_margin, origin - 8, title);
     svg += label(4, origin + 12, number(highest));
     svg += label(4, origin + panel_height, "0");
-    double name_x = left + width / 2;
-    for (auto const& each : lines)
+    double name_x = left_margin + width / 2;
+    for (auto const& series : lines)
     {
-        svg += polyline(each, origin, highest);
-        svg += "<g fill=\"" + std::string(each.colour) + "\">" +
-               label(name_x, origin - 8, each.name) + "</g>\n";
+        svg += polyline(series, origin, highest);
+        svg += "<g fill=\"" + std::string(series.colour) + "\">" +
+               label(name_x, origin - 8, series.name) + "</g>\n";
         name_x += width / 8;
     }
     return svg;
@@ -104,15 +104,15 @@
         refused.values.push_back(
             static_cast<double>(row.count(request_result::refused)));
     }
-    double const second_panel = top + panel_height + gap;
+    double const second_panel = top_margin + panel_height + panel_gap;
     std::string svg =
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"860\" "
         "height=\"500\" font-family=\"sans-serif\" font-size=\"12\">\n"
         "<rect width=\"860\" height=\"500\" fill=\"white\"/>\n";
-    svg += panel(report.name + ": latency, ms", {latency, median}, top);
+    svg += panel(report.name + ": latency, ms", {latency, median}, top_margin);
     svg += panel("requests a second", {good, refused}, second_panel);
-    svg +=
-        label(left + width - 60, second_panel + panel_height + 16, "seconds");
+    svg += label(
+        left_margin + width - 60, second_panel + panel_height + 16, "seconds");
     return svg + "</svg>\n";
 }
 
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -27,12 +27,12 @@
     return text.data();
 }
 
-unsigned long long wide(std::uint64_t value)
+unsigned long long to_ull(std::uint64_t value)
 {
     return value;
 }
 
-void print_head(std::ostream& out, char const* first)
+void print_header(std::ostream& out, char const* first)
 {
     out << formatted("%-38s %9s %9s %9s %9s %9s %9s %8s %6s %6s %6s %6s\n",
                      first,
@@ -54,22 +54,22 @@
     out << formatted("%-38s %9llu %9llu %9.2f %9.2f %9.2f %9llu %8llu %6llu "
                      "%6llu %6llu %6llu\n",
                      name.c_str(),
-                     wide(row.requests),
-                     wide(row.good()),
+                     to_ull(row.requests),
+                     to_ull(row.good()),
                      milliseconds(row.latency.quantile(0.5)),
                      milliseconds(row.latency.quantile(0.99)),
                      milliseconds(row.latency.quantile(0.999)),
-                     wide(row.count(request_result::refused)),
-                     wide(row.count(request_result::unknown)),
-                     wide(row.count(request_result::lost)),
-                     wide(row.count(request_result::mixed)),
-                     wide(row.late),
-                     wide(row.failed));
+                     to_ull(row.count(request_result::refused)),
+                     to_ull(row.count(request_result::unknown)),
+                     to_ull(row.count(request_result::lost)),
+                     to_ull(row.count(request_result::mixed)),
+                     to_ull(row.late),
+                     to_ull(row.failed));
 }
 
 void print_tasks(std::ostream& out, run_report const& report)
 {
-    auto const& books = report.workers;
+    auto const& counters = report.workers;
     out << "jobs: submitted=" << report.jobs.submitted
         << " accepted=" << report.jobs.accepted
         << " refused=" << report.jobs.refused
@@ -78,14 +78,14 @@
     {
         out << "last refusal of a job: " << report.job_reason << '\n';
     }
-    out << "tasks: started=" << count_of(books, "starts")
-        << " finished=" << count_of(books, "finished")
-        << " evicted=" << count_of(books, "stopped")
-        << " checkpoints=" << count_of(books, "checkpoints")
-        << " resumed=" << count_of(books, "resumed")
-        << " failed=" << count_of(books, "failed")
-        << " expired=" << count_of(books, "expired")
-        << " lost=" << count_of(books, "lost") << '\n';
+    out << "tasks: started=" << count_of(counters, "starts")
+        << " finished=" << count_of(counters, "finished")
+        << " evicted=" << count_of(counters, "stopped")
+        << " checkpoints=" << count_of(counters, "checkpoints")
+        << " resumed=" << count_of(counters, "resumed")
+        << " failed=" << count_of(counters, "failed")
+        << " expired=" << count_of(counters, "expired")
+        << " lost=" << count_of(counters, "lost") << '\n';
 }
 
 void print_services(std::ostream& out, run_report const& report)
@@ -100,7 +100,7 @@
                          "median_p99_ms=%.2f worst_hundredth_ms=%.2f "
                          "worst_ms=%.2f\n",
                          phase.c_str(),
-                         wide(tails.count()),
+                         to_ull(tails.count()),
                          milliseconds(tails.quantile(0.5)),
                          milliseconds(tails.quantile(0.99)),
                          milliseconds(tails.largest()));
@@ -109,19 +109,19 @@
 
 void print_upstreams(std::ostream& out, run_report const& report)
 {
-    auto const& books = report.upstreams;
+    auto const& counters = report.upstreams;
     auto const requests = report.requests.total().requests;
     double const per_request =
         requests == 0 ? 0.0
-                      : static_cast<double>(count_of(books, "received")) /
+                      : static_cast<double>(count_of(counters, "received")) /
                             static_cast<double>(requests);
-    out << "upstreams: received=" << count_of(books, "received")
+    out << "upstreams: received=" << count_of(counters, "received")
         << formatted(" per_request=%.3f", per_request)
-        << " refused=" << count_of(books, "refused")
-        << " failed=" << count_of(books, "failed")
-        << " overfilled=" << count_of(books, "overfilled")
-        << " doubled=" << count_of(books, "doubled")
-        << " after_leaving=" << count_of(books, "after_leaving") << '\n';
+        << " refused=" << count_of(counters, "refused")
+        << " failed=" << count_of(counters, "failed")
+        << " overfilled=" << count_of(counters, "overfilled")
+        << " doubled=" << count_of(counters, "doubled")
+        << " after_leaving=" << count_of(counters, "after_leaving") << '\n';
 }
 
 void print_store(std::ostream& out, run_report const& report)
@@ -169,10 +169,10 @@
     return json;
 }
 
-boost::json::object json_of_counts(counts const& books)
+boost::json::object json_of_counts(counts const& counters)
 {
     boost::json::object json;
-    for (auto const& [name, count] : books)
+    for (auto const& [name, count] : counters)
     {
         json[name] = count;
     }
@@ -186,14 +186,14 @@
     auto const& requests = report.requests;
     out << "experiment " << report.name << " seed=" << report.seed
         << formatted(" seconds=%.1f", report.seconds) << '\n';
-    print_head(out, "class");
+    print_header(out, "class");
     for (auto const& [name, row] : requests.by_class())
     {
         print_row(out, name, row);
     }
     print_row(out, "all", requests.total());
     out << '\n';
-    print_head(out, "stream");
+    print_header(out, "stream");
     for (auto const& [name, row] : requests.by_label())
     {
         print_row(out, name, row);
@@ -201,7 +201,7 @@
     out << '\n';
     if (!requests.by_phase().empty())
     {
-        print_head(out, "phase, stream");
+        print_header(out, "phase, stream");
         for (auto const& [name, row] : requests.by_phase())
         {
             print_row(out, name, row);
@@ -265,14 +265,14 @@
     for (auto const& row : report.requests.by_second())
     {
         csv += formatted("%llu,%llu,%llu,%llu,%llu,%llu,%llu,%llu,%lld,%lld\n",
-                         wide(second),
-                         wide(row.requests),
-                         wide(row.count(request_result::answered)),
-                         wide(row.good()),
-                         wide(row.count(request_result::refused)),
-                         wide(row.count(request_result::unknown)),
-                         wide(row.count(request_result::lost)),
-                         wide(row.count(request_result::mixed)),
+                         to_ull(second),
+                         to_ull(row.requests),
+                         to_ull(row.count(request_result::answered)),
+                         to_ull(row.good()),
+                         to_ull(row.count(request_result::refused)),
+                         to_ull(row.count(request_result::unknown)),
+                         to_ull(row.count(request_result::lost)),
+                         to_ull(row.count(request_result::mixed)),
                          static_cast<long long>(row.latency.quantile(0.5)),
                          static_cast<long long>(row.latency.quantile(0.99)));
         ++second;
@@ -289,12 +289,12 @@
     {
         return false;
     }
-    auto const add = [&](std::string_view key, std::uint64_t& to)
+    auto const add = [&](std::string_view key, std::uint64_t& total)
     {
         auto const* const value = object->if_contains(key);
         auto const count =
             value == nullptr ? 0 : value->to_number<std::uint64_t>(error);
-        to += count;
+        total += count;
         return value != nullptr && !error;
     };
     return add("requests", requests) && add("answered", answered) &&
@@ -302,19 +302,19 @@
            add("lost", lost) && add("mixed", mixed);
 }
 
-void verdict::add_upstreams(counts const& books)
+void verdict::add_upstreams(counts const& counters)
 {
-    doubled += count_of(books, "doubled");
-    overfilled += count_of(books, "overfilled");
+    doubled += count_of(counters, "doubled");
+    overfilled += count_of(counters, "overfilled");
 }
 
 // A checkpoint that two attempts resumed is one task's work run twice.
-void verdict::add_workers(counts const& books)
+void verdict::add_workers(counts const& counters)
 {
-    overfilled += count_of(books, "overfilled");
+    overfilled += count_of(counters, "overfilled");
     two_places +=
-        count_of(books, "two_places") + count_of(books, "resumed_twice");
-    late_starts += count_of(books, "late_starts");
+        count_of(counters, "two_places") + count_of(counters, "resumed_twice");
+    late_starts += count_of(counters, "late_starts");
 }
 
 bool verdict::passed() const noexcept
@@ -322,21 +322,21 @@
     return lost + doubled + mixed + overfilled + two_places + late_starts == 0;
 }
 
-std::string to_line(verdict const& what)
+std::string to_line(verdict const& result)
 {
     return formatted("requests=%llu answered=%llu refused=%llu unknown=%llu "
                      "lost=%llu doubled=%llu mixed=%llu overfilled=%llu "
                      "two_places=%llu late_starts=%llu",
-                     wide(what.requests),
-                     wide(what.answered),
-                     wide(what.refused),
-                     wide(what.unknown),
-                     wide(what.lost),
-                     wide(what.doubled),
-                     wide(what.mixed),
-                     wide(what.overfilled),
-                     wide(what.two_places),
-                     wide(what.late_starts));
+                     to_ull(result.requests),
+                     to_ull(result.answered),
+                     to_ull(result.refused),
+                     to_ull(result.unknown),
+                     to_ull(result.lost),
+                     to_ull(result.doubled),
+                     to_ull(result.mixed),
+                     to_ull(result.overfilled),
+                     to_ull(result.two_places),
+                     to_ull(result.late_starts));
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -55,13 +55,13 @@
 
     /// Adds a run's summary; false where `json` is none.
     bool add_summary(std::string_view json);
-    void add_upstreams(counts const& books);
-    void add_workers(counts const& books);
+    void add_upstreams(counts const& counters);
+    void add_workers(counts const& counters);
     /// Whether none of the last six is above 0.
     bool passed() const noexcept;
 };
 
 /// "requests=N answered=N ... late_starts=0".
-std::string to_line(verdict const& what);
+std::string to_line(verdict const& result);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/request_client.cpp
+++ b/tools/load/request_client.cpp
@@ -16,14 +16,14 @@
 using core::common::time_point;
 using ports::exchange_status;
 
-constexpr duration least_deadline = std::chrono::milliseconds(1);
+constexpr duration min_deadline = std::chrono::milliseconds(1);
 // Where a refusal doesn't say when to come back.
 constexpr duration default_pause = std::chrono::milliseconds(100);
 
-adapters::http::client_settings connection_settings(experiment const& what)
+adapters::http::client_settings connection_settings(experiment const& spec)
 {
     adapters::http::client_settings settings;
-    settings.connections_per_endpoint = what.max_in_flight;
+    settings.connections_per_endpoint = spec.max_in_flight;
     settings.connect_timeout = std::chrono::seconds(2);
     return settings;
 }
@@ -57,12 +57,12 @@
 
 std::string path_of(request_stream const& stream, std::uint64_t number)
 {
-    constexpr std::string_view mark = "{n}";
+    constexpr std::string_view placeholder = "{n}";
     auto path = stream.path;
-    auto const at = path.find(mark);
+    auto const at = path.find(placeholder);
     if (at != std::string::npos)
     {
-        path.replace(at, mark.size(), std::to_string(number));
+        path.replace(at, placeholder.size(), std::to_string(number));
     }
     return path;
 }
@@ -71,7 +71,7 @@
 
 struct request_client::pending
 {
-    explicit pending(request_stream const& what) : stream(what)
+    explicit pending(request_stream const& spec) : stream(spec)
     {
     }
     request_stream const& stream;
@@ -84,18 +84,18 @@
 };
 
 request_client::request_client(boost::asio::io_context& io,
-                               experiment const& what,
+                               experiment const& spec,
                                balancer& entries,
-                               request_statistics& into,
-                               std::string run)
-    : io_(io), what_(what), entries_(entries), book_(into),
-      run_(std::move(run)), client_(io, connection_settings(what))
+                               request_statistics& statistics,
+                               std::string run_id)
+    : io_(io), experiment_(spec), entries_(entries), statistics_(statistics),
+      run_id_(std::move(run_id)), client_(io, connection_settings(spec))
 {
 }
 
 void request_client::set_direct_targets(std::vector<ports::endpoint> targets)
 {
-    direct_ = std::move(targets);
+    direct_targets_ = std::move(targets);
 }
 
 void request_client::begin(time_point start)
@@ -105,25 +105,25 @@
 
 void request_client::send(std::size_t stream, time_point due)
 {
-    if (in_flight_ >= what_.max_in_flight)
+    if (in_flight_ >= experiment_.max_in_flight)
     {
-        book_.record_unsent();
+        statistics_.record_unsent();
         return;
     }
-    auto const request = std::make_shared<pending>(what_.streams[stream]);
+    auto const request = std::make_shared<pending>(experiment_.streams[stream]);
     request->number = ++sent_;
     request->due = due;
-    request->token = "T" + run_ + "-" + std::to_string(request->number);
+    request->token = "T" + run_id_ + "-" + std::to_string(request->number);
     ++in_flight_;
     attempt(request);
 }
 
-ports::endpoint const& request_client::choose(pending& request)
+ports::endpoint const& request_client::choose_endpoint(pending& request)
 {
-    if (request.stream.direct && !direct_.empty())
+    if (request.stream.direct && !direct_targets_.empty())
     {
-        direct_turn_ = (direct_turn_ + 1) % direct_.size();
-        return direct_[direct_turn_];
+        direct_index_ = (direct_index_ + 1) % direct_targets_.size();
+        return direct_targets_[direct_index_];
     }
     request.target = entries_.pick(request.target);
     return entries_.at(*request.target);
@@ -132,12 +132,12 @@
 void request_client::attempt(pending_ptr const& request)
 {
     ++request->attempts;
-    auto const left = std::max(
-        least_deadline, request->due + request->stream.deadline - clock::now());
+    auto const remaining = std::max(
+        min_deadline, request->due + request->stream.deadline - clock::now());
     adapters::http::client_call call;
-    call.remote_endpoint = choose(*request);
-    call.message = message_of(*request, left);
-    call.timeout = left + what_.answer_timeout;
+    call.remote_endpoint = choose_endpoint(*request);
+    call.message = make_message(*request, remaining);
+    call.timeout = remaining + experiment_.answer_timeout;
     client_.send(std::move(call),
                  [this, request](exchange_status status,
                                  adapters::http::response const& answer)
@@ -146,8 +146,8 @@
                  });
 }
 
-adapters::http::request request_client::message_of(pending const& request,
-                                                   duration left) const
+adapters::http::request request_client::make_message(pending const& request,
+                                                     duration remaining) const
 {
     auto const& stream = request.stream;
     adapters::http::request message;
@@ -157,13 +157,14 @@
         {"Fuchsia-Customer", stream.customer},
         {"Fuchsia-Class", std::string(ports::name_of(stream.kind))},
         {"Fuchsia-Deadline-Ms",
-         std::to_string(
-             std::max<std::int64_t>(1, core::common::to_milliseconds(left)))},
+         std::to_string(std::max<std::int64_t>(
+             1, core::common::to_milliseconds(remaining)))},
         {"Fuchsia-Load-Token", request.token}};
     if (stream.sends_key && stream.method == "POST")
     {
         message.headers.push_back(
-            {"Idempotency-Key", run_ + "-" + std::to_string(request.number)});
+            {"Idempotency-Key",
+             run_id_ + "-" + std::to_string(request.number)});
         message.headers.push_back(
             {"Fuchsia-Attempt", std::to_string(request.attempts)});
     }
@@ -185,41 +186,43 @@
         attempt(request);
         return;
     }
-    auto const how = status == exchange_status::answered
-                         ? judge(answer, request->token, request->stream.direct)
-                         : request_result::lost;
+    auto const result =
+        status == exchange_status::answered
+            ? judge(answer, request->token, request->stream.direct)
+            : request_result::lost;
     if (auto const code = answer.header("Fuchsia-Code"))
     {
-        book_.record_code(*code);
+        statistics_.record_code(*code);
     }
-    if (!try_again(request, how, answer))
+    if (!retry(request, result, answer))
     {
-        finish(*request, how, answer.status);
+        finish(*request, result, answer.status);
     }
 }
 
-bool request_client::try_again(pending_ptr const& request,
-                               request_result how,
-                               adapters::http::response const& answer)
+bool request_client::retry(pending_ptr const& request,
+                           request_result result,
+                           adapters::http::response const& answer)
 {
-    auto const& retries = what_.retries;
+    auto const& retries = experiment_.retries;
     auto const& stream = request->stream;
     bool const repeatable = stream.method != "POST" || stream.sends_key;
-    bool const wanted =
-        how == request_result::refused ||
+    bool const retryable =
+        result == request_result::refused ||
         (repeatable &&
-         ((how == request_result::unknown && retries.retry_unknown) ||
-          (how == request_result::lost && retries.retry_lost)));
+         ((result == request_result::unknown && retries.retry_unknown) ||
+          (result == request_result::lost && retries.retry_lost)));
     auto const pause =
         retries.honour_retry_after ? pause_after(answer) : duration{};
-    if (!wanted || request->attempts >= retries.max_attempts ||
+    if (!retryable || request->attempts >= retries.max_attempts ||
         clock::now() + pause >= request->due + stream.deadline)
     {
         return false;
     }
-    auto const later = std::make_shared<adapters::runtime::timer>(io_, pause);
-    later->async_wait(
-        [this, later, request](auto error)
+    auto const retry_timer =
+        std::make_shared<adapters::runtime::timer>(io_, pause);
+    retry_timer->async_wait(
+        [this, retry_timer, request](auto error)
         {
             if (!error)
             {
@@ -230,27 +233,28 @@
 }
 
 void request_client::finish(pending const& request,
-                            request_result how,
+                            request_result result,
                             std::uint16_t status)
 {
     --in_flight_;
     auto const now = clock::now();
     ended_request ended;
     ended.label = request.stream.label;
-    if (what_.phases.size() > 1)
+    if (experiment_.phases.size() > 1)
     {
-        ended.phase = what_.phases[what_.phase_at(request.due - start_)].name;
+        ended.phase =
+            experiment_.phases[experiment_.phase_at(request.due - start_)].name;
     }
     ended.kind = request.stream.kind;
-    ended.result = how;
+    ended.result = result;
     ended.status = status;
     ended.attempts = request.attempts;
     ended.took = now - request.due;
     ended.late = ended.took > request.stream.deadline;
     auto const second =
         std::chrono::duration_cast<std::chrono::seconds>(now - start_).count();
-    book_.record(static_cast<std::size_t>(std::max<std::int64_t>(0, second)),
-                 ended);
+    statistics_.record(
+        static_cast<std::size_t>(std::max<std::int64_t>(0, second)), ended);
 }
 
 std::size_t request_client::in_flight() const noexcept
--- a/tools/load/request_client.hpp
+++ b/tools/load/request_client.hpp
@@ -22,10 +22,10 @@
     /// `run` makes keys and tokens differ from those of every other run. All
     /// references outlive the caller.
     request_client(boost::asio::io_context& io,
-                   experiment const& what,
+                   experiment const& spec,
                    balancer& entries,
-                   request_statistics& into,
-                   std::string run);
+                   request_statistics& statistics,
+                   std::string run_id);
 
     /// Where requests of `direct` streams go.
     void set_direct_targets(std::vector<ports::endpoint> targets);
@@ -42,26 +42,26 @@
     using pending_ptr = std::shared_ptr<pending>;
 
     void attempt(pending_ptr const& request);
-    ports::endpoint const& choose(pending& request);
-    adapters::http::request message_of(pending const& request,
-                                       core::common::duration left) const;
+    ports::endpoint const& choose_endpoint(pending& request);
+    adapters::http::request make_message(pending const& request,
+                                       core::common::duration remaining) const;
     void on_end(pending_ptr const& request,
                 ports::exchange_status status,
                 adapters::http::response const& answer);
-    bool try_again(pending_ptr const& request,
-                   request_result how,
+    bool retry(pending_ptr const& request,
+                   request_result result,
                    adapters::http::response const& answer);
     void
-    finish(pending const& request, request_result how, std::uint16_t status);
+    finish(pending const& request, request_result result, std::uint16_t status);
 
     boost::asio::io_context& io_;
-    experiment const& what_;
+    experiment const& experiment_;
     balancer& entries_;
-    request_statistics& book_;
-    std::string run_;
+    request_statistics& statistics_;
+    std::string run_id_;
     adapters::http::client client_;
-    std::vector<ports::endpoint> direct_;
-    std::size_t direct_turn_ = 0;
+    std::vector<ports::endpoint> direct_targets_;
+    std::size_t direct_index_ = 0;
     core::common::time_point start_{};
     std::uint64_t sent_ = 0;
     std::size_t in_flight_ = 0;
--- a/tools/load/request_statistics.cpp
+++ b/tools/load/request_statistics.cpp
@@ -21,21 +21,21 @@
            body.starts_with(head) && body.ends_with(tail);
 }
 
-void enter(tally& into, ended_request const& request)
+void add_request(tally& row, ended_request const& request)
 {
-    ++into.requests;
-    into.attempts += request.attempts;
-    ++into.results[static_cast<std::size_t>(request.result)];
+    ++row.requests;
+    row.attempts += request.attempts;
+    ++row.results[static_cast<std::size_t>(request.result)];
     if (request.result == request_result::answered)
     {
         bool const failed = request.status >= first_error_status;
-        into.failed += failed ? 1 : 0;
-        into.late += request.late && !failed ? 1 : 0;
-        into.latency.record(request.took.count());
+        row.failed += failed ? 1 : 0;
+        row.late += request.late && !failed ? 1 : 0;
+        row.latency.record(request.took.count());
     }
     if (request.result == request_result::refused)
     {
-        into.refusal_latency.record(request.took.count());
+        row.refusal_latency.record(request.took.count());
     }
 }
 
@@ -57,13 +57,13 @@
     {
         return request_result::refused;
     }
-    auto const said = core::common::outcome_from(
+    auto const reported_outcome = core::common::outcome_from(
         answer.header("Fuchsia-Outcome").value_or(""));
-    if (!direct && !said)
+    if (!direct && !reported_outcome)
     {
         return request_result::lost;
     }
-    switch (said.value_or(core::common::outcome::ran))
+    switch (reported_outcome.value_or(core::common::outcome::ran))
     {
     case core::common::outcome::not_run:
         return request_result::refused;
@@ -102,12 +102,12 @@
 void request_statistics::record(std::size_t second,
                                 ended_request const& request)
 {
-    enter(total_, request);
-    enter(by_class_[std::string(ports::name_of(request.kind))], request);
-    enter(by_label_[request.label], request);
+    add_request(total_, request);
+    add_request(by_class_[std::string(ports::name_of(request.kind))], request);
+    add_request(by_label_[request.label], request);
     if (!request.phase.empty())
     {
-        enter(by_phase_[request.phase + " " + request.label], request);
+        add_request(by_phase_[request.phase + " " + request.label], request);
     }
     if (second >= max_seconds)
     {
@@ -117,7 +117,7 @@
     {
         by_second_.resize(second + 1);
     }
-    enter(by_second_[second], request);
+    add_request(by_second_[second], request);
 }
 
 void request_statistics::record_unsent()
--- a/tools/load/schedule.cpp
+++ b/tools/load/schedule.cpp
@@ -13,14 +13,14 @@
 constexpr double whole_request = 0.999'999; // Sums of shares are not exact.
 } // namespace
 
-arrival_stream::arrival_stream(shape what,
+arrival_stream::arrival_stream(shape stream_shape,
                                std::vector<phase> phases,
                                std::uint64_t seed)
-    : shape_(what), phases_(std::move(phases)), random_(seed)
+    : shape_(stream_shape), phases_(std::move(phases)), random_(seed)
 {
-    for (auto const& each : phases_)
+    for (auto const& p : phases_)
     {
-        end_ += each.length;
+        end_ += p.length;
     }
     if (shape_.until > duration{})
     {
@@ -31,7 +31,7 @@
     if (shape_.burst_size > 0 && shape_.from < end_)
     {
         burst_ = shape_.from;
-        burst_left_ = shape_.burst_size;
+        burst_remaining_ = shape_.burst_size;
     }
 }
 
@@ -52,9 +52,9 @@
 std::optional<duration> arrival_stream::next_of_burst()
 {
     auto const due = burst_;
-    if (--burst_left_ == 0)
+    if (--burst_remaining_ == 0)
     {
-        burst_left_ = shape_.burst_size;
+        burst_remaining_ = shape_.burst_size;
         *burst_ += shape_.burst_every;
         if (*burst_ >= end_)
         {
@@ -69,9 +69,9 @@
 std::optional<duration> arrival_stream::next_steady()
 {
     double highest = 0;
-    for (auto const& each : phases_)
+    for (auto const& p : phases_)
     {
-        highest = std::max({highest, each.factor, each.factor_to});
+        highest = std::max({highest, p.factor, p.factor_to});
     }
     double const rate = shape_.rate * highest;
     if (rate <= 0)
@@ -85,13 +85,14 @@
     {
         steady_at_us_ += shape_.poisson ? gap(random_) : even_gap;
         duration const at(static_cast<std::int64_t>(steady_at_us_));
-        double const wanted = factor_at(at) / highest;
-        owed_ += wanted;
-        bool const take =
-            shape_.poisson ? share(random_) < wanted : owed_ >= whole_request;
-        if (take && at < end_)
+        double const acceptance = factor_at(at) / highest;
+        accumulated_share_ += acceptance;
+        bool const accepted = shape_.poisson
+                                  ? share(random_) < acceptance
+                                  : accumulated_share_ >= whole_request;
+        if (accepted && at < end_)
         {
-            owed_ -= 1.0;
+            accumulated_share_ -= 1.0;
             return at;
         }
     }
@@ -100,15 +101,15 @@
 
 double arrival_stream::factor_at(duration at) const
 {
-    for (auto const& each : phases_)
+    for (auto const& p : phases_)
     {
-        if (at < each.length)
+        if (at < p.length)
         {
-            double const part = static_cast<double>(at.count()) /
-                                static_cast<double>(each.length.count());
-            return each.factor + part * (each.factor_to - each.factor);
+            double const progress = static_cast<double>(at.count()) /
+                                    static_cast<double>(p.length.count());
+            return p.factor + progress * (p.factor_to - p.factor);
         }
-        at -= each.length;
+        at -= p.length;
     }
     return 0;
 }
--- a/tools/load/schedule.hpp
+++ b/tools/load/schedule.hpp
@@ -25,7 +25,7 @@
         core::common::duration burst_every = std::chrono::seconds(1);
     };
 
-    arrival_stream(shape what, std::vector<phase> phases, std::uint64_t seed);
+    arrival_stream(shape stream_shape, std::vector<phase> phases, std::uint64_t seed);
 
     /// Time of the next request from the run's beginning; empty at its end.
     std::optional<core::common::duration> next();
@@ -40,10 +40,10 @@
     std::mt19937_64 random_;
     core::common::duration end_{};
     double steady_at_us_ = 0;
-    double owed_ = 0; ///< Even streams: the part of a request that is due.
+    double accumulated_share_ = 0; ///< Even streams: the part of a request that is due.
     std::optional<core::common::duration> steady_;
     std::optional<core::common::duration> burst_;
-    std::uint32_t burst_left_ = 0;
+    std::uint32_t burst_remaining_ = 0;
 };
 
 } // namespace fuchsia::tools::load
--- a/tools/load/service_sampler.cpp
+++ b/tools/load/service_sampler.cpp
@@ -9,13 +9,13 @@
 
 namespace
 {
-constexpr core::common::duration interval = std::chrono::seconds(1);
-constexpr std::uint64_t max_reports = 64 * 1024 * 1024;
+constexpr core::common::duration sample_interval = std::chrono::seconds(1);
+constexpr std::uint64_t max_response_bytes = 64 * 1024 * 1024;
 
 adapters::http::client_settings connection_settings()
 {
     adapters::http::client_settings settings;
-    settings.body_bytes = max_reports;
+    settings.body_bytes = max_response_bytes;
     return settings;
 }
 
@@ -41,10 +41,10 @@
                  {
                      if (status == ports::exchange_status::answered)
                      {
-                         take(answer);
+                         record_reports(answer);
                      }
                  });
-    timer_.expires_after(interval);
+    timer_.expires_after(sample_interval);
     timer_.async_wait(
         [this](auto error)
         {
@@ -55,7 +55,7 @@
         });
 }
 
-void service_sampler::take(adapters::http::response const& answer)
+void service_sampler::record_reports(adapters::http::response const& answer)
 {
     auto const reports = adapters::platform::parse_reports(answer.body);
     if (!reports)
--- a/tools/load/service_sampler.hpp
+++ b/tools/load/service_sampler.hpp
@@ -29,7 +29,7 @@
     tail_latencies const& by_phase() const noexcept;
 
 private:
-    void take(adapters::http::response const& answer);
+    void record_reports(adapters::http::response const& answer);
 
     ports::endpoint workers_;
     std::function<std::string()> phase_;
--- a/tools/load/standin_counts.cpp
+++ b/tools/load/standin_counts.cpp
@@ -21,7 +21,7 @@
     {
         return std::nullopt;
     }
-    counts read;
+    counts result;
     for (auto const& member : json.as_object())
     {
         auto const count = member.value().to_number<std::uint64_t>(error);
@@ -29,19 +29,19 @@
         {
             return std::nullopt;
         }
-        read[std::string(member.key())] = count;
+        result[std::string(member.key())] = count;
     }
-    return read;
+    return result;
 }
 
-std::optional<counts> fetch_counts(ports::endpoint const& where)
+std::optional<counts> fetch_counts(ports::endpoint const& endpoint)
 {
     boost::asio::io_context io(1);
     adapters::http::client client(io, {});
-    std::optional<counts> read;
+    std::optional<counts> result;
     bool ended = false;
     adapters::http::client_call call;
-    call.remote_endpoint = where;
+    call.remote_endpoint = endpoint;
     call.message.method = "GET";
     call.message.target = "/control/counts";
     client.send(std::move(call),
@@ -52,30 +52,30 @@
                     if (status == ports::exchange_status::answered &&
                         answer.status == ok)
                     {
-                        read = parse_counts(answer.body);
+                        result = parse_counts(answer.body);
                     }
                 });
     while (!ended && io.run_one() > 0)
     {
     }
-    return read;
+    return result;
 }
 
 counts difference(counts const& before, counts const& after)
 {
-    counts added;
+    counts increase;
     for (auto const& [name, count] : after)
     {
         auto const earlier = count_of(before, name);
-        added[name] = count > earlier ? count - earlier : 0;
+        increase[name] = count > earlier ? count - earlier : 0;
     }
-    return added;
+    return increase;
 }
 
-std::uint64_t count_of(counts const& books, std::string_view name)
+std::uint64_t count_of(counts const& counters, std::string_view name)
 {
-    auto const found = books.find(name);
-    return found == books.end() ? 0 : found->second;
+    auto const found = counters.find(name);
+    return found == counters.end() ? 0 : found->second;
 }
 
 } // namespace fuchsia::tools::load
--- a/tools/load/submitter.hpp
+++ b/tools/load/submitter.hpp
@@ -25,8 +25,8 @@
 {
 public:
     submitter(boost::asio::io_context& io,
-              experiment const& what,
-              std::string run);
+              experiment const& spec,
+              std::string run_id);
 
     void submit(std::size_t stream);
     job_counts const& counts() const noexcept;
@@ -39,7 +39,7 @@
     struct pending
     {
         std::string body;
-        std::uint32_t tries = 0;
+        std::uint32_t attempts = 0;
     };
 
     void attempt(std::shared_ptr<pending> const& job);
@@ -48,11 +48,11 @@
                 adapters::http::response const& answer);
 
     boost::asio::io_context& io_;
-    experiment const& what_;
-    std::string run_;
+    experiment const& experiment_;
+    std::string run_id_;
     adapters::http::client client_;
-    std::size_t turn_ = 0;
-    std::size_t open_ = 0;
+    std::size_t planner_index_ = 0;
+    std::size_t pending_jobs_ = 0;
     job_counts counts_;
     std::string last_reason_;
 };
