--- a/tools/load/balancer.hpp
+++ b/tools/load/balancer.hpp
@@ -11,8 +11,8 @@
 namespace fuchsia::tools::load
 {
 
-/// Chooses among targets as the platform's balancer does: in turn among those
-/// whose /readyz was 200 when it last looked, which it learns late.
+/// Models the platform's load balancer: round robin over the targets whose last
+/// /readyz check returned 200. A changed result takes effect only after `lag`.
 class balancer
 {
 public:
@@ -23,11 +23,11 @@
 
     void start();
     void stop();
-    /// Whether every target has been looked at once.
+    /// Whether every target has been checked at least once.
     bool checked_all() const noexcept;
 
-    /// The next ready target, another than `not_this` where there is one; any
-    /// target where none is ready. There must be a target.
+    /// Returns the index of the next ready target other than `excluded`, or of
+    /// the next target in order if there is none. Requires at least one target.
     std::size_t pick(std::optional<std::size_t> excluded);
     ports::endpoint const& at(std::size_t target) const;
     std::size_t size() const noexcept;
--- a/tools/load/bench.cpp
+++ b/tools/load/bench.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// The signature in a commit message: eight digits tell changes apart.
+// The printed signature has eight digits, enough to distinguish changes.
 constexpr std::uint64_t signature_modulus = 100'000'000;
 
 void run_timed(std::ostream& out,
--- a/tools/load/bench.hpp
+++ b/tools/load/bench.hpp
@@ -7,17 +7,18 @@
 namespace fuchsia::tools::load
 {
 
-/// Three entries, 48 upstreams of 8 slots and 60,000 requests of four
-/// customers: GET, POST with and without a key, retries of keys, lost, late
-/// and refused answers. Folds every caller's answer into `out`.
+/// Simulates three entries, 48 upstreams of 8 slots each and 60,000 requests of
+/// four customers: GET, POST with and without an idempotency key, retries with
+/// the same key, and lost, late and refused answers. Adds every answer to a
+/// caller to `decisions`.
 void bench_requests(signature& decisions);
 
-/// One planner, 400 workers and 1,000 jobs of 4 tasks, services and batch.
-/// Folds every call to a worker into `out`.
+/// Simulates one planner, 400 workers and 1,000 service and batch jobs of 4
+/// tasks each. Adds every start and stop call to a worker to `decisions`.
 void bench_tasks(signature& decisions);
 
-/// Runs both and prints the decisions a second and, as the last line, the
-/// signature that a commit message ends with. The exit status.
+/// Runs both simulations and prints their decisions per second and, as the last
+/// line, the signature that commit messages carry. Returns the exit status.
 int run_bench(std::ostream& out);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/bench_pool.cpp
+++ b/tools/load/bench_pool.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Eight digits tell changes apart.
+// The printed signature has eight digits, enough to distinguish changes.
 constexpr std::uint64_t signature_modulus = 100'000'000;
 constexpr int name_column_width = 26;
 constexpr int column_width = 12;
--- a/tools/load/bench_pool.hpp
+++ b/tools/load/bench_pool.hpp
@@ -11,69 +11,76 @@
 namespace fuchsia::tools::load
 {
 
-/// What the owner of a pool is busy with while it takes in one event.
+/// Kind of event that the owner of a pool processes.
 enum class pool_event_kind : std::uint8_t
 {
-    submissions, ///< Requests of submitters, as a front.
-    jobs,        ///< Watches of the store: new jobs and ends that others wrote.
-    commits,     ///< All other answers of the store.
-    holds,       ///< Answers of workers that tell what runs and what ended.
-    orders,      ///< Answers to starts, stops and changes of pace.
-    ticks,
+    submissions, ///< Requests of submitters to the owner as a front.
+    jobs,        ///< Store watch replies: new jobs, and ends written by others.
+    commits,     ///< All other store replies.
+    holds,       ///< Poll replies of workers: running and ended attempts.
+    orders,      ///< Replies to start, stop and speed limit orders.
+    ticks,       ///< Periodic timer events.
 };
 
 constexpr std::array<std::string_view, 6> pool_event_kind_names{
     "submissions", "jobs", "commits", "holds", "orders", "ticks"};
 
-/// Events of one duty, those apart in which tasks were placed as well.
+/// Number and processor time of the events of one kind. Events that ran a
+/// placement round are counted separately.
 struct pool_event_time
 {
-    std::uint64_t events_without_placement =
-        0;                               ///< Events without a round of placing,
-    double time_without_placement_s = 0; ///< and their processor time.
-    std::uint64_t events_with_placement = 0; ///< Events with one,
-    double time_with_placement_s = 0;        ///< and theirs.
+    /// Number of events without a placement round.
+    std::uint64_t events_without_placement = 0;
+    /// Processor time of the events without a placement round.
+    double time_without_placement_s = 0;
+    /// Number of events with a placement round.
+    std::uint64_t events_with_placement = 0;
+    /// Processor time of the events with a placement round.
+    double time_with_placement_s = 0;
 
-    /// What the rounds took: the time of events with a round beyond that of
-    /// as many events without.
+    /// Processor time of the placement rounds: the time of the events with a
+    /// round minus the expected time of as many events without one.
     double placement_s() const noexcept;
-    /// The rest.
+    /// Processor time outside the placement rounds.
     double other_s() const noexcept;
 };
 
 struct pool_bench_settings
 {
-    std::uint32_t workers = 48; ///< Of 64 cores each.
-    std::uint32_t seconds = 8;  ///< Of virtual time, after a warm-up.
+    std::uint32_t workers = 48; ///< Number of workers of 64 cores each.
+    std::uint32_t seconds = 8;  ///< Measured virtual time after the warm-up.
     std::uint64_t seed = 1;
-    double load = 1; ///< Factor of the rate at which jobs arrive.
+    double load = 1; ///< Multiplier of the job arrival rate.
 };
 
-/// One owner's decisions over a time, and what they cost it.
+/// Decisions of one owner during the measured time, and their processor time.
 struct pool_bench_result
 {
-    std::uint64_t starts = 0;
-    std::uint64_t scored = 0; ///< Workers that were scored for a task.
-    std::uint64_t placement_rounds = 0; ///< Of placing.
+    std::uint64_t starts = 0; ///< Start orders sent to workers.
+    std::uint64_t scored = 0; ///< Workers scored during placement.
+    std::uint64_t placement_rounds = 0;
     std::uint64_t jobs_finished = 0;
-    std::uint64_t running = 0;   ///< Tasks at the end.
-    double reserved = 0;         ///< Share of the cores, then.
-    double progress_json_s = 0;  ///< Of the commits: text of progress,
-                                 ///< written once more to take its time.
-    std::uint64_t signature = 0; ///< Of all orders, in their sequence.
+    std::uint64_t running = 0; ///< Tasks running at the end.
+    double reserved = 0;       ///< Share of the cores reserved at the end.
+    /// Processor time of serializing the progress records in commits. Each
+    /// record is serialized a second time to measure it.
+    double progress_json_s = 0;
+    std::uint64_t signature = 0; ///< Signature of all orders in sequence.
     std::array<pool_event_time, pool_event_kind_names.size()>
         time_by_event_kind;
 
     double total_s() const noexcept;
 };
 
-/// One instance that owns a pool without faults: two thirds of the cores are
-/// reserved by serving tasks of five images, filling steps of 24 images and
-/// short guaranteed steps arrive. The same settings give the same decisions.
+/// Simulates one instance that owns a pool without faults. Serving tasks of
+/// five images reserve two thirds of the cores; best-effort steps of 24 images
+/// and short guaranteed steps arrive. The same settings give the same
+/// decisions.
 pool_bench_result bench_pool(pool_bench_settings const& settings);
 
-/// Runs it at each size and prints choices a second of processor time and the
-/// time by duty. The exit status.
+/// Runs the simulation for each pool size and prints the starts per second of
+/// processor time and the processor time by kind of event. Returns the exit
+/// status.
 int run_pool_bench(std::vector<std::uint32_t> const& sizes,
                    pool_bench_settings const& settings,
                    std::ostream& out);
--- a/tools/load/bench_pool_simulation.cpp
+++ b/tools/load/bench_pool_simulation.cpp
@@ -23,10 +23,10 @@
 constexpr std::uint32_t data_centres = 5;
 constexpr std::int64_t worker_millicores = 64'000;
 constexpr std::int64_t worker_memory_mb = 256'000;
-constexpr duration store_delay = 1ms;  ///< One way.
-constexpr duration worker_delay = 1ms; ///< One way.
+constexpr duration store_delay = 1ms;  ///< One-way delay to the store.
+constexpr duration worker_delay = 1ms; ///< One-way delay to a worker.
 constexpr duration tick_interval = 25ms;
-constexpr duration ownership_time = 3s;
+constexpr duration ownership_time = 3s; ///< Time to become the owner.
 constexpr duration serving_warm_up = 4s;
 constexpr duration filling_warm_up = 8s;
 constexpr auto host = "jobs.example";
@@ -36,27 +36,27 @@
 constexpr std::array<char const*, 3> queues{
     serving_queue, filling_queue, short_queue};
 
-// Serving steps reserve two thirds of the cores, in steps of 24 tasks.
+// Serving jobs reserve two thirds of the cores, in steps of 24 tasks.
 constexpr std::uint32_t serving_images = 5;
 constexpr std::uint32_t serving_width = 24;
 constexpr std::int64_t serving_millicores = 8'000;
 constexpr duration serving_target = 150ms;
 constexpr std::uint64_t serving_tail_ms = 30;
 
-// Half of the filling images disturb what serves and find no room beside it:
-// their steps wait.
+// Half of the best-effort images interfere with the serving tasks. No worker
+// with serving tasks admits them, so their steps stay queued.
 constexpr std::uint32_t filling_images = 24;
 constexpr std::uint32_t disturbing_images = 12;
 constexpr std::uint32_t filling_width = 16;
-constexpr std::int64_t filling_millicores = 8'000; ///< On average.
+constexpr std::int64_t filling_millicores = 8'000; ///< Average per task.
 constexpr std::uint64_t filling_ms = 4'000;
 constexpr std::uint64_t strain_ms = 30;
-constexpr double filling_starts = 1.4; ///< A second and worker.
+constexpr double filling_starts = 1.4; ///< Starts per second and worker.
 
 constexpr std::uint32_t short_width = 12;
 constexpr std::int64_t short_millicores = 3'000;
 constexpr std::uint64_t short_ms = 500;
-constexpr double short_starts = 0.3; ///< A second and worker.
+constexpr double short_starts = 0.3; ///< Starts per second and worker.
 
 double processor_seconds()
 {
--- a/tools/load/bench_pool_simulation.hpp
+++ b/tools/load/bench_pool_simulation.hpp
@@ -16,8 +16,8 @@
 namespace fuchsia::tools::load
 {
 
-/// A store, workers and one instance that owns them, in virtual time; takes
-/// the processor time of each event that the instance takes in.
+/// Simulates a store, workers and the instance that owns them in virtual time.
+/// Measures the processor time of each event that the instance processes.
 class bench_pool_simulation
 {
 public:
@@ -32,10 +32,10 @@
         ports::kv_call call;
         core::common::time_point until;
     };
-    /// A hold that waits for an end.
+    /// Long poll that waits for an attempt to end.
     struct parked_poll
     {
-        std::uint64_t call = 0; ///< 0: none.
+        std::uint64_t call = 0; ///< Id of the poll order; 0 if none is parked.
         ports::poll_order order;
     };
     struct pool_worker
@@ -61,8 +61,8 @@
     void poll(pool_worker& target, ports::pool_order const& order);
     void answer_parked_poll(pool_worker& target, std::uint64_t call);
     void send_order_reply(pool_event_kind kind,
-                      std::uint64_t call,
-                      ports::order_reply reply);
+                          std::uint64_t call,
+                          ports::order_reply reply);
     void record_order(ports::pool_order const& order);
 
     void submit(std::string const& queue, core::pool::job new_job);
--- a/tools/load/bench_requests.cpp
+++ b/tools/load/bench_requests.cpp
@@ -31,7 +31,7 @@
 constexpr duration tick_interval = 10ms;
 constexpr duration joining_time = 8s;
 constexpr duration ending_time = 30s;
-// Time between two requests: three quarters of what the slots carry.
+// Time between two requests. It loads the upstream slots to three quarters.
 constexpr duration request_interval = 125us;
 
 class request_bench
@@ -120,7 +120,7 @@
         return *entries_[static_cast<std::size_t>(index)].engine;
     }
 
-    // Tells one engine of an event and performs what it answers.
+    // Passes an event to one engine and executes the resulting actions.
     template<class Event>
     void dispatch(int index, Event event)
     {
@@ -287,8 +287,8 @@
         }
     }
 
-    // One in 500 answers is lost, one in 500 comes after the time-out, one in
-    // 200 connections is refused; the rest take 10 to 60 ms.
+    // One in 500 answers is lost, one in 500 arrives after the time-out and one
+    // in 200 connections is refused. The rest take 10 to 60 ms.
     void run_upstream(int index, ports::upstream_send const& send)
     {
         auto const outcome = loop_.random_below(1000);
@@ -359,7 +359,7 @@
     signature& decisions_;
     bench_event_loop loop_;
     bench_store store_{loop_};
-    std::map<std::string, std::uint32_t> in_use_; ///< Slots, by upstream.
+    std::map<std::string, std::uint32_t> in_use_; ///< Slots in use by upstream.
     std::vector<entry> entries_;
 };
 
--- a/tools/load/bench_simulation.hpp
+++ b/tools/load/bench_simulation.hpp
@@ -13,8 +13,8 @@
 namespace fuchsia::tools::load
 {
 
-/// Virtual time for the bench: events in the order of their times, and of
-/// their making where these are equal.
+/// Event loop in virtual time for the bench. Events run in order of their time;
+/// events of the same time run in the order they were added.
 class bench_event_loop
 {
 public:
@@ -46,7 +46,8 @@
         now_ = end;
     }
 
-    /// Uniform below `bound`; the same on every machine.
+    /// Returns a pseudo-random number below `bound`. The sequence is the same
+    /// on every machine.
     std::uint64_t random_below(std::uint64_t bound)
     {
         return random_() % bound;
@@ -58,7 +59,8 @@
     std::mt19937_64 random_;
 };
 
-/// A store without faults for the bench: versions, compare-and-swap, watches.
+/// Fault-free in-memory store for the bench with versions, compare-and-swap and
+/// watches.
 class bench_store
 {
 public:
@@ -66,8 +68,8 @@
 
     explicit bench_store(bench_event_loop& loop);
 
-    /// Answers after a fixed delay; a watch when something below its prefix
-    /// changed, or its wait is over.
+    /// Calls `handle` with the reply after a fixed delay. A watch is answered
+    /// when a key below its prefix changes or its wait expires.
     void call(ports::store_call call, handler handle);
     void put(std::string const& key, std::string value);
 
@@ -85,20 +87,22 @@
     void end_watch(std::uint64_t number);
     void notify(std::string const& key);
     std::uint64_t last_change_index(std::string const& prefix) const;
-    ports::store_status
-    compare_and_swap(std::string const& key, std::uint64_t expected, std::string const* new_value);
+    ports::store_status compare_and_swap(std::string const& key,
+                                         std::uint64_t expected,
+                                         std::string const* new_value);
     void list(std::string const& prefix, ports::store_reply& reply) const;
 
     bench_event_loop& loop_;
     std::map<std::string, ports::store_entry> entries_;
-    std::map<std::string, std::uint64_t> changes_; ///< Erasures too.
+    /// Index of the last change of each key, erasures included.
+    std::map<std::string, std::uint64_t> changes_;
     std::map<std::uint64_t, watcher> watchers_;
     std::uint64_t next_watcher_ = 0;
     std::uint64_t index_ = 0;
 };
 
-/// Folds the outcome of each decision into one number: a change of any
-/// decision changes it.
+/// Running hash over the text of every decision. A change of any decision
+/// changes the value.
 class signature
 {
 public:
--- a/tools/load/bench_tasks.cpp
+++ b/tools/load/bench_tasks.cpp
@@ -47,7 +47,8 @@
         self_.data_centre = "dc-1";
         self_.peer_address = {"10.0.0.1", 8091};
         self_.http_address = {"10.0.0.1", 8090};
-        // One planner does here what nine share.
+        // The single planner of the bench does the work that nine planners
+        // share, so its store write limit is higher.
         core::tasks::planner_settings settings;
         settings.store.writes_per_second = 400;
         settings.store.write_burst = 400;
@@ -82,7 +83,7 @@
     {
         attempt_state state = attempt_state::running;
         ports::resources declared;
-        std::uint64_t work_ms = 0; ///< 0: a service.
+        std::uint64_t work_ms = 0; ///< Run time; 0 for a service.
         core::common::time_point started;
     };
     using attempts = std::map<ports::task_attempt, attempt>;
@@ -164,8 +165,8 @@
             core::common::to_milliseconds(loop_.now().time_since_epoch()));
     }
 
-    // Services are slower the more attempts share their worker, so that there
-    // is something to learn.
+    // The latency of a service grows with the number of attempts on its worker,
+    // so that the planner has interference to learn.
     static std::uint64_t latency_us(attempt const& current,
                                     std::size_t neighbours)
     {
--- a/tools/load/commands.cpp
+++ b/tools/load/commands.cpp
@@ -36,7 +36,7 @@
     file << text << std::flush;
     if (!file)
     {
-        reason = {result_code::file_unreadable, path, "can't be written"};
+        reason = {result_code::file_unreadable, path, "cannot be written"};
         return false;
     }
     return true;
@@ -111,7 +111,9 @@
         endpoint ? fetch_counts(*endpoint) : std::optional<counts>();
     if (!counters)
     {
-        reason = {result_code::not_found, address, "its books can't be read"};
+        reason = {result_code::not_found,
+                  address,
+                  "the stand-in's counters cannot be read"};
     }
     return counters;
 }
@@ -157,7 +159,7 @@
             return report_error(
                 text ? core::common::failure{result_code::malformed_json,
                                              path,
-                                             "no summary of a run"}
+                                             "not a summary of a run"}
                      : reason);
         }
     }
--- a/tools/load/commands.hpp
+++ b/tools/load/commands.hpp
@@ -5,21 +5,22 @@
 #include <string>
 #include <vector>
 
-// What fuchsia-load's subcommands do; each returns the exit status.
+// Implementation of the subcommands of fuchsia-load. Each function returns the
+// exit status.
 namespace fuchsia::tools::load
 {
 
 struct run_options
 {
     std::string experiment; ///< Path of the TOML file.
-    std::string targets;    ///< File with [targets], before the experiment's.
-    std::string summary;    ///< Where to write the JSON summary, if anywhere.
-    std::string csv;
-    std::string svg;
-    std::optional<double> seconds; ///< Stretches the whole run to this.
+    std::string targets; ///< File with [targets]; the experiment overrides it.
+    std::string summary; ///< Path of the JSON summary; empty for none.
+    std::string csv;     ///< Path of the CSV file; empty for none.
+    std::string svg;     ///< Path of the SVG plot; empty for none.
+    std::optional<double> seconds; ///< Scales the whole run to this length.
     double rate_factor = 1.0;
     std::optional<std::uint64_t> seed;
-    bool direct = false; ///< All requests straight to the upstreams.
+    bool direct = false; ///< Sends all requests directly to the upstreams.
 };
 
 int run_experiment(run_options const& options);
@@ -27,11 +28,12 @@
 struct verdict_options
 {
     std::vector<std::string> summaries;
-    std::string upstreams; ///< IP:port of the stand-in's control paths.
-    std::string workers;
+    std::string
+        upstreams;       ///< IP:port of the upstream stand-in's control paths.
+    std::string workers; ///< IP:port of the worker stand-in's control paths.
 };
 
-/// Prints the verdict's line; status 1 where one of its last six is not 0.
+/// Prints the verdict line. Returns 1 if one of its last six figures is not 0.
 int print_verdict(verdict_options const& options);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/experiment.cpp
+++ b/tools/load/experiment.cpp
@@ -37,7 +37,7 @@
         {
             table.fail(result_code::out_of_range,
                        key,
-                       "'" + text + "' is no IP number and port");
+                       "'" + text + "' is not an IP address and port");
             return endpoints;
         }
         endpoints.push_back(*endpoint);
@@ -73,7 +73,9 @@
     }
     if (phases.empty())
     {
-        root.fail(result_code::missing_key, "phase", "one phase is needed");
+        root.fail(result_code::missing_key,
+                  "phase",
+                  "at least one phase is required");
     }
     return phases;
 }
@@ -109,8 +111,9 @@
         table.duration_or("burst_every_ms", stream.burst_every, 1ms, 1h);
     if (!stream.path.starts_with('/'))
     {
-        table.fail(
-            result_code::out_of_range, "path", "a path begins with a slash");
+        table.fail(result_code::out_of_range,
+                   "path",
+                   "a path must begin with a slash");
     }
     table.reject_unknown_keys();
     return stream;
@@ -174,7 +177,9 @@
     event.planner = to == to_planner;
     if (!endpoint)
     {
-        table.fail(result_code::missing_key, "to", "[targets] doesn't name it");
+        table.fail(result_code::missing_key,
+                   "to",
+                   "[targets] does not define this target");
     }
     event.endpoint = endpoint.value_or(ports::endpoint{});
     event.method = table.text_or("method", event.method);
--- a/tools/load/experiment.hpp
+++ b/tools/load/experiment.hpp
@@ -10,86 +10,93 @@
 #include <string>
 #include <vector>
 
-// What an experiment file says; experiments/*.toml document the keys.
+// Contents of an experiment file. The keys are documented in
+// experiments/*.toml.
 namespace fuchsia::tools::load
 {
 
-/// Where the system and the stand-ins are.
+/// Addresses of the system and the stand-ins.
 struct target_settings
 {
     std::vector<ports::endpoint> entries;
     std::vector<ports::endpoint> planners;
-    /// Control paths of the stand-ins; absent: not asked.
+    /// Addresses of the stand-ins' control paths; unset ones are not queried.
     std::optional<ports::endpoint> platform;
     std::optional<ports::endpoint> upstreams;
     std::optional<ports::endpoint> workers;
-    std::string token; ///< Bearer token for planners.
+    std::string token; ///< Bearer token for the planners.
     core::common::duration check_interval = std::chrono::milliseconds(500);
-    /// The balancer sees a readiness this much later.
+    /// Delay until the balancer applies a changed readiness.
     core::common::duration check_lag = std::chrono::milliseconds(500);
 };
 
-/// Part of the run; `factor` multiplies every rate, going to `factor_to`.
+/// Part of the run. Every rate is multiplied by a factor that changes linearly
+/// from `factor` to `factor_to`.
 struct phase
 {
-    std::string name; ///< In the report; empty: its number and factor.
+    std::string name; ///< Name in the report; the file's default is its number.
     core::common::duration length{};
     double factor = 1.0;
     double factor_to = 1.0;
 };
 
-/// One stream of like requests.
+/// Stream of requests with the same properties.
 struct request_stream
 {
     std::string label;
     std::string customer;
     ports::request_class kind = ports::request_class::latency_critical;
     std::string method = "POST";
-    std::string path; ///< "{n}" becomes the request's number.
-    double rate = 0;  ///< Requests a second at factor 1.
+    std::string path; ///< "{n}" is replaced by the request number.
+    double rate = 0;  ///< Requests per second at factor 1.
     core::common::duration deadline = std::chrono::milliseconds(250);
     std::uint32_t body_bytes = 128;
-    bool sends_key = true; ///< Sends an Idempotency-Key with POST.
-    bool direct = false;   ///< To an upstream, past the entries.
-    bool poisson = true;   ///< Random gaps between requests; else even ones.
-    /// Only within this part of the run; `until` 0: to its end.
+    bool sends_key = true; ///< Whether POST requests carry an Idempotency-Key.
+    bool direct = false;   ///< Whether requests bypass the entries.
+    bool poisson = true; ///< Poisson arrivals if true, evenly spaced otherwise.
+    /// Part of the run in which the stream sends; `until` 0 means to its end.
     core::common::duration from{};
     core::common::duration until{};
-    /// Besides, so many requests at once in every interval; 0: none.
+    /// Number of additional requests sent at once every `burst_every`; 0 for
+    /// none.
     std::uint32_t burst_size = 0;
     core::common::duration burst_every = std::chrono::seconds(1);
 };
 
-/// How the tool's clients try again.
+/// Retry policy of the simulated clients.
 struct retry_settings
 {
-    std::uint32_t max_attempts =
-        1; ///< Sendings of one request, the first included.
+    /// Maximum number of attempts per request, the first included.
+    std::uint32_t max_attempts = 1;
+    /// Whether a retry waits for the time that the answer requests.
     bool honour_retry_after = true;
-    bool retry_unknown = false; ///< Also after "unknown", with the same key.
-    bool retry_lost = false;    ///< Also without an answer, with the same key.
+    /// Whether "unknown" answers are retried with the same key.
+    bool retry_unknown = false;
+    /// Whether lost requests are retried with the same key.
+    bool retry_lost = false;
 };
 
-/// One stream of like jobs.
+/// Stream of jobs with the same properties.
 struct job_stream
 {
     std::string label;
-    std::string body; ///< The job's JSON without its id.
-    double per_minute = 0;
+    std::string body;      ///< JSON of the job without its id.
+    double per_minute = 0; ///< Jobs per minute at factor 1.
     core::common::duration from{};
     core::common::duration until{};
 };
 
-/// One HTTP call made during the run: a fault, or an operator's change.
+/// HTTP call at a fixed time of the run that injects a fault or makes an
+/// operator's change.
 struct timed_event
 {
     core::common::duration at{};
     ports::endpoint endpoint;
-    bool planner = false; ///< To any planner, instead of `where`.
+    bool planner = false; ///< Sent to any planner instead of `endpoint`.
     std::string method = "POST";
     std::string path;
     std::string body;
-    bool with_token = false;
+    bool with_token = false; ///< Whether the call carries the bearer token.
 };
 
 struct experiment
@@ -102,25 +109,27 @@
     std::vector<timed_event> events;
     retry_settings retries;
     target_settings targets;
-    /// No answer so long after the deadline: the request is lost.
+    /// Time after its deadline at which an unanswered request counts as lost.
     core::common::duration answer_timeout = std::chrono::seconds(2);
-    std::uint32_t max_in_flight = 20'000;
-    /// Waited after the last request, for late answers.
+    std::uint32_t max_in_flight = 20'000; ///< Requests in flight at once.
+    /// Time to wait for late answers after the last request.
     core::common::duration drain_time = std::chrono::seconds(1);
 
     core::common::duration length() const noexcept;
-    /// The phase that holds for a request due at `at`, from the beginning.
+    /// Returns the index of the phase at time `at` from the beginning of the
+    /// run.
     std::size_t phase_at(core::common::duration at) const noexcept;
-    /// Stretches phases, windows and events to `wanted`.
+    /// Scales phases, stream windows and event times to a run of length
+    /// `wanted`.
     void scale_to(core::common::duration wanted);
 };
 
-/// Reads the experiment; errors stand in the file. `targets_needed` tells
-/// whether [targets] must name entries.
+/// Reads the experiment. Errors are recorded in the file that `root` belongs
+/// to. `targets` provides the values for keys absent from [targets].
 experiment read_experiment(adapters::settings::toml_table& root,
                            target_settings const& targets);
 
-/// Reads the table [targets]; keys that are absent keep `fallback`'s values.
+/// Reads the table [targets]. Absent keys keep the values of `fallback`.
 target_settings read_targets(adapters::settings::toml_table& root,
                              target_settings fallback);
 
--- a/tools/load/histogram.cpp
+++ b/tools/load/histogram.cpp
@@ -12,11 +12,12 @@
 
 constexpr unsigned sub_bits = 6;
 constexpr std::uint64_t sub_count = 1U << sub_bits;
-constexpr unsigned value_bits = 40; // 12 days in microseconds.
+constexpr unsigned value_bits = 40; // 2^40 microseconds are 12 days.
 constexpr std::uint64_t max_value = (std::uint64_t{1} << value_bits) - 1;
 constexpr std::size_t bucket_count = (value_bits - sub_bits + 1) * sub_count;
 
-// Values below `sub_count` have a bucket each; above, the leading bits choose.
+// Values below `sub_count` have one bucket each. The bucket of a larger value
+// is chosen by its leading bits.
 std::size_t bucket_of(std::uint64_t value) noexcept
 {
     if (value < sub_count)
--- a/tools/load/histogram.hpp
+++ b/tools/load/histogram.hpp
@@ -6,21 +6,21 @@
 namespace fuchsia::tools::load
 {
 
-/// Counts of lengths of time in log-linear buckets: 64 to each power of two,
-/// so that a quantile is exact to 1.6 percent, and memory is fixed.
+/// Histogram of durations with log-linear buckets, 64 per power of two.
+/// Quantiles are accurate to 1.6 percent and the memory use is fixed.
 class histogram
 {
 public:
     histogram();
 
-    /// `value` in microseconds; negative ones count as 0.
+    /// Adds a value in microseconds. Negative values count as 0.
     void record(std::int64_t value) noexcept;
     void add(histogram const& other) noexcept;
     void clear() noexcept;
 
     std::uint64_t count() const noexcept;
-    /// The least bucket bound that at least `share` (0 to 1) of the values do
-    /// not exceed, in microseconds; 0 where there is none.
+    /// Returns the lowest bucket bound in microseconds that is not exceeded by
+    /// at least `share` (0 to 1) of the values; 0 for an empty histogram.
     std::int64_t quantile(double share) const noexcept;
     std::int64_t largest() const noexcept;
 
--- a/tools/load/load_run.cpp
+++ b/tools/load/load_run.cpp
@@ -21,13 +21,14 @@
 constexpr duration max_check_time = std::chrono::seconds(10);
 constexpr duration progress_interval = std::chrono::seconds(1);
 constexpr duration idle_check_interval = std::chrono::milliseconds(50);
-// Arrivals sent before other handlers get their turn.
+// Maximum number of arrivals sent before other handlers run.
 constexpr std::size_t arrival_batch = 128;
 constexpr std::uint64_t stream_seed_step = 1'000'003;
 constexpr std::uint16_t ok = 200;
 constexpr std::size_t max_event_attempts = 20;
 
-// Different for every run, so that its keys and job ids are new ones.
+// Returns an id that differs between runs, so that idempotency keys and job ids
+// are not reused.
 std::string make_run_id()
 {
     auto const now = std::chrono::system_clock::now().time_since_epoch();
@@ -123,13 +124,16 @@
         !std::all_of(streams.begin(), streams.end(), is_direct);
     if (needs_entries && experiment_.targets.entries.empty())
     {
-        reason = {result_code::missing_key, "targets.entries", "none is given"};
+        reason = {result_code::missing_key,
+                  "targets.entries",
+                  "at least one entry is required"};
         return false;
     }
     if (!experiment_.jobs.empty() && experiment_.targets.planners.empty())
     {
-        reason = {
-            result_code::missing_key, "targets.planners", "none is given"};
+        reason = {result_code::missing_key,
+                  "targets.planners",
+                  "at least one planner is required"};
         return false;
     }
     if (std::any_of(streams.begin(), streams.end(), is_direct) &&
@@ -169,8 +173,9 @@
     }
     if (targets.empty())
     {
-        reason = {
-            result_code::not_found, "targets.platform", "it lists no upstream"};
+        reason = {result_code::not_found,
+                  "targets.platform",
+                  "the platform lists no upstreams"};
         return false;
     }
     client_.set_direct_targets(std::move(targets));
@@ -308,8 +313,9 @@
         });
 }
 
-// An operator whose planner doesn't answer, or who lost a race, asks again.
-// An experiment whose event never happened has measured something else.
+// Calls to a planner are retried if the planner does not answer or the call
+// lost a race, as an operator would. Failed events are counted, since a run
+// without its event did not measure the experiment.
 void load_run::on_event_end(timed_event const& event,
                             std::size_t attempts,
                             ports::exchange_status status,
@@ -366,8 +372,8 @@
         });
 }
 
-// Each request ends by its deadline and the answer bound, each job after its
-// last try, so this comes to an end.
+// Terminates because each request ends at the latest `answer_timeout` after its
+// deadline, and each job after its last attempt.
 void load_run::end_when_idle()
 {
     bool const idle = arrivals_.empty() && client_.in_flight() == 0 &&
--- a/tools/load/load_run.hpp
+++ b/tools/load/load_run.hpp
@@ -19,22 +19,23 @@
 namespace fuchsia::tools::load
 {
 
-/// One run of an experiment, on one thread: arrivals in an open loop, jobs,
-/// timed events, and a progress line every second.
+/// Single-threaded run of an experiment: open-loop arrivals, jobs, timed events
+/// and a progress line every second.
 class load_run
 {
 public:
     explicit load_run(experiment spec);
 
-    /// Runs to the end, or until SIGTERM; empty, with the reason, where it
-    /// can't begin.
+    /// Runs to the end or until a stop signal. Returns nothing and sets
+    /// `reason` if the run cannot start.
     std::optional<run_report> run(core::common::failure& reason);
 
 private:
     struct arrival
     {
         core::common::duration due{};
-        std::size_t stream = 0; ///< Of requests, then of jobs.
+        /// Index of the stream; job streams follow the request streams.
+        std::size_t stream = 0;
 
         bool operator>(arrival const& other) const noexcept
         {
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <vector>
 
-// fuchsia-load: open-loop load, experiments, and the books of a run.
+// fuchsia-load: open-loop load, experiments, and the check of a run's counters.
 namespace
 {
 
@@ -22,29 +22,36 @@
     command->add_option(
         "--targets", options.targets, "TOML file with the table [targets]");
     command->add_option(
-        "--summary", options.summary, "write a JSON summary here");
-    command->add_option("--csv", options.csv, "write one line a second here");
-    command->add_option("--svg", options.svg, "write a plot here");
+        "--summary", options.summary, "path of the JSON summary to write");
+    command->add_option("--csv",
+                        options.csv,
+                        "path of the CSV file to write, one line per second");
+    command->add_option("--svg", options.svg, "path of the SVG plot to write");
     command->add_option(
-        "--seconds", options.seconds, "stretch the run to this length");
+        "--seconds", options.seconds, "scales the run to this length");
     command->add_option(
         "--rate-factor", options.rate_factor, "multiplies every rate");
-    command->add_option("--seed", options.seed, "instead of the file's");
-    command->add_flag(
-        "--direct", options.direct, "past the entries, to the upstreams");
+    command->add_option(
+        "--seed", options.seed, "seed that overrides the file's");
+    command->add_flag("--direct",
+                      options.direct,
+                      "sends all requests directly to the upstreams");
     return command;
 }
 
 CLI::App* add_books(CLI::App& app, verdict_options& options)
 {
     auto* command = app.add_subcommand(
-        "books", "checks what must always hold, from all books together");
-    command->add_option(
-        "--summary", options.summaries, "summaries of runs, any number");
-    command->add_option(
-        "--upstreams", options.upstreams, "IP:port of the stand-in's control");
-    command->add_option(
-        "--workers", options.workers, "IP:port of the stand-in's control");
+        "books", "checks the guarantees against all counters together");
+    command->add_option("--summary",
+                        options.summaries,
+                        "paths of the summaries of any number of runs");
+    command->add_option("--upstreams",
+                        options.upstreams,
+                        "IP:port of the upstream stand-in's control paths");
+    command->add_option("--workers",
+                        options.workers,
+                        "IP:port of the worker stand-in's control paths");
     return command;
 }
 
@@ -53,11 +60,15 @@
                          pool_bench_settings& settings)
 {
     auto* command = app.add_subcommand(
-        "bench-pool", "what an owner's decisions cost at each size of a pool");
-    command->add_option("--workers", sizes, "sizes, in workers");
-    command->add_option("--seconds", settings.seconds, "of virtual time");
-    command->add_option("--seed", settings.seed, "of what arrives");
-    command->add_option("--load", settings.load, "factor of what arrives")
+        "bench-pool",
+        "measures the processor time of an owner's decisions by pool size");
+    command->add_option("--workers", sizes, "pool sizes in workers");
+    command->add_option(
+        "--seconds", settings.seconds, "virtual time to measure");
+    command->add_option("--seed", settings.seed, "seed of the arrivals");
+    command
+        ->add_option(
+            "--load", settings.load, "multiplier of the job arrival rate")
         ->check(CLI::PositiveNumber);
     return command;
 }
@@ -74,7 +85,8 @@
     auto const* const run_command = add_run(app, run);
     add_books(app, books);
     auto const* const bench_command = app.add_subcommand(
-        "bench", "runs the decision core on fixed input, prints a signature");
+        "bench",
+        "runs the decision core on fixed input and prints a signature");
     std::vector<std::uint32_t> sizes{48, 350, 1100};
     pool_bench_settings pool;
     auto const* const pool_command = add_bench_pool(app, sizes, pool);
--- a/tools/load/plot.hpp
+++ b/tools/load/plot.hpp
@@ -7,8 +7,9 @@
 namespace fuchsia::tools::load
 {
 
-/// An SVG picture: 99th percentile of the latency above, goodput and refusals
-/// a second below, over the seconds of the run.
+/// Returns an SVG plot over the seconds of the run. The upper panel shows the
+/// median and 99th percentile of the latency, the lower one the goodput and the
+/// refusals per second.
 std::string to_svg(run_report const& report);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -308,7 +308,7 @@
     overfilled += count_of(counters, "overfilled");
 }
 
-// A checkpoint that two attempts resumed is one task's work run twice.
+// Two attempts that resume the same checkpoint run the work of one task twice.
 void verdict::add_workers(counts const& counters)
 {
     overfilled += count_of(counters, "overfilled");
--- a/tools/load/report.hpp
+++ b/tools/load/report.hpp
@@ -14,7 +14,7 @@
 namespace fuchsia::tools::load
 {
 
-/// Everything that a run found out.
+/// Results of a run.
 struct run_report
 {
     std::string name;
@@ -22,24 +22,25 @@
     double seconds = 0;
     request_statistics requests;
     job_counts jobs;
-    std::string job_reason;
+    std::string job_reason; ///< Reason of the last job refusal.
     std::uint64_t events_failed = 0;
     service_sampler::tail_latencies services;
-    /// What the stand-ins counted during the run.
+    /// Increase of the stand-ins' counters during the run.
     counts platform;
     counts upstreams;
     counts workers;
 };
 
-/// Tables by class and by stream, refusal codes, tasks and store calls.
+/// Prints tables by class, stream and phase, and lines with the answer codes,
+/// upstreams, tasks, services and store calls.
 void print_tables(std::ostream& out, run_report const& report);
 
 std::string to_json(run_report const& report);
 
-/// One line a second; the header names the columns.
+/// Returns a CSV text with a header and one line per second.
 std::string to_csv(run_report const& report);
 
-/// The figures of the last line of the demo.
+/// Figures of the verdict line. The last six count violated guarantees.
 struct verdict
 {
     std::uint64_t requests = 0;
@@ -53,15 +54,15 @@
     std::uint64_t two_places = 0;
     std::uint64_t late_starts = 0;
 
-    /// Adds a run's summary; false where `json` is none.
+    /// Adds the summary of a run. Returns false if `json` is not a summary.
     bool add_summary(std::string_view json);
     void add_upstreams(counts const& counters);
     void add_workers(counts const& counters);
-    /// Whether none of the last six is above 0.
+    /// Whether the last six figures are all 0.
     bool passed() const noexcept;
 };
 
-/// "requests=N answered=N ... late_starts=0".
+/// Returns the verdict line: "requests=N answered=N ... late_starts=0".
 std::string to_line(verdict const& result);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/request_client.cpp
+++ b/tools/load/request_client.cpp
@@ -17,7 +17,7 @@
 using ports::exchange_status;
 
 constexpr duration min_deadline = std::chrono::milliseconds(1);
-// Where a refusal doesn't say when to come back.
+// Delay before a retry if the answer does not specify one.
 constexpr duration default_pause = std::chrono::milliseconds(100);
 
 adapters::http::client_settings connection_settings(experiment const& spec)
@@ -177,8 +177,8 @@
                             exchange_status status,
                             adapters::http::response const& answer)
 {
-    // A connection that was refused carried nothing: any balancer goes on to
-    // the next target.
+    // A refused connection carried no request, so it is safe to try the next
+    // target, as any load balancer does.
     if (status == exchange_status::not_sent &&
         ++request->refused_connections < entries_.size())
     {
--- a/tools/load/request_client.hpp
+++ b/tools/load/request_client.hpp
@@ -14,23 +14,23 @@
 namespace fuchsia::tools::load
 {
 
-/// Sends the requests of an experiment, tries again as its clients would, and
-/// enters every end in the book.
+/// Sends the requests of an experiment, retries them according to its retry
+/// settings and records every result in the statistics.
 class request_client
 {
 public:
-    /// `run` makes keys and tokens differ from those of every other run. All
-    /// references outlive the caller.
+    /// `run_id` makes keys and tokens unique to the run. The objects passed by
+    /// reference must outlive the client.
     request_client(boost::asio::io_context& io,
                    experiment const& spec,
                    balancer& entries,
                    request_statistics& statistics,
                    std::string run_id);
 
-    /// Where requests of `direct` streams go.
+    /// Sets the targets of the requests of `direct` streams.
     void set_direct_targets(std::vector<ports::endpoint> targets);
     void begin(core::common::time_point start);
-    /// Sends one request of `stream` that was due at `due`.
+    /// Sends one request of `stream` that was scheduled for `due`.
     void send(std::size_t stream, core::common::time_point due);
 
     std::size_t in_flight() const noexcept;
@@ -43,14 +43,15 @@
 
     void attempt(pending_ptr const& request);
     ports::endpoint const& choose_endpoint(pending& request);
-    adapters::http::request make_message(pending const& request,
-                                       core::common::duration remaining) const;
+    adapters::http::request
+    make_message(pending const& request,
+                 core::common::duration remaining) const;
     void on_end(pending_ptr const& request,
                 ports::exchange_status status,
                 adapters::http::response const& answer);
     bool retry(pending_ptr const& request,
-                   request_result result,
-                   adapters::http::response const& answer);
+               request_result result,
+               adapters::http::response const& answer);
     void
     finish(pending const& request, request_result result, std::uint16_t status);
 
--- a/tools/load/schedule.cpp
+++ b/tools/load/schedule.cpp
@@ -10,7 +10,8 @@
 {
 using core::common::duration;
 constexpr double second_us = 1'000'000.0;
-constexpr double whole_request = 0.999'999; // Sums of shares are not exact.
+constexpr double whole_request =
+    0.999'999; // Below 1 because of rounding errors.
 } // namespace
 
 arrival_stream::arrival_stream(shape stream_shape,
@@ -64,8 +65,9 @@
     return due;
 }
 
-// The stream has the highest factor's rate, thinned to the present factor, so
-// that a step of the rate falls exactly where the phase begins.
+// Generates arrivals at the rate of the highest factor and thins them to the
+// current factor, so that a step of the rate takes effect exactly at the start
+// of the phase.
 std::optional<duration> arrival_stream::next_steady()
 {
     double highest = 0;
--- a/tools/load/schedule.hpp
+++ b/tools/load/schedule.hpp
@@ -10,14 +10,14 @@
 namespace fuchsia::tools::load
 {
 
-/// When one stream's next request is due: the same times for the same seed,
-/// whatever the answers do (an open loop).
+/// Open-loop schedule of the requests of one stream. The times depend only on
+/// the seed, not on the answers.
 class arrival_stream
 {
 public:
     struct shape
     {
-        double rate = 0; ///< A second, at factor 1.
+        double rate = 0; ///< Arrivals per second at factor 1.
         bool poisson = true;
         core::common::duration from{};
         core::common::duration until{};
@@ -25,9 +25,12 @@
         core::common::duration burst_every = std::chrono::seconds(1);
     };
 
-    arrival_stream(shape stream_shape, std::vector<phase> phases, std::uint64_t seed);
+    arrival_stream(shape stream_shape,
+                   std::vector<phase> phases,
+                   std::uint64_t seed);
 
-    /// Time of the next request from the run's beginning; empty at its end.
+    /// Returns the time of the next request from the beginning of the run;
+    /// nothing after the last one.
     std::optional<core::common::duration> next();
 
 private:
@@ -40,7 +43,8 @@
     std::mt19937_64 random_;
     core::common::duration end_{};
     double steady_at_us_ = 0;
-    double accumulated_share_ = 0; ///< Even streams: the part of a request that is due.
+    double accumulated_share_ =
+        0; ///< Fraction of a request due (even streams).
     std::optional<core::common::duration> steady_;
     std::optional<core::common::duration> burst_;
     std::uint32_t burst_remaining_ = 0;
--- a/tools/load/service_sampler.hpp
+++ b/tools/load/service_sampler.hpp
@@ -12,20 +12,22 @@
 namespace fuchsia::tools::load
 {
 
-/// Reads the workers' reports every second and keeps what the services' tails
-/// were: how much their neighbours disturb them. As old as the reports are.
+/// Reads the workers' reports every second and records the tail latencies of
+/// the services, which show the interference by other tasks on the same worker.
+/// The samples are as old as the reports.
 class service_sampler
 {
 public:
     using tail_latencies = std::map<std::string, histogram, std::less<>>;
 
-    /// `phase` names the row that a sample belongs to.
+    /// `phase` returns the name of the current phase.
     service_sampler(boost::asio::io_context& io,
                     ports::endpoint workers,
                     std::function<std::string()> phase);
 
     void start();
-    /// One 99th percentile a service and second, in microseconds, by phase.
+    /// Returns the sampled 99th percentiles by phase, in microseconds; one
+    /// sample per service and second.
     tail_latencies const& by_phase() const noexcept;
 
 private:
--- a/tools/load/standin_counts.hpp
+++ b/tools/load/standin_counts.hpp
@@ -11,16 +11,17 @@
 namespace fuchsia::tools::load
 {
 
-/// A stand-in's books, by the names of docs/API.md.
+/// Counters of a stand-in by name. The names are documented in docs/API.md.
 using counts = std::map<std::string, std::uint64_t, std::less<>>;
 
-/// Reads the answer of GET /control/counts.
+/// Parses the answer to GET /control/counts.
 std::optional<counts> parse_counts(std::string_view body);
 
-/// Asks a stand-in and waits for the answer; empty where none came.
+/// Fetches the counters of a stand-in and blocks until the answer arrives.
+/// Returns nothing if there is no valid answer.
 std::optional<counts> fetch_counts(ports::endpoint const& endpoint);
 
-/// What was added between two readings.
+/// Returns the increase of each counter between two readings.
 counts difference(counts const& before, counts const& after);
 
 std::uint64_t count_of(counts const& counters, std::string_view name);
--- a/tools/load/submitter.hpp
+++ b/tools/load/submitter.hpp
@@ -16,11 +16,11 @@
     std::uint64_t submitted = 0;
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t unanswered = 0; ///< No planner answered in all tries.
+    std::uint64_t unanswered = 0; ///< No final answer after all attempts.
 };
 
-/// Submits the jobs of an experiment. A planner that doesn't answer is
-/// followed by the next one, with the same id, which makes that safe.
+/// Submits the jobs of an experiment. If a planner does not answer, the job is
+/// sent to the next one. The retry is safe because it has the same job id.
 class submitter
 {
 public:
@@ -31,7 +31,7 @@
     void submit(std::size_t stream);
     job_counts const& counts() const noexcept;
     std::size_t pending_jobs() const noexcept;
-    /// Why a planner refused a job last.
+    /// Body of the answer to the last job that was not accepted.
     std::string const& last_reason() const noexcept;
     void close();
 
