--- a/tools/load/bench_pool_simulation.cpp
+++ b/tools/load/bench_pool_simulation.cpp
@@ -43,8 +43,8 @@
 constexpr duration serving_target = 150ms;
 constexpr std::uint64_t serving_tail_ms = 30;
 
-// Half of the best-effort images interfere with the serving tasks. No worker
-// with serving tasks admits them, so their steps stay queued.
+// Half of the best-effort images interfere with the serving tasks and find no
+// room beside them, so their steps wait.
 constexpr std::uint32_t filling_images = 24;
 constexpr std::uint32_t disturbing_images = 12;
 constexpr std::uint32_t filling_width = 16;
--- a/tools/load/load_run.cpp
+++ b/tools/load/load_run.cpp
@@ -198,13 +198,13 @@
                               seed);
     }
     constexpr double minute = 60.0;
-    for (auto const& jobs : experiment_.jobs)
+    for (auto const& job : experiment_.jobs)
     {
         seed += stream_seed_step;
         arrival_stream::shape shape;
-        shape.rate = jobs.per_minute / minute;
-        shape.from = jobs.from;
-        shape.until = jobs.until;
+        shape.rate = job.per_minute / minute;
+        shape.from = job.from;
+        shape.until = job.until;
         streams_.emplace_back(shape, experiment_.phases, seed);
     }
     for (std::size_t stream = 0; stream < streams_.size(); ++stream)
