--- a/tools/load/balancer.hpp
+++ b/tools/load/balancer.hpp
@@ -11,8 +11,8 @@
 namespace fuchsia::tools::load
 {
 
-/// Chooses among targets as the platform's balancer does: in turn among those
-/// whose /readyz was 200 when it last looked, which it learns late.
+/// Models the platform's load balancer: round robin over the targets whose last
+/// /readyz check returned 200. A changed result takes effect only after `lag`.
 class balancer
 {
 public:
@@ -23,12 +23,12 @@
 
     void start();
     void stop();
-    /// Whether every target has been looked at once.
+    /// Whether every target has been checked at least once.
     bool checked_all() const noexcept;
 
-    /// The next ready target, another than `not_this` where there is one; any
-    /// target where none is ready. There must be a target.
-    std::size_t pick(std::optional<std::size_t> not_this);
+    /// Returns the index of the next ready target other than `excluded`, or of
+    /// the next target in order if there is none. Requires at least one target.
+    std::size_t pick(std::optional<std::size_t> excluded);
     ports::endpoint const& at(std::size_t target) const;
     std::size_t size() const noexcept;
     std::size_t ready() const noexcept;
@@ -36,13 +36,13 @@
 private:
     struct target
     {
-        ports::endpoint where;
+        ports::endpoint address;
         bool ready = false;
         bool checked = false;
     };
 
     void check_all();
-    void see(std::size_t number, bool ready);
+    void record_check(std::size_t index, bool ready);
 
     boost::asio::io_context& io_;
     std::vector<target> targets_;
@@ -50,7 +50,7 @@
     core::common::duration lag_;
     adapters::http::client client_;
     adapters::runtime::timer timer_;
-    std::size_t turn_ = 0;
+    std::size_t last_picked_ = 0;
 };
 
 } // namespace fuchsia::tools::load
--- a/tools/load/load_run.hpp
+++ b/tools/load/load_run.hpp
@@ -19,22 +19,23 @@
 namespace fuchsia::tools::load
 {
 
-/// One run of an experiment, on one thread: arrivals in an open loop, jobs,
-/// timed events, and a progress line every second.
+/// Single-threaded run of an experiment: open-loop arrivals, jobs, timed events
+/// and a progress line every second.
 class load_run
 {
 public:
-    explicit load_run(experiment what);
+    explicit load_run(experiment spec);
 
-    /// Runs to the end, or until SIGTERM; empty, with the reason, where it
-    /// can't begin.
+    /// Runs to the end or until a stop signal. Returns nothing and sets
+    /// `reason` if the run cannot start.
     std::optional<run_report> run(core::common::failure& reason);
 
 private:
     struct arrival
     {
         core::common::duration due{};
-        std::size_t stream = 0; ///< Of requests, then of jobs.
+        /// Index of the stream; job streams follow the request streams.
+        std::size_t stream = 0;
 
         bool operator>(arrival const& other) const noexcept
         {
@@ -48,12 +49,12 @@
     bool find_direct_targets(core::common::failure& reason);
     void make_arrivals();
     void push_next(std::size_t stream);
-    void serve_arrivals();
+    void send_due_arrivals();
     void start_events();
     void start_sampler();
-    void send_event(timed_event const& event, std::size_t tries);
+    void send_event(timed_event const& event, std::size_t attempts);
     void on_event_end(timed_event const& event,
-                      std::size_t tries,
+                      std::size_t attempts,
                       ports::exchange_status status,
                       adapters::http::response const& answer);
     void show_progress();
@@ -61,12 +62,12 @@
     void stop();
     run_report make_report();
 
-    experiment what_;
-    std::string run_;
+    experiment experiment_;
+    std::string run_id_;
     boost::asio::io_context io_;
-    request_statistics book_;
+    request_statistics statistics_;
     balancer entries_;
-    request_client caller_;
+    request_client client_;
     submitter submitter_;
     std::optional<service_sampler> services_;
     adapters::http::client events_;
--- a/tools/load/submitter.hpp
+++ b/tools/load/submitter.hpp
@@ -16,22 +16,22 @@
     std::uint64_t submitted = 0;
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t unanswered = 0; ///< No planner answered in all tries.
+    std::uint64_t unanswered = 0; ///< No final answer after all attempts.
 };
 
-/// Submits the jobs of an experiment. A planner that doesn't answer is
-/// followed by the next one, with the same id, which makes that safe.
+/// Submits the jobs of an experiment. If a planner does not answer, the job is
+/// sent to the next one. The retry is safe because it has the same job id.
 class submitter
 {
 public:
     submitter(boost::asio::io_context& io,
-              experiment const& what,
-              std::string run);
+              experiment const& spec,
+              std::string run_id);
 
     void submit(std::size_t stream);
     job_counts const& counts() const noexcept;
     std::size_t pending_jobs() const noexcept;
-    /// Why a planner refused a job last.
+    /// Body of the answer to the last job that was not accepted.
     std::string const& last_reason() const noexcept;
     void close();
 
@@ -39,7 +39,7 @@
     struct pending
     {
         std::string body;
-        std::uint32_t tries = 0;
+        std::uint32_t attempts = 0;
     };
 
     void attempt(std::shared_ptr<pending> const& job);
@@ -48,11 +48,11 @@
                 adapters::http::response const& answer);
 
     boost::asio::io_context& io_;
-    experiment const& what_;
-    std::string run_;
+    experiment const& experiment_;
+    std::string run_id_;
     adapters::http::client client_;
-    std::size_t turn_ = 0;
-    std::size_t open_ = 0;
+    std::size_t planner_index_ = 0;
+    std::size_t pending_jobs_ = 0;
     job_counts counts_;
     std::string last_reason_;
 };
