--- a/tests/unit/soak/checker_walk_test.cpp
+++ b/tests/unit/soak/checker_walk_test.cpp
@@ -9,32 +9,32 @@
 namespace
 {
 
-constexpr std::uint64_t honest_walks = 300;
-constexpr std::uint64_t walks_with_a_lie = 40;
+constexpr std::uint64_t correct_walks = 300;
+constexpr std::uint64_t defect_walks = 40;
 
-struct planted
+struct defect_case
 {
     char const* name;
-    model_defect what;
-    rule which; ///< Has to be reported.
+    model_defect defect;
+    rule expected_rule; ///< Has to be reported.
 };
 
-std::ostream& operator<<(std::ostream& out, planted const& one)
+std::ostream& operator<<(std::ostream& out, defect_case const& item)
 {
-    return out << one.name;
+    return out << item.name;
 }
 
-bool reports(model_result const& walked, rule which)
+bool reports(model_result const& result, rule expected_rule)
 {
-    return std::any_of(walked.violations.begin(),
-                       walked.violations.end(),
-                       [&](violation const& one)
+    return std::any_of(result.violations.begin(),
+                       result.violations.end(),
+                       [&](violation const& item)
                        {
-                           return one.broken_rule == which;
+                           return item.broken_rule == expected_rule;
                        });
 }
 
-class soak_lies : public testing::TestWithParam<planted>
+class soak_model_defects : public testing::TestWithParam<defect_case>
 {
 };
 
@@ -47,71 +47,75 @@
     std::size_t starts = 0;
     std::size_t crashes = 0;
     std::size_t cancels = 0;
-    for (std::uint64_t seed = 1; seed <= honest_walks; ++seed)
+    for (std::uint64_t seed = 1; seed <= correct_walks; ++seed)
     {
-        model_result const walked = run_model(seed, model_defect::none);
-        for (violation const& one : walked.violations)
+        model_result const result = run_model(seed, model_defect::none);
+        for (violation const& item : result.violations)
         {
             ADD_FAILURE() << "seed " << seed << ": rule "
-                          << static_cast<int>(one.broken_rule) << " of "
-                          << one.subject << ": " << one.reason;
+                          << static_cast<int>(item.broken_rule) << " of "
+                          << item.subject << ": " << item.reason;
         }
-        starts += walked.starts;
-        crashes += walked.crashes;
-        cancels += walked.cancels;
+        starts += result.starts;
+        crashes += result.crashes;
+        cancels += result.cancels;
     }
-    EXPECT_GT(starts, 100 * honest_walks);
-    EXPECT_GT(crashes, honest_walks);
-    EXPECT_GT(cancels, honest_walks);
+    EXPECT_GT(starts, 100 * correct_walks);
+    EXPECT_GT(crashes, correct_walks);
+    EXPECT_GT(cancels, correct_walks);
 }
 
 // One wrong step among thousands of right ones goes unnoticed.
-TEST_P(soak_lies, told_once_is_caught_in_every_walk)
+TEST_P(soak_model_defects, told_once_is_caught_in_every_walk)
 {
-    std::uint64_t told = 0;
-    for (std::uint64_t seed = 1; seed <= walks_with_a_lie; ++seed)
+    std::uint64_t occurred = 0;
+    for (std::uint64_t seed = 1; seed <= defect_walks; ++seed)
     {
-        model_result const walked = run_model(seed, GetParam().what);
-        told += walked.defect_occurred ? 1 : 0;
-        EXPECT_EQ(reports(walked, GetParam().which), walked.defect_occurred)
+        model_result const result = run_model(seed, GetParam().defect);
+        occurred += result.defect_occurred ? 1 : 0;
+        EXPECT_EQ(reports(result, GetParam().expected_rule),
+                  result.defect_occurred)
             << "seed " << seed;
     }
-    EXPECT_GT(told, walks_with_a_lie / 2);
+    EXPECT_GT(occurred, defect_walks / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     each,
-    soak_lies,
+    soak_model_defects,
     testing::Values(
-        planted{"forgotten_job", model_defect::forgotten_job, rule::job_lost},
-        planted{"idle_job", model_defect::never_run_job, rule::job_lost},
-        planted{
+        defect_case{
+            "forgotten_job", model_defect::forgotten_job, rule::job_lost},
+        defect_case{"idle_job", model_defect::never_run_job, rule::job_lost},
+        defect_case{
             "refused_job", model_defect::refused_job, rule::refused_job_ran},
-        planted{"second_run", model_defect::second_run, rule::duplicate_run},
-        planted{
+        defect_case{
+            "second_run", model_defect::second_run, rule::duplicate_run},
+        defect_case{
             "repeated_run", model_defect::repeated_run, rule::duplicate_run},
-        planted{"early_start", model_defect::early_start, rule::step_order},
-        planted{
+        defect_case{"early_start", model_defect::early_start, rule::step_order},
+        defect_case{
             "extra_attempt", model_defect::extra_attempt, rule::attempt_limit},
-        planted{"forgotten_cancel",
-                model_defect::forgotten_cancel,
-                rule::ran_after_cancel},
-        planted{"draining_worker", model_defect::draining_worker, rule::drain},
-        planted{"closed_data_centre",
-                model_defect::closed_data_centre,
-                rule::data_centre},
-        planted{"old_configuration",
-                model_defect::old_configuration,
-                rule::configuration},
-        planted{
+        defect_case{"forgotten_cancel",
+                    model_defect::forgotten_cancel,
+                    rule::ran_after_cancel},
+        defect_case{
+            "draining_worker", model_defect::draining_worker, rule::drain},
+        defect_case{"closed_data_centre",
+                    model_defect::closed_data_centre,
+                    rule::data_centre},
+        defect_case{"old_configuration",
+                    model_defect::old_configuration,
+                    rule::configuration},
+        defect_case{
             "low_count", model_defect::low_waiting_count, rule::waiting_count},
-        planted{"false_completed",
-                model_defect::false_completed,
-                rule::reported_state},
-        planted{
+        defect_case{"false_completed",
+                    model_defect::false_completed,
+                    rule::reported_state},
+        defect_case{
             "false_failed", model_defect::false_failed, rule::reported_state},
-        planted{"no_recovery", model_defect::no_recovery, rule::recovery}),
-    [](auto const& one)
+        defect_case{"no_recovery", model_defect::no_recovery, rule::recovery}),
+    [](auto const& item)
     {
-        return std::string(one.param.name);
+        return std::string(item.param.name);
     });
--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -19,17 +19,17 @@
 TEST(soak_plan, jobs_do_not_depend_on_the_kinds_of_fault)
 {
     plan_settings settings;
-    auto all = make_plan(settings);
+    auto all_kinds = make_plan(settings);
     settings.kinds = {fault_kind::kill};
-    auto one = make_plan(settings);
-    ASSERT_FALSE(one.faults.empty());
-    for (auto const& each : one.faults)
+    auto kill_only = make_plan(settings);
+    ASSERT_FALSE(kill_only.faults.empty());
+    for (auto const& planned : kill_only.faults)
     {
-        EXPECT_EQ(each.kind, fault_kind::kill);
+        EXPECT_EQ(planned.kind, fault_kind::kill);
     }
-    all.faults.clear();
-    one.faults.clear();
-    EXPECT_EQ(to_text(all), to_text(one));
+    all_kinds.faults.clear();
+    kill_only.faults.clear();
+    EXPECT_EQ(to_text(all_kinds), to_text(kill_only));
 }
 
 // A kind that is never drawn, or has no name, is never seen to hold.
@@ -37,11 +37,11 @@
 {
     plan_settings settings;
     settings.traffic = std::chrono::seconds(2000);
-    std::set<fault_kind> seen;
-    for (auto const& each : make_plan(settings).faults)
+    std::set<fault_kind> drawn_kinds;
+    for (auto const& planned : make_plan(settings).faults)
     {
-        seen.insert(each.kind);
-        EXPECT_EQ(fault_kind_from(name_of(each.kind)), each.kind);
+        drawn_kinds.insert(planned.kind);
+        EXPECT_EQ(fault_kind_from(name_of(planned.kind)), planned.kind);
     }
-    EXPECT_EQ(seen, all_fault_kinds());
+    EXPECT_EQ(drawn_kinds, all_fault_kinds());
 }
--- a/tests/unit/soak/scenario.hpp
+++ b/tests/unit/soak/scenario.hpp
@@ -63,41 +63,41 @@
 
     scenario& submit(std::string const& job,
                      job_shape const& shape,
-                     call_outcome how = call_outcome::done)
+                     call_outcome outcome = call_outcome::done)
     {
         observe(submit_sent{job, shape});
-        return observe(submit_ended{job, how});
+        return observe(submit_ended{job, outcome});
     }
 
-    scenario& start(ports::task_name const& what,
+    scenario& start(ports::task_name const& task_id,
                     std::uint32_t attempt = 1,
                     std::string const& worker = "w1",
                     std::string const& data_centre = "dc1")
     {
-        return observe(run_started{worker, data_centre, {what, attempt}, 1});
+        return observe(run_started{worker, data_centre, {task_id, attempt}, 1});
     }
 
-    scenario& end(ports::task_name const& what,
-                  end_kind how = end_kind::done,
+    scenario& end(ports::task_name const& task_id,
+                  end_kind outcome = end_kind::done,
                   std::uint32_t attempt = 1,
                   std::string const& worker = "w1")
     {
-        return observe(run_ended{worker, {what, attempt}, how});
+        return observe(run_ended{worker, {task_id, attempt}, outcome});
     }
 
-    scenario& acknowledge(ports::task_name const& what,
-                          end_kind how = end_kind::done,
+    scenario& acknowledge(ports::task_name const& task_id,
+                          end_kind outcome = end_kind::done,
                           std::uint32_t attempt = 1,
                           std::string const& worker = "w1")
     {
-        return observe(end_acknowledged{worker, {what, attempt}, how});
+        return observe(end_acknowledged{worker, {task_id, attempt}, outcome});
     }
 
     scenario& status(std::string const& job,
                      job_state state,
-                     call_outcome how = call_outcome::done)
+                     call_outcome outcome = call_outcome::done)
     {
-        return observe(status_query_ended{job, "i1", now_, how, state});
+        return observe(status_query_ended{job, "i1", now_, outcome, state});
     }
 
     scenario& waiting(std::uint64_t jobs)
@@ -114,19 +114,19 @@
     }
 
     /// Trouble from `from` to `to`; the story goes on at `to`.
-    scenario& with_fault(duration from, duration to)
+    scenario& with_fault(duration begin_at, duration end_at)
     {
-        at(from).observe(fault_state_set{"link", true});
-        return at(to).observe(fault_state_set{"link", false});
+        at(begin_at).observe(fault_state_set{"link", true});
+        return at(end_at).observe(fault_state_set{"link", false});
     }
 
     /// The rules broken, with the end at the present time.
     std::set<rule> broken_rules()
     {
         std::set<rule> rules;
-        for (violation const& one : checker_.finish(now_))
+        for (violation const& found : checker_.finish(now_))
         {
-            rules.insert(one.broken_rule);
+            rules.insert(found.broken_rule);
         }
         return rules;
     }
--- a/tests/unit/soak/scheduler_model.cpp
+++ b/tests/unit/soak/scheduler_model.cpp
@@ -11,13 +11,13 @@
 constexpr duration tick = 50ms;
 constexpr duration faults_end = 34s;
 constexpr duration traffic_end = 36s;
-constexpr duration last_questions = 56s;
-constexpr duration walk_end = 60s;
-constexpr duration shaky_after_trouble = 1s;
+constexpr duration final_queries = 56s;
+constexpr duration run_end = 60s;
+constexpr duration unstable_after_fault = 1s;
 /// Trouble keeps away this long after a lie, which has to be caught.
-constexpr duration quiet_after_lie = 12s;
+constexpr duration undisturbed_after_defect = 12s;
 /// Attempts of runs that the model invents begin here.
-constexpr std::uint32_t invented_attempt = 1000;
+constexpr std::uint32_t unscheduled_attempt = 1000;
 
 enum class stage : std::uint8_t
 {
@@ -36,7 +36,7 @@
     std::string worker{};
     time_point ends{};
     bool ended = false; ///< Ran out; the scheduler hasn't heard yet.
-    end_kind how = end_kind::done;
+    end_kind outcome = end_kind::done;
 };
 
 struct job_model
@@ -50,13 +50,13 @@
     bool cancelled = false;
     bool failed = false;
     bool started = false;
-    bool idle = false;    ///< A lie: the scheduler passes it over.
-    bool planted = false; ///< Part of a lie: left alone otherwise.
-    time_point hold{};    ///< No start before.
+    bool idle = false;       ///< A lie: the scheduler passes it over.
+    bool planted = false;    ///< Part of a lie: left alone otherwise.
+    time_point not_before{}; ///< No start before.
     time_point stop_at{};
     std::vector<task_model> tasks;
 
-    bool open() const
+    bool is_open() const
     {
         return stored && !cancelled && !failed && !completed();
     }
@@ -82,7 +82,7 @@
             });
     }
     /// Some task that `task` waits for has never run.
-    bool bare_before(task_model const& task) const
+    bool has_unstarted_dependency(task_model const& task) const
     {
         auto const& after = shape.steps[task.step].after;
         return std::any_of(
@@ -115,7 +115,7 @@
     std::string name;
     std::string data_centre;
     bool up = true;
-    time_point back{};
+    time_point up_again_at{};
     std::optional<time_point> draining{};
 };
 
@@ -123,7 +123,7 @@
 {
     std::size_t job = 0;
     std::size_t task = 0;
-    time_point heard{};
+    time_point acknowledged_at{};
 };
 
 struct instance_model
@@ -135,19 +135,20 @@
 class model
 {
 public:
-    model(std::uint64_t seed, model_defect what) : random_(seed), lie_(what)
+    model(std::uint64_t seed, model_defect defect)
+        : random_(seed), defect_(defect)
     {
     }
 
     model_result run()
     {
         change_configuration();
-        while (now_ < origin + walk_end)
+        while (now_ < origin + run_end)
         {
             now_ += tick;
             step();
         }
-        result_.violations = judge_.finish(now_);
+        result_.violations = checker_.finish(now_);
         return result_;
     }
 
@@ -157,29 +158,30 @@
     void step()
     {
         bool const faults = now_ < origin + faults_end;
-        end_troubles();
+        end_faults();
         if (faults)
         {
-            make_trouble();
-            move_workers();
+            begin_faults();
+            drain_and_evacuate();
         }
-        return_workers();
+        restore_workers();
         follow_configuration();
         traffic();
-        hear_ends();
+        acknowledge_ends();
         end_runs();
         start_runs();
-        ask();
-        if (lie_ != model_defect::none && !result_.defect_occurred && one_in(4))
+        query();
+        if (defect_ != model_defect::none && !result_.defect_occurred &&
+            one_in(4))
         {
-            tell();
+            plant_defect();
         }
     }
 
     template<class Event>
-    void see(Event event)
+    void record(Event event)
     {
-        judge_.observe({now_, std::move(event)});
+        checker_.observe({now_, std::move(event)});
     }
 
     std::uint64_t below(std::uint64_t limit)
@@ -195,72 +197,74 @@
         return duration(below(limit.count() + 1));
     }
     template<class Items>
-    auto& any(Items& items)
+    auto& random_element(Items& items)
     {
         return items[below(items.size())];
     }
-    bool shaky() const
+    bool is_unstable() const
     {
-        return !troubles_.empty() || now_ < calm_since_ + shaky_after_trouble;
+        return !active_faults_.empty() ||
+               now_ < last_fault_end_ + unstable_after_fault;
     }
     /// A time limit of this length counts now.
-    bool quiet(duration length) const
+    bool limit_applies(duration length) const
     {
-        return troubles_.empty() &&
-               now_ > calm_since_ + time_limits{}.stable_window + length;
+        return active_faults_.empty() &&
+               now_ > last_fault_end_ + time_limits{}.stable_window + length;
     }
-    bool may_trouble() const
+    bool may_begin_fault() const
     {
-        bool const forced = lie_ == model_defect::no_recovery;
-        return now_ > quiet_until_ && (!forced || now_ < origin + 5s);
+        bool const forced = defect_ == model_defect::no_recovery;
+        return now_ > undisturbed_until_ && (!forced || now_ < origin + 5s);
     }
 
-    void begin_trouble(std::string const& name, duration length)
+    void begin_fault(std::string const& name, duration length)
     {
-        see(fault_state_set{name, true});
-        troubles_[name] = now_ + length;
+        record(fault_state_set{name, true});
+        active_faults_[name] = now_ + length;
     }
-    void end_troubles()
+    void end_faults()
     {
-        for (auto entry = troubles_.begin(); entry != troubles_.end();)
+        for (auto entry = active_faults_.begin();
+             entry != active_faults_.end();)
         {
             if (entry->second > now_)
             {
                 ++entry;
                 continue;
             }
-            see(fault_state_set{entry->first, false});
-            entry = troubles_.erase(entry);
-            calm_since_ = now_;
+            record(fault_state_set{entry->first, false});
+            entry = active_faults_.erase(entry);
+            last_fault_end_ = now_;
         }
     }
-    void make_trouble()
+    void begin_faults()
     {
-        if (!may_trouble())
+        if (!may_begin_fault())
         {
             return;
         }
-        worker_model& worker = any(workers_);
+        worker_model& worker = random_element(workers_);
         if (one_in(250) && worker.up)
         {
             duration const away = 500ms + up_to(2s);
-            begin_trouble(worker.name, away);
-            leave(worker, away);
+            begin_fault(worker.name, away);
+            crash(worker, away);
             ++result_.crashes;
         }
         if (one_in(500))
         {
-            begin_trouble("link", up_to(3s));
+            begin_fault("link", up_to(3s));
         }
     }
 
     /// All that runs there or ended unheard is gone.
-    void leave(worker_model& worker, duration away)
+    void crash(worker_model& worker, duration away)
     {
-        see(worker_crashed{worker.name});
+        record(worker_crashed{worker.name});
         worker.up = false;
         worker.draining.reset();
-        worker.back = now_ + away;
+        worker.up_again_at = now_ + away;
         for (job_model& job : jobs_)
         {
             for (task_model& task : job.tasks)
@@ -273,47 +277,48 @@
         }
         ends_[worker.name].clear();
     }
-    void move_workers()
+    void drain_and_evacuate()
     {
-        worker_model& worker = any(workers_);
+        worker_model& worker = random_element(workers_);
         if (one_in(200) && worker.up && !worker.draining)
         {
-            see(worker_draining{worker.name});
+            record(worker_draining{worker.name});
             worker.draining = now_;
         }
-        std::string const centre = one_in(2) ? "dc0" : "dc1";
-        if (one_in(150) && out_.empty())
+        std::string const data_centre_name = one_in(2) ? "dc0" : "dc1";
+        if (one_in(150) && evacuated_since_.empty())
         {
-            see(data_centre_set{centre, true});
-            out_[centre] = now_;
+            record(data_centre_set{data_centre_name, true});
+            evacuated_since_[data_centre_name] = now_;
         }
-        if (one_in(100) && lie_free())
+        if (one_in(100) && may_disturb())
         {
             change_configuration();
         }
     }
-    void return_workers()
+    void restore_workers()
     {
         for (worker_model& worker : workers_)
         {
-            if (!worker.up && worker.back <= now_)
+            if (!worker.up && worker.up_again_at <= now_)
             {
                 worker.up = true;
             }
             if (worker.draining && *worker.draining + 8s < now_)
             {
-                leave(worker, 2s);
+                crash(worker, 2s);
             }
         }
-        if (!out_.empty() && out_.begin()->second + 10s < now_)
+        if (!evacuated_since_.empty() &&
+            evacuated_since_.begin()->second + 10s < now_)
         {
-            see(data_centre_set{out_.begin()->first, false});
-            out_.clear();
+            record(data_centre_set{evacuated_since_.begin()->first, false});
+            evacuated_since_.clear();
         }
     }
-    bool lie_free() const
+    bool may_disturb() const
     {
-        return now_ > quiet_until_;
+        return now_ > undisturbed_until_;
     }
 
     void change_configuration()
@@ -325,16 +330,16 @@
             queues.insert(changed);
         }
         versions_.emplace_back(queues, now_ + up_to(1500ms));
-        see(configuration_set{versions_.size(), queues});
+        record(configuration_set{versions_.size(), queues});
     }
     void follow_configuration()
     {
-        for (instance_model& one : instances_)
+        for (instance_model& instance : instances_)
         {
-            while (!shaky() && one.view + 1 < versions_.size() &&
-                   versions_[one.view + 1].second <= now_)
+            while (!is_unstable() && instance.view + 1 < versions_.size() &&
+                   versions_[instance.view + 1].second <= now_)
             {
-                ++one.view;
+                ++instance.view;
             }
         }
     }
@@ -343,20 +348,20 @@
     {
         if (now_ == origin + traffic_end)
         {
-            see(traffic_ended{});
+            record(traffic_ended{});
         }
         if (now_ < origin + traffic_end &&
-            one_in(lie_ == model_defect::no_recovery ? 5 : 10))
+            one_in(defect_ == model_defect::no_recovery ? 5 : 10))
         {
             submit();
         }
-        if (one_in(40) && lie_free() && !jobs_.empty())
+        if (one_in(40) && may_disturb() && !jobs_.empty())
         {
-            cancel(any(jobs_));
+            cancel(random_element(jobs_));
         }
-        if (lie_ == model_defect::no_recovery && now_ == origin + 10s)
+        if (defect_ == model_defect::no_recovery && now_ == origin + 10s)
         {
-            begin_trouble("last", 1s);
+            begin_fault("last", 1s);
             result_.defect_occurred = true;
         }
     }
@@ -382,7 +387,7 @@
         job_model job;
         job.name = "job" + std::to_string(jobs_.size());
         job.shape = any_shape();
-        job.hold = now_ + (one_in(5) ? 9s : 0s);
+        job.not_before = now_ + (one_in(5) ? 9s : 0s);
         for (std::uint32_t step = 0; step < job.shape.steps.size(); ++step)
         {
             for (std::uint32_t at = 0; at < job.shape.steps[step].count; ++at)
@@ -399,30 +404,30 @@
     }
     void send(job_model& job)
     {
-        see(submit_sent{job.name, job.shape});
+        record(submit_sent{job.name, job.shape});
         std::uint64_t const chance = below(10);
-        bool const overcome =
-            lie_ == model_defect::no_recovery && calm_since_ > origin + 10s;
-        bool const refused = overcome || chance == 0;
-        bool const silent = !refused && chance == 1;
+        bool const stays_down = defect_ == model_defect::no_recovery &&
+                                last_fault_end_ > origin + 10s;
+        bool const refused = stays_down || chance == 0;
+        bool const unanswered = !refused && chance == 1;
         job.rejected = refused;
-        job.answered = !refused && !silent;
-        job.stored = job.answered || (silent && one_in(2));
+        job.answered = !refused && !unanswered;
+        job.stored = job.answered || (unanswered && one_in(2));
         job.accepted = now_;
-        see(submit_ended{job.name,
-                         refused  ? call_outcome::refused
-                         : silent ? call_outcome::timed_out
-                                  : call_outcome::done});
+        record(submit_ended{job.name,
+                            refused      ? call_outcome::refused
+                            : unanswered ? call_outcome::timed_out
+                                         : call_outcome::done});
     }
     void cancel(job_model& job)
     {
-        if (!job.open() || job.planted)
+        if (!job.is_open() || job.planted)
         {
             return;
         }
-        bool const heard = !one_in(5);
-        see(cancel_ended{job.name,
-                         heard ? call_outcome::done : call_outcome::timed_out});
+        bool const answered = !one_in(5);
+        record(cancel_ended{
+            job.name, answered ? call_outcome::done : call_outcome::timed_out});
         job.cancelled = true;
         job.stop_at = now_ + up_to(1s);
         ++result_.cancels;
@@ -434,14 +439,15 @@
         {
             return false;
         }
-        auto const out = out_.find(worker.data_centre);
+        auto const out = evacuated_since_.find(worker.data_centre);
         bool const leaves = worker.draining && *worker.draining + 1s < now_;
-        bool const closed = out != out_.end() && out->second + 2s < now_;
-        return shaky() || (!leaves && !closed);
+        bool const closed =
+            out != evacuated_since_.end() && out->second + 2s < now_;
+        return is_unstable() || (!leaves && !closed);
     }
     bool startable(job_model const& job, task_model const& task) const
     {
-        bool const due = job.open() && !job.idle && job.hold <= now_;
+        bool const due = job.is_open() && !job.idle && job.not_before <= now_;
         return due && task.now == stage::waiting && job.ready(task);
     }
     void start(job_model& job, task_model& task, worker_model const& worker)
@@ -452,12 +458,12 @@
         task.worker = worker.name;
         task.ends = now_ + 100ms + up_to(2s);
         std::uint64_t const chance = below(20);
-        task.how = chance < 3    ? end_kind::failed
-                   : chance == 3 ? end_kind::lease_expired
-                                 : end_kind::done;
+        task.outcome = chance < 3    ? end_kind::failed
+                       : chance == 3 ? end_kind::lease_expired
+                                     : end_kind::done;
         job.started = true;
         ++result_.starts;
-        see(run_started{worker.name, worker.data_centre, job.run(task), 1});
+        record(run_started{worker.name, worker.data_centre, job.run(task), 1});
     }
     void start_runs()
     {
@@ -465,7 +471,7 @@
         {
             for (task_model& task : job.tasks)
             {
-                worker_model const& worker = any(workers_);
+                worker_model const& worker = random_element(workers_);
                 if (startable(job, task) && one_in(3) && usable(worker))
                 {
                     start(job, task, worker);
@@ -475,51 +481,53 @@
     }
     void end_runs()
     {
-        for (std::size_t place = 0; place < jobs_.size(); ++place)
+        for (std::size_t job_index = 0; job_index < jobs_.size(); ++job_index)
         {
-            job_model& job = jobs_[place];
+            job_model& job = jobs_[job_index];
             for (std::size_t at = 0; at < job.tasks.size(); ++at)
             {
                 task_model& task = job.tasks[at];
                 bool const stops =
-                    job.cancelled && !shaky() && job.stop_at <= now_;
+                    job.cancelled && !is_unstable() && job.stop_at <= now_;
                 if (task.now != stage::running || task.ended ||
                     (!stops && task.ends > now_))
                 {
                     continue;
                 }
-                task.how = stops ? end_kind::stopped : task.how;
+                task.outcome = stops ? end_kind::stopped : task.outcome;
                 task.ended = true;
-                see(run_ended{task.worker, job.run(task), task.how});
-                ends_[task.worker].push_back({place, at, now_ + up_to(400ms)});
+                record(run_ended{task.worker, job.run(task), task.outcome});
+                ends_[task.worker].push_back(
+                    {job_index, at, now_ + up_to(400ms)});
             }
         }
     }
-    void hear_ends()
+    void acknowledge_ends()
     {
         for (auto& [worker, ends] : ends_)
         {
-            while (!shaky() && !ends.empty() && ends.front().heard <= now_)
+            while (!is_unstable() && !ends.empty() &&
+                   ends.front().acknowledged_at <= now_)
             {
                 job_model& job = jobs_[ends.front().job];
-                hear(job, job.tasks[ends.front().task]);
+                acknowledge(job, job.tasks[ends.front().task]);
                 ends.erase(ends.begin());
             }
         }
     }
-    void hear(job_model& job, task_model& task)
+    void acknowledge(job_model& job, task_model& task)
     {
-        see(end_acknowledged{task.worker, job.run(task), task.how});
+        record(end_acknowledged{task.worker, job.run(task), task.outcome});
         task.now = stage::waiting;
         if (job.shape.steps[task.step].lasting)
         {
             return;
         }
-        if (task.how == end_kind::done)
+        if (task.outcome == end_kind::done)
         {
             task.now = stage::done;
         }
-        if (task.how == end_kind::failed &&
+        if (task.outcome == end_kind::failed &&
             ++task.failures == job.shape.attempts)
         {
             job.failed = true;
@@ -533,169 +541,180 @@
                              [&](job_model const& job)
                              {
                                  return job.shape.queue == queue &&
-                                        job.open() && !job.started;
+                                        job.is_open() && !job.started;
                              });
     }
-    void ask()
+    void query()
     {
-        instance_model const& one = any(instances_);
-        bool const cut_off = shaky() && one.name == "i1";
-        time_point const asked = now_ - up_to(tick);
+        instance_model const& instance = random_element(instances_);
+        bool const cut_off = is_unstable() && instance.name == "i1";
+        time_point const requested_at = now_ - up_to(tick);
         if (one_in(2) && !jobs_.empty())
         {
-            ask_state(any(jobs_), one, cut_off);
+            query_state(random_element(jobs_), instance, cut_off);
         }
         if (one_in(4))
         {
             std::string const queue = one_in(2) ? "q0" : "q1";
             std::uint64_t const all = waiting(queue);
-            std::uint64_t const told = cut_off ? 0 : all - below(all / 2 + 1);
-            see(waiting_query_ended{
-                queue, one.name, asked, call_outcome::done, told});
+            std::uint64_t const reported =
+                cut_off ? 0 : all - below(all / 2 + 1);
+            record(waiting_query_ended{queue,
+                                       instance.name,
+                                       requested_at,
+                                       call_outcome::done,
+                                       reported});
         }
         if (one_in(2))
         {
             std::string const queue = "x" + std::to_string(below(4));
-            bool const there = versions_[one.view].first.count(queue) > 0;
-            see(queue_seen{queue, one.name, 1, asked, there});
+            bool const present =
+                versions_[instance.view].first.count(queue) > 0;
+            record(queue_seen{queue, instance.name, 1, requested_at, present});
         }
-        if (now_ == origin + last_questions)
+        if (now_ == origin + final_queries)
         {
             for (job_model const& job : jobs_)
             {
-                ask_state(job, one, false);
+                query_state(job, instance, false);
             }
         }
     }
-    void
-    ask_state(job_model const& job, instance_model const& one, bool cut_off)
+    void query_state(job_model const& job,
+                     instance_model const& instance,
+                     bool cut_off)
     {
-        call_outcome how =
+        call_outcome outcome =
             job.stored ? call_outcome::done : call_outcome::not_found;
         if (cut_off)
         {
-            how = one_in(2) ? call_outcome::timed_out : call_outcome::not_found;
+            outcome =
+                one_in(2) ? call_outcome::timed_out : call_outcome::not_found;
         }
-        see(status_query_ended{job.name, one.name, now_, how, job.state()});
+        record(status_query_ended{
+            job.name, instance.name, now_, outcome, job.state()});
     }
 
     /// Tells the lie if there is an occasion for it now.
-    void tell()
+    void plant_defect()
     {
-        bool const told = !jobs_.empty() && now_ < origin + faults_end &&
-                          (tell_of_jobs() || tell_of_places());
-        if (told)
+        bool const occurred = !jobs_.empty() && now_ < origin + faults_end &&
+                              (plant_job_defect() || plant_placement_defect());
+        if (occurred)
         {
             result_.defect_occurred = true;
-            quiet_until_ = now_ + quiet_after_lie;
+            undisturbed_until_ = now_ + undisturbed_after_defect;
         }
     }
-    bool tell_of_jobs()
+    bool plant_job_defect()
     {
-        job_model& job = any(jobs_);
-        task_model& task = any(job.tasks);
+        job_model& job = random_element(jobs_);
+        task_model& task = random_element(job.tasks);
         bool const lasting = job.shape.steps[task.step].lasting;
         bool const runs = task.now == stage::running && !task.ended;
-        switch (lie_)
+        switch (defect_)
         {
         case model_defect::forgotten_job:
-            return job.open() && job.answered && forget(job);
+            return job.is_open() && job.answered && forget_job(job);
         case model_defect::never_run_job:
-            return job.open() && job.answered && !job.started &&
-                   leave_idle(job);
+            return job.is_open() && job.answered && !job.started &&
+                   never_run(job);
         case model_defect::refused_job:
-            return job.rejected && invent(job, task);
+            return job.rejected && run_unscheduled(job, task);
         case model_defect::second_run:
-            return runs && invent(job, task);
+            return runs && run_unscheduled(job, task);
         case model_defect::repeated_run:
-            return task.now == stage::done && invent(job, task);
+            return task.now == stage::done && run_unscheduled(job, task);
         case model_defect::early_start:
-            return job.open() && job.bare_before(task) && invent(job, task);
+            return job.is_open() && job.has_unstarted_dependency(task) &&
+                   run_unscheduled(job, task);
         case model_defect::extra_attempt:
-            return task.failures == job.shape.attempts && invent(job, task);
+            return task.failures == job.shape.attempts &&
+                   run_unscheduled(job, task);
         case model_defect::forgotten_cancel:
-            return lasting && runs && job.open() && forget_cancel(job, task);
+            return lasting && runs && job.is_open() && ignore_cancel(job, task);
         case model_defect::low_waiting_count:
-            return tell_low_count(job);
+            return report_low_count(job);
         case model_defect::false_completed:
-            return job.open() && task.attempt == 0 &&
-                   tell_state(job, job_state::completed);
+            return job.is_open() && task.attempt == 0 &&
+                   report_state(job, job_state::completed);
         case model_defect::false_failed:
-            return job.open() && !job.started &&
-                   tell_state(job, job_state::failed);
+            return job.is_open() && !job.started &&
+                   report_state(job, job_state::failed);
         default:
             return false;
         }
     }
-    bool tell_of_places()
+    bool plant_placement_defect()
     {
-        worker_model const& worker = any(workers_);
+        worker_model const& worker = random_element(workers_);
         time_limits const bounds;
-        if (lie_ == model_defect::draining_worker)
+        if (defect_ == model_defect::draining_worker)
         {
-            return worker.up && worker.draining && quiet(bounds.drain) &&
+            return worker.up && worker.draining &&
+                   limit_applies(bounds.drain) &&
                    *worker.draining + bounds.drain < now_ && start_on(worker);
         }
-        if (lie_ == model_defect::closed_data_centre)
+        if (defect_ == model_defect::closed_data_centre)
         {
-            auto const out = out_.find(worker.data_centre);
-            return worker.up && out != out_.end() &&
-                   quiet(bounds.data_centre) &&
+            auto const out = evacuated_since_.find(worker.data_centre);
+            return worker.up && out != evacuated_since_.end() &&
+                   limit_applies(bounds.data_centre) &&
                    out->second + bounds.data_centre < now_ && start_on(worker);
         }
-        return lie_ == model_defect::old_configuration &&
+        return defect_ == model_defect::old_configuration &&
                show_old_configuration();
     }
 
-    bool forget(job_model& job)
+    bool forget_job(job_model& job)
     {
         job.stored = false;
         return true;
     }
-    bool leave_idle(job_model& job)
+    bool never_run(job_model& job)
     {
         job.idle = true;
         job.planted = true;
         return true;
     }
     /// A run that the scheduler knows nothing of.
-    bool invent(job_model const& job, task_model const& task)
+    bool run_unscheduled(job_model const& job, task_model const& task)
     {
-        worker_model const& worker = any(workers_);
+        worker_model const& worker = random_element(workers_);
         ports::pool_attempt run = job.run(task);
-        run.attempt = invented_attempt;
+        run.attempt = unscheduled_attempt;
         if (!worker.up)
         {
             return false;
         }
-        see(run_started{worker.name, worker.data_centre, run, 1});
-        see(run_ended{worker.name, run, end_kind::stopped});
+        record(run_started{worker.name, worker.data_centre, run, 1});
+        record(run_ended{worker.name, run, end_kind::stopped});
         return true;
     }
-    bool forget_cancel(job_model& job, task_model& task)
+    bool ignore_cancel(job_model& job, task_model& task)
     {
-        see(cancel_ended{job.name, call_outcome::done});
+        record(cancel_ended{job.name, call_outcome::done});
         job.planted = true;
-        task.ends = now_ + quiet_after_lie;
+        task.ends = now_ + undisturbed_after_defect;
         return true;
     }
-    bool tell_low_count(job_model& job)
+    bool report_low_count(job_model& job)
     {
         duration const age = time_limits{}.visible + 2s;
-        if (!job.open() || !job.answered || job.started || !quiet(age) ||
-            job.accepted + age >= now_)
+        if (!job.is_open() || !job.answered || job.started ||
+            !limit_applies(age) || job.accepted + age >= now_)
         {
             return false;
         }
-        job.hold = now_ + 1s;
+        job.not_before = now_ + 1s;
         job.planted = true;
-        see(waiting_query_ended{
+        record(waiting_query_ended{
             job.shape.queue, "i0", now_, call_outcome::done, 0});
         return true;
     }
-    bool tell_state(job_model const& job, job_state state)
+    bool report_state(job_model const& job, job_state state)
     {
-        see(status_query_ended{
+        record(status_query_ended{
             job.name, "i0", now_, call_outcome::done, state});
         return true;
     }
@@ -717,31 +736,33 @@
     bool show_old_configuration()
     {
         auto const& newest = versions_.back();
-        if (versions_.size() < 3 || newest.second + 2s >= now_ || !quiet(2s))
+        if (versions_.size() < 3 || newest.second + 2s >= now_ ||
+            !limit_applies(2s))
         {
             return false;
         }
         auto const& older = versions_[versions_.size() - 2].first;
         for (std::string const queue : {"x0", "x1", "x2", "x3"})
         {
-            bool const there = older.count(queue) > 0;
-            if (there != (newest.first.count(queue) > 0))
+            bool const present = older.count(queue) > 0;
+            if (present != (newest.first.count(queue) > 0))
             {
-                see(queue_seen{queue, "i0", 1, now_, there});
+                record(queue_seen{queue, "i0", 1, now_, present});
             }
         }
         return true;
     }
 
     std::mt19937_64 random_;
-    model_defect lie_;
-    checker judge_{time_limits{}};
+    model_defect defect_;
+    checker checker_{time_limits{}};
     model_result result_;
     time_point now_ = origin;
-    time_point calm_since_{};  ///< The end of the last trouble.
-    time_point quiet_until_{}; ///< No trouble, cancel or change before.
-    std::map<std::string, time_point> troubles_; ///< Those on: until when.
-    std::map<std::string, time_point> out_;      ///< Data centres: since when.
+    time_point last_fault_end_{};    ///< The end of the last trouble.
+    time_point undisturbed_until_{}; ///< No trouble, cancel or change before.
+    std::map<std::string, time_point> active_faults_; ///< Those on: until when.
+    std::map<std::string, time_point>
+        evacuated_since_; ///< Data centres: since when.
     std::vector<job_model> jobs_;
     std::vector<worker_model> workers_{
         {"w0", "dc0"}, {"w1", "dc0"}, {"w2", "dc1"}, {"w3", "dc1"}};
@@ -753,9 +774,9 @@
 
 } // namespace
 
-model_result run_model(std::uint64_t seed, model_defect what)
+model_result run_model(std::uint64_t seed, model_defect defect)
 {
-    return model(seed, what).run();
+    return model(seed, defect).run();
 }
 
 } // namespace fuchsia::tests::unit::soak
--- a/tests/unit/soak/scheduler_model.hpp
+++ b/tests/unit/soak/scheduler_model.hpp
@@ -54,6 +54,6 @@
 };
 
 /// A minute of the model; all choices follow from `seed`.
-model_result run_model(std::uint64_t seed, model_defect what);
+model_result run_model(std::uint64_t seed, model_defect defect);
 
 } // namespace fuchsia::tests::unit::soak
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -26,87 +26,87 @@
 
 } // namespace
 
-checker::checker(time_limits bounds) : books_(bounds)
+checker::checker(time_limits bounds) : history_(bounds)
 {
 }
 
-void checker::observe(observation const& seen)
+void checker::observe(observation const& observed)
 {
-    judge_until(seen.at - books_.bounds.acknowledge);
+    check_answers_until(observed.at - history_.bounds.acknowledge);
     auto const visitor = [&](auto const& event)
     {
         using kind = std::decay_t<decltype(event)>;
         if constexpr (is_call<kind>)
         {
-            recovery_.take(seen.at, event);
+            recovery_.record(observed.at, event);
         }
         if constexpr (is_answer<kind>)
         {
-            unjudged_.push_back(seen);
+            pending_answers_.push_back(observed);
         }
         else if constexpr (is_submission<kind> ||
                            std::is_same_v<kind, cancel_ended>)
         {
-            jobs_check::take(books_, seen.at, event);
+            jobs_check::record(history_, observed.at, event);
         }
         else if constexpr (std::is_same_v<kind, configuration_set>)
         {
-            configurations_.take(seen.at, event);
+            configurations_.record(observed.at, event);
         }
         else if constexpr (std::is_same_v<kind, fault_state_set>)
         {
-            books_.fault_intervals.set(seen.at, event);
+            history_.fault_intervals.set(observed.at, event);
         }
         else if constexpr (std::is_same_v<kind, traffic_ended>)
         {
-            books_.traffic_end = seen.at;
+            history_.traffic_end = observed.at;
         }
         else
         {
-            runs_.take(books_, seen.at, event);
+            runs_.record(history_, observed.at, event);
         }
     };
-    std::visit(visitor, seen.event_data);
+    std::visit(visitor, observed.event_data);
 }
 
-void checker::judge(observation const& answer)
+void checker::check_answer(observation const& answer)
 {
     auto const visitor = [&](auto const& event)
     {
         using kind = std::decay_t<decltype(event)>;
         if constexpr (std::is_same_v<kind, queue_seen>)
         {
-            configurations_.judge(books_, answer.at, event);
+            configurations_.check_answer(history_, answer.at, event);
         }
         else if constexpr (is_answer<kind>)
         {
-            jobs_check::judge(books_, answer.at, event);
+            jobs_check::check_answer(history_, answer.at, event);
         }
     };
     std::visit(visitor, answer.event_data);
 }
 
-void checker::judge_until(time_point limit)
+void checker::check_answers_until(time_point limit)
 {
-    while (!unjudged_.empty() && unjudged_.front().at < limit)
+    while (!pending_answers_.empty() && pending_answers_.front().at < limit)
     {
-        judge(unjudged_.front());
-        unjudged_.pop_front();
+        check_answer(pending_answers_.front());
+        pending_answers_.pop_front();
     }
 }
 
 std::vector<violation> checker::finish(time_point now)
 {
-    judge_until(time_point::max());
-    runs_.finish(books_, now);
-    jobs_check::finish(books_, now);
-    recovery_.finish(books_, now);
-    return books_.violations;
+    check_answers_until(time_point::max());
+    runs_.finish(history_, now);
+    jobs_check::finish(history_, now);
+    recovery_.finish(history_, now);
+    return history_.violations;
 }
 
 std::vector<violation> const& checker::violations() const
 {
-    return books_.violations;
+    return history_.violations;
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/checker.hpp
+++ b/tools/soak/checker.hpp
@@ -23,7 +23,7 @@
     explicit checker(time_limits bounds);
 
     /// `seen.at` is no earlier than that of any observation before it.
-    void observe(observation const& seen);
+    void observe(observation const& observed);
 
     /// To be called once, after the last observation. By `now` the accepted
     /// jobs have had time to end, and each was asked for after the traffic
@@ -35,14 +35,14 @@
     std::vector<violation> const& violations() const;
 
 private:
-    void judge(observation const& answer);
-    void judge_until(core::common::time_point limit);
+    void check_answer(observation const& answer);
+    void check_answers_until(core::common::time_point limit);
 
-    observed_history books_;
+    observed_history history_;
     runs_check runs_;
     configuration_check configurations_;
     recovery_check recovery_;
-    std::deque<observation> unjudged_; ///< Answers, the oldest first.
+    std::deque<observation> pending_answers_; ///< Answers, the oldest first.
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/configuration_check.cpp
+++ b/tools/soak/configuration_check.cpp
@@ -12,74 +12,78 @@
 {
 
 /// In trouble an incarnation's answers may cross each other more widely.
-constexpr int slack_in_trouble = 8;
+constexpr int fault_slack_factor = 8;
 
 } // namespace
 
-void configuration_check::take(time_point at, configuration_set const& change)
+void configuration_check::record(time_point at, configuration_set const& change)
 {
     versions_.push_back({at, change.queues});
 }
 
-std::size_t configuration_check::known(time_point at) const
+std::size_t configuration_check::versions_set_by(time_point at) const
 {
     return std::count_if(versions_.begin() + 1,
                          versions_.end(),
-                         [&](version const& one)
+                         [&](version const& entry)
                          {
-                             return one.at <= at;
+                             return entry.at <= at;
                          }) +
            1;
 }
 
-std::size_t configuration_check::explains(queue_seen const& answer,
-                                          std::size_t begin,
-                                          std::size_t end) const
+std::size_t configuration_check::first_matching_version(
+    queue_seen const& answer, std::size_t begin, std::size_t end) const
 {
-    std::size_t place = begin;
-    while (place < end &&
-           (versions_[place].queues.count(answer.queue) > 0) != answer.present)
+    std::size_t version_index = begin;
+    while (version_index < end && (versions_[version_index].queues.count(
+                                       answer.queue) > 0) != answer.present)
     {
-        ++place;
+        ++version_index;
     }
-    return place;
+    return version_index;
 }
 
-void configuration_check::judge(observed_history& seen,
-                                time_point at,
-                                queue_seen const& answer)
+void configuration_check::check_answer(observed_history& history,
+                                       time_point at,
+                                       queue_seen const& answer)
 {
-    time_limits const& bounds = seen.bounds;
-    bool const calm = seen.fault_intervals.is_fault_free(
+    time_limits const& bounds = history.bounds;
+    bool const fault_free = history.fault_intervals.is_fault_free(
         answer.requested_at - bounds.configuration, at);
     duration const slack =
-        bounds.rollback_slack * (calm ? 1 : slack_in_trouble);
+        bounds.rollback_slack * (fault_free ? 1 : fault_slack_factor);
     auto& proofs = proofs_[{answer.instance, answer.incarnation}];
-    std::size_t proved = 0;
-    for (proof const& one : proofs)
+    std::size_t proven_version = 0;
+    for (proof const& entry : proofs)
     {
-        proved = one.at + slack < answer.requested_at ? one.place : proved;
+        proven_version = entry.at + slack < answer.requested_at
+                             ? entry.version_index
+                             : proven_version;
     }
-    std::size_t least = proved;
-    if (calm)
+    std::size_t oldest_allowed = proven_version;
+    if (fault_free)
     {
         time_point const due = answer.requested_at - bounds.configuration;
-        least = std::max(proved, known(due - duration(1)) - 1);
+        oldest_allowed =
+            std::max(proven_version, versions_set_by(due - duration(1)) - 1);
     }
     // The store's answer may reach the operator after an instance has acted.
-    std::size_t const end = known(at + bounds.rollback_slack);
-    std::size_t const place = explains(answer, least, end);
-    if (place == end)
+    std::size_t const end = versions_set_by(at + bounds.rollback_slack);
+    std::size_t const version_index =
+        first_matching_version(answer, oldest_allowed, end);
+    if (version_index == end)
     {
-        seen.report(rule::configuration,
-                    at,
-                    answer.queue,
-                    answer.instance + (answer.present ? " shows" : " lacks") +
-                        " it as of an older configuration");
+        history.report(rule::configuration,
+                       at,
+                       answer.queue,
+                       answer.instance +
+                           (answer.present ? " shows" : " lacks") +
+                           " it as of an older configuration");
     }
-    else if (proofs.empty() || proofs.back().place < place)
+    else if (proofs.empty() || proofs.back().version_index < version_index)
     {
-        proofs.push_back({at, place});
+        proofs.push_back({at, version_index});
     }
 }
 
--- a/tools/soak/configuration_check.hpp
+++ b/tools/soak/configuration_check.hpp
@@ -20,10 +20,10 @@
 class configuration_check
 {
 public:
-    void take(core::common::time_point at, configuration_set const& change);
+    void record(core::common::time_point at, configuration_set const& change);
 
     /// Judges an answer that came at `at`, in the order of the answers.
-    void judge(observed_history& seen,
+    void check_answer(observed_history& history,
                core::common::time_point at,
                queue_seen const& answer);
 
@@ -37,12 +37,12 @@
     struct proof
     {
         core::common::time_point at{};
-        std::size_t place = 0;
+        std::size_t version_index = 0;
     };
 
-    std::size_t known(core::common::time_point at) const;
+    std::size_t versions_set_by(core::common::time_point at) const;
     /// The first version of [begin, end) that explains the answer, or `end`.
-    std::size_t explains(queue_seen const& answer,
+    std::size_t first_matching_version(queue_seen const& answer,
                          std::size_t begin,
                          std::size_t end) const;
 
--- a/tools/soak/fault_injector.cpp
+++ b/tools/soak/fault_injector.cpp
@@ -19,22 +19,22 @@
 using standins::links::cut_state;
 using standins::pool::fault_gate_mode;
 
-constexpr std::array<cut_state, 3> cuts{
+constexpr std::array<cut_state, 3> cut_directions{
     cut_state::both, cut_state::forward, cut_state::backward};
-constexpr std::string_view data_centre_out = "b";
+constexpr std::string_view evacuated_data_centre = "b";
 
-core::common::duration delay_of(fault const& what)
+core::common::duration delay_of(fault const& spec)
 {
-    return 10ms + std::chrono::milliseconds(what.variant);
+    return 10ms + std::chrono::milliseconds(spec.variant);
 }
 
 // Its process is gone until the fault ends.
-bool ends_instance(fault_kind kind)
+bool stops_instance(fault_kind kind)
 {
     return kind == fault_kind::kill || kind == fault_kind::stop;
 }
 
-bool ends_worker(fault_kind kind)
+bool stops_worker(fault_kind kind)
 {
     return kind == fault_kind::crash || kind == fault_kind::drain;
 }
@@ -45,9 +45,9 @@
                                standins::pool::pool_server& platform,
                                relays workers,
                                observation_log& out,
-                               bool stale)
+                               bool stale_configuration)
     : instances_(under_test), platform_(platform), workers_(std::move(workers)),
-      out_(out), stale_(stale)
+      out_(out), stale_configuration_(stale_configuration)
 {
 }
 
@@ -76,26 +76,26 @@
 
 void fault_injector::apply(fault const& planned)
 {
-    auto what = planned;
-    if (what.at_owner && what.kind < fault_kind::worker_cut)
+    auto spec = planned;
+    if (spec.at_owner && spec.kind < fault_kind::worker_cut)
     {
-        what.target = owner().value_or(what.target);
+        spec.target = owner().value_or(spec.target);
     }
-    if (ends_worker(what.kind) && !busy_workers_.insert(what.target).second)
+    if (stops_worker(spec.kind) && !busy_workers_.insert(spec.target).second)
     {
         return;
     }
     // Half of the instances stay up, so that there is something to see.
-    bool const instance = ends_instance(what.kind);
-    if (instance && ending_.size() * 2 >= instances_.size())
+    bool const instance = stops_instance(spec.kind);
+    if (instance && stopping_instances_.size() * 2 >= instances_.size())
     {
         return;
     }
     ++applied_;
     auto const name = std::to_string(applied_) + " " +
-                      std::string(name_of(what.kind)) + " " +
-                      std::to_string(what.target);
-    if (suspends_time_limits(what.kind))
+                      std::string(name_of(spec.kind)) + " " +
+                      std::to_string(spec.target);
+    if (suspends_time_limits(spec.kind))
     {
         out_.append(fault_state_set{name, true});
     }
@@ -103,31 +103,31 @@
     {
         out_.append_comment(name);
     }
-    active_.push_back({what, name, clock::now() + what.length});
-    begin_one(what);
-    settle(what);
+    active_.push_back({spec, name, clock::now() + spec.length});
+    begin_fault(spec);
+    update_state(spec);
 }
 
-void fault_injector::begin_one(fault const& what)
+void fault_injector::begin_fault(fault const& spec)
 {
-    switch (what.kind)
+    switch (spec.kind)
     {
     case fault_kind::kill:
-        ending_.insert(what.target);
-        instances_.kill(what.target);
+        stopping_instances_.insert(spec.target);
+        instances_.kill(spec.target);
         break;
     case fault_kind::stop:
-        ending_.insert(what.target);
-        instances_.terminate(what.target);
+        stopping_instances_.insert(spec.target);
+        instances_.terminate(spec.target);
         break;
     case fault_kind::settings_change:
-        instances_.change_settings(what.target, what.variant % 2 == 0);
+        instances_.change_settings(spec.target, spec.variant % 2 == 0);
         break;
     case fault_kind::store_reset:
-        instances_.store_link(what.target).reset();
+        instances_.store_link(spec.target).reset();
         break;
     case fault_kind::caller_reset:
-        instances_.caller_link(what.target).reset();
+        instances_.caller_link(spec.target).reset();
         break;
     case fault_kind::watch_lost:
         platform_.stall_watches();
@@ -139,18 +139,18 @@
         platform_.store().expire_all_leases();
         break;
     case fault_kind::configuration:
-        change_configuration(what.variant);
+        change_configuration(spec.variant);
         break;
     default:
-        begin_worker(what);
+        begin_worker_fault(spec);
         break;
     }
 }
 
-void fault_injector::begin_worker(fault const& what)
+void fault_injector::begin_worker_fault(fault const& spec)
 {
-    auto const worker = what.target;
-    switch (what.kind)
+    auto const worker = spec.target;
+    switch (spec.kind)
     {
     case fault_kind::worker_reset:
         workers_[worker]->reset();
@@ -175,43 +175,44 @@
 {
     for (std::size_t number = 0; number < instances_.size(); ++number)
     {
-        auto const one = static_cast<std::uint32_t>(number);
-        if (instances_.has_exited(number) && !ending_.contains(one))
+        auto const instance_index = static_cast<std::uint32_t>(number);
+        if (instances_.has_exited(number) &&
+            !stopping_instances_.contains(instance_index))
         {
             instances_.start(number); // It ended by itself.
         }
     }
-    for (auto each = active_.begin(); each != active_.end();)
+    for (auto entry = active_.begin(); entry != active_.end();)
     {
-        auto const ending = *each;
-        if (ending.until > now || !end_one(ending.what))
+        auto const ending = *entry;
+        if (ending.until > now || !end_fault(ending.spec))
         {
-            ++each;
+            ++entry;
             continue;
         }
-        each = active_.erase(each);
-        settle(ending.what);
-        if (suspends_time_limits(ending.what.kind))
+        entry = active_.erase(entry);
+        update_state(ending.spec);
+        if (suspends_time_limits(ending.spec.kind))
         {
             out_.append(fault_state_set{ending.name, false});
         }
     }
 }
 
-bool fault_injector::end_one(fault const& what)
+bool fault_injector::end_fault(fault const& spec)
 {
-    switch (what.kind)
+    switch (spec.kind)
     {
     case fault_kind::kill:
     case fault_kind::stop:
-        return restart(what.target);
+        return restart(spec.target);
     case fault_kind::crash:
-        leave(what.target, what.variant % 2 == 0);
+        replace_worker(spec.target, spec.variant % 2 == 0);
         break;
     case fault_kind::drain:
-        out_.append(worker_crashed{platform_.info(what.target).id});
-        platform_.crash(what.target);
-        leave(what.target, false);
+        out_.append(worker_crashed{platform_.info(spec.target).id});
+        platform_.crash(spec.target);
+        replace_worker(spec.target, false);
         break;
     default:
         break;
@@ -225,10 +226,10 @@
     auto const others =
         std::count_if(active_.begin(),
                       active_.end(),
-                      [instance](active const& each)
+                      [instance](active_fault const& entry)
                       {
-                          return ends_instance(each.what.kind) &&
-                                 each.what.target == instance;
+                          return stops_instance(entry.spec.kind) &&
+                                 entry.spec.target == instance;
                       });
     if (others > 1)
     {
@@ -239,79 +240,82 @@
         return false;
     }
     instances_.start(instance);
-    ending_.erase(instance);
+    stopping_instances_.erase(instance);
     return true;
 }
 
-void fault_injector::leave(std::uint32_t worker, bool same_id)
+void fault_injector::replace_worker(std::uint32_t worker, bool same_id)
 {
     platform_.restart(worker, same_id);
     busy_workers_.erase(worker);
 }
 
-fault const* fault_injector::last(fault_kind kind, std::uint32_t target) const
+fault const* fault_injector::latest_active(fault_kind kind,
+                                           std::uint32_t target) const
 {
     auto const found = std::find_if(active_.rbegin(),
                                     active_.rend(),
-                                    [kind, target](active const& each)
+                                    [kind, target](active_fault const& entry)
                                     {
-                                        return each.what.kind == kind &&
-                                               each.what.target == target;
+                                        return entry.spec.kind == kind &&
+                                               entry.spec.target == target;
                                     });
-    return found == active_.rend() ? nullptr : &found->what;
+    return found == active_.rend() ? nullptr : &found->spec;
 }
 
-void fault_injector::settle(fault const& what)
+void fault_injector::update_state(fault const& spec)
 {
-    if (what.kind == fault_kind::pause)
+    if (spec.kind == fault_kind::pause)
     {
-        instances_.pause(what.target,
-                         last(fault_kind::pause, what.target) != nullptr);
+        instances_.pause(spec.target,
+                         latest_active(fault_kind::pause, spec.target) !=
+                             nullptr);
     }
-    settle_links(what);
-    settle_gates(what);
+    update_links(spec);
+    update_gates(spec);
     auto const evacuated =
         std::any_of(active_.begin(),
                     active_.end(),
-                    [](active const& each)
+                    [](active_fault const& entry)
                     {
-                        return each.what.kind == fault_kind::evacuation;
+                        return entry.spec.kind == fault_kind::evacuation;
                     });
-    if (what.kind == fault_kind::evacuation && !evacuated)
+    if (spec.kind == fault_kind::evacuation && !evacuated)
     {
         set_data_centre(false);
     }
 }
 
-void fault_injector::settle_links(fault const& what)
+void fault_injector::update_links(fault const& spec)
 {
-    auto const delay = [this, &what]
+    auto const delay = [this, &spec]
     {
-        auto const* const found = last(what.kind, what.target);
+        auto const* const found = latest_active(spec.kind, spec.target);
         return found != nullptr ? delay_of(*found) : core::common::duration{};
     };
-    auto const cut = [this, &what]
+    auto const cut = [this, &spec]
     {
-        auto const* const found = last(what.kind, what.target);
-        return found != nullptr ? cuts[found->variant % cuts.size()]
-                                : cut_state::none;
+        auto const* const found = latest_active(spec.kind, spec.target);
+        return found != nullptr
+                   ? cut_directions[found->variant % cut_directions.size()]
+                   : cut_state::none;
     };
-    switch (what.kind)
+    switch (spec.kind)
     {
     case fault_kind::store_delay:
-        instances_.store_link(what.target).set_delay(delay());
+        instances_.store_link(spec.target).set_delay(delay());
         break;
     case fault_kind::store_cut:
-        instances_.store_link(what.target).set_cut(cut());
+        instances_.store_link(spec.target).set_cut(cut());
         break;
     case fault_kind::caller_delay:
-        instances_.caller_link(what.target).set_delay(delay());
+        instances_.caller_link(spec.target).set_delay(delay());
         break;
     case fault_kind::caller_cut:
-        instances_.caller_link(what.target).set_cut(cut());
+        instances_.caller_link(spec.target).set_cut(cut());
         break;
     case fault_kind::worker_cut:
-        workers_[what.target]->set_cut(cut());
+        workers_[spec.target]->set_cut(cut());
         break;
     default:
         break;
@@ -319,7 +323,7 @@
 }
 
 // Of several faults of one service the last one counts.
-void fault_injector::settle_gates(fault const& what)
+void fault_injector::update_gates(fault const& spec)
 {
     struct mode_row
     {
@@ -345,21 +349,21 @@
                                 return row.kind == kind;
                             });
     };
-    auto const meant = row_of(what.kind);
-    if (meant == modes.end())
+    auto const selected = row_of(spec.kind);
+    if (selected == modes.end())
     {
         return;
     }
-    auto& gate = meant->worker ? platform_.worker_fault_gate(what.target)
-                               : platform_.store_fault_gate();
+    auto& gate = selected->worker ? platform_.worker_fault_gate(spec.target)
+                                  : platform_.store_fault_gate();
     gate.set(fault_gate_mode::open);
-    for (auto const& each : active_)
+    for (auto const& entry : active_)
     {
-        auto const row = row_of(each.what.kind);
-        if (row != modes.end() && row->worker == meant->worker &&
-            (!row->worker || each.what.target == what.target))
+        auto const row = row_of(entry.spec.kind);
+        if (row != modes.end() && row->worker == selected->worker &&
+            (!row->worker || entry.spec.target == spec.target))
         {
-            gate.set(row->mode, delay_of(each.what));
+            gate.set(row->mode, delay_of(entry.spec));
         }
     }
     gate.process_due(clock::now());
@@ -367,9 +371,9 @@
 
 bool fault_injector::end_all()
 {
-    for (auto& each : active_)
+    for (auto& entry : active_)
     {
-        each.until = clock::now();
+        entry.until = clock::now();
     }
     advance(clock::now());
     return active_.empty();
@@ -383,9 +387,9 @@
 void fault_injector::change_configuration(std::uint32_t value)
 {
     auto const queue = value % extra_queue_count;
-    if (extra_.erase(queue) == 0)
+    if (extra_queues_.erase(queue) == 0)
     {
-        extra_.insert(queue);
+        extra_queues_.insert(queue);
     }
     version_ += 1 + value % 5;
     put_configuration();
@@ -402,11 +406,11 @@
     };
     add(std::string(first_queue), 1);
     add(std::string(second_queue), 0);
-    for (auto const number : extra_)
+    for (auto const number : extra_queues_)
     {
         add(extra_queue(number), 1);
     }
-    if (!stale_ || version_ == 1)
+    if (!stale_configuration_ || version_ == 1)
     {
         platform_.store().put("op/config",
                               standins::pool::encode_config(version_, queues));
@@ -414,10 +418,10 @@
     out_.append(configuration_set{version_, names});
 }
 
-void fault_injector::set_data_centre(bool out)
+void fault_injector::set_data_centre(bool out_of_service)
 {
-    std::string const name(data_centre_out);
-    if (out)
+    std::string const name(evacuated_data_centre);
+    if (out_of_service)
     {
         platform_.store().put("op/evacuate/" + name, "{}");
     }
@@ -425,7 +429,7 @@
     {
         platform_.store().erase("op/evacuate/" + name);
     }
-    out_.append(data_centre_set{name, out});
+    out_.append(data_centre_set{name, out_of_service});
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/fault_injector.hpp
+++ b/tools/soak/fault_injector.hpp
@@ -30,7 +30,7 @@
                    standins::pool::pool_server& platform,
                    relays workers,
                    observation_log& out,
-                   bool stale);
+                   bool stale_configuration);
 
     /// Puts the first configuration into the store.
     void begin();
@@ -42,41 +42,41 @@
     std::uint64_t applied() const noexcept;
 
 private:
-    struct active
+    struct active_fault
     {
-        fault what;
+        fault spec;
         std::string name;
         core::common::time_point until{};
     };
 
     /// The instance that the store's claim names; empty where there is none.
     std::optional<std::uint32_t> owner() const;
-    void begin_one(fault const& what);
-    void begin_worker(fault const& what);
+    void begin_fault(fault const& spec);
+    void begin_worker_fault(fault const& spec);
     /// False where it can't end yet.
-    bool end_one(fault const& what);
-    void settle(fault const& what);
-    void settle_links(fault const& what);
-    void settle_gates(fault const& what);
+    bool end_fault(fault const& spec);
+    void update_state(fault const& spec);
+    void update_links(fault const& spec);
+    void update_gates(fault const& spec);
     /// The last active fault of `kind` and, where given, `target`.
-    fault const* last(fault_kind kind, std::uint32_t target) const;
+    fault const* latest_active(fault_kind kind, std::uint32_t target) const;
     bool restart(std::uint32_t instance);
-    void leave(std::uint32_t worker, bool same_id);
+    void replace_worker(std::uint32_t worker, bool same_id);
     void change_configuration(std::uint32_t value);
     void put_configuration();
-    void set_data_centre(bool out);
+    void set_data_centre(bool out_of_service);
 
     instance_group& instances_;
     standins::pool::pool_server& platform_;
     relays workers_;
     observation_log& out_;
-    bool stale_;
-    std::list<active> active_;
+    bool stale_configuration_;
+    std::list<active_fault> active_;
     std::uint64_t applied_ = 0;
     std::uint64_t version_ = 1;
-    std::set<std::uint32_t> extra_;
+    std::set<std::uint32_t> extra_queues_;
     std::set<std::uint32_t> busy_workers_; ///< Leave, or are down.
-    std::set<std::uint32_t> ending_; ///< Instances that are to start again.
+    std::set<std::uint32_t> stopping_instances_; ///< Instances that are to start again.
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/fault_intervals.cpp
+++ b/tools/soak/fault_intervals.cpp
@@ -8,40 +8,42 @@
 using core::common::duration;
 using core::common::time_point;
 
-fault_interval_log::fault_interval_log(duration settle) : recovery_time_(settle)
+fault_interval_log::fault_interval_log(duration recovery_time)
+    : recovery_time_(recovery_time)
 {
 }
 
-void fault_interval_log::set(time_point at, fault_state_set const& trouble)
+void fault_interval_log::set(time_point at, fault_state_set const& state)
 {
-    bool const was_calm = on_.empty();
-    if (trouble.active)
+    bool const was_fault_free = active_.empty();
+    if (state.active)
     {
-        on_.insert(trouble.name);
+        active_.insert(state.name);
     }
     else
     {
-        on_.erase(trouble.name);
+        active_.erase(state.name);
     }
-    if (was_calm && !on_.empty())
+    if (was_fault_free && !active_.empty())
     {
-        spans_.push_back({at, std::nullopt});
+        intervals_.push_back({at, std::nullopt});
     }
-    if (!was_calm && on_.empty())
+    if (!was_fault_free && active_.empty())
     {
-        spans_.back().to = at;
+        intervals_.back().to = at;
     }
 }
 
 bool fault_interval_log::is_fault_free(time_point begin, time_point end) const
 {
-    return std::none_of(spans_.begin(),
-                        spans_.end(),
-                        [&](fault_interval const& span)
+    return std::none_of(intervals_.begin(),
+                        intervals_.end(),
+                        [&](fault_interval const& interval)
                         {
                             bool const over =
-                                span.to && *span.to + recovery_time_ <= begin;
-                            return span.from <= end && !over;
+                                interval.to &&
+                                *interval.to + recovery_time_ <= begin;
+                            return interval.from <= end && !over;
                         });
 }
 
@@ -49,21 +51,21 @@
                                                  time_point end,
                                                  duration length) const
 {
-    for (fault_interval const& span : spans_)
+    for (fault_interval const& interval : intervals_)
     {
-        if (span.to && *span.to + recovery_time_ <= begin)
+        if (interval.to && *interval.to + recovery_time_ <= begin)
         {
             continue;
         }
-        if (begin + length < std::min(span.from, end))
+        if (begin + length < std::min(interval.from, end))
         {
             return true;
         }
-        if (!span.to)
+        if (!interval.to)
         {
             return false;
         }
-        begin = *span.to + recovery_time_;
+        begin = *interval.to + recovery_time_;
     }
     return begin + length < end;
 }
@@ -71,7 +73,7 @@
 std::vector<fault_interval> const&
 fault_interval_log::intervals() const noexcept
 {
-    return spans_;
+    return intervals_;
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/fault_intervals.hpp
+++ b/tools/soak/fault_intervals.hpp
@@ -23,9 +23,9 @@
 {
 public:
     /// A system may take `settle` after the end of trouble to be itself again.
-    explicit fault_interval_log(core::common::duration settle);
+    explicit fault_interval_log(core::common::duration recovery_time);
 
-    void set(core::common::time_point at, fault_state_set const& trouble);
+    void set(core::common::time_point at, fault_state_set const& state);
 
     /// No trouble was on from `settle` before `begin` to `end`.
     bool is_fault_free(core::common::time_point begin,
@@ -40,8 +40,8 @@
 
 private:
     core::common::duration recovery_time_;
-    std::set<std::string> on_;
-    std::vector<fault_interval> spans_;
+    std::set<std::string> active_;
+    std::vector<fault_interval> intervals_;
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/instance_group.cpp
+++ b/tools/soak/instance_group.cpp
@@ -17,14 +17,14 @@
 using standins::links::relay;
 
 // What an instance listens at, and the relays beside it.
-enum role : std::uint16_t
+enum port_role : std::uint16_t
 {
     submissions_port,
     readiness_port,
     metrics_port,
     caller_link_port,
     store_link_port,
-    ports_of_one,
+    ports_per_instance,
 };
 
 // From SIGTERM to SIGKILL, as in the settings below.
@@ -56,16 +56,21 @@
 {
     for (std::size_t number = 0; number < size(); ++number)
     {
-        auto& one = members_[number];
-        one.caller_link = std::make_shared<relay>(
+        auto& instance = members_[number];
+        instance.caller_link = std::make_shared<relay>(
             io_,
             standins::links::link_settings{
-                "callers", submissions(number), at(number, submissions_port)});
-        one.store_link = std::make_shared<relay>(
-            io_,
-            standins::links::link_settings{
-                "store", at(number, store_link_port), settings_.store});
-        if (!one.caller_link->listen(reason) || !one.store_link->listen(reason))
+                "callers",
+                submissions(number),
+                port_endpoint(number, submissions_port)});
+        instance.store_link =
+            std::make_shared<relay>(io_,
+                                    standins::links::link_settings{
+                                        "store",
+                                        port_endpoint(number, store_link_port),
+                                        settings_.store});
+        if (!instance.caller_link->listen(reason) ||
+            !instance.store_link->listen(reason))
         {
             return false;
         }
@@ -84,21 +89,23 @@
     return "pool-" + std::to_string(number);
 }
 
-ports::endpoint instance_group::at(std::size_t number, std::uint16_t role) const
+ports::endpoint instance_group::port_endpoint(std::size_t number,
+                                              std::uint16_t port_role) const
 {
     return {settings_.address,
             static_cast<std::uint16_t>(settings_.first_port +
-                                       number * ports_of_one + role)};
+                                       number * ports_per_instance +
+                                       port_role)};
 }
 
 ports::endpoint instance_group::submissions(std::size_t number) const
 {
-    return at(number, caller_link_port);
+    return port_endpoint(number, caller_link_port);
 }
 
 ports::endpoint instance_group::readiness(std::size_t number) const
 {
-    return at(number, readiness_port);
+    return port_endpoint(number, readiness_port);
 }
 
 std::uint64_t instance_group::incarnation(std::size_t number) const
@@ -118,60 +125,60 @@
 
 void instance_group::start(std::size_t number)
 {
-    auto& one = members_[number];
+    auto& instance = members_[number];
     write_settings(number);
     auto const base = settings_.folder + "/" + name(number);
-    one.process = std::make_unique<adapters::runtime::child>(
+    instance.process = std::make_unique<adapters::runtime::child>(
         settings_.program,
         std::vector<std::string>{"--settings", base + ".toml"},
         base + ".log");
-    ++one.starts;
-    one.killed = false;
-    one.paused = false;
-    one.asked_to_stop.reset();
+    ++instance.starts;
+    instance.killed = false;
+    instance.paused = false;
+    instance.stop_requested_at.reset();
     out_.append_comment("started " + name(number));
 }
 
 void instance_group::kill(std::size_t number)
 {
-    auto& one = members_[number];
+    auto& instance = members_[number];
     if (!has_exited(number))
     {
-        one.killed = true;
-        one.process->kill();
+        instance.killed = true;
+        instance.process->kill();
     }
 }
 
 void instance_group::terminate(std::size_t number)
 {
-    auto& one = members_[number];
-    if (!has_exited(number) && !one.asked_to_stop)
+    auto& instance = members_[number];
+    if (!has_exited(number) && !instance.stop_requested_at)
     {
-        one.asked_to_stop = clock::now();
-        one.process->signal(SIGTERM);
+        instance.stop_requested_at = clock::now();
+        instance.process->signal(SIGTERM);
         out_.append_comment("SIGTERM to " + name(number));
     }
 }
 
 void instance_group::pause(std::size_t number, bool on)
 {
-    auto& one = members_[number];
-    if (one.paused != on && !has_exited(number))
+    auto& instance = members_[number];
+    if (instance.paused != on && !has_exited(number))
     {
-        one.process->signal(on ? SIGSTOP : SIGCONT);
+        instance.process->signal(on ? SIGSTOP : SIGCONT);
     }
-    if (one.paused && !on && one.asked_to_stop)
+    if (instance.paused && !on && instance.stop_requested_at)
     {
-        one.asked_to_stop = clock::now();
+        instance.stop_requested_at = clock::now();
     }
-    one.paused = on;
+    instance.paused = on;
 }
 
-void instance_group::change_settings(std::size_t number, bool tell)
+void instance_group::change_settings(std::size_t number, bool notify)
 {
-    ++members_[number].changes;
+    ++members_[number].settings_changes;
     write_settings(number);
-    if (tell && !has_exited(number))
+    if (notify && !has_exited(number))
     {
         members_[number].process->signal(SIGHUP);
     }
@@ -179,24 +186,26 @@
 
 bool instance_group::has_exited(std::size_t number)
 {
-    auto& one = members_[number];
-    auto const status = one.process->status();
+    auto& instance = members_[number];
+    auto const status = instance.process->status();
     if (!status)
     {
-        bool const late = one.asked_to_stop && !one.paused && !one.killed &&
-                          clock::now() - *one.asked_to_stop > stop_limit;
+        bool const late =
+            instance.stop_requested_at && !instance.paused &&
+            !instance.killed &&
+            clock::now() - *instance.stop_requested_at > stop_limit;
         if (late)
         {
-            complain(number, "runs on after SIGTERM");
-            one.killed = true;
-            one.process->kill();
+            report_failure(number, "runs on after SIGTERM");
+            instance.killed = true;
+            instance.process->kill();
         }
         return late;
     }
-    if (!one.killed && (!one.asked_to_stop || *status != 0))
+    if (!instance.killed && (!instance.stop_requested_at || *status != 0))
     {
-        one.killed = true; // Said once.
-        complain(number, "ended with status " + std::to_string(*status));
+        instance.killed = true; // Said once.
+        report_failure(number, "ended with status " + std::to_string(*status));
     }
     return true;
 }
@@ -204,30 +213,34 @@
 std::vector<std::string> const&
 instance_group::process_failures() const noexcept
 {
-    return complaints_;
+    return process_failures_;
 }
 
 void instance_group::write_settings(std::size_t number) const
 {
     auto const path = settings_.folder + "/" + name(number);
-    bool const odd = members_[number].changes % 2 != 0;
+    bool const odd = members_[number].settings_changes % 2 != 0;
     {
         std::ofstream out(path + ".new");
         out << "name = \"" << name(number) << "\"\ndata_centre = \"a\""
-            << "\nsubmissions = \"" << to_string(at(number, submissions_port))
-            << "\"\nreadiness = \"" << to_string(at(number, readiness_port))
-            << "\"\nmetrics = \"" << to_string(at(number, metrics_port))
-            << "\"\nstore = \"" << to_string(at(number, store_link_port))
+            << "\nsubmissions = \""
+            << to_string(port_endpoint(number, submissions_port))
+            << "\"\nreadiness = \""
+            << to_string(port_endpoint(number, readiness_port))
+            << "\"\nmetrics = \""
+            << to_string(port_endpoint(number, metrics_port))
+            << "\"\nstore = \""
+            << to_string(port_endpoint(number, store_link_port))
             << "\"\nlog_level = \"" << (odd ? "debug" : "info") << "\"\n"
             << bounds;
     }
     std::rename((path + ".new").c_str(), (path + ".toml").c_str());
 }
 
-void instance_group::complain(std::size_t number, std::string const& why)
+void instance_group::report_failure(std::size_t number, std::string const& why)
 {
-    complaints_.push_back(name(number) + " " + why);
-    out_.append_comment("complaint: " + complaints_.back());
+    process_failures_.push_back(name(number) + " " + why);
+    out_.append_comment("complaint: " + process_failures_.back());
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/instance_group.hpp
+++ b/tools/soak/instance_group.hpp
@@ -50,7 +50,7 @@
     void terminate(std::size_t number);
     void pause(std::size_t number, bool on);
     /// Writes the settings anew, a little different.
-    void change_settings(std::size_t number, bool tell);
+    void change_settings(std::size_t number, bool notify);
     /// Looks for ends; true where the process is gone.
     bool has_exited(std::size_t number);
     std::vector<std::string> const& process_failures() const noexcept;
@@ -62,21 +62,21 @@
         std::shared_ptr<standins::links::relay> store_link;
         std::unique_ptr<adapters::runtime::child> process;
         std::uint64_t starts = 0;
-        std::uint32_t changes = 0;
+        std::uint32_t settings_changes = 0;
         bool killed = false;
         bool paused = false;
-        std::optional<core::common::time_point> asked_to_stop;
+        std::optional<core::common::time_point> stop_requested_at;
     };
 
-    ports::endpoint at(std::size_t number, std::uint16_t role) const;
+    ports::endpoint port_endpoint(std::size_t number, std::uint16_t port_role) const;
     void write_settings(std::size_t number) const;
-    void complain(std::size_t number, std::string const& why);
+    void report_failure(std::size_t number, std::string const& why);
 
     boost::asio::io_context& io_;
     instance_group_settings settings_;
     observation_log& out_;
     std::vector<member> members_;
-    std::vector<std::string> complaints_;
+    std::vector<std::string> process_failures_;
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/jobs_check.cpp
+++ b/tools/soak/jobs_check.cpp
@@ -17,63 +17,64 @@
 /// A count may be this old.
 constexpr duration count_age = std::chrono::seconds(2);
 /// An order that an instance counts as a start may be this long on its way.
-constexpr duration order_under_way = std::chrono::milliseconds(250);
+constexpr duration order_delay = std::chrono::milliseconds(250);
 /// The state of a job that has ended is kept at least this long.
-constexpr duration state_kept = std::chrono::seconds(120);
+constexpr duration state_retention = std::chrono::seconds(120);
 /// A lasting task runs again this long after its last run.
-constexpr duration restart = std::chrono::seconds(9);
+constexpr duration restart_limit = std::chrono::seconds(9);
 /// A job with work left has a run again within this time.
 constexpr duration idle_limit = std::chrono::seconds(3);
 
-bool by(std::optional<time_point> const& event, time_point at)
+bool happened_by(std::optional<time_point> const& event, time_point at)
 {
     return event && *event <= at;
 }
 
 /// The job ended so long before `at` that its state may be forgotten.
-bool forgotten(job_history const& job, time_point at)
+bool may_be_forgotten(job_history const& job, time_point at)
 {
-    return by(job.completed_at(), at - state_kept) ||
-           by(job.failed_at(), at - state_kept);
+    return happened_by(job.completed_at(), at - state_retention) ||
+           happened_by(job.failed_at(), at - state_retention);
 }
 
-void judge_absent(observed_history& seen,
-                  time_point at,
-                  status_query_ended const& answer,
-                  job_history const& job)
+void check_not_found(observed_history& history,
+                     time_point at,
+                     status_query_ended const& answer,
+                     job_history const& job)
 {
-    duration const visible = seen.bounds.visible;
+    duration const visible = history.bounds.visible;
     bool const due = job.must_complete() &&
                      *job.accepted_at + visible < answer.requested_at &&
-                     !forgotten(job, answer.requested_at);
-    if (due &&
-        seen.fault_intervals.is_fault_free(answer.requested_at - visible, at))
+                     !may_be_forgotten(job, answer.requested_at);
+    if (due && history.fault_intervals.is_fault_free(
+                   answer.requested_at - visible, at))
     {
-        seen.report(rule::job_lost,
-                    at,
-                    answer.job,
-                    answer.instance + " does not know it");
+        history.report(rule::job_lost,
+                       at,
+                       answer.job,
+                       answer.instance + " does not know it");
     }
 }
 
-void judge_state(observed_history& seen,
-                 time_point at,
-                 status_query_ended const& answer,
-                 job_history& job)
+void check_reported_state(observed_history& history,
+                          time_point at,
+                          status_query_ended const& answer,
+                          job_history& job)
 {
-    if (answer.state == job_state::completed && !by(job.completed_at(), at))
+    if (answer.state == job_state::completed &&
+        !happened_by(job.completed_at(), at))
     {
-        seen.report(rule::reported_state,
-                    at,
-                    answer.job,
-                    "shown as completed, and is not");
+        history.report(rule::reported_state,
+                       at,
+                       answer.job,
+                       "shown as completed, and is not");
     }
-    if (answer.state == job_state::failed && !by(job.failed_at(), at))
+    if (answer.state == job_state::failed && !happened_by(job.failed_at(), at))
     {
-        seen.report(rule::reported_state,
-                    at,
-                    answer.job,
-                    "shown as failed, and is not");
+        history.report(rule::reported_state,
+                       at,
+                       answer.job,
+                       "shown as failed, and is not");
     }
     if (answer.state == job_state::cancelled && !job.reported_cancelled_at)
     {
@@ -82,7 +83,9 @@
 }
 
 /// Whether each task of the lasting step runs, or ran just before `now`.
-bool kept_up(job_history const& job, std::uint32_t step, time_point now)
+bool lasting_step_running(job_history const& job,
+                          std::uint32_t step,
+                          time_point now)
 {
     for (std::uint32_t index = 0; index < job.shape.steps[step].count; ++index)
     {
@@ -91,8 +94,8 @@
         {
             return false;
         }
-        auto const& gone = task->second.runs.back().ended_at;
-        if (gone && *gone + restart < now)
+        auto const& last_end = task->second.runs.back().ended_at;
+        if (last_end && *last_end + restart_limit < now)
         {
             return false;
         }
@@ -101,9 +104,9 @@
 }
 
 /// Whether a task of the step runs, or ran just before `now`.
-bool at_work(job_history const& job, std::uint32_t step, time_point now)
+bool step_active(job_history const& job, std::uint32_t step, time_point now)
 {
-    auto const lately = [now](run_history const& run)
+    auto const recent = [now](run_history const& run)
     {
         return !run.ended_at || *run.ended_at + idle_limit >= now;
     };
@@ -113,12 +116,12 @@
                        {
                            auto const& runs = entry.second.runs;
                            return entry.first.first == step &&
-                                  std::any_of(runs.begin(), runs.end(), lately);
+                                  std::any_of(runs.begin(), runs.end(), recent);
                        });
 }
 
 /// All that could be done has been or is at work, and so is all that lasts.
-bool served(job_history const& job, time_point now)
+bool all_work_served(job_history const& job, time_point now)
 {
     std::vector<bool> finite; // Whether all tasks of the step can end done.
     for (step_shape const& step : job.shape.steps)
@@ -131,8 +134,8 @@
             std::all_of(step.after.begin(), step.after.end(), can_end);
         std::uint32_t const place = finite.size();
         bool const done = !step.lasting && job.step_done(place);
-        bool const good = step.lasting ? kept_up(job, place, now)
-                                       : done || at_work(job, place, now);
+        bool const good = step.lasting ? lasting_step_running(job, place, now)
+                                       : done || step_active(job, place, now);
         if (reached && !good)
         {
             return false;
@@ -144,12 +147,12 @@
 
 /// All tasks ended so early, and so that it must have been heard of, that the
 /// job has to be shown as completed by `at`.
-bool must_show(job_history const& job, time_point at)
+bool must_report_completed(job_history const& job, time_point at)
 {
-    auto const counts = [&](run_history const& run)
+    auto const qualifies = [&](run_history const& run)
     {
         return run.outcome == end_kind::done && !run.lost &&
-               by(run.ended_at, at);
+               happened_by(run.ended_at, at);
     };
     return job.completed_at() &&
            std::all_of(job.tasks.begin(),
@@ -157,44 +160,47 @@
                        [&](auto const& entry)
                        {
                            auto const& runs = entry.second.runs;
-                           return std::any_of(runs.begin(), runs.end(), counts);
+                           return std::any_of(
+                               runs.begin(), runs.end(), qualifies);
                        });
 }
 
-void finish_accepted(observed_history& seen,
+void finish_accepted(observed_history& history,
                      time_point now,
                      std::string const& name,
                      job_history const& job)
 {
-    auto const& word = job.last_status;
-    bool const known = word && word->outcome == call_outcome::done;
-    if (!known && !forgotten(job, now))
+    auto const& final_status = job.last_status;
+    bool const is_known =
+        final_status && final_status->outcome == call_outcome::done;
+    if (!is_known && !may_be_forgotten(job, now))
     {
-        seen.report(rule::job_lost, now, name, "not known at the end");
+        history.report(rule::job_lost, now, name, "not known at the end");
         return;
     }
-    time_point const due = *seen.traffic_end + seen.bounds.finish;
-    bool const counts = due < now && !job.failed_at() &&
-                        seen.fault_free_for(seen.bounds.finish, now);
-    if (counts && !served(job, now))
+    time_point const due = *history.traffic_end + history.bounds.finish;
+    bool const qualifies = due < now && !job.failed_at() &&
+                           history.fault_free_for(history.bounds.finish, now);
+    if (qualifies && !all_work_served(job, now))
     {
-        seen.report(rule::job_lost, now, name, "never done");
+        history.report(rule::job_lost, now, name, "never done");
     }
-    else if (counts && known && due < word->requested_at &&
-             word->state != job_state::completed &&
-             must_show(job, word->requested_at - seen.bounds.visible))
+    else if (qualifies && is_known && due < final_status->requested_at &&
+             final_status->state != job_state::completed &&
+             must_report_completed(
+                 job, final_status->requested_at - history.bounds.visible))
     {
-        seen.report(rule::job_lost, now, name, "never shown as completed");
+        history.report(rule::job_lost, now, name, "never shown as completed");
     }
 }
 
 } // namespace
 
-void jobs_check::take(observed_history& seen,
-                      time_point at,
-                      submit_sent const& call)
+void jobs_check::record(observed_history& history,
+                        time_point at,
+                        submit_sent const& call)
 {
-    job_history& job = seen.jobs[call.job];
+    job_history& job = history.jobs[call.job];
     if (!job.first_sent_at)
     {
         job.first_sent_at = at;
@@ -204,11 +210,11 @@
     ++job.unanswered;
 }
 
-void jobs_check::take(observed_history& seen,
-                      time_point at,
-                      submit_ended const& call)
+void jobs_check::record(observed_history& history,
+                        time_point at,
+                        submit_ended const& call)
 {
-    job_history& job = seen.jobs[call.job];
+    job_history& job = history.jobs[call.job];
     job.unanswered -= std::min<std::size_t>(job.unanswered, 1);
     ++job.answers;
     if (call.outcome == call_outcome::refused ||
@@ -222,11 +228,11 @@
     }
 }
 
-void jobs_check::take(observed_history& seen,
-                      time_point at,
-                      cancel_ended const& call)
+void jobs_check::record(observed_history& history,
+                        time_point at,
+                        cancel_ended const& call)
 {
-    job_history& job = seen.jobs[call.job];
+    job_history& job = history.jobs[call.job];
     if (call.outcome == call_outcome::done && !job.cancel_acknowledged_at)
     {
         job.cancel_acknowledged_at = at;
@@ -237,47 +243,48 @@
     }
 }
 
-void jobs_check::judge(observed_history& seen,
-                       time_point at,
-                       status_query_ended const& answer)
+void jobs_check::check_answer(observed_history& history,
+                              time_point at,
+                              status_query_ended const& answer)
 {
     if (answer.outcome != call_outcome::done &&
         answer.outcome != call_outcome::not_found)
     {
         return;
     }
-    auto const entry = seen.jobs.find(answer.job);
-    if (entry == seen.jobs.end() || !by(entry->second.first_sent_at, at))
+    auto const entry = history.jobs.find(answer.job);
+    if (entry == history.jobs.end() ||
+        !happened_by(entry->second.first_sent_at, at))
     {
         if (answer.outcome == call_outcome::done)
         {
-            seen.report(
+            history.report(
                 rule::reported_state, at, answer.job, "nobody handed it in");
         }
         return;
     }
     job_history& job = entry->second;
-    if (seen.traffic_end && *seen.traffic_end <= answer.requested_at)
+    if (history.traffic_end && *history.traffic_end <= answer.requested_at)
     {
         job.last_status = answer;
     }
     if (answer.outcome == call_outcome::not_found)
     {
-        judge_absent(seen, at, answer, job);
+        check_not_found(history, at, answer, job);
     }
     else
     {
-        judge_state(seen, at, answer, job);
+        check_reported_state(history, at, answer, job);
     }
 }
 
-void jobs_check::judge(observed_history& seen,
-                       time_point at,
-                       waiting_query_ended const& answer)
+void jobs_check::check_answer(observed_history& history,
+                              time_point at,
+                              waiting_query_ended const& answer)
 {
-    duration const age = seen.bounds.visible + count_age;
+    duration const age = history.bounds.visible + count_age;
     if (answer.outcome != call_outcome::done ||
-        !seen.fault_intervals.is_fault_free(answer.requested_at - age, at))
+        !history.fault_intervals.is_fault_free(answer.requested_at - age, at))
     {
         return;
     }
@@ -286,35 +293,36 @@
         job_history const& job = entry.second;
         return job.shape.queue == answer.queue && job.must_complete() &&
                *job.accepted_at + age < answer.requested_at &&
-               !by(job.first_started_at, at + order_under_way);
+               !happened_by(job.first_started_at, at + order_delay);
     };
     std::uint64_t const due =
-        std::count_if(seen.jobs.begin(), seen.jobs.end(), waits);
+        std::count_if(history.jobs.begin(), history.jobs.end(), waits);
     if (2 * answer.jobs < due)
     {
-        seen.report(rule::waiting_count,
-                    at,
-                    answer.queue,
-                    answer.instance + " tells " + std::to_string(answer.jobs) +
-                        " of " + std::to_string(due));
+        history.report(rule::waiting_count,
+                       at,
+                       answer.queue,
+                       answer.instance + " tells " +
+                           std::to_string(answer.jobs) + " of " +
+                           std::to_string(due));
     }
 }
 
-void jobs_check::finish(observed_history& seen, time_point now)
+void jobs_check::finish(observed_history& history, time_point now)
 {
-    for (auto const& [name, job] : seen.jobs)
+    for (auto const& [name, job] : history.jobs)
     {
         if (job.reported_cancelled_at && !job.cancel_acknowledged_at &&
             !job.first_possible_cancel_at)
         {
-            seen.report(rule::reported_state,
-                        *job.reported_cancelled_at,
-                        name,
-                        "shown as cancelled, and nobody asked for it");
+            history.report(rule::reported_state,
+                           *job.reported_cancelled_at,
+                           name,
+                           "shown as cancelled, and nobody asked for it");
         }
-        if (seen.traffic_end && job.must_complete())
+        if (history.traffic_end && job.must_complete())
         {
-            finish_accepted(seen, now, name, job);
+            finish_accepted(history, now, name, job);
         }
     }
 }
--- a/tools/soak/jobs_check.hpp
+++ b/tools/soak/jobs_check.hpp
@@ -11,26 +11,26 @@
 class jobs_check
 {
 public:
-    static void take(observed_history& seen,
+    static void record(observed_history& history,
                      core::common::time_point at,
                      submit_sent const& call);
-    static void take(observed_history& seen,
+    static void record(observed_history& history,
                      core::common::time_point at,
                      submit_ended const& call);
-    static void take(observed_history& seen,
+    static void record(observed_history& history,
                      core::common::time_point at,
                      cancel_ended const& call);
 
     /// Judges an answer that came at `at`.
-    static void judge(observed_history& seen,
+    static void check_answer(observed_history& history,
                       core::common::time_point at,
                       status_query_ended const& answer);
-    static void judge(observed_history& seen,
+    static void check_answer(observed_history& history,
                       core::common::time_point at,
                       waiting_query_ended const& answer);
 
     /// What became of all accepted jobs; all answers have been judged.
-    static void finish(observed_history& seen, core::common::time_point now);
+    static void finish(observed_history& history, core::common::time_point now);
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -17,9 +17,9 @@
 using namespace fuchsia;
 using namespace fuchsia::tools::soak;
 
-constexpr int bad_options = 2;
+constexpr int exit_bad_options = 2;
 
-std::string program_beside()
+std::string default_program_path()
 {
     return std::filesystem::canonical("/proc/self/exe")
         .replace_filename("fuchsia-pool")
@@ -28,12 +28,12 @@
 
 std::string command_line(int count, char** arguments)
 {
-    std::string made;
+    std::string result;
     for (int number = 0; number < count; ++number)
     {
-        made += (number > 0 ? " " : "") + std::string(arguments[number]);
+        result += (number > 0 ? " " : "") + std::string(arguments[number]);
     }
-    return made;
+    return result;
 }
 
 std::string to_text(soak_result const& figures, std::size_t violations)
@@ -49,7 +49,7 @@
            "; violations " + std::to_string(violations);
 }
 
-std::string_view name_of(rule which)
+std::string_view name_of(rule named_rule)
 {
     constexpr std::array<std::string_view, 12> names{"lost",
                                                      "refused_ran",
@@ -63,23 +63,23 @@
                                                      "counts",
                                                      "state",
                                                      "recovery"};
-    return names[static_cast<std::size_t>(which)];
+    return names[static_cast<std::size_t>(named_rule)];
 }
 
 // A line each, with the time as in observations.txt.
 std::string to_text(soak_result const& figures,
-                    std::vector<violation> const& broken)
+                    std::vector<violation> const& found_violations)
 {
     std::ostringstream out;
-    for (auto const& each : broken)
+    for (auto const& entry : found_violations)
     {
-        out << core::common::to_milliseconds(each.at - figures.started_at)
-            << " ms " << name_of(each.broken_rule) << ' ' << each.subject
-            << ": " << each.reason << '\n';
+        out << core::common::to_milliseconds(entry.at - figures.started_at)
+            << " ms " << name_of(entry.broken_rule) << ' ' << entry.subject
+            << ": " << entry.reason << '\n';
     }
-    for (auto const& each : figures.process_failures)
+    for (auto const& entry : figures.process_failures)
     {
-        out << "process " << each << '\n';
+        out << "process " << entry << '\n';
     }
     return out.str();
 }
@@ -90,7 +90,7 @@
 }
 
 // Exit status: 1 where something was broken, 2 where it can't begin.
-int play(soak_settings const& settings, std::string const& command)
+int run(soak_settings const& settings, std::string const& command)
 {
     write(settings.folder + "/schedule.txt", to_text(make_plan(settings.plan)));
     write(settings.folder + "/command.txt", command + '\n');
@@ -107,13 +107,14 @@
     {
         std::cerr << "fuchsia-soak: " << core::common::to_string(reason)
                   << '\n';
-        return bad_options;
+        return exit_bad_options;
     }
-    auto const broken = check.finish(core::common::clock::now());
-    auto const text = to_text(*figures, broken);
+    auto const found_violations = check.finish(core::common::clock::now());
+    auto const text = to_text(*figures, found_violations);
     write(settings.folder + "/violations.txt", text);
     std::cout << text;
-    auto const found = broken.size() + figures->process_failures.size();
+    auto const found =
+        found_violations.size() + figures->process_failures.size();
     if (found > 0)
     {
         std::cout << "again: " << command << "\nseen: " << settings.folder
@@ -146,7 +147,7 @@
     CLI11_PARSE(app, count, arguments);
 
     settings.plan.traffic = std::chrono::seconds(seconds);
-    settings.program = program_beside();
+    settings.program = default_program_path();
     if (!kinds.empty())
     {
         settings.plan.kinds.clear();
@@ -158,7 +159,7 @@
         {
             std::cerr << "fuchsia-soak: no such kind of fault: " << name
                       << '\n';
-            return bad_options;
+            return exit_bad_options;
         }
         if (kind)
         {
@@ -168,18 +169,18 @@
     if (!planted.empty() && !set_planted_defect(planted, settings))
     {
         std::cerr << "fuchsia-soak: no such lie: " << planted << '\n';
-        return bad_options;
+        return exit_bad_options;
     }
-    bool const kept = !settings.folder.empty();
-    if (!kept)
+    bool const keep_folder = !settings.folder.empty();
+    if (!keep_folder)
     {
         settings.folder = (std::filesystem::temp_directory_path() /
                            ("fuchsia-soak-" + std::to_string(::getpid())))
                               .string();
     }
     std::filesystem::create_directories(settings.folder);
-    auto const status = play(settings, command_line(count, arguments));
-    if (!kept && status == 0)
+    auto const status = run(settings, command_line(count, arguments));
+    if (!keep_folder && status == 0)
     {
         std::filesystem::remove_all(settings.folder);
     }
--- a/tools/soak/observation_log.cpp
+++ b/tools/soak/observation_log.cpp
@@ -14,35 +14,36 @@
 using core::common::clock;
 using core::common::to_milliseconds;
 
-std::string word(call_outcome how)
+std::string text_of(call_outcome value)
 {
     constexpr std::array<char const*, 6> names{
         "done", "refused", "unknown", "absent", "broken", "silent"};
-    return names[static_cast<std::size_t>(how)];
+    return names[static_cast<std::size_t>(value)];
 }
 
-std::string word(ports::job_state state)
+std::string text_of(ports::job_state state)
 {
     constexpr std::array<char const*, 5> names{
         "queued", "active", "completed", "failed", "cancelled"};
     return names[static_cast<std::size_t>(state)];
 }
 
-std::string word(ports::end_kind how)
+std::string text_of(ports::end_kind value)
 {
     constexpr std::array<char const*, 6> names{
         "done", "failed", "stopped", "lapsed", "broken", "alone"};
-    return names[static_cast<std::size_t>(how)];
+    return names[static_cast<std::size_t>(value)];
 }
 
-std::string word(ports::pool_attempt const& what)
+std::string text_of(ports::pool_attempt const& new_event)
 {
-    return platform::encode(what.task) + " #" + std::to_string(what.attempt);
+    return platform::encode(new_event.task) + " #" +
+           std::to_string(new_event.attempt);
 }
 
-std::string ago(core::common::time_point asked)
+std::string elapsed_text(core::common::time_point requested_at)
 {
-    auto const took = to_milliseconds(clock::now() - asked);
+    auto const took = to_milliseconds(clock::now() - requested_at);
     return " after " + std::to_string(took) + " ms";
 }
 
@@ -54,37 +55,38 @@
     }
     std::string operator()(submit_ended const& it) const
     {
-        return "submitted " + it.job + ' ' + word(it.outcome);
+        return "submitted " + it.job + ' ' + text_of(it.outcome);
     }
     std::string operator()(cancel_ended const& it) const
     {
-        return "cancelled " + it.job + ' ' + word(it.outcome);
+        return "cancelled " + it.job + ' ' + text_of(it.outcome);
     }
     std::string operator()(status_query_ended const& it) const
     {
         return "status " + it.job + " at " + it.instance + ' ' +
-               word(it.outcome) + ' ' + word(it.state) + ago(it.requested_at);
+               text_of(it.outcome) + ' ' + text_of(it.state) +
+               elapsed_text(it.requested_at);
     }
     std::string operator()(waiting_query_ended const& it) const
     {
         return "waiting " + it.queue + " at " + it.instance + ' ' +
-               word(it.outcome) + ' ' + std::to_string(it.jobs) +
-               ago(it.requested_at);
+               text_of(it.outcome) + ' ' + std::to_string(it.jobs) +
+               elapsed_text(it.requested_at);
     }
     std::string operator()(run_started const& it) const
     {
-        return "start " + word(it.run) + " on " + it.worker + " in " +
+        return "start " + text_of(it.run) + " on " + it.worker + " in " +
                it.data_centre + " fence " + std::to_string(it.fence);
     }
     std::string operator()(run_ended const& it) const
     {
-        return "end " + word(it.run) + " on " + it.worker + ' ' +
-               word(it.outcome);
+        return "end " + text_of(it.run) + " on " + it.worker + ' ' +
+               text_of(it.outcome);
     }
     std::string operator()(end_acknowledged const& it) const
     {
-        return "noted " + word(it.run) + " on " + it.worker + ' ' +
-               word(it.outcome);
+        return "noted " + text_of(it.run) + " on " + it.worker + ' ' +
+               text_of(it.outcome);
     }
     std::string operator()(worker_crashed const& it) const
     {
@@ -100,18 +102,19 @@
     }
     std::string operator()(configuration_set const& it) const
     {
-        auto made = "configuration " + std::to_string(it.version);
+        auto recorded = "configuration " + std::to_string(it.version);
         for (auto const& queue : it.queues)
         {
-            made += ' ' + queue;
+            recorded += ' ' + queue;
         }
-        return made;
+        return recorded;
     }
     std::string operator()(queue_seen const& it) const
     {
         return "queue " + it.queue + " at " + it.instance + '/' +
                std::to_string(it.incarnation) +
-               (it.present ? " present" : " absent") + ago(it.requested_at);
+               (it.present ? " present" : " absent") +
+               elapsed_text(it.requested_at);
     }
     std::string operator()(fault_state_set const& it) const
     {
@@ -125,16 +128,17 @@
 
 } // namespace
 
-observation_log::observation_log(std::string const& path, sink take)
-    : file_(path), take_(std::move(take)), first_(clock::now())
+observation_log::observation_log(std::string const& path, sink on_observation)
+    : file_(path), on_observation_(std::move(on_observation)),
+      created_at_(clock::now())
 {
 }
 
-void observation_log::append(event what)
+void observation_log::append(event new_event)
 {
-    observation const made{clock::now(), std::move(what)};
-    write(made.at, std::visit(describer{}, made.event_data));
-    take_(made);
+    observation const recorded{clock::now(), std::move(new_event)};
+    write(recorded.at, std::visit(describer{}, recorded.event_data));
+    on_observation_(recorded);
 }
 
 void observation_log::append_comment(std::string const& text)
@@ -144,13 +148,13 @@
 
 core::common::time_point observation_log::created_at() const noexcept
 {
-    return first_;
+    return created_at_;
 }
 
 void observation_log::write(core::common::time_point at,
                             std::string const& text)
 {
-    file_ << to_milliseconds(at - first_) << ' ' << text << '\n';
+    file_ << to_milliseconds(at - created_at_) << ' ' << text << '\n';
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/observation_log.hpp
+++ b/tools/soak/observation_log.hpp
@@ -16,8 +16,8 @@
 public:
     using sink = std::function<void(observation const&)>;
 
-    observation_log(std::string const& path, sink take);
-    void append(event what);
+    observation_log(std::string const& path, sink on_observation);
+    void append(event new_event);
     /// Of what the soak itself does; for the reader of the file alone.
     void append_comment(std::string const& text);
     /// When it was made: zero of the file's times.
@@ -27,8 +27,8 @@
     void write(core::common::time_point at, std::string const& text);
 
     std::ofstream file_;
-    sink take_;
-    core::common::time_point first_;
+    sink on_observation_;
+    core::common::time_point created_at_;
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/observed_history.cpp
+++ b/tools/soak/observed_history.cpp
@@ -12,14 +12,15 @@
 namespace
 {
 
-template<class Wanted>
-std::optional<time_point>
-nth_end(std::vector<run_history> const& runs, std::size_t nth, Wanted wanted)
+template<class Predicate>
+std::optional<time_point> nth_end(std::vector<run_history> const& runs,
+                                  std::size_t nth,
+                                  Predicate matches)
 {
     std::vector<time_point> ends;
     for (run_history const& run : runs)
     {
-        if (wanted(run))
+        if (matches(run))
         {
             ends.push_back(*run.ended_at);
         }
@@ -34,25 +35,25 @@
 
 } // namespace
 
-std::optional<time_point> task_history::ended_at(end_kind how,
+std::optional<time_point> task_history::ended_at(end_kind wanted_outcome,
                                                  std::size_t nth) const
 {
     return nth_end(runs,
                    nth,
                    [&](run_history const& run)
                    {
-                       return run.outcome == how;
+                       return run.outcome == wanted_outcome;
                    });
 }
 
-std::optional<time_point> task_history::acknowledged_at(end_kind how,
+std::optional<time_point> task_history::acknowledged_at(end_kind wanted_outcome,
                                                         std::size_t nth) const
 {
     return nth_end(runs,
                    nth,
                    [&](run_history const& run)
                    {
-                       return run.outcome == how && run.acknowledged;
+                       return run.outcome == wanted_outcome && run.acknowledged;
                    });
 }
 
@@ -99,32 +100,32 @@
             return std::nullopt;
         }
     }
-    std::optional<time_point> last;
-    for (auto const& [place, task] : tasks)
+    std::optional<time_point> latest;
+    for (auto const& [task_key, task] : tasks)
     {
         auto const end = task.ended_at(end_kind::done, 1);
-        last = std::max(last, end);
+        latest = std::max(latest, end);
     }
-    return last;
+    return latest;
 }
 
 std::optional<time_point> job_history::failed_at() const
 {
-    std::optional<time_point> first;
-    for (auto const& [place, task] : tasks)
+    std::optional<time_point> earliest;
+    for (auto const& [task_key, task] : tasks)
     {
-        if (place.first >= shape.steps.size() ||
-            shape.steps[place.first].lasting)
+        if (task_key.first >= shape.steps.size() ||
+            shape.steps[task_key.first].lasting)
         {
             continue;
         }
         auto const end = task.ended_at(end_kind::failed, shape.attempts);
-        if (end && (!first || *end < *first))
+        if (end && (!earliest || *end < *earliest))
         {
-            first = end;
+            earliest = end;
         }
     }
-    return first;
+    return earliest;
 }
 
 bool job_history::must_complete() const
@@ -145,14 +146,14 @@
     {
         return since;
     }
-    time_point const assumed =
+    time_point const effective_at =
         *job.first_possible_cancel_at + bounds.acknowledge;
-    bool const had_time =
-        assumed <= at &&
-        fault_intervals.is_fault_free(*job.first_possible_cancel_at, assumed);
-    if (had_time && (!since || assumed < *since))
+    bool const deadline_passed =
+        effective_at <= at && fault_intervals.is_fault_free(
+                                  *job.first_possible_cancel_at, effective_at);
+    if (deadline_passed && (!since || effective_at < *since))
     {
-        since = assumed;
+        since = effective_at;
     }
     return since;
 }
--- a/tools/soak/observed_history.hpp
+++ b/tools/soak/observed_history.hpp
@@ -32,11 +32,11 @@
     std::vector<run_history> runs; ///< In the order of their begin.
 
     /// When the `nth` (from 1) run that ended so did end; empty: fewer did.
-    std::optional<core::common::time_point> ended_at(ports::end_kind how,
+    std::optional<core::common::time_point> ended_at(ports::end_kind end,
                                                      std::size_t nth) const;
     /// The same of the runs whose end was acknowledged.
     std::optional<core::common::time_point>
-    acknowledged_at(ports::end_kind how, std::size_t nth) const;
+    acknowledged_at(ports::end_kind end, std::size_t nth) const;
     bool done() const;
 };
 
@@ -93,7 +93,7 @@
     void report(rule which,
                 core::common::time_point at,
                 std::string subject,
-                std::string why);
+                std::string reason);
 };
 
 /// JOB.STEP.INDEX
--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -21,7 +21,7 @@
 {
     fault_kind kind;
     std::string_view name;
-    bool trouble;
+    bool suspends_limits;
     duration shortest;
     duration longest;
 };
@@ -62,78 +62,82 @@
 
 // Troubled time and calm time take turns, so that promises with a time limit
 // are checked too.
-constexpr duration shortest_trouble = 2s;
-constexpr duration longest_trouble = 6s;
-constexpr duration shortest_calm = 4s;
-constexpr duration longest_calm = 8s;
+constexpr duration shortest_fault_period = 2s;
+constexpr duration longest_fault_period = 6s;
+constexpr duration shortest_fault_free_period = 4s;
+constexpr duration longest_fault_free_period = 8s;
 constexpr duration longest_gap = 1200ms;
 constexpr duration longest_gap_in_series = 150ms;
 constexpr std::uint32_t series_percent = 45;
 
 void draw_fault(duration at,
-                std::vector<kind_row> const& from,
+                std::vector<kind_row> const& rows,
                 plan_settings const& settings,
                 random_source& random,
                 std::vector<fault>& out)
 {
-    auto const& row = from[random.below(from.size())];
-    fault made;
-    made.at = at;
-    made.kind = row.kind;
-    made.length = random.between(row.shortest, row.longest);
-    made.target = random.below(1000);
-    made.variant = random.below(1000);
-    made.at_owner = random.true_with_percent(30);
-    made.target %= row.kind >= fault_kind::worker_cut ? settings.workers
-                                                      : settings.instances;
-    out.push_back(made);
+    auto const& row = rows[random.below(rows.size())];
+    fault result;
+    result.at = at;
+    result.kind = row.kind;
+    result.length = random.between(row.shortest, row.longest);
+    result.target = random.below(1000);
+    result.variant = random.below(1000);
+    result.at_owner = random.true_with_percent(30);
+    result.target %= row.kind >= fault_kind::worker_cut ? settings.workers
+                                                        : settings.instances;
+    out.push_back(result);
 }
 
-std::vector<kind_row> chosen(plan_settings const& settings, bool trouble)
+std::vector<kind_row> selected_rows(plan_settings const& settings,
+                                    bool suspends_limits)
 {
-    std::vector<kind_row> made;
+    std::vector<kind_row> result;
     for (auto const& row : kinds)
     {
-        if (row.trouble == trouble && settings.kinds.contains(row.kind))
+        if (row.suspends_limits == suspends_limits &&
+            settings.kinds.contains(row.kind))
         {
-            made.push_back(row);
+            result.push_back(row);
         }
     }
-    return made;
+    return result;
 }
 
-void draw_troubles(plan_settings const& settings, std::vector<fault>& out)
+void draw_faults(plan_settings const& settings, std::vector<fault>& out)
 {
-    auto const from = chosen(settings, true);
+    auto const rows = selected_rows(settings, true);
     random_source random(settings.seed);
     duration at = 1s;
-    while (!from.empty() && at < settings.traffic)
+    while (!rows.empty() && at < settings.traffic)
     {
-        auto const until =
-            std::min(at + random.between(shortest_trouble, longest_trouble),
-                     settings.traffic);
+        auto const until = std::min(
+            at + random.between(shortest_fault_period, longest_fault_period),
+            settings.traffic);
         while (at < until)
         {
-            draw_fault(at, from, settings, random, out);
+            draw_fault(at, rows, settings, random, out);
             at += random.between(0ms,
                                  random.true_with_percent(series_percent)
                                      ? longest_gap_in_series
                                      : longest_gap);
         }
-        at += random.between(shortest_calm, longest_calm);
+        at += random.between(shortest_fault_free_period,
+                             longest_fault_free_period);
     }
 }
 
 // Words of operators and ordinary upkeep come at any time.
-void draw_words(plan_settings const& settings, std::vector<fault>& out)
+void draw_operator_actions(plan_settings const& settings,
+                           std::vector<fault>& out)
 {
     constexpr duration longest_wait = 2500ms;
-    auto const from = chosen(settings, false);
+    auto const rows = selected_rows(settings, false);
     random_source random(settings.seed + 1);
     duration at = random.between(0ms, longest_wait);
-    while (!from.empty() && at < settings.traffic)
+    while (!rows.empty() && at < settings.traffic)
     {
-        draw_fault(at, from, settings, random, out);
+        draw_fault(at, rows, settings, random, out);
         at += random.between(0ms, longest_wait);
     }
 }
@@ -161,9 +165,9 @@
     constexpr std::uint32_t most_steps = 3;
     constexpr std::uint32_t most_tasks = 4;
     constexpr std::uint32_t most_lengthy = 2;
-    job_shape made;
-    made.queue = random.true_with_percent(75) ? first_queue : second_queue;
-    made.attempts = 3;
+    job_shape result;
+    result.queue = random.true_with_percent(75) ? first_queue : second_queue;
+    result.attempts = 3;
     auto const steps =
         kind == job_kind::brief ? 1 + random.below(most_steps) : 1;
     for (std::uint32_t number = 0; number < steps; ++number)
@@ -176,39 +180,39 @@
         {
             step.after = {random.below(number)};
         }
-        made.steps.push_back(step);
+        result.steps.push_back(step);
     }
-    return made;
+    return result;
 }
 
 planned_job draw_job(std::uint32_t number, duration at, random_source& random)
 {
-    planned_job made;
-    made.at = at;
+    planned_job result;
+    result.at = at;
     std::array<char, 17> id{};
     std::snprintf(
         id.data(), id.size(), "%08x%08x", random.below(1U << 31U), number);
-    made.id = id.data();
+    result.id = id.data();
     auto const kind = draw_kind(random);
     bool const lasting = kind == job_kind::lasting;
-    made.shape = draw_shape(random, kind);
+    result.shape = draw_shape(random, kind);
     auto const work = kind == job_kind::lengthy ? 2000 + random.below(4000)
                                                 : 50 + random.below(1200);
-    made.spec = "work=" + std::to_string(work);
-    auto const fate = random.below(100);
-    made.spec += lasting     ? " lasts"
-                 : fate < 8  ? " fail_first"
-                 : fate < 12 ? " fail"
-                             : "";
-    made.caller = random.below(caller_count);
-    made.instance = random.below(1000);
-    made.retries_refusals = random.true_with_percent(60);
-    made.resubmitted = random.true_with_percent(10);
+    result.spec = "work=" + std::to_string(work);
+    auto const outcome_draw = random.below(100);
+    result.spec += lasting             ? " lasts"
+                   : outcome_draw < 8  ? " fail_first"
+                   : outcome_draw < 12 ? " fail"
+                                       : "";
+    result.caller = random.below(caller_count);
+    result.instance = random.below(1000);
+    result.retries_refusals = random.true_with_percent(60);
+    result.resubmitted = random.true_with_percent(10);
     if (lasting || random.true_with_percent(12))
     {
-        made.cancel_after = random.between(0ms, lasting ? 6s : 1500ms);
+        result.cancel_after = random.between(0ms, lasting ? 6s : 1500ms);
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -232,17 +236,17 @@
 
 std::set<fault_kind> all_fault_kinds()
 {
-    std::set<fault_kind> made;
+    std::set<fault_kind> result;
     for (auto const& row : kinds)
     {
-        made.insert(row.kind);
+        result.insert(row.kind);
     }
-    return made;
+    return result;
 }
 
 bool suspends_time_limits(fault_kind kind) noexcept
 {
-    return row_of(kind).trouble;
+    return row_of(kind).suspends_limits;
 }
 
 std::string extra_queue(std::uint32_t number)
@@ -254,11 +258,11 @@
 {
     constexpr duration mean_gap = 240ms;
     constexpr std::uint32_t burst_percent = 30;
-    plan made;
-    draw_troubles(settings, made.faults);
-    draw_words(settings, made.faults);
-    std::stable_sort(made.faults.begin(),
-                     made.faults.end(),
+    plan result;
+    draw_faults(settings, result.faults);
+    draw_operator_actions(settings, result.faults);
+    std::stable_sort(result.faults.begin(),
+                     result.faults.end(),
                      [](fault const& left, fault const& right)
                      {
                          return left.at < right.at;
@@ -270,31 +274,31 @@
                    ? duration{}
                    : random.between(0ms, 2 * mean_gap))
     {
-        made.jobs.push_back(draw_job(++number, at, random));
+        result.jobs.push_back(draw_job(++number, at, random));
     }
-    return made;
+    return result;
 }
 
 std::string to_text(plan const& drawn)
 {
     std::ostringstream out;
-    for (auto const& each : drawn.faults)
+    for (auto const& entry : drawn.faults)
     {
-        out << to_milliseconds(each.at) << " fault " << name_of(each.kind)
-            << ' ' << each.target << " for " << to_milliseconds(each.length)
-            << " value " << each.variant
-            << (each.at_owner ? " at the owner" : "") << '\n';
+        out << to_milliseconds(entry.at) << " fault " << name_of(entry.kind)
+            << ' ' << entry.target << " for " << to_milliseconds(entry.length)
+            << " value " << entry.variant
+            << (entry.at_owner ? " at the owner" : "") << '\n';
     }
-    for (auto const& each : drawn.jobs)
+    for (auto const& entry : drawn.jobs)
     {
-        out << to_milliseconds(each.at) << " job " << each.id << " to "
-            << each.shape.queue << " caller " << each.caller << " instance "
-            << each.instance << " steps " << each.shape.steps.size() << ' '
-            << each.spec << (each.resubmitted ? " repeated" : "")
-            << (each.retries_refusals ? "" : " gives up");
-        if (each.cancel_after)
+        out << to_milliseconds(entry.at) << " job " << entry.id << " to "
+            << entry.shape.queue << " caller " << entry.caller << " instance "
+            << entry.instance << " steps " << entry.shape.steps.size() << ' '
+            << entry.spec << (entry.resubmitted ? " repeated" : "")
+            << (entry.retries_refusals ? "" : " gives up");
+        if (entry.cancel_after)
         {
-            out << " cancel after " << to_milliseconds(*each.cancel_after);
+            out << " cancel after " << to_milliseconds(*entry.cancel_after);
         }
         out << '\n';
     }
--- a/tools/soak/recovery_check.cpp
+++ b/tools/soak/recovery_check.cpp
@@ -9,9 +9,9 @@
 {
 
 /// Fewer calls than these say nothing.
-constexpr std::size_t enough_calls = 12;
+constexpr std::size_t minimum_calls = 12;
 /// At least one call of this many has to be served.
-constexpr std::size_t one_served_of = 4;
+constexpr std::size_t minimum_served_divisor = 4;
 
 struct tally
 {
@@ -25,26 +25,26 @@
     }
     bool good() const
     {
-        return served * one_served_of >= calls;
+        return served * minimum_served_divisor >= calls;
     }
 };
 
-bool answered(call_outcome how)
+bool is_answer(call_outcome how)
 {
     return how == call_outcome::done || how == call_outcome::not_found;
 }
 
 } // namespace
 
-void recovery_check::take(time_point at, submit_sent const& call)
+void recovery_check::record(time_point at, submit_sent const& call)
 {
-    under_way_[call.job].push_back(at);
+    pending_submissions_[call.job].push_back(at);
 }
 
-void recovery_check::take(time_point at, submit_ended const& call)
+void recovery_check::record(time_point at, submit_ended const& call)
 {
-    auto const entry = under_way_.find(call.job);
-    if (entry == under_way_.end())
+    auto const entry = pending_submissions_.find(call.job);
+    if (entry == pending_submissions_.end())
     {
         return;
     }
@@ -54,37 +54,37 @@
     sent.erase(sent.begin());
     if (sent.empty())
     {
-        under_way_.erase(entry);
+        pending_submissions_.erase(entry);
     }
 }
 
-void recovery_check::take(time_point at, status_query_ended const& call)
+void recovery_check::record(time_point at, status_query_ended const& call)
 {
-    questions_.push_back({call.requested_at, at, answered(call.outcome)});
+    queries_.push_back({call.requested_at, at, is_answer(call.outcome)});
 }
 
-void recovery_check::take(time_point at, waiting_query_ended const& call)
+void recovery_check::record(time_point at, waiting_query_ended const& call)
 {
-    questions_.push_back({call.requested_at, at, answered(call.outcome)});
+    queries_.push_back({call.requested_at, at, is_answer(call.outcome)});
 }
 
-void recovery_check::finish(observed_history& seen, time_point now) const
+void recovery_check::finish(observed_history& history, time_point now) const
 {
-    judge(seen, now, submissions_, "submissions");
-    judge(seen, now, questions_, "questions");
+    check_calls(history, now, submissions_, "submissions");
+    check_calls(history, now, queries_, "questions");
 }
 
-void recovery_check::judge(observed_history& seen,
-                           time_point now,
-                           std::vector<call> const& calls,
-                           char const* kind)
+void recovery_check::check_calls(observed_history& history,
+                                 time_point now,
+                                 std::vector<call> const& calls,
+                                 char const* kind)
 {
-    auto const& spans = seen.fault_intervals.intervals();
+    auto const& spans = history.fault_intervals.intervals();
     if (spans.empty() || !spans.back().to)
     {
         return;
     }
-    time_point const due = *spans.back().to + seen.bounds.recovery;
+    time_point const due = *spans.back().to + history.bounds.recovery;
     tally before;
     tally after;
     for (call const& one : calls)
@@ -98,14 +98,14 @@
             after.add(one.served);
         }
     }
-    bool const worked = before.calls >= enough_calls && before.good();
-    if (worked && after.calls >= enough_calls && !after.good())
+    bool const worked_before = before.calls >= minimum_calls && before.good();
+    if (worked_before && after.calls >= minimum_calls && !after.good())
     {
-        seen.report(rule::recovery,
-                    now,
-                    kind,
-                    std::to_string(after.served) + " of " +
-                        std::to_string(after.calls) + " served");
+        history.report(rule::recovery,
+                       now,
+                       kind,
+                       std::to_string(after.served) + " of " +
+                           std::to_string(after.calls) + " served");
     }
 }
 
--- a/tools/soak/recovery_check.hpp
+++ b/tools/soak/recovery_check.hpp
@@ -14,12 +14,12 @@
 class recovery_check
 {
 public:
-    void take(core::common::time_point at, submit_sent const& call);
-    void take(core::common::time_point at, submit_ended const& call);
-    void take(core::common::time_point at, status_query_ended const& call);
-    void take(core::common::time_point at, waiting_query_ended const& call);
+    void record(core::common::time_point at, submit_sent const& call);
+    void record(core::common::time_point at, submit_ended const& call);
+    void record(core::common::time_point at, status_query_ended const& call);
+    void record(core::common::time_point at, waiting_query_ended const& call);
 
-    void finish(observed_history& seen, core::common::time_point now) const;
+    void finish(observed_history& history, core::common::time_point now) const;
 
 private:
     struct call
@@ -29,15 +29,15 @@
         bool served = false;
     };
 
-    static void judge(observed_history& seen,
+    static void check_calls(observed_history& history,
                       core::common::time_point now,
                       std::vector<call> const& calls,
                       char const* kind);
 
     /// When the sendings under way began, by job, the oldest first.
-    std::map<std::string, std::vector<core::common::time_point>> under_way_;
+    std::map<std::string, std::vector<core::common::time_point>> pending_submissions_;
     std::vector<call> submissions_;
-    std::vector<call> questions_;
+    std::vector<call> queries_;
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -12,177 +12,179 @@
 namespace
 {
 
-task_history& task_of(observed_history& seen, ports::task_name const& task)
+task_history& task_of(observed_history& history, ports::task_name const& task)
 {
-    return seen.jobs[task.job].tasks[{task.step, task.index}];
+    return history.jobs[task.job].tasks[{task.step, task.index}];
 }
 
-bool lasting(job_history const& job, ports::task_name const& task)
+bool is_lasting(job_history const& job, ports::task_name const& task)
 {
     return job.has_task(task) && job.shape.steps[task.step].lasting;
 }
 
-void check_asked(observed_history& seen,
-                 time_point at,
-                 ports::task_name const& task)
+void check_submitted(observed_history& history,
+                     time_point at,
+                     ports::task_name const& task)
 {
-    job_history& job = seen.jobs[task.job];
+    job_history& job = history.jobs[task.job];
     if (!job.has_task(task))
     {
-        seen.report(
+        history.report(
             rule::refused_job_ran, at, name_of(task), "nobody handed it in");
         job.unjustified_run_reported = true;
     }
     else if (job.all_refused())
     {
-        seen.report(rule::refused_job_ran,
-                    at,
-                    name_of(task),
-                    "starts after the refusal");
+        history.report(rule::refused_job_ran,
+                       at,
+                       name_of(task),
+                       "starts after the refusal");
         job.unjustified_run_reported = true;
     }
 }
 
-void check_doubled(observed_history& seen,
-                   time_point at,
-                   ports::task_name const& task)
+void check_duplicate(observed_history& history,
+                     time_point at,
+                     ports::task_name const& task)
 {
-    task_history const& book = task_of(seen, task);
-    auto const other = std::find_if(book.runs.begin(),
-                                    book.runs.end(),
+    task_history const& task_record = task_of(history, task);
+    auto const other = std::find_if(task_record.runs.begin(),
+                                    task_record.runs.end(),
                                     [](run_history const& run)
                                     {
                                         return !run.ended_at;
                                     });
-    if (other != book.runs.end())
+    if (other != task_record.runs.end())
     {
-        seen.report(rule::duplicate_run,
-                    at,
-                    name_of(task),
-                    "runs already on " + other->worker);
+        history.report(rule::duplicate_run,
+                       at,
+                       name_of(task),
+                       "runs already on " + other->worker);
     }
-    if (!lasting(seen.jobs[task.job], task) &&
-        book.acknowledged_at(end_kind::done, 1))
+    if (!is_lasting(history.jobs[task.job], task) &&
+        task_record.acknowledged_at(end_kind::done, 1))
     {
-        seen.report(rule::duplicate_run, at, name_of(task), "was done");
+        history.report(rule::duplicate_run, at, name_of(task), "was done");
     }
 }
 
-void check_order(observed_history& seen,
+void check_order(observed_history& history,
                  time_point at,
                  ports::task_name const& task)
 {
-    job_history const& job = seen.jobs[task.job];
+    job_history const& job = history.jobs[task.job];
     for (std::uint32_t const earlier : job.shape.steps[task.step].after)
     {
         if (!job.step_done(earlier))
         {
-            seen.report(rule::step_order,
-                        at,
-                        name_of(task),
-                        "step " + std::to_string(earlier) + " is not done");
+            history.report(rule::step_order,
+                           at,
+                           name_of(task),
+                           "step " + std::to_string(earlier) + " is not done");
         }
     }
 }
 
-void check_attempts(observed_history& seen,
+void check_attempts(observed_history& history,
                     time_point at,
                     ports::task_name const& task)
 {
-    job_history const& job = seen.jobs[task.job];
+    job_history const& job = history.jobs[task.job];
     auto const last =
-        task_of(seen, task)
+        task_of(history, task)
             .acknowledged_at(end_kind::failed, job.shape.attempts);
-    if (!lasting(job, task) && last)
+    if (!is_lasting(job, task) && last)
     {
-        seen.report(
+        history.report(
             rule::attempt_limit, at, name_of(task), "had failed for good");
     }
 }
 
-void check_cancelled(observed_history& seen,
+void check_cancelled(observed_history& history,
                      time_point at,
                      ports::task_name const& task)
 {
-    auto const since = seen.cancelled_since(seen.jobs[task.job], at);
-    duration const bound = seen.bounds.cancel;
-    if (since && at > *since + bound && seen.fault_free_for(bound, at))
+    auto const since = history.cancelled_since(history.jobs[task.job], at);
+    duration const bound = history.bounds.cancel;
+    if (since && at > *since + bound && history.fault_free_for(bound, at))
     {
-        seen.report(
+        history.report(
             rule::ran_after_cancel, at, name_of(task), "its job is cancelled");
     }
 }
 
 /// Whether a run of a cancelled job worked on, up to `at`, longer than it may
 /// in some calm stretch.
-void check_stopped(observed_history& seen,
+void check_stopped(observed_history& history,
                    time_point at,
                    ports::task_name const& task,
                    run_history const& run)
 {
-    auto const since = seen.cancelled_since(seen.jobs[task.job], at);
+    auto const since = history.cancelled_since(history.jobs[task.job], at);
     if (!since)
     {
         return;
     }
     // An order that came late leaves time to hear of the run.
-    time_point const heard = run.started_at + seen.bounds.stable_window;
+    time_point const detected_by =
+        run.started_at + history.bounds.stable_window;
     bool const in_time =
         run.started_at <= *since ||
-        seen.fault_intervals.is_fault_free(*since, run.started_at);
-    time_point const begin = in_time ? *since : std::max(*since, heard);
-    duration const bound = seen.bounds.cancel + seen.bounds.stop;
-    if (seen.fault_intervals.has_fault_free_interval(begin, at, bound))
+        history.fault_intervals.is_fault_free(*since, run.started_at);
+    time_point const begin = in_time ? *since : std::max(*since, detected_by);
+    duration const bound = history.bounds.cancel + history.bounds.stop;
+    if (history.fault_intervals.has_fault_free_interval(begin, at, bound))
     {
-        seen.report(rule::ran_after_cancel,
-                    at,
-                    name_of(task),
-                    "ran on after the cancel");
+        history.report(rule::ran_after_cancel,
+                       at,
+                       name_of(task),
+                       "ran on after the cancel");
     }
 }
 
 /// Whether a run began after what the end at `decided` ruled out, where that
 /// end was acknowledged only at `at`. Trouble may have hidden the end.
-bool ran_on(observed_history const& seen,
-            task_history const& book,
-            time_point decided,
-            time_point at)
+bool started_after(observed_history const& history,
+                   task_history const& task_record,
+                   time_point decided_at,
+                   time_point at)
 {
-    return seen.fault_intervals.is_fault_free(decided, at) &&
-           std::any_of(book.runs.begin(),
-                       book.runs.end(),
+    return history.fault_intervals.is_fault_free(decided_at, at) &&
+           std::any_of(task_record.runs.begin(),
+                       task_record.runs.end(),
                        [&](run_history const& run)
                        {
-                           return run.started_at > decided;
+                           return run.started_at > decided_at;
                        });
 }
 
-void check_acknowledged(observed_history& seen,
+void check_acknowledged(observed_history& history,
                         time_point at,
                         ports::task_name const& task,
-                        end_kind how)
+                        end_kind outcome)
 {
-    job_history const& job = seen.jobs[task.job];
-    task_history const& book = task_of(seen, task);
-    bool const done = how == end_kind::done;
+    job_history const& job = history.jobs[task.job];
+    task_history const& task_record = task_of(history, task);
+    bool const done = outcome == end_kind::done;
     std::size_t const limit = done ? 1 : job.shape.attempts;
-    auto const decided = book.acknowledged_at(how, limit);
-    bool const decides = decided && (done || how == end_kind::failed);
-    if (decides && !lasting(job, task) && ran_on(seen, book, *decided, at))
+    auto const decided_at = task_record.acknowledged_at(outcome, limit);
+    bool const is_final = decided_at && (done || outcome == end_kind::failed);
+    if (is_final && !is_lasting(job, task) &&
+        started_after(history, task_record, *decided_at, at))
     {
-        seen.report(done ? rule::duplicate_run : rule::attempt_limit,
-                    at,
-                    name_of(task),
-                    "began again after this end");
+        history.report(done ? rule::duplicate_run : rule::attempt_limit,
+                       at,
+                       name_of(task),
+                       "began again after this end");
     }
 }
 
 /// Ends that nobody may have heard of are gone with the worker.
-void lose_ends(observed_history& seen, std::string const& worker)
+void mark_lost_ends(observed_history& history, std::string const& worker)
 {
-    for (auto& [name, job] : seen.jobs)
+    for (auto& [name, job] : history.jobs)
     {
-        for (auto& [place, task] : job.tasks)
+        for (auto& [run_index, task] : job.tasks)
         {
             for (run_history& run : task.runs)
             {
@@ -194,31 +196,31 @@
 
 } // namespace
 
-void runs_check::take(observed_history& seen,
-                      time_point at,
-                      run_started const& start)
+void runs_check::record(observed_history& history,
+                        time_point at,
+                        run_started const& start)
 {
     ports::task_name const& task = start.run.task;
-    job_history& job = seen.jobs[task.job];
-    check_asked(seen, at, task);
+    job_history& job = history.jobs[task.job];
+    check_submitted(history, at, task);
     if (job.has_task(task))
     {
-        check_doubled(seen, at, task);
-        check_order(seen, at, task);
-        check_attempts(seen, at, task);
-        check_cancelled(seen, at, task);
+        check_duplicate(history, at, task);
+        check_order(history, at, task);
+        check_attempts(history, at, task);
+        check_cancelled(history, at, task);
     }
-    check_place(seen, at, start);
+    check_place(history, at, start);
     if (!job.first_started_at)
     {
         job.first_started_at = at;
     }
-    auto& runs = task_of(seen, task).runs;
+    auto& runs = task_of(history, task).runs;
     running_[{start.worker, start.run}] = runs.size();
     runs.push_back({start.worker, start.run.attempt, at, {}, {}});
 }
 
-void runs_check::check_place(observed_history& seen,
+void runs_check::check_place(observed_history& history,
                              time_point at,
                              run_started const& start) const
 {
@@ -226,110 +228,113 @@
     {
         auto const entry = since.find(name);
         return entry != since.end() && at > entry->second + bound &&
-               seen.fault_free_for(bound, at);
+               history.fault_free_for(bound, at);
     };
     std::string const task = name_of(start.run.task);
-    if (late(draining_, start.worker, seen.bounds.drain))
+    if (late(draining_since_, start.worker, history.bounds.drain))
     {
-        seen.report(rule::drain, at, task, start.worker + " leaves");
+        history.report(rule::drain, at, task, start.worker + " leaves");
     }
-    if (late(out_, start.data_centre, seen.bounds.data_centre))
+    if (late(evacuated_since_, start.data_centre, history.bounds.data_centre))
     {
-        seen.report(rule::data_centre, at, task, start.data_centre + " is out");
+        history.report(
+            rule::data_centre, at, task, start.data_centre + " is out");
     }
 }
 
-void runs_check::take(observed_history& seen,
-                      time_point at,
-                      run_ended const& end)
+void runs_check::record(observed_history& history,
+                        time_point at,
+                        run_ended const& end)
 {
     auto const entry = running_.find({end.worker, end.run});
     if (entry == running_.end())
     {
         return;
     }
-    run_history& run = task_of(seen, end.run.task).runs[entry->second];
+    run_history& run = task_of(history, end.run.task).runs[entry->second];
     run.ended_at = at;
     run.outcome = end.outcome;
     running_.erase(entry);
-    check_stopped(seen, at, end.run.task, run);
+    check_stopped(history, at, end.run.task, run);
 }
 
-void runs_check::take(observed_history& seen,
-                      time_point at,
-                      end_acknowledged const& end)
+void runs_check::record(observed_history& history,
+                        time_point at,
+                        end_acknowledged const& end)
 {
-    auto& runs = task_of(seen, end.run.task).runs;
-    auto const run = std::find_if(runs.begin(),
-                                  runs.end(),
-                                  [&](run_history const& known)
-                                  {
-                                      return known.worker == end.worker &&
-                                             known.attempt == end.run.attempt &&
-                                             known.outcome == end.outcome &&
-                                             !known.acknowledged;
-                                  });
+    auto& runs = task_of(history, end.run.task).runs;
+    auto const run =
+        std::find_if(runs.begin(),
+                     runs.end(),
+                     [&](run_history const& candidate)
+                     {
+                         return candidate.worker == end.worker &&
+                                candidate.attempt == end.run.attempt &&
+                                candidate.outcome == end.outcome &&
+                                !candidate.acknowledged;
+                     });
     if (run != runs.end())
     {
         run->acknowledged = true;
-        check_acknowledged(seen, at, end.run.task, end.outcome);
+        check_acknowledged(history, at, end.run.task, end.outcome);
     }
 }
 
-void runs_check::take(observed_history& seen,
-                      time_point at,
-                      worker_crashed const& crash)
+void runs_check::record(observed_history& history,
+                        time_point at,
+                        worker_crashed const& crash)
 {
-    draining_.erase(crash.worker);
-    lose_ends(seen, crash.worker);
+    draining_since_.erase(crash.worker);
+    mark_lost_ends(history, crash.worker);
     auto entry = running_.lower_bound({crash.worker, ports::pool_attempt{}});
     while (entry != running_.end() && entry->first.first == crash.worker)
     {
         ports::task_name const& task = entry->first.second.task;
-        run_history& run = task_of(seen, task).runs[entry->second];
+        run_history& run = task_of(history, task).runs[entry->second];
         run.ended_at = at;
-        check_stopped(seen, at, task, run);
+        check_stopped(history, at, task, run);
         entry = running_.erase(entry);
     }
 }
 
-void runs_check::take(observed_history&,
-                      time_point at,
-                      worker_draining const& leaving)
+void runs_check::record(observed_history&,
+                        time_point at,
+                        worker_draining const& draining)
 {
-    draining_.emplace(leaving.worker, at);
+    draining_since_.emplace(draining.worker, at);
 }
 
-void runs_check::take(observed_history&,
-                      time_point at,
-                      data_centre_set const& change)
+void runs_check::record(observed_history&,
+                        time_point at,
+                        data_centre_set const& change)
 {
     if (change.out_of_service)
     {
-        out_.emplace(change.name, at);
+        evacuated_since_.emplace(change.name, at);
     }
     else
     {
-        out_.erase(change.name);
+        evacuated_since_.erase(change.name);
     }
 }
 
-void runs_check::finish(observed_history& seen, time_point now) const
+void runs_check::finish(observed_history& history, time_point now) const
 {
-    for (auto const& [where, place] : running_)
+    for (auto const& [key, run_index] : running_)
     {
-        ports::task_name const& task = where.second.task;
-        check_stopped(seen, now, task, task_of(seen, task).runs[place]);
+        ports::task_name const& task = key.second.task;
+        check_stopped(
+            history, now, task, task_of(history, task).runs[run_index]);
     }
-    for (auto const& [name, job] : seen.jobs)
+    for (auto const& [name, job] : history.jobs)
     {
         if (job.first_started_at && !job.unjustified_run_reported &&
             job.all_refused())
         {
-            seen.report(rule::refused_job_ran,
-                        now,
-                        name,
-                        "ran, and was refused each time");
+            history.report(rule::refused_job_ran,
+                           now,
+                           name,
+                           "ran, and was refused each time");
         }
     }
 }
--- a/tools/soak/runs_check.hpp
+++ b/tools/soak/runs_check.hpp
@@ -16,35 +16,35 @@
 class runs_check
 {
 public:
-    void take(observed_history& seen,
+    void record(observed_history& history,
               core::common::time_point at,
               run_started const& start);
-    void take(observed_history& seen,
+    void record(observed_history& history,
               core::common::time_point at,
               run_ended const& end);
-    void take(observed_history& seen,
+    void record(observed_history& history,
               core::common::time_point at,
               end_acknowledged const& end);
-    void take(observed_history& seen,
+    void record(observed_history& history,
               core::common::time_point at,
               worker_crashed const& crash);
-    void take(observed_history& seen,
+    void record(observed_history& history,
               core::common::time_point at,
-              worker_draining const& leaving);
-    void take(observed_history& seen,
+              worker_draining const& draining);
+    void record(observed_history& history,
               core::common::time_point at,
               data_centre_set const& change);
 
     /// What still runs for a cancelled job, and what ran for a refused one.
-    void finish(observed_history& seen, core::common::time_point now) const;
+    void finish(observed_history& history, core::common::time_point now) const;
 
 private:
-    void check_place(observed_history& seen,
+    void check_place(observed_history& history,
                      core::common::time_point at,
                      run_started const& start) const;
 
-    std::map<std::string, core::common::time_point> draining_;
-    std::map<std::string, core::common::time_point> out_;
+    std::map<std::string, core::common::time_point> draining_since_;
+    std::map<std::string, core::common::time_point> evacuated_since_;
     /// What runs, by worker and run: the place in the task's book.
     std::map<std::pair<std::string, ports::pool_attempt>, std::size_t> running_;
 };
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -41,14 +41,16 @@
     stopping,
 };
 
-class world
+class soak_run
 {
 public:
-    world(soak_settings const& settings, observation_log::sink const& take)
-        : settings_(settings), drawn_(make_plan(settings.plan)),
-          out_(settings.folder + "/observations.txt", take),
+    soak_run(soak_settings const& settings,
+             observation_log::sink const& on_observation)
+        : settings_(settings), plan_(make_plan(settings.plan)),
+          out_(settings.folder + "/observations.txt", on_observation),
           address_(standins::process_loopback_address()),
-          platform_(io_, platform()), instances_(io_, instances_of(), out_),
+          platform_(io_, platform_settings()),
+          instances_(io_, instance_settings(), out_),
           traffic_(io_, instances_, out_, settings.plan.seed),
           faults_(instances_,
                   platform_,
@@ -64,12 +66,12 @@
         platform_.observe(
             [this](auto const& worker, auto const& event)
             {
-                on_worker(worker, event);
+                handle_worker_event(worker, event);
             });
         platform_.plant_defect(settings_.planted);
-        for (auto const& each : worker_links_)
+        for (auto const& entry : worker_links_)
         {
-            if (!each->listen(reason))
+            if (!entry->listen(reason))
             {
                 return false;
             }
@@ -84,39 +86,38 @@
             io_,
             [this]
             {
-                complaints_.emplace_back("the soak was interrupted");
+                failures_.emplace_back("the soak was interrupted");
                 io_.stop(); // Its processes end with this object.
             });
         enter(phase::starting);
-        ask_readiness();
+        probe_readiness();
         tick();
         io_.run();
-        soak_result made;
-        made.started_at = out_.created_at();
-        made.jobs = traffic_.counts();
-        made.runs = runs_;
-        made.faults = faults_.applied();
-        made.process_failures = instances_.process_failures();
-        made.process_failures.insert(made.process_failures.end(),
-                                     complaints_.begin(),
-                                     complaints_.end());
-        made.lag = lag_;
-        return made;
+        soak_result result;
+        result.started_at = out_.created_at();
+        result.jobs = traffic_.counts();
+        result.runs = runs_;
+        result.faults = faults_.applied();
+        result.process_failures = instances_.process_failures();
+        result.process_failures.insert(
+            result.process_failures.end(), failures_.begin(), failures_.end());
+        result.lag = lag_;
+        return result;
     }
 
 private:
-    standins::pool::pool_server_settings platform() const
+    standins::pool::pool_server_settings platform_settings() const
     {
-        standins::pool::pool_server_settings made;
-        made.store = {address_, store_port};
-        made.first_worker_port = first_worker_port;
-        made.advertised_worker_port = first_worker_link_port;
-        made.workers = settings_.plan.workers;
-        made.capacity.millicores = pool_millicores / made.workers;
-        return made;
+        standins::pool::pool_server_settings result;
+        result.store = {address_, store_port};
+        result.first_worker_port = first_worker_port;
+        result.advertised_worker_port = first_worker_link_port;
+        result.workers = settings_.plan.workers;
+        result.capacity.millicores = pool_millicores / result.workers;
+        return result;
     }
 
-    instance_group_settings instances_of() const
+    instance_group_settings instance_settings() const
     {
         return {settings_.program,
                 settings_.folder,
@@ -145,7 +146,8 @@
         return worker_links_;
     }
 
-    void on_worker(ports::pool_worker const& worker, worker_event const& event)
+    void handle_worker_event(ports::pool_worker const& worker,
+                             worker_event const& event)
     {
         switch (event.kind)
         {
@@ -167,23 +169,23 @@
     void enter(phase next)
     {
         phase_ = next;
-        since_ = clock::now();
+        phase_began_at_ = clock::now();
     }
 
     duration in_phase() const
     {
-        return clock::now() - since_;
+        return clock::now() - phase_began_at_;
     }
 
     // The traffic begins once every instance has been ready.
-    void ask_readiness()
+    void probe_readiness()
     {
-        if (phase_ != phase::starting || ready_ == instances_.size())
+        if (phase_ != phase::starting || ready_count_ == instances_.size())
         {
             return;
         }
         adapters::http::client_call call;
-        call.remote_endpoint = instances_.readiness(ready_);
+        call.remote_endpoint = instances_.readiness(ready_count_);
         call.message = {"GET", "/readyz", {}, "", ""};
         probe_.send(std::move(call),
                     [this](ports::exchange_status status, auto const& answer)
@@ -191,7 +193,7 @@
                         bool const ready =
                             status == ports::exchange_status::answered &&
                             answer.status == 200;
-                        ready_ += ready ? 1U : 0U;
+                        ready_count_ += ready ? 1U : 0U;
                         probing_ = false;
                     });
         probing_ = true;
@@ -200,7 +202,7 @@
     void tick()
     {
         auto const now = clock::now();
-        judge_lag(due_ ? now - *due_ : duration{});
+        record_lag(next_tick_at_ ? now - *next_tick_at_ : duration{});
         switch (phase_)
         {
         case phase::starting:
@@ -216,12 +218,12 @@
             tick_stop();
             break;
         }
-        if (over_)
+        if (stopped_)
         {
             return;
         }
-        due_ = now + tick_interval;
-        ticker_.expires_at(*due_);
+        next_tick_at_ = now + tick_interval;
+        ticker_.expires_at(*next_tick_at_);
         ticker_.async_wait(
             [this](boost::system::error_code error)
             {
@@ -233,14 +235,14 @@
     }
 
     // On a machine too busy for us the instances have too little as well.
-    void judge_lag(duration lag)
+    void record_lag(duration lag)
     {
         constexpr duration too_late = 250ms;
         lag_ = std::max(lag_, lag);
         bool const late = lag > too_late;
-        if (late != late_)
+        if (late != busy_)
         {
-            late_ = late;
+            busy_ = late;
             out_.append(fault_state_set{"busy machine", late});
         }
     }
@@ -249,28 +251,28 @@
     {
         if (in_phase() > start_limit)
         {
-            complaints_.emplace_back("not all instances got ready");
+            failures_.emplace_back("not all instances got ready");
             begin_stop();
             return;
         }
-        if (ready_ == instances_.size())
+        if (ready_count_ == instances_.size())
         {
             out_.append_comment("traffic begins");
-            traffic_.begin(drawn_.jobs);
+            traffic_.begin(plan_.jobs);
             enter(phase::traffic);
         }
         else if (!probing_)
         {
-            ask_readiness();
+            probe_readiness();
         }
     }
 
     void tick_traffic(time_point now)
     {
-        while (next_fault_ < drawn_.faults.size() &&
-               drawn_.faults[next_fault_].at <= in_phase())
+        while (next_fault_ < plan_.faults.size() &&
+               plan_.faults[next_fault_].at <= in_phase())
         {
-            faults_.apply(drawn_.faults[next_fault_++]);
+            faults_.apply(plan_.faults[next_fault_++]);
         }
         faults_.advance(now);
         if (in_phase() >= settings_.plan.traffic)
@@ -289,7 +291,7 @@
         faults_.advance(now);
         if (!healed)
         {
-            since_ = now;
+            phase_began_at_ = now;
         }
         bool const late = in_phase() > time_limits{}.finish + answer_reserve;
         if (late || (healed && traffic_.all_finished()))
@@ -321,13 +323,13 @@
         {
             return;
         }
-        over_ = true;
+        stopped_ = true;
         platform_.stop();
         io_.stop();
     }
 
     soak_settings const& settings_;
-    plan drawn_;
+    plan plan_;
     observation_log out_;
     std::string address_;
     boost::asio::io_context io_{1};
@@ -339,16 +341,16 @@
     adapters::http::client probe_;
     adapters::runtime::timer ticker_;
     phase phase_ = phase::starting;
-    time_point since_{};
-    std::optional<time_point> due_;
+    time_point phase_began_at_{};
+    std::optional<time_point> next_tick_at_;
     duration lag_{};
-    bool late_ = false;
-    std::size_t ready_ = 0;
+    bool busy_ = false;
+    std::size_t ready_count_ = 0;
     bool probing_ = false;
-    bool over_ = false;
+    bool stopped_ = false;
     std::size_t next_fault_ = 0;
     std::uint64_t runs_ = 0;
-    std::vector<std::string> complaints_;
+    std::vector<std::string> failures_;
 };
 
 } // namespace
@@ -363,11 +365,11 @@
         {"early_step", planted_defect::early_dependent_step},
     }};
     out.stale_configuration = name == "stale_config";
-    for (auto const& [each, what] : names)
+    for (auto const& [defect_name, defect] : names)
     {
-        if (each == name)
+        if (defect_name == name)
         {
-            out.planted = what;
+            out.planted = defect;
             return true;
         }
     }
@@ -375,15 +377,15 @@
 }
 
 std::optional<soak_result> run_soak(soak_settings const& settings,
-                                    observation_log::sink const& take,
+                                    observation_log::sink const& on_observation,
                                     core::common::failure& reason)
 {
-    world made(settings, take);
-    if (!made.listen(reason))
+    soak_run result(settings, on_observation);
+    if (!result.listen(reason))
     {
         return std::nullopt;
     }
-    return made.play();
+    return result.play();
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/soak.hpp
+++ b/tools/soak/soak.hpp
@@ -44,7 +44,7 @@
 /// Runs it from the start of the processes to their end; `take` is called with
 /// each observation. Empty, with the reason, where it can't begin.
 std::optional<soak_result> run_soak(soak_settings const& settings,
-                                    observation_log::sink const& take,
+                                    observation_log::sink const& on_observation,
                                     core::common::failure& reason);
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/traffic_generator.cpp
+++ b/tools/soak/traffic_generator.cpp
@@ -17,13 +17,13 @@
 using ports::exchange_status;
 using ports::job_state;
 
-constexpr duration answer_limit = 2s;
-constexpr duration try_again = 300ms;
-constexpr duration ask_interval = 80ms;
-constexpr duration ask_all_interval = 500ms;
-constexpr std::uint32_t most_tries = 12;
+constexpr duration answer_timeout = 2s;
+constexpr duration retry_interval = 300ms;
+constexpr duration query_interval = 80ms;
+constexpr duration final_query_interval = 500ms;
+constexpr std::uint32_t maximum_tries = 12;
 
-call_outcome end_of(exchange_status status, std::uint16_t code)
+call_outcome outcome_of(exchange_status status, std::uint16_t code)
 {
     if (status != exchange_status::answered)
     {
@@ -66,13 +66,13 @@
 
 std::uint64_t number_in(std::string const& body)
 {
-    std::uint64_t made = 0;
+    std::uint64_t result = 0;
     auto const at = body.find_first_of("0123456789");
     if (at != std::string::npos)
     {
-        std::from_chars(body.data() + at, body.data() + body.size(), made);
+        std::from_chars(body.data() + at, body.data() + body.size(), result);
     }
-    return made;
+    return result;
 }
 
 std::string body_of(planned_job const& job)
@@ -104,10 +104,10 @@
 } // namespace
 
 traffic_generator::traffic_generator(boost::asio::io_context& io,
-                                     instance_group& to,
+                                     instance_group& instances,
                                      observation_log& out,
                                      std::uint64_t seed)
-    : io_(io), to_(to), out_(out), random_(seed + 3)
+    : io_(io), instances_(instances), out_(out), random_(seed + 3)
 {
     adapters::http::client_settings settings;
     settings.idle_timeout = std::chrono::hours(1);
@@ -118,59 +118,60 @@
     }
 }
 
-void traffic_generator::later(duration wait, std::function<void()> what)
+void traffic_generator::run_after(duration wait, std::function<void()> action)
 {
     auto const timer = std::make_shared<adapters::runtime::timer>(io_);
     timer->expires_after(wait);
     timer->async_wait(
-        [this, timer, what = std::move(what)](boost::system::error_code error)
+        [this, timer, action = std::move(action)](
+            boost::system::error_code error)
         {
             if (!error && !stopped_)
             {
-                what();
+                action();
             }
         });
 }
 
 void traffic_generator::begin(std::vector<planned_job> const& jobs)
 {
-    for (auto const& each : jobs)
+    for (auto const& element : jobs)
     {
         jobs_.push_back(std::make_unique<entry>());
-        jobs_.back()->plan = each;
-        later(each.at,
-              [this, job = jobs_.back().get()]
-              {
-                  submit(*job);
-              });
+        jobs_.back()->plan = element;
+        run_after(element.at,
+                  [this, job = jobs_.back().get()]
+                  {
+                      submit(*job);
+                  });
     }
-    ask_some();
+    query_sample();
 }
 
-void traffic_generator::ask(std::uint32_t caller,
-                            std::size_t instance,
-                            std::string const& method,
-                            std::string const& queue,
-                            std::string const& id,
-                            std::string const& body,
-                            after then)
+void traffic_generator::send_request(std::uint32_t caller,
+                                     std::size_t instance,
+                                     std::string const& method,
+                                     std::string const& queue,
+                                     std::string const& id,
+                                     std::string const& body,
+                                     answer_handler on_answer)
 {
     adapters::http::client_call call;
-    call.remote_endpoint = to_.submissions(instance % to_.size());
+    call.remote_endpoint = instances_.submissions(instance % instances_.size());
     call.message = {method,
                     "/" + queue + "/" + id,
                     {{"Host", queue + ".example"}},
                     body,
                     ""};
-    call.timeout = answer_limit;
+    call.timeout = answer_timeout;
     clients_[caller % caller_count]->send(
         std::move(call),
-        [this, then = std::move(then)](exchange_status status,
-                                       adapters::http::response const& answer)
+        [this, on_answer = std::move(on_answer)](
+            exchange_status status, adapters::http::response const& answer)
         {
             if (!stopped_)
             {
-                then(end_of(status, answer.status), answer.body);
+                on_answer(outcome_of(status, answer.status), answer.body);
             }
         });
 }
@@ -179,35 +180,35 @@
 {
     auto const& plan = job.plan;
     out_.append(submit_sent{plan.id, plan.shape});
-    ask(plan.caller,
-        plan.instance + job.tries++,
-        "POST",
-        plan.shape.queue,
-        plan.id,
-        body_of(plan),
-        [this, &job](call_outcome how, std::string const&)
-        {
-            out_.append(submit_ended{job.plan.id, how});
-            on_submitted(job, how);
-        });
+    send_request(plan.caller,
+                 plan.instance + job.tries++,
+                 "POST",
+                 plan.shape.queue,
+                 plan.id,
+                 body_of(plan),
+                 [this, &job](call_outcome outcome, std::string const&)
+                 {
+                     out_.append(submit_ended{job.plan.id, outcome});
+                     handle_submit_answer(job, outcome);
+                 });
 }
 
-void traffic_generator::on_submitted(entry& job, call_outcome how)
+void traffic_generator::handle_submit_answer(entry& job, call_outcome outcome)
 {
     constexpr duration shortest_repeat = 500ms;
     constexpr duration longest_repeat = 4s;
-    job.refused = job.refused && how == call_outcome::refused;
-    if (how != call_outcome::done)
+    job.refused = job.refused && outcome == call_outcome::refused;
+    if (outcome != call_outcome::done)
     {
         bool const again =
-            how != call_outcome::refused || job.plan.retries_refusals;
-        if (again && job.tries < most_tries && !ended_at_)
+            outcome != call_outcome::refused || job.plan.retries_refusals;
+        if (again && job.tries < maximum_tries && !traffic_ended_at_)
         {
-            later(try_again,
-                  [this, &job]
-                  {
-                      submit(job);
-                  });
+            run_after(retry_interval,
+                      [this, &job]
+                      {
+                          submit(job);
+                      });
         }
         return;
     }
@@ -215,39 +216,39 @@
     accepted_.push_back(&job);
     if (job.plan.cancel_after)
     {
-        later(*job.plan.cancel_after,
-              [this, &job]
-              {
-                  if (!std::exchange(job.cancelling, true))
+        run_after(*job.plan.cancel_after,
+                  [this, &job]
                   {
-                      cancel(job, job.plan.instance + job.tries);
-                  }
-              });
+                      if (!std::exchange(job.cancelling, true))
+                      {
+                          cancel(job, job.plan.instance + job.tries);
+                      }
+                  });
     }
     if (job.plan.resubmitted)
     {
-        later(random_.between(shortest_repeat, longest_repeat),
-              [this, &job]
-              {
-                  repeat(job);
-              });
+        run_after(random_.between(shortest_repeat, longest_repeat),
+                  [this, &job]
+                  {
+                      resubmit(job);
+                  });
     }
 }
 
-void traffic_generator::repeat(entry& job)
+void traffic_generator::resubmit(entry& job)
 {
     auto const& plan = job.plan;
     out_.append(submit_sent{plan.id, plan.shape});
-    ask(plan.caller,
-        plan.instance + job.tries + 1,
-        "POST",
-        plan.shape.queue,
-        plan.id,
-        body_of(plan),
-        [this, &job](call_outcome how, std::string const&)
-        {
-            out_.append(submit_ended{job.plan.id, how});
-        });
+    send_request(plan.caller,
+                 plan.instance + job.tries + 1,
+                 "POST",
+                 plan.shape.queue,
+                 plan.id,
+                 body_of(plan),
+                 [this, &job](call_outcome outcome, std::string const&)
+                 {
+                     out_.append(submit_ended{job.plan.id, outcome});
+                 });
 }
 
 // From the sending on it may be carried out, which is told as a cancel whose
@@ -256,126 +257,140 @@
 {
     auto const& plan = job.plan;
     out_.append(cancel_ended{plan.id, call_outcome::unknown});
-    ask(plan.caller,
+    send_request(
+        plan.caller,
         instance,
         "DELETE",
         plan.shape.queue,
         plan.id,
         "",
-        [this, &job, instance](call_outcome how, std::string const&)
+        [this, &job, instance](call_outcome outcome, std::string const&)
         {
-            out_.append(cancel_ended{job.plan.id, how});
-            if (how != call_outcome::done && how != call_outcome::not_found)
+            out_.append(cancel_ended{job.plan.id, outcome});
+            if (outcome != call_outcome::done &&
+                outcome != call_outcome::not_found)
             {
-                later(try_again,
-                      [this, &job, instance]
-                      {
-                          cancel(job, instance + 1);
-                      });
+                run_after(retry_interval,
+                          [this, &job, instance]
+                          {
+                              cancel(job, instance + 1);
+                          });
             }
         });
 }
 
-void traffic_generator::ask_state(entry& job, std::size_t instance)
+void traffic_generator::query_state(entry& job, std::size_t instance)
 {
-    auto const at = instance % to_.size();
-    auto const asked = clock::now();
-    ask(job.plan.caller,
-        at,
-        "GET",
-        job.plan.shape.queue,
-        job.plan.id,
-        "",
-        [this, &job, at, asked](call_outcome how, std::string const& body)
-        {
-            auto const state =
-                how == call_outcome::done ? state_in(body) : job_state::queued;
-            if (how == call_outcome::done && !is_over(job.state))
-            {
-                job.state = state;
-            }
-            job.confirmed = job.confirmed || (ended_at_ && is_over(state) &&
-                                              asked >= *ended_at_);
-            out_.append(status_query_ended{
-                job.plan.id, to_.name(at), asked, how, state});
-        });
+    auto const at = instance % instances_.size();
+    auto const requested_at = clock::now();
+    send_request(job.plan.caller,
+                 at,
+                 "GET",
+                 job.plan.shape.queue,
+                 job.plan.id,
+                 "",
+                 [this, &job, at, requested_at](call_outcome outcome,
+                                                std::string const& body)
+                 {
+                     auto const state = outcome == call_outcome::done
+                                            ? state_in(body)
+                                            : job_state::queued;
+                     if (outcome == call_outcome::done && !is_over(job.state))
+                     {
+                         job.state = state;
+                     }
+                     job.confirmed_over =
+                         job.confirmed_over ||
+                         (traffic_ended_at_ && is_over(state) &&
+                          requested_at >= *traffic_ended_at_);
+                     out_.append(status_query_ended{job.plan.id,
+                                                    instances_.name(at),
+                                                    requested_at,
+                                                    outcome,
+                                                    state});
+                 });
 }
 
-void traffic_generator::ask_waiting()
+void traffic_generator::query_waiting()
 {
-    auto const at = random_.below(to_.size());
+    auto const at = random_.below(instances_.size());
     std::string const queue(random_.true_with_percent(50) ? first_queue
                                                           : second_queue);
-    auto const asked = clock::now();
-    ask(random_.below(caller_count),
+    auto const requested_at = clock::now();
+    send_request(
+        random_.below(caller_count),
         at,
         "GET",
         queue,
         "",
         "",
-        [this, queue, at, asked](call_outcome how, std::string const& body)
+        [this, queue, at, requested_at](call_outcome outcome,
+                                        std::string const& body)
         {
-            auto const jobs = how == call_outcome::done ? number_in(body) : 0;
-            out_.append(
-                waiting_query_ended{queue, to_.name(at), asked, how, jobs});
+            auto const jobs =
+                outcome == call_outcome::done ? number_in(body) : 0;
+            out_.append(waiting_query_ended{
+                queue, instances_.name(at), requested_at, outcome, jobs});
         });
 }
 
 // An answer that came from another life of the process than was asked counts
 // for neither.
-void traffic_generator::ask_queue()
+void traffic_generator::query_queue()
 {
-    auto const at = random_.below(to_.size());
+    auto const at = random_.below(instances_.size());
     auto const queue = extra_queue(random_.below(extra_queue_count));
-    auto const asked = clock::now();
-    auto const life = to_.incarnation(at);
-    ask(random_.below(caller_count),
+    auto const requested_at = clock::now();
+    auto const sent_incarnation = instances_.incarnation(at);
+    send_request(
+        random_.below(caller_count),
         at,
         "GET",
         queue,
         "",
         "",
-        [this, queue, at, asked, life](call_outcome how, std::string const&)
+        [this, queue, at, requested_at, sent_incarnation](call_outcome outcome,
+                                                          std::string const&)
         {
-            bool const told =
-                how == call_outcome::done || how == call_outcome::not_found;
-            if (told && life == to_.incarnation(at))
+            bool const has_answer = outcome == call_outcome::done ||
+                                    outcome == call_outcome::not_found;
+            if (has_answer && sent_incarnation == instances_.incarnation(at))
             {
                 out_.append(queue_seen{queue,
-                                       to_.name(at),
-                                       life,
-                                       asked,
-                                       how == call_outcome::done});
+                                       instances_.name(at),
+                                       sent_incarnation,
+                                       requested_at,
+                                       outcome == call_outcome::done});
             }
         });
 }
 
-void traffic_generator::ask_some()
+void traffic_generator::query_sample()
 {
-    if (ended_at_)
+    if (traffic_ended_at_)
     {
         return;
     }
     if (!accepted_.empty())
     {
         auto& job = *accepted_[random_.below(accepted_.size())];
-        ask_state(job, random_.below(to_.size()));
+        query_state(job, random_.below(instances_.size()));
     }
-    ask_queue();
+    query_queue();
     if (random_.true_with_percent(40))
     {
-        ask_waiting();
+        query_waiting();
     }
-    later(ask_interval,
-          [this]
-          {
-              ask_some();
-          });
+    run_after(query_interval,
+              [this]
+              {
+                  query_sample();
+              });
 }
 
 void traffic_generator::end()
 {
-    ended_at_ = clock::now();
+    traffic_ended_at_ = clock::now();
     for (auto* const job : accepted_)
     {
         bool const lasting = job->plan.shape.steps.front().lasting;
@@ -384,58 +399,58 @@
             cancel(*job, job->plan.instance);
         }
     }
-    ask_all();
+    query_unfinished();
 }
 
-void traffic_generator::ask_all()
+void traffic_generator::query_unfinished()
 {
-    ++round_;
+    ++query_round_;
     for (std::size_t number = 0; number < accepted_.size(); ++number)
     {
-        if (!accepted_[number]->confirmed)
+        if (!accepted_[number]->confirmed_over)
         {
-            ask_state(*accepted_[number], number + round_);
+            query_state(*accepted_[number], number + query_round_);
         }
     }
-    later(ask_all_interval,
-          [this]
-          {
-              ask_all();
-          });
+    run_after(final_query_interval,
+              [this]
+              {
+                  query_unfinished();
+              });
 }
 
 bool traffic_generator::all_finished() const
 {
     for (auto const* const job : accepted_)
     {
-        if (!job->confirmed)
+        if (!job->confirmed_over)
         {
             return false;
         }
     }
-    return ended_at_.has_value();
+    return traffic_ended_at_.has_value();
 }
 
 void traffic_generator::stop()
 {
     stopped_ = true;
-    for (auto const& each : clients_)
+    for (auto const& element : clients_)
     {
-        each->close();
+        element->close();
     }
 }
 
 traffic_counts traffic_generator::counts() const
 {
-    traffic_counts made;
-    for (auto const& each : jobs_)
+    traffic_counts result;
+    for (auto const& element : jobs_)
     {
-        made.accepted += each->accepted ? 1U : 0U;
-        made.refused += !each->accepted && each->refused ? 1U : 0U;
-        made.unknown += !each->accepted && !each->refused ? 1U : 0U;
-        made.completed += each->state == job_state::completed ? 1U : 0U;
+        result.accepted += element->accepted ? 1U : 0U;
+        result.refused += !element->accepted && element->refused ? 1U : 0U;
+        result.unknown += !element->accepted && !element->refused ? 1U : 0U;
+        result.completed += element->state == job_state::completed ? 1U : 0U;
     }
-    return made;
+    return result;
 }
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/traffic_generator.hpp
+++ b/tools/soak/traffic_generator.hpp
@@ -33,7 +33,7 @@
 {
 public:
     traffic_generator(boost::asio::io_context& io,
-                      instance_group& to,
+                      instance_group& instances,
                       observation_log& out,
                       std::uint64_t seed);
 
@@ -55,38 +55,38 @@
         bool accepted = false;
         bool refused = true; ///< No try ended otherwise.
         bool cancelling = false;
-        bool confirmed = false; ///< Told to be over, after the traffic.
+        bool confirmed_over = false; ///< Told to be over, after the traffic.
         ports::job_state state = ports::job_state::queued;
     };
-    using after = std::function<void(call_outcome, std::string const& body)>;
+    using answer_handler = std::function<void(call_outcome, std::string const& body)>;
 
-    void later(core::common::duration wait, std::function<void()> what);
-    void ask(std::uint32_t caller,
+    void run_after(core::common::duration wait, std::function<void()> action);
+    void send_request(std::uint32_t caller,
              std::size_t instance,
              std::string const& method,
              std::string const& queue,
              std::string const& id,
              std::string const& body,
-             after then);
+             answer_handler on_answer);
     void submit(entry& job);
-    void on_submitted(entry& job, call_outcome how);
-    void repeat(entry& job);
+    void handle_submit_answer(entry& job, call_outcome outcome);
+    void resubmit(entry& job);
     void cancel(entry& job, std::size_t instance);
-    void ask_state(entry& job, std::size_t instance);
-    void ask_waiting();
-    void ask_queue();
-    void ask_some();
-    void ask_all();
+    void query_state(entry& job, std::size_t instance);
+    void query_waiting();
+    void query_queue();
+    void query_sample();
+    void query_unfinished();
 
     boost::asio::io_context& io_;
-    instance_group& to_;
+    instance_group& instances_;
     observation_log& out_;
     random_source random_;
     std::vector<std::unique_ptr<adapters::http::client>> clients_;
     std::vector<std::unique_ptr<entry>> jobs_;
     std::vector<entry*> accepted_;
-    std::uint32_t round_ = 0;
-    std::optional<core::common::time_point> ended_at_;
+    std::uint32_t query_round_ = 0;
+    std::optional<core::common::time_point> traffic_ended_at_;
     bool stopped_ = false;
 };
 
