--- a/tools/soak/checker.hpp
+++ b/tools/soak/checker.hpp
@@ -10,28 +10,29 @@
 #include <deque>
 #include <vector>
 
-// Judges a run of the fault soak by what was seen from outside.
+// Checks a run of the fault soak from observations made outside the instances.
 namespace fuchsia::tools::soak
 {
 
-/// Takes all that was seen, in the order of time, and says which rules were
-/// broken. A time limit counts where no trouble was on for the length of the
-/// limit and the stable window before it; all else counts always.
+/// Checks all observations, in order of time, against the rules. A rule with a
+/// time limit applies only if no fault was active during the limit and the
+/// stable window before it; all other rules always apply.
 class checker
 {
 public:
     explicit checker(time_limits bounds);
 
-    /// `seen.at` is no earlier than that of any observation before it.
+    /// `seen.at` is no earlier than the time of any previous observation.
     void observe(observation const& observed);
 
-    /// To be called once, after the last observation. By `now` the accepted
-    /// jobs have had time to end, and each was asked for after the traffic
-    /// ended. Returns all violations, with those that only the end shows.
+    /// Must be called once, after the last observation. By `now` the accepted
+    /// jobs must have had time to end, and the state of each must have been
+    /// queried after the traffic ended. Returns all violations, including those
+    /// that can be detected only at the end.
     std::vector<violation> finish(core::common::time_point now);
 
-    /// Those found so far. Answers are judged once `limits::acknowledge` has
-    /// passed since they came.
+    /// Violations found so far. An answer is checked once
+    /// `time_limits::acknowledge` has passed since its arrival.
     std::vector<violation> const& violations() const;
 
 private:
@@ -42,7 +43,8 @@
     runs_check runs_;
     configuration_check configurations_;
     recovery_check recovery_;
-    std::deque<observation> pending_answers_; ///< Answers, the oldest first.
+    std::deque<observation>
+        pending_answers_; ///< Unchecked answers, oldest first.
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/configuration_check.cpp
+++ b/tools/soak/configuration_check.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// In trouble an incarnation's answers may cross each other more widely.
+/// Factor on the rollback slack while a fault is active: answers of one
+/// incarnation may then overtake each other by a longer time.
 constexpr int fault_slack_factor = 8;
 
 } // namespace
@@ -68,7 +69,8 @@
         oldest_allowed =
             std::max(proven_version, versions_set_by(due - duration(1)) - 1);
     }
-    // The store's answer may reach the operator after an instance has acted.
+    // An instance may apply a configuration before the operator receives the
+    // store's answer to the write.
     std::size_t const end = versions_set_by(at + bounds.rollback_slack);
     std::size_t const version_index =
         first_matching_version(answer, oldest_allowed, end);
@@ -79,7 +81,7 @@
                        answer.queue,
                        answer.instance +
                            (answer.present ? " shows" : " lacks") +
-                           " it as of an older configuration");
+                           " the queue according to an outdated configuration");
     }
     else if (proofs.empty() || proofs.back().version_index < version_index)
     {
--- a/tools/soak/configuration_check.hpp
+++ b/tools/soak/configuration_check.hpp
@@ -10,22 +10,23 @@
 #include <utility>
 #include <vector>
 
-// Which configuration the instances' answers are from.
+// Determines which configuration the answers of the instances are based on.
 namespace fuchsia::tools::soak
 {
 
-/// Checks `configuration`: an answer that only an older configuration than the
-/// one in force explains, or than one whose effect the same incarnation has
-/// shown.
+/// Checks the rule `configuration`: an answer must not match only
+/// configurations older than the one in force, or older than one that the same
+/// incarnation has already applied.
 class configuration_check
 {
 public:
     void record(core::common::time_point at, configuration_set const& change);
 
-    /// Judges an answer that came at `at`, in the order of the answers.
+    /// Checks an answer that arrived at `at`. Answers must be given in the
+    /// order of their arrival.
     void check_answer(observed_history& history,
-               core::common::time_point at,
-               queue_seen const& answer);
+                      core::common::time_point at,
+                      queue_seen const& answer);
 
 private:
     struct version
@@ -33,7 +34,8 @@
         core::common::time_point at{};
         std::set<std::string> queues;
     };
-    /// From `at` on, an incarnation has at least the version at this place.
+    /// From `at` on, an incarnation has applied at least the version with the
+    /// index `version_index`.
     struct proof
     {
         core::common::time_point at{};
@@ -41,12 +43,14 @@
     };
 
     std::size_t versions_set_by(core::common::time_point at) const;
-    /// The first version of [begin, end) that explains the answer, or `end`.
+    /// Index of the first version in [begin, end) that matches the answer, or
+    /// `end`.
     std::size_t first_matching_version(queue_seen const& answer,
-                         std::size_t begin,
-                         std::size_t end) const;
+                                       std::size_t begin,
+                                       std::size_t end) const;
 
-    /// In their order; before the first there is no queue.
+    /// Versions in the order in which they were set. The first entry stands for
+    /// the time before any configuration and has no queues.
     std::vector<version> versions_{1};
     std::map<std::pair<std::string, std::uint64_t>, std::vector<proof>> proofs_;
 };
--- a/tools/soak/fault_injector.cpp
+++ b/tools/soak/fault_injector.cpp
@@ -28,7 +28,7 @@
     return 10ms + std::chrono::milliseconds(spec.variant);
 }
 
-// Its process is gone until the fault ends.
+// Whether the process of the instance is stopped until the fault ends.
 bool stops_instance(fault_kind kind)
 {
     return kind == fault_kind::kill || kind == fault_kind::stop;
@@ -85,7 +85,8 @@
     {
         return;
     }
-    // Half of the instances stay up, so that there is something to see.
+    // At least half of the instances stay up, so that the remaining traffic is
+    // served and can be checked.
     bool const instance = stops_instance(spec.kind);
     if (instance && stopping_instances_.size() * 2 >= instances_.size())
     {
@@ -179,7 +180,7 @@
         if (instances_.has_exited(number) &&
             !stopping_instances_.contains(instance_index))
         {
-            instances_.start(number); // It ended by itself.
+            instances_.start(number); // It exited without a fault.
         }
     }
     for (auto entry = active_.begin(); entry != active_.end();)
@@ -220,7 +221,8 @@
     return true;
 }
 
-// The last fault that keeps it down starts it; the others only end.
+// If several faults keep the instance down, only the last of them to end
+// restarts it.
 bool fault_injector::restart(std::uint32_t instance)
 {
     auto const others =
@@ -322,7 +324,7 @@
     }
 }
 
-// Of several faults of one service the last one counts.
+// If several faults are active on one service, the latest one takes effect.
 void fault_injector::update_gates(fault const& spec)
 {
     struct mode_row
--- a/tools/soak/fault_injector.hpp
+++ b/tools/soak/fault_injector.hpp
@@ -17,27 +17,29 @@
 namespace fuchsia::tools::soak
 {
 
-/// Brings the faults of a plan about, and heals them. Faults of one kind and
-/// target may overlap: the last one lasts.
+/// Injects the faults of a plan and removes them when they end. Faults of the
+/// same kind and target may overlap: the latest one takes effect.
 class fault_injector
 {
 public:
     using relays = std::vector<std::shared_ptr<standins::links::relay>>;
 
-    /// `stale`: the operator's configurations after the first never reach the
-    /// store, though they are told to have.
+    /// If `stale_configuration` is true, configurations after the first are
+    /// reported as written but never reach the store.
     fault_injector(instance_group& under_test,
                    standins::pool::pool_server& platform,
                    relays workers,
                    observation_log& out,
                    bool stale_configuration);
 
-    /// Puts the first configuration into the store.
+    /// Writes the first configuration to the store.
     void begin();
     void apply(fault const& planned);
-    /// Ends what is over by now; starts again what was to end.
+    /// Ends the faults that are due at `now`, and restarts instances that
+    /// exited without a fault.
     void advance(core::common::time_point now);
-    /// Ends all; what is dead is up again once this is true.
+    /// Ends all faults. Returns true once all stopped processes are running
+    /// again.
     bool end_all();
     std::uint64_t applied() const noexcept;
 
@@ -49,16 +51,16 @@
         core::common::time_point until{};
     };
 
-    /// The instance that the store's claim names; empty where there is none.
+    /// Instance that holds the claim in the store; empty if there is none.
     std::optional<std::uint32_t> owner() const;
     void begin_fault(fault const& spec);
     void begin_worker_fault(fault const& spec);
-    /// False where it can't end yet.
+    /// Returns false if the fault can't end yet.
     bool end_fault(fault const& spec);
     void update_state(fault const& spec);
     void update_links(fault const& spec);
     void update_gates(fault const& spec);
-    /// The last active fault of `kind` and, where given, `target`.
+    /// Latest active fault of `kind` on `target`, or null.
     fault const* latest_active(fault_kind kind, std::uint32_t target) const;
     bool restart(std::uint32_t instance);
     void replace_worker(std::uint32_t worker, bool same_id);
@@ -75,8 +77,10 @@
     std::uint64_t applied_ = 0;
     std::uint64_t version_ = 1;
     std::set<std::uint32_t> extra_queues_;
-    std::set<std::uint32_t> busy_workers_; ///< Leave, or are down.
-    std::set<std::uint32_t> stopping_instances_; ///< Instances that are to start again.
+    std::set<std::uint32_t>
+        busy_workers_; ///< Workers that are draining or down.
+    std::set<std::uint32_t>
+        stopping_instances_; ///< Instances to be started again.
 };
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/fault_intervals.hpp
+++ b/tools/soak/fault_intervals.hpp
@@ -7,31 +7,35 @@
 #include <string>
 #include <vector>
 
-// When trouble was on, and whether a time limit counts.
+// Records when faults were active, to decide whether a time limit applies.
 namespace fuchsia::tools::soak
 {
 
-/// From the begin of the first of some troubles to the end of the last of them;
-/// `to` is empty while one is on.
+/// Time from the begin of the first to the end of the last of some overlapping
+/// faults; `to` is empty while a fault is active.
 struct fault_interval
 {
     core::common::time_point from{};
     std::optional<core::common::time_point> to;
 };
 
+/// Log of the intervals during which faults were active.
 class fault_interval_log
 {
 public:
-    /// A system may take `settle` after the end of trouble to be itself again.
+    /// `recovery_time` is the time that the system may take to recover after
+    /// the end of a fault.
     explicit fault_interval_log(core::common::duration recovery_time);
 
     void set(core::common::time_point at, fault_state_set const& state);
 
-    /// No trouble was on from `settle` before `begin` to `end`.
+    /// Returns whether no fault was active from the recovery time before
+    /// `begin` to `end`.
     bool is_fault_free(core::common::time_point begin,
                        core::common::time_point end) const;
 
-    /// Some stretch longer than `length` between `begin` and `end` was calm.
+    /// Returns whether some interval longer than `length` between `begin` and
+    /// `end` was free of faults and of recovery from them.
     bool has_fault_free_interval(core::common::time_point begin,
                                  core::common::time_point end,
                                  core::common::duration length) const;
--- a/tools/soak/instance_group.cpp
+++ b/tools/soak/instance_group.cpp
@@ -16,7 +16,7 @@
 using core::common::clock;
 using standins::links::relay;
 
-// What an instance listens at, and the relays beside it.
+// Listening ports of one instance and its two relays, as offsets.
 enum port_role : std::uint16_t
 {
     submissions_port,
@@ -27,7 +27,8 @@
     ports_per_instance,
 };
 
-// From SIGTERM to SIGKILL, as in the settings below.
+// Maximum time from SIGTERM to the exit before SIGKILL; equals `stop_limit_s`
+// in the settings below.
 constexpr core::common::duration stop_limit = std::chrono::seconds(6);
 constexpr char const* bounds = R"(
 [bounds]
@@ -204,7 +205,7 @@
     }
     if (!instance.killed && (!instance.stop_requested_at || *status != 0))
     {
-        instance.killed = true; // Said once.
+        instance.killed = true; // Prevents a second report.
         report_failure(number, "ended with status " + std::to_string(*status));
     }
     return true;
--- a/tools/soak/instance_group.hpp
+++ b/tools/soak/instance_group.hpp
@@ -18,16 +18,16 @@
 struct instance_group_settings
 {
     std::string program; ///< Path of fuchsia-pool.
-    std::string folder;  ///< For settings files and logs.
-    std::string address; ///< Of all ports here.
+    std::string folder;  ///< Folder for settings files and logs.
+    std::string address; ///< Address of all ports of the group.
     std::uint16_t first_port = 0;
     ports::endpoint store;
     std::uint32_t count = 0;
 };
 
-/// The processes under test, each between two relays: from its callers, and to
-/// the store. Complains of one that ends by itself, with a status other than 0
-/// after SIGTERM, or too late after it.
+/// Processes under test, each between two relays: one for its callers, one to
+/// the store. Reports a failure if a process exits without a signal, exits with
+/// a status other than 0 after SIGTERM, or exceeds the stop limit.
 class instance_group
 {
 public:
@@ -40,7 +40,7 @@
     std::string name(std::size_t number) const;
     ports::endpoint submissions(std::size_t number) const;
     ports::endpoint readiness(std::size_t number) const;
-    /// Counts the starts of its process.
+    /// Number of starts of the process of this instance.
     std::uint64_t incarnation(std::size_t number) const;
     standins::links::relay& caller_link(std::size_t number);
     standins::links::relay& store_link(std::size_t number);
@@ -49,9 +49,11 @@
     void kill(std::size_t number);
     void terminate(std::size_t number);
     void pause(std::size_t number, bool on);
-    /// Writes the settings anew, a little different.
+    /// Writes the settings file again with another log level, and sends SIGHUP
+    /// if `notify` is true.
     void change_settings(std::size_t number, bool notify);
-    /// Looks for ends; true where the process is gone.
+    /// Polls the process; returns true if it has exited or is being killed for
+    /// exceeding the stop limit.
     bool has_exited(std::size_t number);
     std::vector<std::string> const& process_failures() const noexcept;
 
@@ -68,7 +70,8 @@
         std::optional<core::common::time_point> stop_requested_at;
     };
 
-    ports::endpoint port_endpoint(std::size_t number, std::uint16_t port_role) const;
+    ports::endpoint port_endpoint(std::size_t number,
+                                  std::uint16_t port_role) const;
     void write_settings(std::size_t number) const;
     void report_failure(std::size_t number, std::string const& why);
 
--- a/tools/soak/jobs_check.cpp
+++ b/tools/soak/jobs_check.cpp
@@ -14,15 +14,16 @@
 namespace
 {
 
-/// A count may be this old.
+/// Maximum age of a reported count.
 constexpr duration count_age = std::chrono::seconds(2);
-/// An order that an instance counts as a start may be this long on its way.
+/// Maximum time that an order, which the instance already counts as a start,
+/// takes to reach the worker.
 constexpr duration order_delay = std::chrono::milliseconds(250);
-/// The state of a job that has ended is kept at least this long.
+/// Minimum time that the state of an ended job is kept.
 constexpr duration state_retention = std::chrono::seconds(120);
-/// A lasting task runs again this long after its last run.
+/// Maximum time after its last run until a long-running task runs again.
 constexpr duration restart_limit = std::chrono::seconds(9);
-/// A job with work left has a run again within this time.
+/// Maximum time that a job with work left is without a run.
 constexpr duration idle_limit = std::chrono::seconds(3);
 
 bool happened_by(std::optional<time_point> const& event, time_point at)
@@ -30,7 +31,8 @@
     return event && *event <= at;
 }
 
-/// The job ended so long before `at` that its state may be forgotten.
+/// Whether the job ended so long before `at` that its state may have been
+/// removed.
 bool may_be_forgotten(job_history const& job, time_point at)
 {
     return happened_by(job.completed_at(), at - state_retention) ||
@@ -52,7 +54,7 @@
         history.report(rule::job_lost,
                        at,
                        answer.job,
-                       answer.instance + " does not know it");
+                       answer.instance + " does not know the job");
     }
 }
 
@@ -67,14 +69,14 @@
         history.report(rule::reported_state,
                        at,
                        answer.job,
-                       "shown as completed, and is not");
+                       "reported as completed before all tasks were done");
     }
     if (answer.state == job_state::failed && !happened_by(job.failed_at(), at))
     {
         history.report(rule::reported_state,
                        at,
                        answer.job,
-                       "shown as failed, and is not");
+                       "reported as failed before a task used up its attempts");
     }
     if (answer.state == job_state::cancelled && !job.reported_cancelled_at)
     {
@@ -82,7 +84,8 @@
     }
 }
 
-/// Whether each task of the lasting step runs, or ran just before `now`.
+/// Whether each task of the long-running step runs, or ended its last run at
+/// most `restart_limit` before `now`.
 bool lasting_step_running(job_history const& job,
                           std::uint32_t step,
                           time_point now)
@@ -103,7 +106,8 @@
     return true;
 }
 
-/// Whether a task of the step runs, or ran just before `now`.
+/// Whether a task of the step runs, or ended a run at most `idle_limit` before
+/// `now`.
 bool step_active(job_history const& job, std::uint32_t step, time_point now)
 {
     auto const recent = [now](run_history const& run)
@@ -120,19 +124,20 @@
                        });
 }
 
-/// All that could be done has been or is at work, and so is all that lasts.
+/// Whether every step whose dependencies are done is itself done or has a
+/// recent run; long-running steps must keep all their tasks running.
 bool all_work_served(job_history const& job, time_point now)
 {
-    std::vector<bool> finite; // Whether all tasks of the step can end done.
+    std::vector<bool> completed_steps; // For each step: whether it is done.
     for (step_shape const& step : job.shape.steps)
     {
         auto const can_end = [&](std::uint32_t earlier)
         {
-            return earlier < finite.size() && finite[earlier];
+            return earlier < completed_steps.size() && completed_steps[earlier];
         };
         bool const reached =
             std::all_of(step.after.begin(), step.after.end(), can_end);
-        std::uint32_t const place = finite.size();
+        std::uint32_t const place = completed_steps.size();
         bool const done = !step.lasting && job.step_done(place);
         bool const good = step.lasting ? lasting_step_running(job, place, now)
                                        : done || step_active(job, place, now);
@@ -140,13 +145,13 @@
         {
             return false;
         }
-        finite.push_back(reached && done);
+        completed_steps.push_back(reached && done);
     }
     return true;
 }
 
-/// All tasks ended so early, and so that it must have been heard of, that the
-/// job has to be shown as completed by `at`.
+/// Whether the job must be reported as completed at `at`: each task was done by
+/// then, and none of these ends was lost with its worker.
 bool must_report_completed(job_history const& job, time_point at)
 {
     auto const qualifies = [&](run_history const& run)
@@ -175,7 +180,10 @@
         final_status && final_status->outcome == call_outcome::done;
     if (!is_known && !may_be_forgotten(job, now))
     {
-        history.report(rule::job_lost, now, name, "not known at the end");
+        history.report(rule::job_lost,
+                       now,
+                       name,
+                       "no instance reported the job after the traffic");
         return;
     }
     time_point const due = *history.traffic_end + history.bounds.finish;
@@ -183,14 +191,18 @@
                            history.fault_free_for(history.bounds.finish, now);
     if (qualifies && !all_work_served(job, now))
     {
-        history.report(rule::job_lost, now, name, "never done");
+        history.report(
+            rule::job_lost, now, name, "work left without a recent run");
     }
     else if (qualifies && is_known && due < final_status->requested_at &&
              final_status->state != job_state::completed &&
              must_report_completed(
                  job, final_status->requested_at - history.bounds.visible))
     {
-        history.report(rule::job_lost, now, name, "never shown as completed");
+        history.report(rule::job_lost,
+                       now,
+                       name,
+                       "all tasks done, but never reported as completed");
     }
 }
 
@@ -258,8 +270,10 @@
     {
         if (answer.outcome == call_outcome::done)
         {
-            history.report(
-                rule::reported_state, at, answer.job, "nobody handed it in");
+            history.report(rule::reported_state,
+                           at,
+                           answer.job,
+                           "state reported for a job that was never submitted");
         }
         return;
     }
@@ -302,8 +316,8 @@
         history.report(rule::waiting_count,
                        at,
                        answer.queue,
-                       answer.instance + " tells " +
-                           std::to_string(answer.jobs) + " of " +
+                       answer.instance + " reports " +
+                           std::to_string(answer.jobs) + " waiting jobs of " +
                            std::to_string(due));
     }
 }
@@ -318,7 +332,7 @@
             history.report(rule::reported_state,
                            *job.reported_cancelled_at,
                            name,
-                           "shown as cancelled, and nobody asked for it");
+                           "reported as cancelled without a cancel request");
         }
         if (history.traffic_end && job.must_complete())
         {
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -10,7 +10,8 @@
 #include <sstream>
 #include <unistd.h>
 
-// fuchsia-soak: real instances of fuchsia-pool under faults drawn from a seed.
+// fuchsia-soak runs real instances of fuchsia-pool under faults that are drawn
+// from a seed.
 namespace
 {
 
@@ -66,7 +67,8 @@
     return names[static_cast<std::size_t>(named_rule)];
 }
 
-// A line each, with the time as in observations.txt.
+// Returns one line per violation, with the same time base as observations.txt,
+// and one per process failure.
 std::string to_text(soak_result const& figures,
                     std::vector<violation> const& found_violations)
 {
@@ -89,7 +91,7 @@
     std::ofstream(path) << text;
 }
 
-// Exit status: 1 where something was broken, 2 where it can't begin.
+// Returns the exit status: 1 if anything failed, 2 if the run could not start.
 int run(soak_settings const& settings, std::string const& command)
 {
     write(settings.folder + "/schedule.txt", to_text(make_plan(settings.plan)));
@@ -133,17 +135,21 @@
     std::uint32_t seconds = 20;
     std::vector<std::string> kinds;
     std::string planted;
-    app.add_option("--seed", settings.plan.seed, "of jobs and faults");
-    app.add_option("--seconds", seconds, "of traffic")
+    app.add_option("--seed", settings.plan.seed, "seed of jobs and faults");
+    app.add_option("--seconds", seconds, "duration of the traffic in seconds")
         ->check(CLI::Range(1, 3600));
     app.add_option("--instances", settings.plan.instances)
         ->check(CLI::Range(1, 40));
     app.add_option("--workers", settings.plan.workers)
         ->check(CLI::Range(2, 64));
-    app.add_option("--out", settings.folder, "folder for what was seen");
-    app.add_option("--fault-set", kinds, "kinds of fault; \"none\"")
+    app.add_option("--out",
+                   settings.folder,
+                   "folder for observations, violations and logs");
+    app.add_option(
+           "--fault-set", kinds, "comma-separated kinds of fault, or \"none\"")
         ->delimiter(',');
-    app.add_option("--plant", planted, "a lie that has to be found");
+    app.add_option(
+        "--plant", planted, "defect to plant, which the checks must detect");
     CLI11_PARSE(app, count, arguments);
 
     settings.plan.traffic = std::chrono::seconds(seconds);
@@ -157,7 +163,7 @@
         auto const kind = fault_kind_from(name);
         if (!kind && name != "none")
         {
-            std::cerr << "fuchsia-soak: no such kind of fault: " << name
+            std::cerr << "fuchsia-soak: unknown kind of fault: " << name
                       << '\n';
             return exit_bad_options;
         }
@@ -168,7 +174,7 @@
     }
     if (!planted.empty() && !set_planted_defect(planted, settings))
     {
-        std::cerr << "fuchsia-soak: no such lie: " << planted << '\n';
+        std::cerr << "fuchsia-soak: unknown defect: " << planted << '\n';
         return exit_bad_options;
     }
     bool const keep_folder = !settings.folder.empty();
--- a/tools/soak/observation.hpp
+++ b/tools/soak/observation.hpp
@@ -10,15 +10,16 @@
 #include <variant>
 #include <vector>
 
-// What can be seen from outside the instances: by callers, by workers and by
-// operators.
+// Events that can be observed from outside the instances: by callers, workers
+// and operators.
 namespace fuchsia::tools::soak
 {
 
 struct step_shape
 {
     std::uint32_t count = 1;
-    std::vector<std::uint32_t> after; ///< Steps that must be done first.
+    std::vector<std::uint32_t>
+        after; ///< Indices of the steps that must be done first.
     bool lasting = false;
 };
 
@@ -26,17 +27,18 @@
 {
     std::string queue;
     std::vector<step_shape> steps;
-    std::uint32_t attempts = 1; ///< A task may fail this often.
+    std::uint32_t attempts = 1; ///< Number of failures after which a task is
+                                ///< not started again.
 };
 
-/// How a call of a caller ended.
+/// Outcome of a call as its caller observes it.
 enum class call_outcome : std::uint8_t
 {
     done,         ///< 2xx
-    refused,      ///< 429, 503: nothing was done and nothing will be.
-    unknown,      ///< 502, 504.
-    not_found,    ///< 404 of a queue, 410 of a job.
-    disconnected, ///< The connection ended before a whole answer.
+    refused,      ///< 429 or 503: the call has and will have no effect.
+    unknown,      ///< 502 or 504.
+    not_found,    ///< 404 for a queue, 410 for a job.
+    disconnected, ///< The connection closed before the answer was complete.
     timed_out,    ///< No answer within the caller's time limit.
 };
 
@@ -58,7 +60,8 @@
     call_outcome outcome = call_outcome::timed_out;
 };
 
-/// A question for the state of a job; `state` counts only where it is `done`.
+/// A query for the state of a job. `state` is valid only if `outcome` is
+/// `done`.
 struct status_query_ended
 {
     std::string job;
@@ -68,7 +71,7 @@
     ports::job_state state = ports::job_state::queued;
 };
 
-/// A question for the jobs of a queue that wait.
+/// A query for the number of waiting jobs of a queue.
 struct waiting_query_ended
 {
     std::string queue;
@@ -78,7 +81,7 @@
     std::uint64_t jobs = 0;
 };
 
-/// A worker began a run on an order.
+/// A worker started a run by order of an instance.
 struct run_started
 {
     std::string worker;
@@ -94,8 +97,8 @@
     ports::end_kind outcome = ports::end_kind::done;
 };
 
-/// The worker was told that this end is durable elsewhere. Never seen where
-/// its lease lapsed between the end and this: it was taken for lost.
+/// The worker was told that this end is durable in the store. Does not occur if
+/// the lease of the worker expired after the end: the run then counts as lost.
 struct end_acknowledged
 {
     std::string worker;
@@ -103,51 +106,52 @@
     ports::end_kind outcome = ports::end_kind::done;
 };
 
-/// All that ran there is gone, and no end of it will be listed.
+/// All runs on the worker are gone, and no end of them will be listed.
 struct worker_crashed
 {
     std::string worker;
 };
 
-/// The store took the worker's word that it leaves.
+/// The store accepted the notice of the worker that it is draining.
 struct worker_draining
 {
     std::string worker;
 };
 
-/// The store took the operator's word.
+/// The store accepted a change by the operator of the state of a data centre.
 struct data_centre_set
 {
     std::string name;
     bool out_of_service = false;
 };
 
-/// The store took a configuration with these queues.
+/// The store accepted a configuration with these queues.
 struct configuration_set
 {
     std::uint64_t version = 0;
     std::set<std::string> queues;
 };
 
-/// What one instance showed of the configuration: whether it knows a queue.
+/// An instance answered whether a queue is present in its configuration.
 struct queue_seen
 {
     std::string queue;
     std::string instance;
-    std::uint64_t incarnation = 0; ///< Of its process.
+    std::uint64_t incarnation = 0; ///< Start count of its process.
     core::common::time_point requested_at{};
     bool present = false;
 };
 
-/// Trouble begins or ends. While any lasts, and for `stable_window` after it,
-/// no check of a time limit counts.
+/// A fault begins or ends. Time limits are not checked while any fault is
+/// active and for `stable_window` after it.
 struct fault_state_set
 {
     std::string name;
     bool active = false;
 };
 
-/// No more jobs come; what was accepted is asked for from now on.
+/// No more jobs are submitted; from now on the state of all accepted jobs is
+/// queried.
 struct traffic_ended
 {
 };
@@ -174,24 +178,27 @@
     event event_data;
 };
 
-/// The rules that an observer can check.
+/// Rules that can be checked from outside.
 enum class rule : std::uint8_t
 {
-    job_lost,         ///< Accepted, then unknown, unanswered, or never done.
-    refused_job_ran,  ///< A task of a job whose callers were all refused
-                      ///< started.
-    duplicate_run,    ///< Two runs of a task at once, or one after its end was
-                      ///< acknowledged as done.
-    step_order,       ///< A start before the steps that it waits for were done.
-    attempt_limit,    ///< A start after the last attempt had failed.
-    ran_after_cancel, ///< A start, or a run, too long after an acknowledged
-                      ///< cancel.
-    drain,            ///< A start on a worker too long after it said it leaves.
-    data_centre, ///< A start in a data centre too long after it was taken out.
-    configuration,  ///< A queue is shown as of an older configuration.
-    waiting_count,  ///< Fewer jobs are told to wait than do.
-    reported_state, ///< A state is shown that the workers' runs contradict.
-    recovery,       ///< Too little is served too long after the last trouble.
+    job_lost,        ///< An accepted job is unknown, unanswered, or never done.
+    refused_job_ran, ///< A task started, though all submissions of its job
+                     ///< were refused.
+    duplicate_run,   ///< Two concurrent runs of a task, or a run after an end
+                     ///< was acknowledged as done.
+    step_order,      ///< A task started before the steps that it depends on
+                     ///< were done.
+    attempt_limit,   ///< A task started after its last attempt had failed.
+    ran_after_cancel, ///< A task started or continued to run too long after
+                      ///< an acknowledged cancel.
+    drain,            ///< A task started on a worker too long after its drain
+                      ///< notice.
+    data_centre,      ///< A task started in a data centre too long after its
+                      ///< evacuation.
+    configuration,    ///< An answer is based on an outdated configuration.
+    waiting_count,    ///< The reported number of waiting jobs is too low.
+    reported_state,   ///< A reported state contradicts the observed runs.
+    recovery, ///< Too few calls are served too long after the last fault.
 };
 
 struct violation
@@ -202,7 +209,7 @@
     std::string reason;
 };
 
-/// Time limits of the platform's pages.
+/// Time limits as given in the documentation of the platform.
 struct time_limits
 {
     core::common::duration stable_window = std::chrono::milliseconds(3000);
--- a/tools/soak/observation_log.hpp
+++ b/tools/soak/observation_log.hpp
@@ -9,8 +9,8 @@
 namespace fuchsia::tools::soak
 {
 
-/// Hands each observation on and writes it to a file, a line each: milliseconds
-/// since its making, and what was seen.
+/// Passes each observation to a callback and writes it to a file, one line per
+/// observation: milliseconds since the creation of the log, and the event.
 class observation_log
 {
 public:
@@ -18,9 +18,10 @@
 
     observation_log(std::string const& path, sink on_observation);
     void append(event new_event);
-    /// Of what the soak itself does; for the reader of the file alone.
+    /// Writes an action of the soak itself to the file, without calling the
+    /// sink.
     void append_comment(std::string const& text);
-    /// When it was made: zero of the file's times.
+    /// Creation time of the log: zero of the times in the file.
     core::common::time_point created_at() const noexcept;
 
 private:
--- a/tools/soak/observed_history.hpp
+++ b/tools/soak/observed_history.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-// What the checks have seen so far, by job and task.
+// Observations so far, by job and task.
 namespace fuchsia::tools::soak
 {
 
@@ -21,20 +21,23 @@
     std::string worker;
     std::uint32_t attempt = 0;
     core::common::time_point started_at{};
-    std::optional<core::common::time_point> ended_at; ///< Ended, or crashed.
-    std::optional<ports::end_kind> outcome;           ///< Empty: crashed.
+    std::optional<core::common::time_point>
+        ended_at;                           ///< Time of the end or the crash.
+    std::optional<ports::end_kind> outcome; ///< Empty after a crash.
     bool acknowledged = false;
-    bool lost = false; ///< The worker crashed before that.
+    bool lost = false; ///< The worker crashed before the end was acknowledged.
 };
 
 struct task_history
 {
-    std::vector<run_history> runs; ///< In the order of their begin.
+    std::vector<run_history> runs; ///< Runs in order of their start.
 
-    /// When the `nth` (from 1) run that ended so did end; empty: fewer did.
+    /// Time of the `nth` end (from 1) with this outcome; empty if there are
+    /// fewer.
     std::optional<core::common::time_point> ended_at(ports::end_kind end,
                                                      std::size_t nth) const;
-    /// The same of the runs whose end was acknowledged.
+    /// Time of the `nth` end (from 1) with this outcome among the acknowledged
+    /// ends; empty if there are fewer.
     std::optional<core::common::time_point>
     acknowledged_at(ports::end_kind end, std::size_t nth) const;
     bool done() const;
@@ -43,32 +46,32 @@
 struct job_history
 {
     job_shape shape;
-    std::optional<core::common::time_point> first_sent_at; ///< The first time.
-    std::size_t unanswered = 0; ///< Sendings under way.
+    std::optional<core::common::time_point> first_sent_at;
+    std::size_t unanswered = 0; ///< Submissions without an answer so far.
     std::size_t answers = 0;
     std::size_t rejections = 0;
     std::optional<core::common::time_point> accepted_at;
-    std::optional<core::common::time_point>
-        cancel_acknowledged_at; ///< Acknowledged.
-    /// The first cancel that ended so that it may have been carried out.
+    std::optional<core::common::time_point> cancel_acknowledged_at;
+    /// End of the first cancel call that may have taken effect.
     std::optional<core::common::time_point> first_possible_cancel_at;
     std::optional<core::common::time_point> first_started_at;
     std::optional<core::common::time_point> reported_cancelled_at;
-    /// The last answer on its state after the end of the traffic.
+    /// Last answer to a status query sent after the end of the traffic.
     std::optional<status_query_ended> last_status;
     bool unjustified_run_reported = false;
     std::map<std::pair<std::uint32_t, std::uint32_t>, task_history> tasks;
 
-    /// Each sending so far was answered, and none but with a rejection.
+    /// Whether each submission so far has been answered with a rejection.
     bool all_refused() const;
     bool has_task(ports::task_name const& task) const;
-    /// All tasks of the step have ended done; never, where they last.
+    /// Whether all tasks of the step have ended as done. Always false for a
+    /// long-running step.
     bool step_done(std::uint32_t step) const;
-    /// When its last task ended done; empty: not all have.
+    /// Time when the last task ended as done; empty if not all have.
     std::optional<core::common::time_point> completed_at() const;
-    /// When a task had used up its attempts; empty: none has.
+    /// Time when the first task used up its attempts; empty if none has.
     std::optional<core::common::time_point> failed_at() const;
-    /// Accepted, and nobody tried to cancel it.
+    /// Whether the job was accepted and no cancel may have taken effect.
     bool must_complete() const;
 };
 
@@ -82,12 +85,13 @@
     std::optional<core::common::time_point> traffic_end;
     std::vector<violation> violations;
 
-    /// When a cancel of the job has to be obeyed from, as known at `at`; also
-    /// an unanswered one, once it had time enough to be acknowledged.
+    /// Time from which a cancel of the job must take effect, as known at `at`.
+    /// An unanswered cancel counts too, once it has had enough time to be
+    /// acknowledged.
     std::optional<core::common::time_point>
     cancelled_since(job_history const& job, core::common::time_point at) const;
-    /// No trouble for the last `length` before `at`, and before that long
-    /// enough for the system to be itself again.
+    /// Returns whether no fault was active for `length` before `at` and for the
+    /// stable window before that.
     bool fault_free_for(core::common::duration length,
                         core::common::time_point at) const;
     void report(rule which,
@@ -96,7 +100,7 @@
                 std::string reason);
 };
 
-/// JOB.STEP.INDEX
+/// Returns the name of the task as JOB.STEP.INDEX.
 std::string name_of(ports::task_name const& task);
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/plan.cpp
+++ b/tools/soak/plan.cpp
@@ -60,7 +60,7 @@
     return kinds[static_cast<std::size_t>(kind)];
 }
 
-// Troubled time and calm time take turns, so that promises with a time limit
+// Periods with faults alternate with fault-free periods, so that time limits
 // are checked too.
 constexpr duration shortest_fault_period = 2s;
 constexpr duration longest_fault_period = 6s;
@@ -127,7 +127,8 @@
     }
 }
 
-// Words of operators and ordinary upkeep come at any time.
+// Operator actions and ordinary maintenance, which suspend no time limits,
+// occur at any time.
 void draw_operator_actions(plan_settings const& settings,
                            std::vector<fault>& out)
 {
@@ -142,7 +143,8 @@
     }
 }
 
-// Tasks that outlive a lease, among many that are soon over.
+// Kind of job by the length of its tasks. Some tasks must outlive a lease; most
+// end soon.
 enum class job_kind : std::uint8_t
 {
     brief,
--- a/tools/soak/plan.hpp
+++ b/tools/soak/plan.hpp
@@ -10,23 +10,25 @@
 #include <string_view>
 #include <vector>
 
-// What a soak does and when: drawn as a whole from its seed.
+// Plan of a soak run: all jobs and faults with their times, drawn from one
+// seed.
 namespace fuchsia::tools::soak
 {
 
 enum class fault_kind : std::uint8_t
 {
-    kill,            ///< SIGKILL; started again at the end.
-    stop,            ///< SIGTERM; started again at the end.
-    pause,           ///< SIGSTOP and SIGCONT.
-    settings_change, ///< The settings file changes; SIGHUP for half of them.
+    kill,            ///< SIGKILL; the instance restarts at the end.
+    stop,            ///< SIGTERM; the instance restarts at the end.
+    pause,           ///< SIGSTOP at the begin, SIGCONT at the end.
+    settings_change, ///< The settings file changes; half of the time with
+                     ///< SIGHUP.
     store_delay,
     store_cut,
-    store_reset, ///< Of one instance's connections.
+    store_reset, ///< Resets the store connections of one instance.
     caller_delay,
     caller_cut,
     caller_reset,
-    worker_cut, ///< Between all instances and one worker.
+    worker_cut, ///< Cuts the link between all instances and one worker.
     worker_reset,
     store_silent,
     store_refusing,
@@ -35,29 +37,31 @@
     watch_lost,
     compaction,
     lease_lapse,
-    crash, ///< Of a worker; reborn at the end.
-    drain, ///< It leaves at the end, and another comes.
+    crash, ///< A worker crashes and restarts at the end.
+    drain, ///< A worker drains; another replaces it at the end.
     worker_late,
-    worker_silent, ///< Its orders are carried out at the end.
+    worker_silent, ///< The worker carries out its pending orders at the end.
     worker_lossy,
     configuration, ///< The operator adds or removes a queue.
-    evacuation,    ///< The operator takes a data centre out, and back.
+    evacuation,    ///< The operator evacuates a data centre and ends the
+                   ///< evacuation.
 };
 
 std::string_view name_of(fault_kind kind) noexcept;
 std::optional<fault_kind> fault_kind_from(std::string_view name) noexcept;
 std::set<fault_kind> all_fault_kinds();
-/// Whether promises with a time limit hold while it lasts.
+/// Whether time limits are not checked while a fault of this kind is active.
 bool suspends_time_limits(fault_kind kind) noexcept;
 
 struct fault
 {
-    core::common::duration at{}; ///< From the start of the traffic.
+    core::common::duration at{}; ///< Time since the start of the traffic.
     core::common::duration length{};
     fault_kind kind = fault_kind::kill;
-    std::uint32_t target = 0;  ///< Instance or worker.
-    std::uint32_t variant = 0; ///< Its kind's choice among variants.
-    /// Of one that meets an instance: it meets whoever owns the pool then.
+    std::uint32_t target = 0;  ///< Index of the instance or worker.
+    std::uint32_t variant = 0; ///< Selects a variant of the kind.
+    /// Whether a fault of an instance hits the current owner of the pool
+    /// instead of `target`.
     bool at_owner = false;
 };
 
@@ -68,9 +72,11 @@
     std::string spec;
     job_shape shape;
     std::uint32_t caller = 0;
-    std::uint32_t instance = 0;   ///< Where the first try goes.
-    bool retries_refusals = true; ///< Its caller tries again after a refusal.
-    bool resubmitted = false;     ///< Sent once more after its acceptance.
+    std::uint32_t instance = 0; ///< Instance that gets the first submission.
+    bool retries_refusals =
+        true;                 ///< Whether the caller retries after a refusal.
+    bool resubmitted = false; ///< Whether it is submitted again after its
+                              ///< acceptance.
     std::optional<core::common::duration> cancel_after;
 };
 
@@ -85,20 +91,20 @@
 
 struct plan
 {
-    std::vector<fault> faults; ///< In order of time.
+    std::vector<fault> faults; ///< Faults in order of time.
     std::vector<planned_job> jobs;
 };
 
 constexpr std::uint32_t caller_count = 12;
-/// The queues that jobs go to; these never change.
+/// Queues that receive jobs. They are part of every configuration.
 constexpr std::string_view first_queue = "jobs";
 constexpr std::string_view second_queue = "side";
-/// Queues that the operator adds and removes: "extra0" and so on.
+/// Number of queues that the operator adds and removes, named "extra0" and up.
 constexpr std::uint32_t extra_queue_count = 3;
 std::string extra_queue(std::uint32_t number);
 
 plan make_plan(plan_settings const& settings);
-/// One line for each fault and job.
+/// Returns one line per fault and job.
 std::string to_text(plan const& drawn);
 
 } // namespace fuchsia::tools::soak
--- a/tools/soak/random_source.hpp
+++ b/tools/soak/random_source.hpp
@@ -8,7 +8,8 @@
 namespace fuchsia::tools::soak
 {
 
-/// Draws that are the same on every machine for one seed.
+/// Source of random numbers that yields the same sequence for a seed on every
+/// machine.
 class random_source
 {
 public:
@@ -16,7 +17,7 @@
     {
     }
 
-    /// From 0 to `end` - 1; `end` is above 0.
+    /// Returns a number from 0 to `end` - 1; `end` must be above 0.
     std::uint32_t below(std::uint64_t end)
     {
         return static_cast<std::uint32_t>(random_() % end);
--- a/tools/soak/recovery_check.cpp
+++ b/tools/soak/recovery_check.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/// Fewer calls than these say nothing.
+/// Minimum number of calls for a significant share.
 constexpr std::size_t minimum_calls = 12;
-/// At least one call of this many has to be served.
+/// At least one in this many calls must be served.
 constexpr std::size_t minimum_served_divisor = 4;
 
 struct tally
@@ -87,15 +87,15 @@
     time_point const due = *spans.back().to + history.bounds.recovery;
     tally before;
     tally after;
-    for (call const& one : calls)
+    for (call const& current : calls)
     {
-        if (one.ended < spans.back().from)
+        if (current.ended < spans.back().from)
         {
-            before.add(one.served);
+            before.add(current.served);
         }
-        if (one.sent > due)
+        if (current.sent > due)
         {
-            after.add(one.served);
+            after.add(current.served);
         }
     }
     bool const worked_before = before.calls >= minimum_calls && before.good();
@@ -105,7 +105,8 @@
                        now,
                        kind,
                        std::to_string(after.served) + " of " +
-                           std::to_string(after.calls) + " served");
+                           std::to_string(after.calls) +
+                           " calls served after the last fault");
     }
 }
 
--- a/tools/soak/recovery_check.hpp
+++ b/tools/soak/recovery_check.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-// Whether callers are served again after the last trouble.
+// Checks whether callers are served again after the last fault.
 namespace fuchsia::tools::soak
 {
 
-/// Checks `recovery`, for submissions and for questions separately.
+/// Checks the rule `recovery`, separately for submissions and for queries.
 class recovery_check
 {
 public:
@@ -30,12 +30,13 @@
     };
 
     static void check_calls(observed_history& history,
-                      core::common::time_point now,
-                      std::vector<call> const& calls,
-                      char const* kind);
+                            core::common::time_point now,
+                            std::vector<call> const& calls,
+                            char const* kind);
 
-    /// When the sendings under way began, by job, the oldest first.
-    std::map<std::string, std::vector<core::common::time_point>> pending_submissions_;
+    /// Send times of unanswered submissions by job, oldest first.
+    std::map<std::string, std::vector<core::common::time_point>>
+        pending_submissions_;
     std::vector<call> submissions_;
     std::vector<call> queries_;
 };
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -29,16 +29,19 @@
     job_history& job = history.jobs[task.job];
     if (!job.has_task(task))
     {
-        history.report(
-            rule::refused_job_ran, at, name_of(task), "nobody handed it in");
+        history.report(rule::refused_job_ran,
+                       at,
+                       name_of(task),
+                       "started, but its job was never submitted");
         job.unjustified_run_reported = true;
     }
     else if (job.all_refused())
     {
-        history.report(rule::refused_job_ran,
-                       at,
-                       name_of(task),
-                       "starts after the refusal");
+        history.report(
+            rule::refused_job_ran,
+            at,
+            name_of(task),
+            "started after all submissions of its job were rejected");
         job.unjustified_run_reported = true;
     }
 }
@@ -59,12 +62,15 @@
         history.report(rule::duplicate_run,
                        at,
                        name_of(task),
-                       "runs already on " + other->worker);
+                       "already runs on " + other->worker);
     }
     if (!is_lasting(history.jobs[task.job], task) &&
         task_record.acknowledged_at(end_kind::done, 1))
     {
-        history.report(rule::duplicate_run, at, name_of(task), "was done");
+        history.report(rule::duplicate_run,
+                       at,
+                       name_of(task),
+                       "started after an acknowledged end");
     }
 }
 
@@ -95,8 +101,10 @@
             .acknowledged_at(end_kind::failed, job.shape.attempts);
     if (!is_lasting(job, task) && last)
     {
-        history.report(
-            rule::attempt_limit, at, name_of(task), "had failed for good");
+        history.report(rule::attempt_limit,
+                       at,
+                       name_of(task),
+                       "started after its last attempt had failed");
     }
 }
 
@@ -108,13 +116,15 @@
     duration const bound = history.bounds.cancel;
     if (since && at > *since + bound && history.fault_free_for(bound, at))
     {
-        history.report(
-            rule::ran_after_cancel, at, name_of(task), "its job is cancelled");
+        history.report(rule::ran_after_cancel,
+                       at,
+                       name_of(task),
+                       "started too long after the cancel of its job");
     }
 }
 
-/// Whether a run of a cancelled job worked on, up to `at`, longer than it may
-/// in some calm stretch.
+/// Reports a run of a cancelled job if, up to `at`, it continued longer than
+/// allowed within a fault-free interval.
 void check_stopped(observed_history& history,
                    time_point at,
                    ports::task_name const& task,
@@ -125,7 +135,8 @@
     {
         return;
     }
-    // An order that came late leaves time to hear of the run.
+    // If the order was delayed by a fault, the instances need time to detect
+    // the run.
     time_point const detected_by =
         run.started_at + history.bounds.stable_window;
     bool const in_time =
@@ -138,12 +149,13 @@
         history.report(rule::ran_after_cancel,
                        at,
                        name_of(task),
-                       "ran on after the cancel");
+                       "continued to run too long after the cancel of its job");
     }
 }
 
-/// Whether a run began after what the end at `decided` ruled out, where that
-/// end was acknowledged only at `at`. Trouble may have hidden the end.
+/// Whether a run started after the end at `decided_at`, which ruled out further
+/// runs and was acknowledged at `at`. Returns false if a fault was active in
+/// between, because the fault may have hidden the end.
 bool started_after(observed_history const& history,
                    task_history const& task_record,
                    time_point decided_at,
@@ -172,14 +184,16 @@
     if (is_final && !is_lasting(job, task) &&
         started_after(history, task_record, *decided_at, at))
     {
-        history.report(done ? rule::duplicate_run : rule::attempt_limit,
-                       at,
-                       name_of(task),
-                       "began again after this end");
+        history.report(
+            done ? rule::duplicate_run : rule::attempt_limit,
+            at,
+            name_of(task),
+            "started again between its final end and the acknowledgement");
     }
 }
 
-/// Ends that nobody may have heard of are gone with the worker.
+/// Marks the unacknowledged ends on a crashed worker as lost: possibly no
+/// instance has received them.
 void mark_lost_ends(observed_history& history, std::string const& worker)
 {
     for (auto& [name, job] : history.jobs)
@@ -233,12 +247,12 @@
     std::string const task = name_of(start.run.task);
     if (late(draining_since_, start.worker, history.bounds.drain))
     {
-        history.report(rule::drain, at, task, start.worker + " leaves");
+        history.report(rule::drain, at, task, start.worker + " is draining");
     }
     if (late(evacuated_since_, start.data_centre, history.bounds.data_centre))
     {
         history.report(
-            rule::data_centre, at, task, start.data_centre + " is out");
+            rule::data_centre, at, task, start.data_centre + " is evacuated");
     }
 }
 
@@ -334,7 +348,7 @@
             history.report(rule::refused_job_ran,
                            now,
                            name,
-                           "ran, and was refused each time");
+                           "ran, but all submissions were rejected");
         }
     }
 }
--- a/tools/soak/runs_check.hpp
+++ b/tools/soak/runs_check.hpp
@@ -7,35 +7,36 @@
 #include <string>
 #include <utility>
 
-// What workers see: starts, ends and crashes.
+// Checks the starts, ends and crashes that workers observe.
 namespace fuchsia::tools::soak
 {
 
-/// Checks `refused_ran`, `doubled`, `order`, `attempts`, `cancelled`, `drain`
-/// and `data_centre`.
+/// Checks the rules `refused_ran`, `doubled`, `order`, `attempts`, `cancelled`,
+/// `drain` and `data_centre`.
 class runs_check
 {
 public:
     void record(observed_history& history,
-              core::common::time_point at,
-              run_started const& start);
+                core::common::time_point at,
+                run_started const& start);
     void record(observed_history& history,
-              core::common::time_point at,
-              run_ended const& end);
+                core::common::time_point at,
+                run_ended const& end);
     void record(observed_history& history,
-              core::common::time_point at,
-              end_acknowledged const& end);
+                core::common::time_point at,
+                end_acknowledged const& end);
     void record(observed_history& history,
-              core::common::time_point at,
-              worker_crashed const& crash);
+                core::common::time_point at,
+                worker_crashed const& crash);
     void record(observed_history& history,
-              core::common::time_point at,
-              worker_draining const& draining);
+                core::common::time_point at,
+                worker_draining const& draining);
     void record(observed_history& history,
-              core::common::time_point at,
-              data_centre_set const& change);
+                core::common::time_point at,
+                data_centre_set const& change);
 
-    /// What still runs for a cancelled job, and what ran for a refused one.
+    /// Checks for runs of cancelled jobs that have not ended, and for runs of
+    /// jobs that were refused only later.
     void finish(observed_history& history, core::common::time_point now) const;
 
 private:
@@ -45,7 +46,8 @@
 
     std::map<std::string, core::common::time_point> draining_since_;
     std::map<std::string, core::common::time_point> evacuated_since_;
-    /// What runs, by worker and run: the place in the task's book.
+    /// Active runs by worker and run; the value is the index in
+    /// `task_history::runs`.
     std::map<std::pair<std::string, ports::pool_attempt>, std::size_t> running_;
 };
 
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -26,7 +26,7 @@
 
 constexpr duration tick_interval = 20ms;
 constexpr duration start_limit = 20s;
-// Twice what the jobs need on average: bursts have to wait.
+// Twice the average demand of the jobs, so that jobs of a burst have to wait.
 constexpr std::uint32_t pool_millicores = 48'000;
 constexpr std::uint16_t store_port = 20'000;
 constexpr std::uint16_t first_worker_port = 20'100;
@@ -87,7 +87,7 @@
             [this]
             {
                 failures_.emplace_back("the soak was interrupted");
-                io_.stop(); // Its processes end with this object.
+                io_.stop(); // The child processes end with this object.
             });
         enter(phase::starting);
         probe_readiness();
@@ -177,7 +177,8 @@
         return clock::now() - phase_began_at_;
     }
 
-    // The traffic begins once every instance has been ready.
+    // Probes one instance after the other; the traffic begins once each has
+    // been ready.
     void probe_readiness()
     {
         if (phase_ != phase::starting || ready_count_ == instances_.size())
@@ -234,7 +235,8 @@
             });
     }
 
-    // On a machine too busy for us the instances have too little as well.
+    // If the machine is too busy for the soak, the instances also lack CPU
+    // time, so this counts as a fault.
     void record_lag(duration lag)
     {
         constexpr duration too_late = 250ms;
@@ -251,7 +253,8 @@
     {
         if (in_phase() > start_limit)
         {
-            failures_.emplace_back("not all instances got ready");
+            failures_.emplace_back(
+                "not all instances became ready within the start limit");
             begin_stop();
             return;
         }
@@ -283,7 +286,8 @@
         }
     }
 
-    // What an instance that is still to end holds up is not yet healed.
+    // The time limit for the remaining jobs starts once all faults have ended,
+    // including instances that still have to exit and restart.
     void tick_finish(time_point now)
     {
         constexpr duration answer_reserve = 2s;
--- a/tools/soak/traffic_generator.cpp
+++ b/tools/soak/traffic_generator.cpp
@@ -251,8 +251,8 @@
                  });
 }
 
-// From the sending on it may be carried out, which is told as a cancel whose
-// fate is unknown.
+// The cancel may take effect as soon as it has been sent. This is recorded as a
+// cancel with unknown outcome before the call.
 void traffic_generator::cancel(entry& job, std::size_t instance)
 {
     auto const& plan = job.plan;
@@ -334,8 +334,8 @@
         });
 }
 
-// An answer that came from another life of the process than was asked counts
-// for neither.
+// An answer is discarded if the process was restarted since the query was sent,
+// because it can't be attributed to either incarnation.
 void traffic_generator::query_queue()
 {
     auto const at = random_.below(instances_.size());
--- a/tools/soak/traffic_generator.hpp
+++ b/tools/soak/traffic_generator.hpp
@@ -22,13 +22,13 @@
 struct traffic_counts
 {
     std::uint64_t accepted = 0;
-    std::uint64_t refused = 0; ///< Each try was, up to the last.
+    std::uint64_t refused = 0; ///< Jobs whose tries were all refused.
     std::uint64_t unknown = 0;
     std::uint64_t completed = 0;
 };
 
-/// Callers: each keeps its connections until they break, hands in its jobs,
-/// tries again at other instances, cancels, and asks.
+/// Simulates callers. Each keeps its connections until they break, submits its
+/// jobs, retries at other instances, cancels jobs, and queries states.
 class traffic_generator
 {
 public:
@@ -38,12 +38,12 @@
                       std::uint64_t seed);
 
     void begin(std::vector<planned_job> const& jobs);
-    /// No more jobs; cancels those that last, and asks for each accepted job
-    /// again and again until it is over.
+    /// Stops submitting, cancels long-running jobs, and queries each accepted
+    /// job repeatedly until it is reported as over.
     void end();
-    /// Every accepted job was told to be over since `end`.
+    /// Returns whether each accepted job has been reported as over since `end`.
     bool all_finished() const;
-    /// Cancels all that is under way.
+    /// Cancels all pending calls and timers.
     void stop();
     traffic_counts counts() const;
 
@@ -53,21 +53,23 @@
         planned_job plan;
         std::uint32_t tries = 0;
         bool accepted = false;
-        bool refused = true; ///< No try ended otherwise.
+        bool refused = true; ///< All tries so far ended as refused.
         bool cancelling = false;
-        bool confirmed_over = false; ///< Told to be over, after the traffic.
+        bool confirmed_over = false; ///< Reported as over after the end of the
+                                     ///< traffic.
         ports::job_state state = ports::job_state::queued;
     };
-    using answer_handler = std::function<void(call_outcome, std::string const& body)>;
+    using answer_handler =
+        std::function<void(call_outcome, std::string const& body)>;
 
     void run_after(core::common::duration wait, std::function<void()> action);
     void send_request(std::uint32_t caller,
-             std::size_t instance,
-             std::string const& method,
-             std::string const& queue,
-             std::string const& id,
-             std::string const& body,
-             answer_handler on_answer);
+                      std::size_t instance,
+                      std::string const& method,
+                      std::string const& queue,
+                      std::string const& id,
+                      std::string const& body,
+                      answer_handler on_answer);
     void submit(entry& job);
     void handle_submit_answer(entry& job, call_outcome outcome);
     void resubmit(entry& job);
