--- a/tests/unit/soak/checker_test.cpp
+++ b/tests/unit/soak/checker_test.cpp
@@ -9,122 +9,128 @@
 
 std::set<rule> const none;
 
-std::set<rule> only(rule which)
+std::set<rule> only(rule broken_rule)
 {
-    return {which};
+    return {broken_rule};
 }
 
-/// An accepted job, and the end of the traffic 5 s later.
+/// Returns a scenario with an accepted job and the end of the traffic 5 s
+/// later.
 scenario accepted_until_traffic_ends(job_shape const& shape = single_task_job())
 {
-    scenario seen;
-    seen.submit("a", shape);
-    seen.at(5s).observe(traffic_ended{});
-    return seen;
+    scenario events;
+    events.submit("a", shape);
+    events.at(5s).observe(traffic_ended{});
+    return events;
 }
 
+/// Returns a scenario with a job whose cancel is acknowledged after 1 s.
 scenario cancelled(job_shape const& shape = lasting_job())
 {
-    scenario seen;
-    seen.submit("a", shape);
-    seen.at(1s).observe(cancel_ended{"a", call_outcome::done});
-    return seen;
+    scenario events;
+    events.submit("a", shape);
+    events.at(1s).observe(cancel_ended{"a", call_outcome::done});
+    return events;
 }
 
-/// Two queues from the begin on; `b` goes a minute later.
+/// Returns a scenario with the queues `a` and `b`; `b` is removed after a
+/// minute.
 scenario two_configurations()
 {
-    scenario seen;
-    seen.observe(configuration_set{1, {"a", "b"}}).queue_shown("b", true);
-    seen.at(60s).observe(configuration_set{2, {"a"}});
-    return seen;
+    scenario events;
+    events.observe(configuration_set{1, {"a", "b"}}).queue_shown("b", true);
+    events.at(60s).observe(configuration_set{2, {"a"}});
+    return events;
 }
 
 } // namespace
 
-// An instance forgets a job whose submission it acknowledged.
-TEST(soak_lost, accepted_job_is_unknown_after_a_while)
+// An instance may lose a job whose submission it acknowledged.
+TEST(soak_lost, unknown_accepted_job_is_reported_after_the_time_limit)
 {
-    scenario seen;
-    seen.submit("a", single_task_job());
-    seen.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events;
+    events.submit("a", single_task_job());
+    events.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-TEST(soak_lost, an_instance_may_not_know_a_job_yet)
+TEST(soak_lost, unknown_job_is_allowed_within_the_time_limit)
 {
-    scenario seen;
-    seen.submit("a", single_task_job());
-    seen.at(3s).status("a", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job());
+    events.at(3s).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_lost, an_instance_may_not_know_a_job_in_trouble)
+TEST(soak_lost, unknown_job_is_allowed_during_a_fault)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).with_fault(500ms, 600ms);
-    seen.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).with_fault(500ms, 600ms);
+    events.at(3001ms).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_lost, a_job_that_ended_long_ago_may_be_forgotten)
+TEST(soak_lost, unknown_job_is_allowed_long_after_its_end)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a")).end(task("a"));
-    seen.at(121s).status("a", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a")).end(task("a"));
+    events.at(121s).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_lost, a_cancelled_or_unaccepted_job_may_be_unknown)
+TEST(soak_lost, unknown_cancelled_or_unaccepted_job_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", single_task_job())
+    scenario events;
+    events.submit("a", single_task_job())
         .submit("b", single_task_job(), call_outcome::timed_out);
-    seen.observe(cancel_ended{"a", call_outcome::timed_out});
-    seen.at(9s).status("a", job_state::queued, call_outcome::not_found);
-    seen.status("b", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), none);
+    events.observe(cancel_ended{"a", call_outcome::timed_out});
+    events.at(9s).status("a", job_state::queued, call_outcome::not_found);
+    events.status("b", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// What was accepted is gone once all trouble is over.
-TEST(soak_lost, accepted_job_is_unknown_at_the_end_even_after_trouble)
+// A fault may excuse a missing answer, but not an accepted job that is still
+// unknown after all faults have ended.
+TEST(soak_lost, unknown_accepted_job_at_the_end_is_reported_even_after_a_fault)
 {
-    scenario seen = accepted_until_traffic_ends();
-    seen.with_fault(6s, 19s);
-    seen.at(20s).status("a", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends();
+    events.with_fault(6s, 19s);
+    events.at(20s).status("a", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-// A job that no instance answers for is as good as lost.
-TEST(soak_lost, accepted_job_gets_no_answer_at_the_end)
+// A job for which no instance answers counts as lost.
+TEST(soak_lost, accepted_job_without_an_answer_at_the_end_is_reported)
 {
-    scenario seen = accepted_until_traffic_ends();
-    seen.start(task("a")).end(task("a"));
-    seen.at(20s).status("a", job_state::queued, call_outcome::timed_out);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends();
+    events.start(task("a")).end(task("a"));
+    events.at(20s).status("a", job_state::queued, call_outcome::timed_out);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-// A job is kept, and never run.
-TEST(soak_lost, accepted_job_is_never_done)
+// An accepted job may stay in the store without ever being started.
+TEST(soak_lost, accepted_job_that_never_runs_is_reported)
 {
-    scenario seen = accepted_until_traffic_ends();
-    seen.at(20s).status("a", job_state::queued);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends();
+    events.at(20s).status("a", job_state::queued);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-TEST(soak_lost, accepted_job_has_time_to_be_done)
+TEST(soak_lost,
+     unfinished_job_is_allowed_within_the_time_limit_or_after_a_fault)
 {
     scenario early = accepted_until_traffic_ends();
     early.at(19s).status("a", job_state::queued);
     EXPECT_EQ(early.broken_rules(), none);
 
-    scenario troubled = accepted_until_traffic_ends();
-    troubled.with_fault(6s, 7s).at(20s).status("a", job_state::queued);
-    EXPECT_EQ(troubled.broken_rules(), none);
+    scenario with_fault_active = accepted_until_traffic_ends();
+    with_fault_active.with_fault(6s, 7s).at(20s).status("a", job_state::queued);
+    EXPECT_EQ(with_fault_active.broken_rules(), none);
 }
 
-// A job whose long attempts fail one after the other is not idle.
-TEST(soak_lost, job_with_a_run_at_work_is_not_never_done)
+// A job whose long attempts fail one after the other still makes progress, so
+// it must not count as never done.
+TEST(soak_lost, unfinished_job_is_reported_only_without_a_recent_run)
 {
     scenario working = accepted_until_traffic_ends({"q", {{1, {}, false}}, 4});
     working.at(10s).start(task("a"));
@@ -140,89 +146,93 @@
     EXPECT_EQ(idle.broken_rules(), only(rule::job_lost));
 }
 
-// All tasks ended, and the job's owner is never told.
-TEST(soak_lost, done_job_is_never_shown_as_completed)
+// All tasks may have ended while the caller never learns that the job is
+// completed.
+TEST(soak_lost, done_job_never_shown_as_completed_is_reported)
 {
-    scenario seen = accepted_until_traffic_ends();
-    seen.start(task("a")).end(task("a")).acknowledge(task("a"));
-    seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends();
+    events.start(task("a")).end(task("a")).acknowledge(task("a"));
+    events.at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-// A crash elsewhere is no excuse for an end that was there to be heard.
-TEST(soak_lost, done_job_is_never_shown_as_completed_after_another_crash)
+// A crash of another worker does not excuse a lost end, because the end could
+// still be read from its own worker.
+TEST(soak_lost,
+     done_job_never_shown_as_completed_is_reported_despite_another_crash)
 {
-    scenario seen = accepted_until_traffic_ends();
-    seen.start(task("a")).end(task("a")).observe(worker_crashed{"w2"});
-    seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends();
+    events.start(task("a")).end(task("a")).observe(worker_crashed{"w2"});
+    events.at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-TEST(soak_lost, job_whose_end_was_lost_or_is_news_may_be_shown_as_active)
+TEST(soak_lost, active_state_is_allowed_after_a_lost_or_recent_end)
 {
     scenario lost = accepted_until_traffic_ends();
     lost.start(task("a")).end(task("a")).observe(worker_crashed{"w1"});
     lost.at(20s).status("a", job_state::active);
     EXPECT_EQ(lost.broken_rules(), none);
 
-    scenario news = accepted_until_traffic_ends();
-    news.start(task("a")).at(17001ms).end(task("a"));
-    news.at(20s).status("a", job_state::active);
-    EXPECT_EQ(news.broken_rules(), none);
+    scenario recent = accepted_until_traffic_ends();
+    recent.start(task("a")).at(17001ms).end(task("a"));
+    recent.at(20s).status("a", job_state::active);
+    EXPECT_EQ(recent.broken_rules(), none);
 }
 
-TEST(soak_lost, done_failed_and_cancelled_jobs_are_served)
+TEST(soak_lost, done_failed_and_cancelled_jobs_are_not_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job())
+    scenario events;
+    events.submit("a", single_task_job())
         .submit("b", single_task_job())
         .submit("c", single_task_job());
-    seen.start(task("a")).end(task("a"));
-    seen.start(task("b")).end(task("b"), end_kind::failed);
-    seen.observe(cancel_ended{"c", call_outcome::done});
-    seen.at(5s).observe(traffic_ended{}).at(20s);
-    seen.status("a", job_state::completed).status("b", job_state::failed);
-    EXPECT_EQ(seen.broken_rules(), none);
+    events.start(task("a")).end(task("a"));
+    events.start(task("b")).end(task("b"), end_kind::failed);
+    events.observe(cancel_ended{"c", call_outcome::done});
+    events.at(5s).observe(traffic_ended{}).at(20s);
+    events.status("a", job_state::completed).status("b", job_state::failed);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_lost, step_behind_a_lasting_one_is_not_owed)
+TEST(soak_lost, unstarted_step_after_a_long_running_step_is_allowed)
 {
-    scenario seen = accepted_until_traffic_ends(
+    scenario events = accepted_until_traffic_ends(
         {"q", {{1, {}, true}, {1, {0}, false}, {1, {1}, true}}, 1});
-    seen.start(task("a")).at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), none);
+    events.start(task("a")).at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// The first step is done, and the second is left out.
-TEST(soak_lost, later_step_is_never_done)
+// The first step may be done while the second is never started.
+TEST(soak_lost, later_step_that_never_runs_is_reported)
 {
-    scenario seen = accepted_until_traffic_ends(two_step_job());
-    seen.start(task("a")).end(task("a"));
-    seen.start(task("a", 0, 1)).end(task("a", 0, 1));
-    seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends(two_step_job());
+    events.start(task("a")).end(task("a"));
+    events.start(task("a", 0, 1)).end(task("a", 0, 1));
+    events.at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-// A task that lasts ends and stays away.
-TEST(soak_lost, lasting_task_is_not_started_again)
+// A long-running task may end and never be started again.
+TEST(soak_lost, long_running_task_that_is_not_restarted_is_reported)
 {
-    scenario seen = accepted_until_traffic_ends(lasting_job());
-    seen.start(task("a")).end(task("a"));
-    seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), only(rule::job_lost));
+    scenario events = accepted_until_traffic_ends(lasting_job());
+    events.start(task("a")).end(task("a"));
+    events.at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), only(rule::job_lost));
 }
 
-TEST(soak_lost, lasting_task_runs_or_has_just_ended)
+TEST(soak_lost, long_running_task_that_has_just_ended_is_allowed)
 {
-    scenario seen = accepted_until_traffic_ends(lasting_job());
-    seen.start(task("a"));
-    seen.at(12s).end(task("a"), end_kind::failed);
-    seen.at(20s).status("a", job_state::active);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events = accepted_until_traffic_ends(lasting_job());
+    events.start(task("a"));
+    events.at(12s).end(task("a"), end_kind::failed);
+    events.at(20s).status("a", job_state::active);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// A caller is told that nothing was done, and it is done.
-TEST(soak_refused, refused_job_runs)
+// A caller may get a refusal, which means that the call has no effect, while
+// its job runs.
+TEST(soak_refused, run_of_a_refused_job_is_reported)
 {
     scenario after;
     after.submit("a", single_task_job(), call_outcome::refused)
@@ -235,8 +245,8 @@
     EXPECT_EQ(before.broken_rules(), only(rule::refused_job_ran));
 }
 
-// Workers are told to run what nobody asked for.
-TEST(soak_refused, task_that_nobody_submitted_runs)
+// Workers may get orders for jobs or tasks that were never submitted.
+TEST(soak_refused, run_of_a_task_that_was_not_submitted_is_reported)
 {
     scenario no_job;
     no_job.start(task("a"));
@@ -251,16 +261,16 @@
     EXPECT_EQ(no_occurrence.broken_rules(), only(rule::refused_job_ran));
 }
 
-// A job is handed in to a queue that isn't there, and runs.
-TEST(soak_refused, job_of_an_absent_queue_runs)
+// A job may run though it was submitted to a queue that does not exist.
+TEST(soak_refused, run_of_a_job_of_an_absent_queue_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job(), call_outcome::not_found)
+    scenario events;
+    events.submit("a", single_task_job(), call_outcome::not_found)
         .start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::refused_job_ran));
+    EXPECT_EQ(events.broken_rules(), only(rule::refused_job_ran));
 }
 
-TEST(soak_refused, job_with_one_caller_in_doubt_may_run)
+TEST(soak_refused, run_is_allowed_if_one_submission_has_an_unknown_outcome)
 {
     scenario unknown;
     unknown.submit("a", single_task_job(), call_outcome::refused);
@@ -274,58 +284,59 @@
     EXPECT_EQ(under_way.broken_rules(), none);
 }
 
-// A task is started on a second worker while the first works on it.
-TEST(soak_doubled, two_runs_at_once)
+// A task may be started on a second worker while it still runs on the first.
+TEST(soak_doubled, two_concurrent_runs_are_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a"));
-    seen.at(1s).start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken_rules(), only(rule::duplicate_run));
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a"));
+    events.at(1s).start(task("a"), 2, "w2");
+    EXPECT_EQ(events.broken_rules(), only(rule::duplicate_run));
 }
 
-TEST(soak_doubled, another_run_after_a_crash_or_an_end)
+TEST(soak_doubled, new_run_after_a_crash_or_an_expired_lease_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", single_task_job())
+    scenario events;
+    events.submit("a", single_task_job())
         .start(task("a"))
         .observe(worker_crashed{"w1"});
-    seen.start(task("a"), 2, "w2")
+    events.start(task("a"), 2, "w2")
         .end(task("a"), end_kind::lease_expired, 2, "w2");
-    seen.start(task("a"), 3, "w1");
-    EXPECT_EQ(seen.broken_rules(), none);
+    events.start(task("a"), 3, "w1");
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// A crash of one worker says nothing of the runs on another.
-TEST(soak_doubled, run_beside_one_that_another_workers_crash_left)
+// A crash of one worker does not end the runs on another.
+TEST(soak_doubled, concurrent_run_after_a_crash_of_another_worker_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job())
+    scenario events;
+    events.submit("a", single_task_job())
         .start(task("a"))
         .observe(worker_crashed{"w2"});
-    seen.start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken_rules(), only(rule::duplicate_run));
+    events.start(task("a"), 2, "w2");
+    EXPECT_EQ(events.broken_rules(), only(rule::duplicate_run));
 }
 
-// An end that was written down is forgotten, and the work done once more.
-TEST(soak_doubled, start_after_an_acknowledged_end)
+// A durable end may be lost, so that the task runs again.
+TEST(soak_doubled, start_after_an_acknowledged_end_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a")).end(task("a"));
-    seen.acknowledge(task("a")).with_fault(1s, 2s);
-    seen.start(task("a"), 2, "w2");
-    EXPECT_EQ(seen.broken_rules(), only(rule::duplicate_run));
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a")).end(task("a"));
+    events.acknowledge(task("a")).with_fault(1s, 2s);
+    events.start(task("a"), 2, "w2");
+    EXPECT_EQ(events.broken_rules(), only(rule::duplicate_run));
 }
 
-// The end is acknowledged, but after the task was started again.
-TEST(soak_doubled, start_between_an_end_and_its_acknowledgement)
+// A task may be started again after its end but before the acknowledgement,
+// without a fault that would have hidden the end.
+TEST(soak_doubled, start_between_an_end_and_its_acknowledgement_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a")).end(task("a"));
-    seen.at(1s).start(task("a"), 2, "w2").at(2s).acknowledge(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::duplicate_run));
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a")).end(task("a"));
+    events.at(1s).start(task("a"), 2, "w2").at(2s).acknowledge(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::duplicate_run));
 }
 
-TEST(soak_doubled, start_after_an_end_that_nobody_heard_of)
+TEST(soak_doubled, start_after_an_end_that_no_instance_received_is_allowed)
 {
     scenario crashed;
     crashed.submit("a", single_task_job()).start(task("a")).end(task("a"));
@@ -338,136 +349,138 @@
     EXPECT_EQ(cut_off.broken_rules(), none);
 }
 
-// Only the later of two ends was heard of: what began between the two is no
-// second run. (An observer who took the first for the one acknowledged would
-// blame the system.)
-TEST(soak_doubled, start_between_a_lost_end_and_the_one_acknowledged)
+// Only the later of two ends was acknowledged, so the run that started between
+// them is no duplicate. A checker that attributed the acknowledgement to the
+// first end would report a violation of a correct system.
+TEST(soak_doubled, start_between_a_lost_end_and_the_acknowledged_end_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a")).end(task("a"));
-    seen.observe(worker_crashed{"w1"}).at(1s).start(task("a"), 2, "w2");
-    seen.at(2s).end(task("a"), end_kind::done, 2, "w2");
-    seen.acknowledge(task("a"), end_kind::done, 2, "w2");
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a")).end(task("a"));
+    events.observe(worker_crashed{"w1"}).at(1s).start(task("a"), 2, "w2");
+    events.at(2s).end(task("a"), end_kind::done, 2, "w2");
+    events.acknowledge(task("a"), end_kind::done, 2, "w2");
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_doubled, lasting_task_starts_again_however_it_ended)
+TEST(soak_doubled, new_run_of_a_done_long_running_task_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a")).end(task("a"));
-    seen.acknowledge(task("a")).start(task("a"), 2);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a")).end(task("a"));
+    events.acknowledge(task("a")).start(task("a"), 2);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// A step begins while a task that it builds upon is still at work.
-TEST(soak_order, start_before_the_earlier_step_is_done)
+// A step may start while a task that it depends on is still running.
+TEST(soak_order, start_before_the_earlier_step_is_done_is_reported)
 {
-    scenario seen;
-    seen.submit("a", two_step_job()).start(task("a")).end(task("a"));
-    seen.start(task("a", 0, 1)).start(task("a", 1));
-    EXPECT_EQ(seen.broken_rules(), only(rule::step_order));
+    scenario events;
+    events.submit("a", two_step_job()).start(task("a")).end(task("a"));
+    events.start(task("a", 0, 1)).start(task("a", 1));
+    EXPECT_EQ(events.broken_rules(), only(rule::step_order));
 }
 
-// A failed task counts as done.
-TEST(soak_order, start_after_the_earlier_step_failed)
+// A failed task may be counted as done, so that the dependent step starts.
+TEST(soak_order, start_after_the_earlier_step_failed_is_reported)
 {
-    scenario seen;
-    seen.submit("a", two_step_job()).start(task("a")).end(task("a"));
-    seen.start(task("a", 0, 1)).end(task("a", 0, 1), end_kind::failed);
-    seen.start(task("a", 1));
-    EXPECT_EQ(seen.broken_rules(), only(rule::step_order));
+    scenario events;
+    events.submit("a", two_step_job()).start(task("a")).end(task("a"));
+    events.start(task("a", 0, 1)).end(task("a", 0, 1), end_kind::failed);
+    events.start(task("a", 1));
+    EXPECT_EQ(events.broken_rules(), only(rule::step_order));
 }
 
-TEST(soak_order, start_once_the_earlier_step_is_done)
+TEST(soak_order, start_once_the_earlier_step_is_done_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", two_step_job()).start(task("a")).end(task("a"));
-    seen.start(task("a", 0, 1)).end(task("a", 0, 1)).start(task("a", 1));
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", two_step_job()).start(task("a")).end(task("a"));
+    events.start(task("a", 0, 1)).end(task("a", 0, 1)).start(task("a", 1));
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// A task that failed for good is tried again.
-TEST(soak_attempts, start_after_the_last_attempt_failed)
+// A task may be started again after it has used up its attempts.
+TEST(soak_attempts, start_after_the_last_attempt_failed_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job(2));
+    scenario events;
+    events.submit("a", single_task_job(2));
     for (std::uint32_t attempt : {1U, 2U})
     {
-        seen.start(task("a"), attempt);
-        seen.end(task("a"), end_kind::failed, attempt);
-        seen.acknowledge(task("a"), end_kind::failed, attempt);
+        events.start(task("a"), attempt);
+        events.end(task("a"), end_kind::failed, attempt);
+        events.acknowledge(task("a"), end_kind::failed, attempt);
     }
-    seen.with_fault(1s, 2s).start(task("a"), 3);
-    EXPECT_EQ(seen.broken_rules(), only(rule::attempt_limit));
+    events.with_fault(1s, 2s).start(task("a"), 3);
+    EXPECT_EQ(events.broken_rules(), only(rule::attempt_limit));
 }
 
-// The last failure is acknowledged, but after another start.
-TEST(soak_attempts, start_between_the_last_failure_and_its_acknowledgement)
+// A task may be started again after its last failure but before the
+// acknowledgement.
+TEST(soak_attempts,
+     start_between_the_last_failure_and_its_acknowledgement_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a"));
-    seen.end(task("a"), end_kind::failed).at(1s).start(task("a"), 2);
-    seen.at(2s).acknowledge(task("a"), end_kind::failed);
-    EXPECT_EQ(seen.broken_rules(), only(rule::attempt_limit));
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a"));
+    events.end(task("a"), end_kind::failed).at(1s).start(task("a"), 2);
+    events.at(2s).acknowledge(task("a"), end_kind::failed);
+    EXPECT_EQ(events.broken_rules(), only(rule::attempt_limit));
 }
 
-TEST(soak_attempts, only_failures_that_were_heard_of_count)
+TEST(soak_attempts, only_acknowledged_failures_use_up_attempts)
 {
-    scenario seen;
-    seen.submit("a", single_task_job(2)).start(task("a"));
-    seen.end(task("a"), end_kind::failed);
-    seen.acknowledge(task("a"), end_kind::failed);
-    seen.start(task("a"), 2).end(task("a"), end_kind::stopped, 2);
-    seen.acknowledge(task("a"), end_kind::stopped, 2);
-    seen.start(task("a"), 3).end(task("a"), end_kind::failed, 3);
-    seen.observe(worker_crashed{"w1"}).start(task("a"), 4);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job(2)).start(task("a"));
+    events.end(task("a"), end_kind::failed);
+    events.acknowledge(task("a"), end_kind::failed);
+    events.start(task("a"), 2).end(task("a"), end_kind::stopped, 2);
+    events.acknowledge(task("a"), end_kind::stopped, 2);
+    events.start(task("a"), 3).end(task("a"), end_kind::failed, 3);
+    events.observe(worker_crashed{"w1"}).start(task("a"), 4);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_attempts, lost_failure_is_not_the_last_one)
+TEST(soak_attempts, lost_failure_does_not_use_up_an_attempt)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a"));
-    seen.end(task("a"), end_kind::failed).observe(worker_crashed{"w1"});
-    seen.at(1s).start(task("a"), 2).at(2s);
-    seen.end(task("a"), end_kind::failed, 2);
-    seen.acknowledge(task("a"), end_kind::failed, 2);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a"));
+    events.end(task("a"), end_kind::failed).observe(worker_crashed{"w1"});
+    events.at(1s).start(task("a"), 2).at(2s);
+    events.end(task("a"), end_kind::failed, 2);
+    events.acknowledge(task("a"), end_kind::failed, 2);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_attempts, lasting_task_may_fail_at_any_time)
+TEST(soak_attempts, new_run_of_a_failed_long_running_task_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a"));
-    seen.end(task("a"), end_kind::failed);
-    seen.acknowledge(task("a"), end_kind::failed).start(task("a"), 2);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a"));
+    events.end(task("a"), end_kind::failed);
+    events.acknowledge(task("a"), end_kind::failed).start(task("a"), 2);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// A cancel is acknowledged and then forgotten.
-TEST(soak_cancelled, start_too_long_after_the_cancel)
+// An acknowledged cancel may be lost, so that tasks of the job still start.
+TEST(soak_cancelled, start_too_long_after_the_cancel_is_reported)
 {
-    scenario seen = cancelled();
-    seen.at(4001ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::ran_after_cancel));
+    scenario events = cancelled();
+    events.at(4001ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::ran_after_cancel));
 }
 
-TEST(soak_cancelled, start_soon_after_the_cancel)
+TEST(soak_cancelled, start_soon_after_the_cancel_is_allowed)
 {
-    scenario seen = cancelled();
-    seen.at(4s).start(task("a")).at(4400ms).end(task("a"), end_kind::stopped);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events = cancelled();
+    events.at(4s).start(task("a")).at(4400ms).end(task("a"), end_kind::stopped);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_cancelled, start_after_the_cancel_in_trouble)
+TEST(soak_cancelled, start_after_the_cancel_is_allowed_during_a_fault)
 {
-    scenario seen = cancelled();
-    seen.with_fault(2s, 3s).at(4001ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events = cancelled();
+    events.with_fault(2s, 3s).at(4001ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// What runs is never told to stop.
-TEST(soak_cancelled, run_goes_on_after_the_cancel)
+// A cancel may be acknowledged without stopping the active runs.
+TEST(soak_cancelled, run_that_continues_after_the_cancel_is_reported)
 {
     scenario ended;
     ended.submit("a", lasting_job()).start(task("a"));
@@ -475,37 +488,38 @@
     ended.at(4401ms).end(task("a"), end_kind::stopped);
     EXPECT_EQ(ended.broken_rules(), only(rule::ran_after_cancel));
 
-    scenario still_there;
-    still_there.submit("a", lasting_job()).start(task("a"));
-    still_there.at(1s).observe(cancel_ended{"a", call_outcome::done});
-    EXPECT_EQ(still_there.at(4401ms).broken_rules(),
+    scenario still_running;
+    still_running.submit("a", lasting_job()).start(task("a"));
+    still_running.at(1s).observe(cancel_ended{"a", call_outcome::done});
+    EXPECT_EQ(still_running.at(4401ms).broken_rules(),
               only(rule::ran_after_cancel));
 }
 
-// A run that trouble shielded goes on for good.
-TEST(soak_cancelled, run_goes_on_after_trouble)
+// A run that could not be stopped during a fault may continue forever.
+TEST(soak_cancelled, run_that_continues_after_a_fault_is_reported)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a"));
-    seen.at(1s)
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a"));
+    events.at(1s)
         .observe(cancel_ended{"a", call_outcome::done})
         .with_fault(2s, 4s);
-    EXPECT_EQ(seen.at(10401ms).broken_rules(), only(rule::ran_after_cancel));
+    EXPECT_EQ(events.at(10401ms).broken_rules(), only(rule::ran_after_cancel));
 }
 
-// Trouble that begins after the time limit is no excuse.
-TEST(soak_cancelled, run_goes_on_until_trouble)
+// A fault that begins after the time limit does not excuse a run that was not
+// stopped.
+TEST(soak_cancelled, run_that_continues_until_a_late_fault_is_reported)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a"));
-    seen.at(1s)
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a"));
+    events.at(1s)
         .observe(cancel_ended{"a", call_outcome::done})
         .with_fault(4402ms, 5s);
-    seen.end(task("a"), end_kind::stopped);
-    EXPECT_EQ(seen.broken_rules(), only(rule::ran_after_cancel));
+    events.end(task("a"), end_kind::stopped);
+    EXPECT_EQ(events.broken_rules(), only(rule::ran_after_cancel));
 }
 
-TEST(soak_cancelled, run_stops_in_time_or_in_trouble)
+TEST(soak_cancelled, run_that_stops_in_time_or_during_a_fault_is_allowed)
 {
     scenario in_time;
     in_time.submit("a", lasting_job()).start(task("a"));
@@ -513,40 +527,40 @@
     in_time.at(4400ms).end(task("a"), end_kind::stopped);
     EXPECT_EQ(in_time.broken_rules(), none);
 
-    scenario troubled;
-    troubled.submit("a", lasting_job()).start(task("a"));
-    troubled.at(1s)
+    scenario with_fault_active;
+    with_fault_active.submit("a", lasting_job()).start(task("a"));
+    with_fault_active.at(1s)
         .observe(cancel_ended{"a", call_outcome::done})
         .with_fault(2s, 4s);
-    EXPECT_EQ(troubled.at(10400ms).broken_rules(), none);
+    EXPECT_EQ(with_fault_active.at(10400ms).broken_rules(), none);
 }
 
-// An order that a worker carries out late outlives the cancel.
-TEST(soak_cancelled, run_that_began_late_goes_on)
+// A run from an order that was delayed beyond the cancel may never be stopped.
+TEST(soak_cancelled, run_that_started_late_and_continues_is_reported)
 {
-    scenario seen = cancelled();
-    seen.with_fault(2s, 8s).at(12s).start(task("a"));
-    EXPECT_EQ(seen.at(18401ms).broken_rules(), only(rule::ran_after_cancel));
+    scenario events = cancelled();
+    events.with_fault(2s, 8s).at(12s).start(task("a"));
+    EXPECT_EQ(events.at(18401ms).broken_rules(), only(rule::ran_after_cancel));
 }
 
-TEST(soak_cancelled, run_that_began_late_is_stopped_in_time)
+TEST(soak_cancelled, run_that_started_late_may_continue_within_the_time_limit)
 {
-    scenario seen = cancelled();
-    seen.with_fault(2s, 8s).at(12s).start(task("a"));
-    EXPECT_EQ(seen.at(18400ms).broken_rules(), none);
+    scenario events = cancelled();
+    events.with_fault(2s, 8s).at(12s).start(task("a"));
+    EXPECT_EQ(events.at(18400ms).broken_rules(), none);
 }
 
-// A cancel that is never answered is no excuse to run on.
-TEST(soak_cancelled, start_after_an_unanswered_cancel)
+// A cancel without an answer may still have been received and must take effect.
+TEST(soak_cancelled, start_after_an_unanswered_cancel_is_reported)
 {
-    scenario seen;
-    seen.submit("a", lasting_job())
+    scenario events;
+    events.submit("a", lasting_job())
         .observe(cancel_ended{"a", call_outcome::timed_out});
-    seen.at(7001ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::ran_after_cancel));
+    events.at(7001ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::ran_after_cancel));
 }
 
-TEST(soak_cancelled, start_after_a_cancel_that_may_not_have_arrived)
+TEST(soak_cancelled, start_after_a_cancel_that_may_not_have_arrived_is_allowed)
 {
     scenario refused;
     refused.submit("a", lasting_job())
@@ -554,11 +568,11 @@
     refused.at(7001ms).start(task("a"));
     EXPECT_EQ(refused.broken_rules(), none);
 
-    scenario troubled;
-    troubled.submit("a", lasting_job())
+    scenario with_fault_active;
+    with_fault_active.submit("a", lasting_job())
         .observe(cancel_ended{"a", call_outcome::timed_out});
-    troubled.with_fault(1s, 2s).at(15s).start(task("a"));
-    EXPECT_EQ(troubled.broken_rules(), none);
+    with_fault_active.with_fault(1s, 2s).at(15s).start(task("a"));
+    EXPECT_EQ(with_fault_active.broken_rules(), none);
 
     scenario in_time;
     in_time.submit("a", lasting_job())
@@ -567,76 +581,79 @@
     EXPECT_EQ(in_time.broken_rules(), none);
 }
 
-// Work is put on a worker that has said it leaves.
-TEST(soak_drain, start_on_a_draining_worker)
+// A task may be placed on a worker that is draining.
+TEST(soak_drain, start_on_a_draining_worker_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).observe(worker_draining{"w1"});
-    seen.at(2001ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::drain));
+    scenario events;
+    events.submit("a", single_task_job()).observe(worker_draining{"w1"});
+    events.at(2001ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::drain));
 }
 
-// One spell of trouble switches the check off for good.
-TEST(soak_drain, start_on_a_draining_worker_well_after_trouble)
+// A fault must suspend the check only temporarily.
+TEST(soak_drain, start_on_a_draining_worker_long_after_a_fault_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).observe(worker_draining{"w1"});
-    seen.with_fault(1s, 2s).at(7s).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::drain));
+    scenario events;
+    events.submit("a", single_task_job()).observe(worker_draining{"w1"});
+    events.with_fault(1s, 2s).at(7s).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::drain));
 }
 
-TEST(soak_drain, start_on_a_draining_worker_just_after_trouble)
+TEST(soak_drain, start_on_a_draining_worker_just_after_a_fault_is_allowed)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).observe(worker_draining{"w1"});
-    seen.with_fault(1s, 2s).at(6999ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).observe(worker_draining{"w1"});
+    events.with_fault(1s, 2s).at(6999ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-TEST(soak_drain, start_soon_after_in_trouble_elsewhere_or_in_another_life)
+TEST(soak_drain,
+     start_in_time_in_a_fault_elsewhere_or_after_a_restart_is_allowed)
 {
     scenario soon;
     soon.submit("a", single_task_job()).observe(worker_draining{"w1"});
     soon.at(2s).start(task("a"));
     EXPECT_EQ(soon.broken_rules(), none);
 
-    scenario troubled;
-    troubled.submit("a", single_task_job()).observe(worker_draining{"w1"});
-    troubled.with_fault(1s, 1500ms).at(2001ms).start(task("a"));
-    EXPECT_EQ(troubled.broken_rules(), none);
+    scenario with_fault_active;
+    with_fault_active.submit("a", single_task_job())
+        .observe(worker_draining{"w1"});
+    with_fault_active.with_fault(1s, 1500ms).at(2001ms).start(task("a"));
+    EXPECT_EQ(with_fault_active.broken_rules(), none);
 
     scenario elsewhere;
     elsewhere.submit("a", single_task_job()).observe(worker_draining{"w1"});
     elsewhere.at(2001ms).start(task("a"), 1, "w2");
     EXPECT_EQ(elsewhere.broken_rules(), none);
 
-    scenario another_life;
-    another_life.submit("a", single_task_job()).observe(worker_draining{"w1"});
-    another_life.observe(worker_crashed{"w1"}).at(2001ms).start(task("a"));
-    EXPECT_EQ(another_life.broken_rules(), none);
+    scenario restarted;
+    restarted.submit("a", single_task_job()).observe(worker_draining{"w1"});
+    restarted.observe(worker_crashed{"w1"}).at(2001ms).start(task("a"));
+    EXPECT_EQ(restarted.broken_rules(), none);
 }
 
-// The operator's word on a data centre is forgotten.
-TEST(soak_data_centre, start_where_nothing_more_may_start)
+// The evacuation of a data centre may be lost.
+TEST(soak_data_centre, start_in_an_evacuated_data_centre_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).observe(data_centre_set{"dc1", true});
-    seen.at(5001ms).start(task("a"));
-    EXPECT_EQ(seen.broken_rules(), only(rule::data_centre));
+    scenario events;
+    events.submit("a", single_task_job()).observe(data_centre_set{"dc1", true});
+    events.at(5001ms).start(task("a"));
+    EXPECT_EQ(events.broken_rules(), only(rule::data_centre));
 }
 
-TEST(soak_data_centre, start_soon_after_in_trouble_elsewhere_or_taken_back)
+TEST(soak_data_centre,
+     start_in_time_in_a_fault_elsewhere_or_after_the_evacuation_is_allowed)
 {
     scenario soon;
     soon.submit("a", single_task_job()).observe(data_centre_set{"dc1", true});
     soon.at(5s).start(task("a"));
     EXPECT_EQ(soon.broken_rules(), none);
 
-    scenario troubled;
-    troubled.submit("a", single_task_job())
+    scenario with_fault_active;
+    with_fault_active.submit("a", single_task_job())
         .observe(data_centre_set{"dc1", true});
-    troubled.with_fault(1s, 2s).at(5001ms).start(task("a"));
-    EXPECT_EQ(troubled.broken_rules(), none);
+    with_fault_active.with_fault(1s, 2s).at(5001ms).start(task("a"));
+    EXPECT_EQ(with_fault_active.broken_rules(), none);
 
     scenario elsewhere;
     elsewhere.submit("a", single_task_job())
@@ -644,19 +661,20 @@
     elsewhere.at(5001ms).start(task("a"), 1, "w1", "dc2");
     EXPECT_EQ(elsewhere.broken_rules(), none);
 
-    scenario taken_back;
-    taken_back.submit("a", single_task_job())
+    scenario evacuation_ended;
+    evacuation_ended.submit("a", single_task_job())
         .observe(data_centre_set{"dc1", true});
-    taken_back.at(5s).observe(data_centre_set{"dc1", false});
-    taken_back.at(5001ms).start(task("a"));
-    EXPECT_EQ(taken_back.broken_rules(), none);
+    evacuation_ended.at(5s).observe(data_centre_set{"dc1", false});
+    evacuation_ended.at(5001ms).start(task("a"));
+    EXPECT_EQ(evacuation_ended.broken_rules(), none);
 }
 
-// A configuration isn't taken up.
-TEST(soak_configuration, older_one_shown_after_the_time_limit)
+// An instance may not apply a new configuration.
+TEST(soak_configuration,
+     outdated_configuration_after_the_time_limit_is_reported)
 {
-    scenario gone = two_configurations();
-    EXPECT_EQ(gone.at(62001ms).queue_shown("b", true).broken_rules(),
+    scenario removed = two_configurations();
+    EXPECT_EQ(removed.at(62001ms).queue_shown("b", true).broken_rules(),
               only(rule::configuration));
 
     scenario added;
@@ -666,40 +684,44 @@
     EXPECT_EQ(added.broken_rules(), only(rule::configuration));
 }
 
-TEST(soak_configuration, older_one_shown_in_time_or_in_trouble)
+TEST(soak_configuration,
+     outdated_configuration_in_time_or_during_a_fault_is_allowed)
 {
     scenario in_time = two_configurations();
     EXPECT_EQ(in_time.at(62s).queue_shown("b", true).broken_rules(), none);
 
-    scenario troubled = two_configurations();
-    troubled.with_fault(61s, 61500ms).at(62001ms).queue_shown("b", true);
-    EXPECT_EQ(troubled.broken_rules(), none);
+    scenario with_fault_active = two_configurations();
+    with_fault_active.with_fault(61s, 61500ms)
+        .at(62001ms)
+        .queue_shown("b", true);
+    EXPECT_EQ(with_fault_active.broken_rules(), none);
 }
 
-// A process falls back to what it knew before.
-TEST(soak_configuration, incarnation_goes_back_even_in_trouble)
+// A process may revert to an older configuration than it has already used.
+TEST(soak_configuration,
+     incarnation_that_reverts_is_reported_even_during_a_fault)
 {
     scenario calm = two_configurations();
     calm.at(60500ms).queue_shown("b", false).at(60751ms).queue_shown("b", true);
     EXPECT_EQ(calm.broken_rules(), only(rule::configuration));
 
-    scenario troubled = two_configurations();
-    troubled.observe(fault_state_set{"link", true});
-    troubled.at(60500ms)
+    scenario with_fault_active = two_configurations();
+    with_fault_active.observe(fault_state_set{"link", true});
+    with_fault_active.at(60500ms)
         .queue_shown("b", false)
         .at(62501ms)
         .queue_shown("b", true);
-    EXPECT_EQ(troubled.broken_rules(), only(rule::configuration));
+    EXPECT_EQ(with_fault_active.broken_rules(), only(rule::configuration));
 }
 
-TEST(soak_configuration, answers_that_cross_or_another_incarnation)
+TEST(soak_configuration, reordered_answers_or_another_incarnation_are_allowed)
 {
-    scenario crossing = two_configurations();
-    crossing.at(60500ms)
+    scenario reordered = two_configurations();
+    reordered.at(60500ms)
         .queue_shown("b", false)
         .at(60750ms)
         .queue_shown("b", true);
-    EXPECT_EQ(crossing.broken_rules(), none);
+    EXPECT_EQ(reordered.broken_rules(), none);
 
     scenario restarted = two_configurations();
     restarted.at(60500ms)
@@ -708,45 +730,46 @@
         .queue_shown("b", true, 2);
     EXPECT_EQ(restarted.broken_rules(), none);
 
-    scenario crossing_in_trouble = two_configurations();
-    crossing_in_trouble.observe(fault_state_set{"link", true});
-    crossing_in_trouble.at(60500ms).queue_shown("b", false);
-    crossing_in_trouble.at(62500ms).queue_shown("b", true);
-    EXPECT_EQ(crossing_in_trouble.broken_rules(), none);
+    scenario reordered_in_fault = two_configurations();
+    reordered_in_fault.observe(fault_state_set{"link", true});
+    reordered_in_fault.at(60500ms).queue_shown("b", false);
+    reordered_in_fault.at(62500ms).queue_shown("b", true);
+    EXPECT_EQ(reordered_in_fault.broken_rules(), none);
 }
 
-// A queue is shown that no configuration ever had.
-TEST(soak_configuration, queue_that_never_was)
+// An instance may report a queue that no configuration ever contained.
+TEST(soak_configuration, queue_that_never_existed_is_reported)
 {
-    scenario seen = two_configurations();
-    EXPECT_EQ(seen.at(70s).queue_shown("c", true).broken_rules(),
+    scenario events = two_configurations();
+    EXPECT_EQ(events.at(70s).queue_shown("c", true).broken_rules(),
               only(rule::configuration));
 }
 
-TEST(soak_configuration, instance_acts_before_the_operator_has_the_answer)
+TEST(soak_configuration,
+     new_configuration_applied_before_the_operator_gets_the_answer_is_allowed)
 {
-    scenario seen;
-    seen.observe(configuration_set{1, {"a"}}).at(10s).queue_shown("b", true);
-    seen.at(10250ms).observe(configuration_set{2, {"a", "b"}});
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.observe(configuration_set{1, {"a"}}).at(10s).queue_shown("b", true);
+    events.at(10250ms).observe(configuration_set{2, {"a", "b"}});
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
-// Jobs that wait are left out of the count.
-TEST(soak_counts, fewer_than_half_of_the_waiting_jobs_are_told)
+// Waiting jobs may be missing from the reported count.
+TEST(soak_counts, count_below_half_of_the_waiting_jobs_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job())
+    scenario events;
+    events.submit("a", single_task_job())
         .submit("b", single_task_job())
         .submit("c", single_task_job());
-    EXPECT_EQ(seen.at(5001ms).waiting(1).broken_rules(),
+    EXPECT_EQ(events.at(5001ms).waiting(1).broken_rules(),
               only(rule::waiting_count));
 }
 
-TEST(soak_counts, young_started_and_cancelled_jobs_need_not_be_told)
+TEST(soak_counts, count_may_omit_recent_started_and_cancelled_jobs)
 {
-    scenario young;
-    young.submit("a", single_task_job()).at(5s).waiting(0);
-    EXPECT_EQ(young.broken_rules(), none);
+    scenario recent;
+    recent.submit("a", single_task_job()).at(5s).waiting(0);
+    EXPECT_EQ(recent.broken_rules(), none);
 
     scenario half;
     half.submit("a", single_task_job())
@@ -762,147 +785,149 @@
     others.observe(cancel_ended{"b", call_outcome::done});
     EXPECT_EQ(others.broken_rules(), none);
 
-    scenario troubled;
-    troubled.submit("a", single_task_job()).with_fault(1s, 2s);
-    EXPECT_EQ(troubled.at(5001ms).waiting(0).broken_rules(), none);
+    scenario with_fault_active;
+    with_fault_active.submit("a", single_task_job()).with_fault(1s, 2s);
+    EXPECT_EQ(with_fault_active.at(5001ms).waiting(0).broken_rules(), none);
 }
 
-// A job's owner fetches results that aren't there.
-TEST(soak_state, completed_before_all_tasks_are_done)
+// A caller that sees a job as completed too early would fetch missing results.
+TEST(soak_state, completed_before_all_tasks_are_done_is_reported)
 {
-    scenario seen;
-    seen.submit("a", two_step_job()).start(task("a")).end(task("a"));
-    seen.with_fault(1s, 2s).status("a", job_state::completed);
-    EXPECT_EQ(seen.broken_rules(), only(rule::reported_state));
+    scenario events;
+    events.submit("a", two_step_job()).start(task("a")).end(task("a"));
+    events.with_fault(1s, 2s).status("a", job_state::completed);
+    EXPECT_EQ(events.broken_rules(), only(rule::reported_state));
 }
 
-// A job that lasts is over only when it is cancelled.
-TEST(soak_state, lasting_job_is_completed)
+// A long-running job ends only by a cancel and must never be reported as
+// completed.
+TEST(soak_state, completed_long_running_job_is_reported)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a")).end(task("a"));
-    EXPECT_EQ(seen.status("a", job_state::completed).broken_rules(),
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a")).end(task("a"));
+    EXPECT_EQ(events.status("a", job_state::completed).broken_rules(),
               only(rule::reported_state));
 }
 
-// Ends that aren't the task's fault use up its attempts.
-TEST(soak_state, failed_with_attempts_left)
+// Ends other than failures may wrongly use up the attempts of a task.
+TEST(soak_state, failed_with_attempts_left_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job(2)).start(task("a"));
-    seen.end(task("a"), end_kind::failed);
-    seen.start(task("a"), 2).end(task("a"), end_kind::lease_expired, 2);
-    EXPECT_EQ(seen.status("a", job_state::failed).broken_rules(),
+    scenario events;
+    events.submit("a", single_task_job(2)).start(task("a"));
+    events.end(task("a"), end_kind::failed);
+    events.start(task("a"), 2).end(task("a"), end_kind::lease_expired, 2);
+    EXPECT_EQ(events.status("a", job_state::failed).broken_rules(),
               only(rule::reported_state));
 }
 
-// A task that lasts has no last attempt.
-TEST(soak_state, lasting_job_is_failed)
+// A long-running task has no attempt limit, so its job can never fail.
+TEST(soak_state, failed_long_running_job_is_reported)
 {
-    scenario seen;
-    seen.submit("a", lasting_job()).start(task("a"));
-    seen.end(task("a"), end_kind::failed);
-    EXPECT_EQ(seen.status("a", job_state::failed).broken_rules(),
+    scenario events;
+    events.submit("a", lasting_job()).start(task("a"));
+    events.end(task("a"), end_kind::failed);
+    EXPECT_EQ(events.status("a", job_state::failed).broken_rules(),
               only(rule::reported_state));
 }
 
-// A job is cancelled by itself.
-TEST(soak_state, cancelled_by_nobody)
+// A job may be reported as cancelled though no cancel took effect.
+TEST(soak_state, cancelled_without_a_cancel_is_reported)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).status("a", job_state::cancelled);
-    seen.observe(cancel_ended{"a", call_outcome::refused});
-    EXPECT_EQ(seen.broken_rules(), only(rule::reported_state));
+    scenario events;
+    events.submit("a", single_task_job()).status("a", job_state::cancelled);
+    events.observe(cancel_ended{"a", call_outcome::refused});
+    EXPECT_EQ(events.broken_rules(), only(rule::reported_state));
 }
 
-// A state is made up for a job that doesn't exist.
-TEST(soak_state, state_of_a_job_that_nobody_submitted)
+// A state may be reported for a job that was never submitted.
+TEST(soak_state, state_of_a_job_that_was_not_submitted_is_reported)
 {
-    scenario seen;
-    seen.status("a", job_state::queued).at(1s).submit("a", single_task_job());
-    EXPECT_EQ(seen.broken_rules(), only(rule::reported_state));
+    scenario events;
+    events.status("a", job_state::queued).at(1s).submit("a", single_task_job());
+    EXPECT_EQ(events.broken_rules(), only(rule::reported_state));
 }
 
-TEST(soak_state, states_with_cause)
+TEST(soak_state, states_that_match_the_runs_are_allowed)
 {
-    scenario seen;
-    seen.submit("a", single_task_job()).start(task("a")).end(task("a"));
-    seen.status("a", job_state::completed);
-    seen.submit("b", single_task_job()).start(task("b"));
-    seen.end(task("b"), end_kind::failed).status("b", job_state::failed);
-    seen.submit("c", single_task_job()).status("c", job_state::cancelled);
-    seen.at(9s).observe(cancel_ended{"c", call_outcome::timed_out});
-    seen.status("d", job_state::queued, call_outcome::not_found);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events;
+    events.submit("a", single_task_job()).start(task("a")).end(task("a"));
+    events.status("a", job_state::completed);
+    events.submit("b", single_task_job()).start(task("b"));
+    events.end(task("b"), end_kind::failed).status("b", job_state::failed);
+    events.submit("c", single_task_job()).status("c", job_state::cancelled);
+    events.at(9s).observe(cancel_ended{"c", call_outcome::timed_out});
+    events.status("d", job_state::queued, call_outcome::not_found);
+    EXPECT_EQ(events.broken_rules(), none);
 }
 
 namespace
 {
 
-/// Submissions, as many as the check asks for, that all end like this.
-void submit_twelve(scenario& seen, std::string const& name, call_outcome how)
+/// Submits twelve jobs with this outcome, the minimum number of calls that the
+/// check evaluates.
+void submit_twelve(scenario& events, std::string const& name, call_outcome how)
 {
     for (int count = 0; count < 12; ++count)
     {
-        seen.submit(name + std::to_string(count), single_task_job(), how);
+        events.submit(name + std::to_string(count), single_task_job(), how);
     }
 }
 
-/// Calls, then trouble until 2 s, then calls at `at`.
+/// Returns a scenario with calls, a fault from 1 s to 2 s, and calls at `at`.
 scenario calls(call_outcome before, duration at, call_outcome after)
 {
-    scenario seen;
-    submit_twelve(seen, "before", before);
-    seen.with_fault(1s, 2s).at(at);
-    submit_twelve(seen, "after", after);
-    return seen;
+    scenario events;
+    submit_twelve(events, "before", before);
+    events.with_fault(1s, 2s).at(at);
+    submit_twelve(events, "after", after);
+    return events;
 }
 
 } // namespace
 
-// The trouble is over, and callers are turned away for good.
-TEST(soak_recovery, submissions_are_refused_long_after_the_trouble)
+// Submissions may still be refused long after the last fault.
+TEST(soak_recovery, refused_submissions_long_after_a_fault_are_reported)
 {
-    scenario seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
-    EXPECT_EQ(seen.broken_rules(), only(rule::recovery));
+    scenario events = calls(call_outcome::done, 14001ms, call_outcome::refused);
+    EXPECT_EQ(events.broken_rules(), only(rule::recovery));
 }
 
-// Instances take jobs, and answer no question about them.
-TEST(soak_recovery, questions_are_unanswered_long_after_the_trouble)
+// Queries may stay unanswered long after the last fault.
+TEST(soak_recovery, unanswered_queries_long_after_a_fault_are_reported)
 {
-    scenario seen;
+    scenario events;
     for (int count = 0; count < 12; ++count)
     {
-        seen.status("a", job_state::queued, call_outcome::not_found);
+        events.status("a", job_state::queued, call_outcome::not_found);
     }
-    seen.with_fault(1s, 2s).at(14001ms);
+    events.with_fault(1s, 2s).at(14001ms);
     for (int count = 0; count < 12; ++count)
     {
-        seen.status("a", job_state::queued, call_outcome::timed_out);
+        events.status("a", job_state::queued, call_outcome::timed_out);
     }
-    EXPECT_EQ(seen.broken_rules(), only(rule::recovery));
+    EXPECT_EQ(events.broken_rules(), only(rule::recovery));
 }
 
-// A few that get through hide that the rest are turned away.
-TEST(soak_recovery, less_than_a_quarter_is_served_long_after_the_trouble)
+// A few accepted submissions must not hide that most are refused.
+TEST(soak_recovery, less_than_a_quarter_served_long_after_a_fault_is_reported)
 {
-    scenario seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
-    seen.submit("a", single_task_job())
+    scenario events = calls(call_outcome::done, 14001ms, call_outcome::refused);
+    events.submit("a", single_task_job())
         .submit("b", single_task_job())
         .submit("c", single_task_job());
-    EXPECT_EQ(seen.broken_rules(), only(rule::recovery));
+    EXPECT_EQ(events.broken_rules(), only(rule::recovery));
 }
 
-TEST(soak_recovery, a_quarter_is_served_long_after_the_trouble)
+TEST(soak_recovery, a_quarter_served_long_after_a_fault_is_allowed)
 {
-    scenario seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
-    seen.submit("a", single_task_job())
+    scenario events = calls(call_outcome::done, 14001ms, call_outcome::refused);
+    events.submit("a", single_task_job())
         .submit("b", single_task_job())
         .submit("c", single_task_job());
-    EXPECT_EQ(seen.submit("d", single_task_job()).broken_rules(), none);
+    EXPECT_EQ(events.submit("d", single_task_job()).broken_rules(), none);
 }
 
-TEST(soak_recovery, soon_after_the_trouble_or_as_bad_before_it)
+TEST(soak_recovery, refusals_soon_after_a_fault_or_also_before_it_are_allowed)
 {
     EXPECT_EQ(
         calls(call_outcome::done, 14s, call_outcome::refused).broken_rules(),
@@ -912,12 +937,12 @@
         none);
 }
 
-TEST(soak_recovery, trouble_that_is_still_on)
+TEST(soak_recovery, refusals_during_an_active_fault_are_allowed)
 {
-    scenario seen = calls(call_outcome::done, 14001ms, call_outcome::refused);
-    seen.observe(fault_state_set{"link", true});
-    submit_twelve(seen, "in_trouble", call_outcome::refused);
-    submit_twelve(seen, "later", call_outcome::refused);
-    submit_twelve(seen, "still", call_outcome::refused);
-    EXPECT_EQ(seen.broken_rules(), none);
+    scenario events = calls(call_outcome::done, 14001ms, call_outcome::refused);
+    events.observe(fault_state_set{"link", true});
+    submit_twelve(events, "in_trouble", call_outcome::refused);
+    submit_twelve(events, "later", call_outcome::refused);
+    submit_twelve(events, "still", call_outcome::refused);
+    EXPECT_EQ(events.broken_rules(), none);
 }
--- a/tests/unit/soak/checker_walk_test.cpp
+++ b/tests/unit/soak/checker_walk_test.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-constexpr std::uint64_t correct_walks = 300;
-constexpr std::uint64_t defect_walks = 40;
+constexpr std::uint64_t correct_runs = 300;
+constexpr std::uint64_t defect_runs = 40;
 
 struct defect_case
 {
     char const* name;
     model_defect defect;
-    rule expected_rule; ///< Has to be reported.
+    rule expected_rule; ///< Rule that must be reported as broken.
 };
 
 std::ostream& operator<<(std::ostream& out, defect_case const& item)
@@ -40,14 +40,14 @@
 
 } // namespace
 
-// A check that blames a system which keeps the rules, whatever happens around
-// it, would have to be ignored.
-TEST(soak_walks, honest_system_is_never_blamed)
+// A checker that reports violations of a correct scheduler under faults would
+// be useless, because its reports would have to be ignored.
+TEST(soak_model, correct_scheduler_has_no_violations)
 {
     std::size_t starts = 0;
     std::size_t crashes = 0;
     std::size_t cancels = 0;
-    for (std::uint64_t seed = 1; seed <= correct_walks; ++seed)
+    for (std::uint64_t seed = 1; seed <= correct_runs; ++seed)
     {
         model_result const result = run_model(seed, model_defect::none);
         for (violation const& item : result.violations)
@@ -60,16 +60,16 @@
         crashes += result.crashes;
         cancels += result.cancels;
     }
-    EXPECT_GT(starts, 100 * correct_walks);
-    EXPECT_GT(crashes, correct_walks);
-    EXPECT_GT(cancels, correct_walks);
+    EXPECT_GT(starts, 100 * correct_runs);
+    EXPECT_GT(crashes, correct_runs);
+    EXPECT_GT(cancels, correct_runs);
 }
 
-// One wrong step among thousands of right ones goes unnoticed.
-TEST_P(soak_model_defects, told_once_is_caught_in_every_walk)
+// A checker could miss a single wrong step among thousands of correct ones.
+TEST_P(soak_model_defects, single_defect_is_reported_in_every_run)
 {
     std::uint64_t occurred = 0;
-    for (std::uint64_t seed = 1; seed <= defect_walks; ++seed)
+    for (std::uint64_t seed = 1; seed <= defect_runs; ++seed)
     {
         model_result const result = run_model(seed, GetParam().defect);
         occurred += result.defect_occurred ? 1 : 0;
@@ -77,7 +77,7 @@
                   result.defect_occurred)
             << "seed " << seed;
     }
-    EXPECT_GT(occurred, defect_walks / 2);
+    EXPECT_GT(occurred, defect_runs / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/unit/soak/plan_test.cpp
+++ b/tests/unit/soak/plan_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace fuchsia::tools::soak;
 
-// A run that failed could not be played again.
+// If the plan depended on more than the seed, a failed run could not be
+// reproduced.
 TEST(soak_plan, one_seed_draws_one_plan)
 {
     plan_settings settings;
@@ -15,7 +16,9 @@
     EXPECT_NE(first, to_text(make_plan(settings)));
 }
 
-// Fewer kinds of fault, to narrow a failure down, would also change the jobs.
+// If the jobs were drawn from the same random sequence as the faults,
+// restricting the kinds of fault to narrow down a failure would change the
+// jobs.
 TEST(soak_plan, jobs_do_not_depend_on_the_kinds_of_fault)
 {
     plan_settings settings;
@@ -32,7 +35,8 @@
     EXPECT_EQ(to_text(all_kinds), to_text(kill_only));
 }
 
-// A kind that is never drawn, or has no name, is never seen to hold.
+// A kind of fault that is never drawn, or that cannot be selected by its name,
+// would never be tested.
 TEST(soak_plan, every_kind_is_drawn_and_named)
 {
     plan_settings settings;
--- a/tests/unit/soak/scenario.hpp
+++ b/tests/unit/soak/scenario.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-// A sequence of observations, told step by step.
+// Builds a sequence of observations for the checker, event by event.
 namespace fuchsia::tests::unit::soak
 {
 
@@ -26,19 +26,19 @@
     return {std::move(job), 0, step, index};
 }
 
-/// A job of one task.
+/// Returns a job with a single task.
 inline job_shape single_task_job(std::uint32_t attempts = 1)
 {
     return {"q", {{1, {}, false}}, attempts};
 }
 
-/// A job of one task that lasts.
+/// Returns a job with a single long-running task.
 inline job_shape lasting_job()
 {
     return {"q", {{1, {}, true}}, 1};
 }
 
-/// A step of two tasks, then one of one.
+/// Returns a job with a step of two tasks and a dependent step of one task.
 inline job_shape two_step_job()
 {
     return {"q", {{2, {}, false}, {1, {0}, false}}, 1};
@@ -47,7 +47,7 @@
 class scenario
 {
 public:
-    /// Moves on to this time after the begin.
+    /// Sets the current time, as a duration since the begin of the scenario.
     scenario& at(duration since_begin)
     {
         now_ = origin + since_begin;
@@ -113,14 +113,15 @@
         return observe(queue_seen{queue, "i1", incarnation, now_, present});
     }
 
-    /// Trouble from `from` to `to`; the story goes on at `to`.
+    /// Adds a fault from `begin_at` to `end_at`; the current time is then
+    /// `end_at`.
     scenario& with_fault(duration begin_at, duration end_at)
     {
         at(begin_at).observe(fault_state_set{"link", true});
         return at(end_at).observe(fault_state_set{"link", false});
     }
 
-    /// The rules broken, with the end at the present time.
+    /// Ends the scenario at the current time and returns the broken rules.
     std::set<rule> broken_rules()
     {
         std::set<rule> rules;
--- a/tests/unit/soak/scheduler_model.cpp
+++ b/tests/unit/soak/scheduler_model.cpp
@@ -14,9 +14,10 @@
 constexpr duration final_queries = 56s;
 constexpr duration run_end = 60s;
 constexpr duration unstable_after_fault = 1s;
-/// Trouble keeps away this long after a lie, which has to be caught.
+/// Time without faults after a planted defect, so that the checker must report
+/// it.
 constexpr duration undisturbed_after_defect = 12s;
-/// Attempts of runs that the model invents begin here.
+/// Attempt number of runs that the scheduler did not order.
 constexpr std::uint32_t unscheduled_attempt = 1000;
 
 enum class stage : std::uint8_t
@@ -35,7 +36,7 @@
     std::uint32_t failures = 0;
     std::string worker{};
     time_point ends{};
-    bool ended = false; ///< Ran out; the scheduler hasn't heard yet.
+    bool ended = false; ///< Ended, but not acknowledged yet.
     end_kind outcome = end_kind::done;
 };
 
@@ -45,14 +46,14 @@
     job_shape shape;
     time_point accepted{};
     bool stored = false;
-    bool answered = false; ///< Its caller knows that it is accepted.
+    bool answered = false; ///< The caller received the acceptance.
     bool rejected = false;
     bool cancelled = false;
     bool failed = false;
     bool started = false;
-    bool idle = false;       ///< A lie: the scheduler passes it over.
-    bool planted = false;    ///< Part of a lie: left alone otherwise.
-    time_point not_before{}; ///< No start before.
+    bool never_started = false; ///< A defect: the scheduler never starts it.
+    bool planted = false; ///< Part of a defect; the model must not cancel it.
+    time_point not_before{}; ///< Earliest time of a start.
     time_point stop_at{};
     std::vector<task_model> tasks;
 
@@ -81,7 +82,7 @@
                        std::count(after.begin(), after.end(), other.step) == 0;
             });
     }
-    /// Some task that `task` waits for has never run.
+    /// Whether some task that `task` depends on has never run.
     bool has_unstarted_dependency(task_model const& task) const
     {
         auto const& after = shape.steps[task.step].after;
@@ -129,7 +130,7 @@
 struct instance_model
 {
     std::string name;
-    std::size_t view = 0; ///< The configuration that it shows.
+    std::size_t view = 0; ///< Index of the configuration that it uses.
 };
 
 class model
@@ -206,7 +207,7 @@
         return !active_faults_.empty() ||
                now_ < last_fault_end_ + unstable_after_fault;
     }
-    /// A time limit of this length counts now.
+    /// Whether the checker applies a time limit of this length now.
     bool limit_applies(duration length) const
     {
         return active_faults_.empty() &&
@@ -258,7 +259,7 @@
         }
     }
 
-    /// All that runs there or ended unheard is gone.
+    /// Crashes the worker; its active runs and unacknowledged ends are lost.
     void crash(worker_model& worker, duration away)
     {
         record(worker_crashed{worker.name});
@@ -447,7 +448,8 @@
     }
     bool startable(job_model const& job, task_model const& task) const
     {
-        bool const due = job.is_open() && !job.idle && job.not_before <= now_;
+        bool const due =
+            job.is_open() && !job.never_started && job.not_before <= now_;
         return due && task.now == stage::waiting && job.ready(task);
     }
     void start(job_model& job, task_model& task, worker_model const& worker)
@@ -595,7 +597,7 @@
             job.name, instance.name, now_, outcome, job.state()});
     }
 
-    /// Tells the lie if there is an occasion for it now.
+    /// Plants the defect if the current state allows it.
     void plant_defect()
     {
         bool const occurred = !jobs_.empty() && now_ < origin + faults_end &&
@@ -673,11 +675,11 @@
     }
     bool never_run(job_model& job)
     {
-        job.idle = true;
+        job.never_started = true;
         job.planted = true;
         return true;
     }
-    /// A run that the scheduler knows nothing of.
+    /// Records a run that the scheduler did not order.
     bool run_unscheduled(job_model const& job, task_model const& task)
     {
         worker_model const& worker = random_element(workers_);
@@ -758,17 +760,19 @@
     checker checker_{time_limits{}};
     model_result result_;
     time_point now_ = origin;
-    time_point last_fault_end_{};    ///< The end of the last trouble.
-    time_point undisturbed_until_{}; ///< No trouble, cancel or change before.
-    std::map<std::string, time_point> active_faults_; ///< Those on: until when.
+    time_point last_fault_end_{};    ///< End of the last fault.
+    time_point undisturbed_until_{}; ///< No faults, cancels or configuration
+                                     ///< changes until this time.
+    std::map<std::string, time_point> active_faults_; ///< End times by name.
     std::map<std::string, time_point>
-        evacuated_since_; ///< Data centres: since when.
+        evacuated_since_; ///< Begin of the evacuation by data centre.
     std::vector<job_model> jobs_;
     std::vector<worker_model> workers_{
         {"w0", "dc0"}, {"w1", "dc0"}, {"w2", "dc1"}, {"w3", "dc1"}};
     std::vector<instance_model> instances_{{"i0"}, {"i1"}};
-    std::map<std::string, std::vector<end_model>> ends_; ///< Unheard.
-    /// The queues, and when the instances take them up.
+    std::map<std::string, std::vector<end_model>>
+        ends_; ///< Unacknowledged ends.
+    /// Queues of each configuration, and the time when instances apply it.
     std::vector<std::pair<std::set<std::string>, time_point>> versions_{1};
 };
 
--- a/tests/unit/soak/scheduler_model.hpp
+++ b/tests/unit/soak/scheduler_model.hpp
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-// A small scheduler that keeps all rules, with everything around it, or breaks
-// one of them once.
+// Model of a scheduler with its callers, workers and operators. It keeps all
+// rules of the soak, or breaks one of them once.
 namespace fuchsia::tests::unit::soak
 {
 
@@ -22,38 +22,38 @@
 using ports::end_kind;
 using ports::job_state;
 
-/// What the model does wrong.
+/// Defect that the model plants once in a run.
 enum class model_defect : std::uint8_t
 {
     none,
-    forgotten_job,      ///< Accepted, and unknown ever after.
-    never_run_job,      ///< Accepted and known, and never run.
-    refused_job,        ///< Refused, and run.
-    second_run,         ///< Beside one that works.
-    repeated_run,       ///< After a recorded end.
-    early_start,        ///< Before the step that it waits for.
-    extra_attempt,      ///< After the last has failed.
-    forgotten_cancel,   ///< Acknowledged, and the job runs on.
-    draining_worker,    ///< A start there.
-    closed_data_centre, ///< A start there.
-    old_configuration,  ///< Shown after a newer one.
-    low_waiting_count,  ///< None is told to wait while some do.
-    false_completed,
-    false_failed,
-    no_recovery, ///< Nothing is accepted after the last trouble.
+    forgotten_job,      ///< An accepted job becomes unknown.
+    never_run_job,      ///< An accepted and known job never runs.
+    refused_job,        ///< A refused job runs.
+    second_run,         ///< A task runs twice at the same time.
+    repeated_run,       ///< A task runs again after its acknowledged end.
+    early_start,        ///< A task runs before a step that it depends on.
+    extra_attempt,      ///< A task runs after its last attempt failed.
+    forgotten_cancel,   ///< A job runs on after an acknowledged cancel.
+    draining_worker,    ///< A task starts on a draining worker.
+    closed_data_centre, ///< A task starts in an evacuated data centre.
+    old_configuration,  ///< An answer reverts to an older configuration.
+    low_waiting_count,  ///< The reported count is zero while jobs wait.
+    false_completed,    ///< An open job is reported as completed.
+    false_failed,       ///< An open job is reported as failed.
+    no_recovery,        ///< No job is accepted after the last fault.
 };
 
-/// What came of one walk.
+/// Result of one run of the model.
 struct model_result
 {
-    bool defect_occurred = false; ///< There was an occasion for the lie.
+    bool defect_occurred = false; ///< Whether the defect could be planted.
     std::vector<violation> violations;
     std::size_t starts = 0;
     std::size_t crashes = 0;
     std::size_t cancels = 0;
 };
 
-/// A minute of the model; all choices follow from `seed`.
+/// Runs the model for a simulated minute. All choices depend only on `seed`.
 model_result run_model(std::uint64_t seed, model_defect defect);
 
 } // namespace fuchsia::tests::unit::soak
