--- a/tools/soak/observation.hpp
+++ b/tools/soak/observation.hpp
@@ -97,8 +97,9 @@
     ports::end_kind outcome = ports::end_kind::done;
 };
 
-/// The worker was told that this end is durable in the store. Does not occur if
-/// the lease of the worker expired after the end: the run then counts as lost.
+/// The worker was told that this end is durable outside the worker. Does not
+/// occur if its lease expired between the end and this event, because it was
+/// then treated as lost.
 struct end_acknowledged
 {
     std::string worker;
--- a/tools/soak/runs_check.cpp
+++ b/tools/soak/runs_check.cpp
@@ -32,7 +32,7 @@
         history.report(rule::refused_job_ran,
                        at,
                        name_of(task),
-                       "started, but its job was never submitted");
+                       "started, but was never submitted");
         job.unjustified_run_reported = true;
     }
     else if (job.all_refused())
@@ -198,7 +198,7 @@
 {
     for (auto& [name, job] : history.jobs)
     {
-        for (auto& [run_index, task] : job.tasks)
+        for (auto& [task_key, task] : job.tasks)
         {
             for (run_history& run : task.runs)
             {
