--- a/tools/soak/observation_log.hpp
+++ b/tools/soak/observation_log.hpp
@@ -9,26 +9,27 @@
 namespace fuchsia::tools::soak
 {
 
-/// Hands each observation on and writes it to a file, a line each: milliseconds
-/// since its making, and what was seen.
+/// Passes each observation to a callback and writes it to a file, one line per
+/// observation: milliseconds since the creation of the log, and the event.
 class observation_log
 {
 public:
     using sink = std::function<void(observation const&)>;
 
-    observation_log(std::string const& path, sink take);
-    void append(event what);
-    /// Of what the soak itself does; for the reader of the file alone.
+    observation_log(std::string const& path, sink on_observation);
+    void append(event new_event);
+    /// Writes an action of the soak itself to the file, without calling the
+    /// sink.
     void append_comment(std::string const& text);
-    /// When it was made: zero of the file's times.
+    /// Creation time of the log: zero of the times in the file.
     core::common::time_point created_at() const noexcept;
 
 private:
     void write(core::common::time_point at, std::string const& text);
 
     std::ofstream file_;
-    sink take_;
-    core::common::time_point first_;
+    sink on_observation_;
+    core::common::time_point created_at_;
 };
 
 } // namespace fuchsia::tools::soak
