--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -285,7 +285,7 @@
     membership_simulation_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
-    options.parts.require_both_witness_lists = both_lists;
+    options.rules.require_both_witness_lists = both_lists;
     membership_simulation system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
