--- a/src/core/pool/progress.cpp
+++ b/src/core/pool/progress.cpp
@@ -10,7 +10,8 @@
 
 namespace json = boost::json;
 
-// Columns of the row of a task, in this order. Rows are arrays without names, since a large job's record contains a hundred of them.
+// Columns of the row of a task, in this order. Rows are arrays without names,
+// since a large job's record contains a hundred of them.
 enum column : std::size_t
 {
     occurrence_column,
