--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -285,7 +285,7 @@
     membership_simulation_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
-    options.parts.require_both_witness_lists = both_lists;
+    options.rules.require_both_witness_lists = both_lists;
     membership_simulation system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
@@ -337,5 +337,5 @@
 TEST(witness_list_change, lost_answer_opens_a_gap_without_both_lists)
 {
     EXPECT_EQ(change_witnesses_unclearly(false),
-              "entry-0 acts though it is buried");
+              "entry-0 acts although it is fenced");
 }
--- a/tests/unit/walks/fake_link.hpp
+++ b/tests/unit/walks/fake_link.hpp
@@ -10,28 +10,28 @@
 #include <string>
 #include <utility>
 
-// In-memory links between the cores of a test, with faults.
+// In-memory links between the members of a test, with fault injection.
 namespace fuchsia::tests::unit::walks
 {
 
 struct link_faults
 {
-    /// Pairs (from, to) of addresses; one pair cuts one way only.
+    /// Pairs (from, to) of addresses; one pair cuts one direction only.
     std::set<std::pair<std::string, std::string>> cut;
     std::uint32_t lose_permille = 0;
     std::uint32_t duplicate_permille = 0;
-    /// A frame takes `delay`, or now and then up to `late_delay`, and so
-    /// overtakes others.
+    /// A frame takes `delay`; with the probability `late_permille` it takes up
+    /// to `late_delay`, so that later frames overtake it.
     duration delay = std::chrono::milliseconds(1);
     duration late_delay = std::chrono::seconds(4);
     std::uint32_t late_permille = 0;
 };
 
-/// Carries messages from address to address. A cut stops those on their way.
+/// Carries messages between addresses. A cut also drops messages in transit.
 class fake_link
 {
 public:
-    /// Gets the address, the identity that the frame is for, and the message.
+    /// Receives the destination address, the addressed member and the message.
     using receiver = std::function<void(std::string const& address,
                                         ports::member_identity const& to,
                                         ports::peer_receive const& message)>;
@@ -46,17 +46,17 @@
 
     void send(std::string const& from_address,
               ports::member_identity const& from,
-              ports::peer_send const& what)
+              ports::peer_send const& outgoing)
     {
         ++sent;
         if (chance(faults.lose_permille))
         {
             return;
         }
-        carry(from_address, from, what);
+        transmit(from_address, from, outgoing);
         if (chance(faults.duplicate_permille))
         {
-            carry(from_address, from, what);
+            transmit(from_address, from, outgoing);
         }
     }
 
@@ -66,7 +66,7 @@
         return permille != 0 && random_() % 1000 < permille;
     }
 
-    duration way()
+    duration one_way_delay()
     {
         if (chance(faults.late_permille))
         {
@@ -77,20 +77,20 @@
         return faults.delay;
     }
 
-    void carry(std::string const& from_address,
-               ports::member_identity const& from,
-               ports::peer_send const& what)
+    void transmit(std::string const& from_address,
+                  ports::member_identity const& from,
+                  ports::peer_send const& outgoing)
     {
-        time_.after(way(),
-                    [this, from_address, from, what]
+        time_.after(one_way_delay(),
+                    [this, from_address, from, outgoing]
                     {
-                        auto const way = std::pair(
-                            from_address, what.remote_endpoint.address);
-                        if (faults.cut.count(way) == 0)
+                        auto const route = std::pair(
+                            from_address, outgoing.remote_endpoint.address);
+                        if (faults.cut.count(route) == 0)
                         {
-                            deliver_(what.remote_endpoint.address,
-                                     what.to,
-                                     {from, what.message});
+                            deliver_(outgoing.remote_endpoint.address,
+                                     outgoing.to,
+                                     {from, outgoing.message});
                         }
                     });
     }
--- a/tests/unit/walks/fake_store.hpp
+++ b/tests/unit/walks/fake_store.hpp
@@ -16,11 +16,12 @@
 #include <utility>
 #include <vector>
 
-// An in-memory store for tests of the core, with faults.
+// In-memory store for tests of the core, with fault injection.
 namespace fuchsia::tests::unit::walks
 {
 
-/// Keys, versions and what each operation does; no time and no fault.
+/// Contents of the store and the effect of each operation, without delays or
+/// faults.
 class store_contents
 {
 public:
@@ -38,24 +39,25 @@
         }
         else if (auto const* list = std::get_if<ports::store_list>(&operation))
         {
-            reply.entries = below(list->prefix);
+            reply.entries = entries_under(list->prefix);
         }
         else if (auto const* watch =
                      std::get_if<ports::store_watch>(&operation))
         {
-            reply.entries = below(watch->prefix);
+            reply.entries = entries_under(watch->prefix);
         }
         else if (auto const* write =
                      std::get_if<ports::store_write>(&operation))
         {
-            reply.status =
-                swap(write->key, write->expected_version, &write->value);
+            reply.status = compare_and_swap(
+                write->key, write->expected_version, &write->value);
             reply.index = index_;
         }
         else if (auto const* erase =
                      std::get_if<ports::store_erase>(&operation))
         {
-            reply.status = swap(erase->key, erase->expected_version, nullptr);
+            reply.status =
+                compare_and_swap(erase->key, erase->expected_version, nullptr);
             reply.index = index_;
         }
         return reply;
@@ -63,12 +65,13 @@
 
     ports::store_entry const* find(std::string_view key) const
     {
-        auto const place = entries_.find(key);
-        return place == entries_.end() ? nullptr : &place->second;
+        auto const position = entries_.find(key);
+        return position == entries_.end() ? nullptr : &position->second;
     }
 
-    /// The newest change below `prefix`, erasures included.
-    std::uint64_t changed(std::string_view prefix) const
+    /// Returns the index of the newest change under `prefix`, erasures
+    /// included.
+    std::uint64_t last_change(std::string_view prefix) const
     {
         std::uint64_t newest = 0;
         for (auto const& [key, version] : changes_)
@@ -82,25 +85,25 @@
     }
 
 private:
-    std::vector<ports::store_entry> below(std::string_view prefix) const
+    std::vector<ports::store_entry> entries_under(std::string_view prefix) const
     {
-        std::vector<ports::store_entry> found;
-        for (auto place = entries_.lower_bound(prefix);
-             place != entries_.end() && place->first.starts_with(prefix);
-             ++place)
+        std::vector<ports::store_entry> matches;
+        for (auto position = entries_.lower_bound(prefix);
+             position != entries_.end() && position->first.starts_with(prefix);
+             ++position)
         {
-            found.push_back(place->second);
+            matches.push_back(position->second);
         }
-        return found;
+        return matches;
     }
 
-    ports::store_status swap(std::string const& key,
-                             std::uint64_t expected,
-                             std::string const* value)
+    ports::store_status compare_and_swap(std::string const& key,
+                                         std::uint64_t expected,
+                                         std::string const* value)
     {
-        auto const place = entries_.find(key);
+        auto const position = entries_.find(key);
         std::uint64_t const version =
-            place == entries_.end() ? 0 : place->second.version;
+            position == entries_.end() ? 0 : position->second.version;
         if (version != expected)
         {
             return ports::store_status::conflict;
@@ -122,32 +125,34 @@
     std::uint64_t index_ = 1;
 };
 
-/// What the way to the store and back does to a call.
+/// Faults on the network path between the callers and the store.
 struct store_faults
 {
     bool down = false;
-    std::set<std::string> cut; ///< Callers that can't reach it.
-    std::set<std::string>
-        replies_lost; ///< Callers whose calls lose their answers.
-    std::set<std::string> requests_lost; ///< Callers whose calls don't arrive.
-    std::set<std::string> replies_late; ///< Callers whose answers are all late.
+    std::set<std::string> cut;          ///< Callers that can't reach the store.
+    std::set<std::string> replies_lost; ///< Callers whose replies are lost.
+    std::set<std::string> requests_lost; ///< Callers whose requests are lost.
+    std::set<std::string> replies_late; ///< Callers whose replies are all late.
     std::uint32_t lose_request_permille = 0;
     std::uint32_t lose_reply_permille = 0;
     std::uint32_t duplicate_permille = 0;
-    /// Reads and lists answered from a state of up to some seconds ago.
+    /// Probability that a read or list is answered from a state that is up to
+    /// a few seconds old.
     std::uint32_t stale_permille = 0;
-    /// Each way of a call takes `delay`, or now and then up to `late_delay`.
+    /// Each direction of a call takes `delay`; with the probability
+    /// `late_permille` it takes up to `late_delay`.
     duration delay = std::chrono::milliseconds(2);
     duration late_delay = std::chrono::seconds(4);
     std::uint32_t late_permille = 0;
-    /// The adapter says `unclear` after this long; a watch's wait is added.
+    /// Time after which an unanswered call ends with `unclear`. The wait of a
+    /// watch is added.
     duration timeout = std::chrono::seconds(1);
-    /// The next writes below `lose_prefix` whose answers are dropped.
+    /// Number of the next writes under `lose_prefix` whose replies are lost.
     std::uint32_t lose_next_replies = 0;
     std::string lose_prefix;
 };
 
-/// Store calls that took effect or were read, by kind.
+/// Number of calls that reached the store, by kind.
 struct store_counts
 {
     std::uint64_t reads = 0;
@@ -157,11 +162,11 @@
     std::uint64_t watches = 0;
 };
 
-/// The store behind an unreliable way. Each call is answered exactly once.
+/// Store behind an unreliable network. Each call gets exactly one reply.
 class fake_store
 {
 public:
-    using answer = std::function<void(ports::store_reply const&)>;
+    using reply_handler = std::function<void(ports::store_reply const&)>;
 
     fake_store(virtual_clock& time, std::uint64_t seed)
         : time_(time), random_(seed)
@@ -171,16 +176,17 @@
     store_faults faults;
     store_counts counts;
     store_contents contents;
-    /// Called when a write has taken effect, before its answer is under way.
+    /// Called when a write has taken effect, before its reply is sent.
     std::function<void(std::string const& key)> after_write;
 
-    void
-    call(std::string const& caller, ports::store_call const& what, answer back)
+    void call(std::string const& caller,
+              ports::store_call const& request,
+              reply_handler on_reply)
     {
         auto const pending = std::make_shared<call_state>();
-        pending->call = what;
+        pending->call = request;
         pending->caller = caller;
-        pending->back = std::move(back);
+        pending->on_reply = std::move(on_reply);
         if (is_cut(caller) && chance(500))
         {
             finish_later(pending, ports::store_status::unavailable);
@@ -188,7 +194,7 @@
         }
         duration wait = faults.timeout;
         if (auto const* watch =
-                std::get_if<ports::store_watch>(&what.operation))
+                std::get_if<ports::store_watch>(&request.operation))
         {
             wait += watch->wait;
         }
@@ -215,7 +221,7 @@
     {
         ports::store_call call;
         std::string caller;
-        answer back;
+        reply_handler on_reply;
         bool finished = false;
     };
 
@@ -231,7 +237,7 @@
         return faults.down || faults.cut.count(caller) != 0;
     }
 
-    duration way(bool slow = false)
+    duration one_way_delay(bool slow = false)
     {
         if (slow || chance(faults.late_permille))
         {
@@ -247,7 +253,7 @@
         if (!std::exchange(pending.finished, true))
         {
             reply.id = pending.call.id;
-            pending.back(reply);
+            pending.on_reply(reply);
         }
     }
 
@@ -264,7 +270,7 @@
 
     void arrive_later(call_pointer const& pending)
     {
-        time_.after(way(),
+        time_.after(one_way_delay(),
                     [this, pending]
                     {
                         arrive(pending);
@@ -282,7 +288,7 @@
         if (auto const* watch = std::get_if<ports::store_watch>(&operation))
         {
             ++counts.watches;
-            if (contents.changed(watch->prefix) <= watch->index)
+            if (contents.last_change(watch->prefix) <= watch->index)
             {
                 watches_.push_back(pending);
                 time_.after(watch->wait,
@@ -300,9 +306,10 @@
             std::holds_alternative<ports::store_write>(operation) ||
             std::holds_alternative<ports::store_erase>(operation);
         bool const stale =
-            !writes && !older_.empty() && chance(faults.stale_permille);
+            !writes && !older_states_.empty() && chance(faults.stale_permille);
         auto const reply =
-            stale ? older_[random_() % older_.size()].apply(operation)
+            stale ? older_states_[random_() % older_states_.size()].apply(
+                        operation)
                   : contents.apply(operation);
         auto const* write = std::get_if<ports::store_write>(&operation);
         if (after_write && write != nullptr &&
@@ -311,26 +318,26 @@
             after_write(write->key);
         }
         reply_to(pending, reply);
-        remember();
+        save_state();
         if (writes && reply.status == ports::store_status::done)
         {
             wake_watches();
         }
     }
 
-    /// Keeps states of the last seconds for stale answers.
-    void remember()
+    /// Saves the states of the last few seconds for stale replies.
+    void save_state()
     {
         if (faults.stale_permille == 0 ||
-            time_.now() < remembered_ + std::chrono::milliseconds(400))
+            time_.now() < saved_at_ + std::chrono::milliseconds(400))
         {
             return;
         }
-        remembered_ = time_.now();
-        older_.push_back(contents);
-        if (older_.size() > 8)
+        saved_at_ = time_.now();
+        older_states_.push_back(contents);
+        if (older_states_.size() > 8)
         {
-            older_.pop_front();
+            older_states_.pop_front();
         }
     }
 
@@ -357,7 +364,7 @@
             {
                 continue;
             }
-            if (contents.changed(watch.prefix) > watch.index)
+            if (contents.last_change(watch.prefix) > watch.index)
             {
                 reply_to(pending, contents.apply(pending->call.operation));
             }
@@ -390,22 +397,23 @@
         {
             return;
         }
-        time_.after(way(faults.replies_late.count(pending->caller) != 0),
-                    [this, pending, reply]
-                    {
-                        if (!is_cut(pending->caller) &&
-                            faults.replies_lost.count(pending->caller) == 0)
-                        {
-                            finish(*pending, reply);
-                        }
-                    });
+        time_.after(
+            one_way_delay(faults.replies_late.count(pending->caller) != 0),
+            [this, pending, reply]
+            {
+                if (!is_cut(pending->caller) &&
+                    faults.replies_lost.count(pending->caller) == 0)
+                {
+                    finish(*pending, reply);
+                }
+            });
     }
 
     virtual_clock& time_;
     std::mt19937_64 random_;
     std::vector<call_pointer> watches_;
-    std::deque<store_contents> older_;
-    time_point remembered_{};
+    std::deque<store_contents> older_states_;
+    time_point saved_at_{};
 };
 
 } // namespace fuchsia::tests::unit::walks
--- a/tests/unit/walks/membership_simulation.cpp
+++ b/tests/unit/walks/membership_simulation.cpp
@@ -28,8 +28,8 @@
     return "10.0.0." + std::to_string(slot);
 }
 
-member_info describe(ports::member_identity const& id,
-                     std::string const& address)
+member_info make_member_info(ports::member_identity const& id,
+                             std::string const& address)
 {
     member_info info;
     info.id = id;
@@ -54,19 +54,22 @@
 
 process::process(std::string name,
                  std::uint64_t incarnation,
-                 std::string where,
+                 std::string bound_address,
                  membership_simulation_options const& options,
-                 time_point born,
+                 time_point start_time,
                  std::int64_t rate_permille)
-    : id{std::move(name), incarnation}, address(std::move(where)),
-      member(
-          options.settings, describe(id, address), incarnation, options.parts),
-      claims(role, partition_names(options.partitions)), started_at_(born),
-      rate_permille_(rate_permille)
+    : id{std::move(name), incarnation}, address(std::move(bound_address)),
+      member(options.settings,
+             make_member_info(id, address),
+             incarnation,
+             options.rules),
+      claims(role, partition_names(options.partitions)),
+      started_at_(start_time), rate_permille_(rate_permille)
 {
 }
 
-// Each clock has an origin of its own, so that no time is meant for another.
+// Each clock has its own origin, so that a time of one clock that is used with
+// another fails the test.
 time_point process::local(time_point now) const
 {
     auto const run = (now - started_at_) * rate_permille_ / 1000;
@@ -94,21 +97,21 @@
                   ports::member_identity const& to,
                   ports::peer_receive const& message)
            {
-               for (auto const& who : everyone_)
+               for (auto const& node : all_processes_)
                {
-                   if (who->address == address && who->id == to)
+                   if (node->address == address && node->id == to)
                    {
-                       deliver(who,
+                       deliver(node,
                                [this, message](process& receiver)
                                {
-                                   run_in(receiver.shared_from_this(),
-                                          [&message](process& self,
-                                                     time_point local,
-                                                     ports::actions& out)
-                                          {
-                                              self.member.on_peer(
-                                                  local, message, out);
-                                          });
+                                   run_step(receiver.shared_from_this(),
+                                            [&message](process& self,
+                                                       time_point local,
+                                                       ports::actions& out)
+                                            {
+                                                self.member.on_peer(
+                                                    local, message, out);
+                                            });
                                });
                        return;
                    }
@@ -133,27 +136,27 @@
                   random_() %
                   static_cast<std::uint64_t>(2 * options_.drift_permille + 1)) -
                   options_.drift_permille;
-    auto const who = std::make_shared<process>(slot_name(slot),
-                                               random_() | 1,
-                                               address_name(slot),
-                                               options_,
-                                               time.now(),
-                                               1000 + drift);
-    slots_[slot] = who;
-    std::erase_if(everyone_,
+    auto const node = std::make_shared<process>(slot_name(slot),
+                                                random_() | 1,
+                                                address_name(slot),
+                                                options_,
+                                                time.now(),
+                                                1000 + drift);
+    slots_[slot] = node;
+    std::erase_if(all_processes_,
                   [](process_pointer const& other)
                   {
                       return other->ended;
                   });
-    everyone_.push_back(who);
-    run_in(who,
-           [](process& self, time_point local, ports::actions& out)
-           {
-               self.member.start(local, out);
-               self.claims.start(local, out);
-           });
-    tick(who);
-    return *who;
+    all_processes_.push_back(node);
+    run_step(node,
+             [](process& self, time_point local, ports::actions& out)
+             {
+                 self.member.start(local, out);
+                 self.claims.start(local, out);
+             });
+    tick(node);
+    return *node;
 }
 
 void membership_simulation::end(std::size_t slot)
@@ -174,53 +177,54 @@
 
 void membership_simulation::unfreeze(std::size_t slot)
 {
-    auto const who = slots_[slot];
-    if (who && std::exchange(who->frozen, false))
+    auto const node = slots_[slot];
+    if (node && std::exchange(node->frozen, false))
     {
-        drain(who);
+        handle_inbox(node);
     }
 }
 
 void membership_simulation::unfreeze_all()
 {
-    auto const all = everyone_;
-    for (auto const& who : all)
+    auto const all = all_processes_;
+    for (auto const& node : all)
     {
-        if (std::exchange(who->frozen, false))
+        if (std::exchange(node->frozen, false))
         {
-            drain(who);
+            handle_inbox(node);
         }
     }
 }
 
-// What waited is handled before the next tick as often as after it.
-void membership_simulation::drain(process_pointer const& who)
+// Handles the deliveries received while frozen, in half of the cases in random
+// order.
+void membership_simulation::handle_inbox(process_pointer const& node)
 {
-    check();
-    auto waiting = std::exchange(who->inbox, {});
+    check_invariants();
+    auto waiting = std::exchange(node->inbox, {});
     if (random_() % 2 == 0)
     {
         std::shuffle(waiting.begin(), waiting.end(), random_);
     }
-    for (auto const& what : waiting)
+    for (auto const& handler : waiting)
     {
-        deliver(who, what);
+        deliver(node, handler);
     }
 }
 
 void membership_simulation::begin_leaving(std::size_t slot)
 {
-    auto const who = slots_[slot];
-    if (!who || who->ended || std::exchange(who->leaving, true))
+    auto const node = slots_[slot];
+    if (!node || node->ended || std::exchange(node->leaving, true))
     {
         return;
     }
-    run_in(who,
-           [](process& self, time_point local, ports::actions& out)
-           {
-               self.claims.begin_leaving();
-               self.member.begin_leaving(local, out);
-           });
+    run_step(node,
+             [](process& self, time_point local, ports::actions& out)
+             {
+                 self.claims.begin_leaving();
+                 self.member.begin_leaving(local, out);
+             });
 }
 
 process& membership_simulation::at(std::size_t slot)
@@ -228,15 +232,15 @@
     return *slots_[slot];
 }
 
-bool membership_simulation::run_until(std::function<bool()> const& wanted,
+bool membership_simulation::run_until(std::function<bool()> const& condition,
                                       duration limit)
 {
     time_point const until = time.now() + limit;
-    while (!wanted())
+    while (!condition())
     {
         if (!time.step(until))
         {
-            return wanted();
+            return condition();
         }
     }
     return true;
@@ -249,11 +253,11 @@
 
 process* membership_simulation::owner(std::string const& partition)
 {
-    for (auto const& who : everyone_)
+    for (auto const& node : all_processes_)
     {
-        if (who->owns(time.now(), partition))
+        if (node->owns(time.now(), partition))
         {
-            return who.get();
+            return node.get();
         }
     }
     return nullptr;
@@ -282,14 +286,14 @@
 
 void membership_simulation::cut(std::size_t from, std::size_t to, bool is_cut)
 {
-    auto const way = std::pair(address_name(from), address_name(to));
+    auto const route = std::pair(address_name(from), address_name(to));
     if (is_cut)
     {
-        link.faults.cut.insert(way);
+        link.faults.cut.insert(route);
     }
     else
     {
-        link.faults.cut.erase(way);
+        link.faults.cut.erase(route);
     }
 }
 
@@ -305,96 +309,97 @@
     }
 }
 
-void membership_simulation::tick(process_pointer const& who)
+void membership_simulation::tick(process_pointer const& node)
 {
-    if (who->ended)
+    if (node->ended)
     {
         return;
     }
-    if (!who->frozen)
+    if (!node->frozen)
     {
-        run_in(who,
-               [](process& self, time_point local, ports::actions& out)
-               {
-                   self.member.tick(local, out);
-                   self.claims.tick(local, self.member, out);
-               });
+        run_step(node,
+                 [](process& self, time_point local, ports::actions& out)
+                 {
+                     self.member.tick(local, out);
+                     self.claims.tick(local, self.member, out);
+                 });
     }
     auto const jitter = std::chrono::milliseconds(random_() % 20);
     time.after(tick_interval + jitter,
-               [this, who]
+               [this, node]
                {
-                   tick(who);
+                   tick(node);
                });
 }
 
-void membership_simulation::deliver(process_pointer const& who,
-                                    process::delivery const& what)
+void membership_simulation::deliver(process_pointer const& node,
+                                    process::delivery const& handler)
 {
-    if (who->ended)
+    if (node->ended)
     {
         return;
     }
-    if (!who->frozen)
+    if (!node->frozen)
     {
-        what(*who);
+        handler(*node);
     }
-    else if (who->inbox.size() < max_inbox)
+    else if (node->inbox.size() < max_inbox)
     {
-        who->inbox.push_back(what);
+        node->inbox.push_back(handler);
     }
 }
 
-void membership_simulation::run_in(
-    process_pointer const& who,
-    std::function<void(process&, time_point, ports::actions&)> const& what)
+void membership_simulation::run_step(
+    process_pointer const& node,
+    std::function<void(process&, time_point, ports::actions&)> const& handler)
 {
     ports::actions out;
-    time_point const local = who->local(time.now());
-    what(*who, local, out);
-    follow_changes(*who, local, out);
-    act(who, out);
-    check();
+    time_point const local = node->local(time.now());
+    handler(*node, local, out);
+    apply_claim_changes(*node, local, out);
+    perform(node, out);
+    check_invariants();
 }
 
-void membership_simulation::follow_changes(process& who,
-                                           time_point local,
-                                           ports::actions& out)
+void membership_simulation::apply_claim_changes(process& node,
+                                                time_point local,
+                                                ports::actions& out)
 {
-    for (auto const& change : who.claims.take_changes())
+    for (auto const& change : node.claims.take_changes())
     {
         if (change.kind == core::claims::claim_change_kind::handover_requested)
         {
-            who.claims.release(local, change.current.partition, out);
+            node.claims.release(local, change.current.partition, out);
         }
     }
-    if (who.leaving && !who.removed && who.claims.held_count(who.member) == 0)
+    if (node.leaving && !node.removed &&
+        node.claims.held_count(node.member) == 0)
     {
-        who.removed = true;
-        who.member.remove(local, out);
+        node.removed = true;
+        node.member.remove(local, out);
     }
-    if (who.member.is_removed())
+    if (node.member.is_removed())
     {
-        who.ended = true;
+        node.ended = true;
     }
 }
 
-void membership_simulation::act(process_pointer const& who,
-                                ports::actions const& actions)
+void membership_simulation::perform(process_pointer const& node,
+                                    ports::actions const& actions)
 {
     for (auto const& action : actions)
     {
         if (auto const* call = std::get_if<ports::store_call>(&action))
         {
             store.call(
-                who->address,
+                node->address,
                 *call,
-                [this, who](ports::store_reply const& reply)
+                [this, node](ports::store_reply const& reply)
                 {
-                    deliver(who,
+                    deliver(node,
                             [this, reply](process& receiver)
                             {
-                                run_in(
+                                run_step(
                                     receiver.shared_from_this(),
                                     [&reply](process& self,
                                              time_point local,
@@ -417,7 +422,7 @@
         }
         else if (auto const* send = std::get_if<ports::peer_send>(&action))
         {
-            link.send(who->address, who->id, *send);
+            link.send(node->address, node->id, *send);
         }
         else if (auto const* log = std::get_if<ports::log_event>(&action))
         {
@@ -426,25 +431,25 @@
         }
         else if (std::holds_alternative<ports::rejoin>(action))
         {
-            rejoin(who);
+            rejoin(node);
         }
     }
 }
 
-// The program goes on with a new incarnation; one that was superseded by a
-// newer process under its name ends.
-void membership_simulation::rejoin(process_pointer const& who)
+// Restarts the process with a new incarnation, unless a newer process has
+// superseded it under its name; then it only ends.
+void membership_simulation::rejoin(process_pointer const& node)
 {
-    who->ended = true;
+    node->ended = true;
     ++rejoins;
     for (std::size_t slot = 0; slot < slots_.size(); ++slot)
     {
-        if (slots_[slot] == who)
+        if (slots_[slot] == node)
         {
             time.after(std::chrono::milliseconds(50),
-                       [this, slot, who]
+                       [this, slot, node]
                        {
-                           if (slots_[slot] == who)
+                           if (slots_[slot] == node)
                            {
                                start(slot);
                            }
@@ -456,31 +461,31 @@
 void membership_simulation::publish_list()
 {
     ports::instance_list list;
-    for (auto const& who : everyone_)
+    for (auto const& node : all_processes_)
     {
-        if (!who->ended)
+        if (!node->ended)
         {
-            list.members.push_back(who->id.name);
+            list.members.push_back(node->id.name);
         }
     }
     time.after(list_lag,
                [this, list]
                {
-                   for (auto const& who : everyone_)
+                   for (auto const& node : all_processes_)
                    {
-                       deliver(who,
+                       deliver(node,
                                [this, list](process& receiver)
                                {
-                                   run_in(receiver.shared_from_this(),
-                                          [&list](process& self,
-                                                  time_point local,
-                                                  ports::actions& out)
-                                          {
-                                              auto received = list;
-                                              received.received = local;
-                                              self.member.on_instances(
-                                                  local, received, out);
-                                          });
+                                   run_step(receiver.shared_from_this(),
+                                            [&list](process& self,
+                                                    time_point local,
+                                                    ports::actions& out)
+                                            {
+                                                auto received = list;
+                                                received.received = local;
+                                                self.member.on_instances(
+                                                    local, received, out);
+                                            });
                                });
                    }
                });
@@ -491,28 +496,29 @@
                });
 }
 
-void membership_simulation::check()
+void membership_simulation::check_invariants()
 {
     if (!violation.empty())
     {
         return;
     }
-    for (auto const& who : everyone_)
+    for (auto const& node : all_processes_)
     {
-        if (who->may_act(time.now()))
+        if (node->may_act(time.now()))
         {
-            check_fenced(*who);
-            checks_proved_by_witnesses += who->member.proved_by_store() ? 0 : 1;
+            check_not_fenced(*node);
+            checks_proved_by_witnesses +=
+                node->member.proved_by_store() ? 0 : 1;
         }
     }
     for (auto const& partition : partitions_)
     {
         auto const owners =
-            std::count_if(everyone_.begin(),
-                          everyone_.end(),
-                          [this, &partition](process_pointer const& who)
+            std::count_if(all_processes_.begin(),
+                          all_processes_.end(),
+                          [this, &partition](process_pointer const& node)
                           {
-                              return who->owns(time.now(), partition);
+                              return node->owns(time.now(), partition);
                           });
         if (owners > 1)
         {
@@ -521,47 +527,49 @@
     }
 }
 
-// Whoever may act must have its record in the store, and not as buried.
-void membership_simulation::check_fenced(process& who)
+// Requires that a member that may act has a record in the store that is of its
+// own incarnation and not fenced.
+void membership_simulation::check_not_fenced(process& node)
 {
-    auto const& shown = stored(who.id.name);
-    if (shown.version == 0)
+    auto const& current_record = stored_record(node.id.name);
+    if (current_record.version == 0)
     {
-        violation = who.id.name + " acts though its record was removed";
+        violation = node.id.name + " acts although its record was removed";
     }
-    else if (shown.fenced || shown.incarnation != who.id.incarnation)
+    else if (current_record.fenced ||
+             current_record.incarnation != node.id.incarnation)
     {
-        violation = who.id.name + " acts though it is buried";
+        violation = node.id.name + " acts although it is fenced";
     }
 }
 
 core::membership::witness_list const&
 membership_simulation::stored_witnesses(std::size_t slot)
 {
-    return stored(slot_name(slot)).witnesses;
+    return stored_record(slot_name(slot)).witnesses;
 }
 
-membership_simulation::shown_record const&
-membership_simulation::stored(std::string const& name)
+membership_simulation::parsed_record const&
+membership_simulation::stored_record(std::string const& name)
 {
     auto const* entry =
         store.contents.find(core::membership::members_prefix(role) + name);
-    auto& known = shown_[name];
+    auto& parsed = parsed_records_[name];
     if (entry == nullptr)
     {
-        known = {};
+        parsed = {};
     }
-    else if (known.version != entry->version)
+    else if (parsed.version != entry->version)
     {
         core::common::failure reason;
         auto const value =
             core::membership::parse_record(role, name, entry->value, reason);
-        known = {entry->version,
-                 value ? value->info.id.incarnation : 0,
-                 value && value->fenced,
-                 value ? value->witnesses : core::membership::witness_list{}};
+        parsed = {entry->version,
+                  value ? value->info.id.incarnation : 0,
+                  value && value->fenced,
+                  value ? value->witnesses : core::membership::witness_list{}};
     }
-    return known;
+    return parsed;
 }
 
 } // namespace fuchsia::tests::unit::walks
--- a/tests/unit/walks/membership_simulation.hpp
+++ b/tests/unit/walks/membership_simulation.hpp
@@ -15,7 +15,8 @@
 #include <string>
 #include <vector>
 
-// A few cores of membership and claims, joined by a fake store and fake links.
+// Simulation of several members with their claims, connected by a fake store
+// and fake links, on virtual time.
 namespace fuchsia::tests::unit::walks
 {
 
@@ -25,12 +26,13 @@
     std::size_t partitions = 6;
     std::uint64_t seed = 1;
     core::membership::settings settings;
-    core::membership::safety_rules parts;
-    /// Clocks run up to this much faster or slower than true time.
+    core::membership::safety_rules rules;
+    /// Maximum deviation of a process's clock rate from true time, in
+    /// thousandths.
     std::int64_t drift_permille = 0;
 };
 
-/// One process: a member and its claims, on a clock of its own.
+/// One process: a member and its claim table, with its own clock.
 class process : public std::enable_shared_from_this<process>
 {
 public:
@@ -40,10 +42,10 @@
             std::uint64_t incarnation,
             std::string address,
             membership_simulation_options const& options,
-            time_point born,
+            time_point start_time,
             std::int64_t rate_permille);
 
-    /// Its own clock's reading at true time `now`.
+    /// Reading of the process's own clock at true time `now`.
     time_point local(time_point now) const;
     bool may_act(time_point now) const;
     bool owns(time_point now, std::string const& partition) const;
@@ -52,7 +54,7 @@
     std::string address;
     core::membership::member member;
     core::claims::claim_table claims;
-    std::deque<delivery> inbox; ///< What came while it was frozen.
+    std::deque<delivery> inbox; ///< Deliveries received while frozen.
     bool frozen = false;
     bool ended = false;
     bool leaving = false;
@@ -63,8 +65,8 @@
     std::int64_t rate_permille_;
 };
 
-/// The processes and what joins them. Each slot is a name of the settings, in
-/// which one process runs at a time, or none.
+/// All processes with the store and the links between them. A slot stands for
+/// one configured member name; at most one current process runs in it.
 class membership_simulation
 {
 public:
@@ -75,37 +77,40 @@
     fake_store store;
     fake_link link;
 
-    /// Starts a process in `slot`, in place of the one there, which is ended,
-    /// or, as a `zombie`, runs on beside it.
+    /// Starts a process in `slot`. The previous process of the slot is ended;
+    /// with `zombie` it keeps running beside the new one.
     process& start(std::size_t slot, bool zombie = false);
     void end(std::size_t slot);
     void freeze(std::size_t slot);
     void unfreeze(std::size_t slot);
-    /// Wakes every frozen process, zombies included.
+    /// Resumes every frozen process, zombies included.
     void unfreeze_all();
     void begin_leaving(std::size_t slot);
     process& at(std::size_t slot);
-    /// Runs on until `wanted` holds, at most `limit`; whether it does.
-    bool run_until(std::function<bool()> const& wanted, duration limit);
+    /// Runs until `condition` holds, for at most `limit`. Returns whether it
+    /// holds.
+    bool run_until(std::function<bool()> const& condition, duration limit);
     void run(duration length);
 
-    /// Owner of the partition that may act now; null where there is none.
+    /// Returns the process that owns the partition and may act now, or null.
     process* owner(std::string const& partition);
     bool all_owned();
     std::vector<std::string> const& partitions() const noexcept;
     std::string address_of(std::size_t slot) const;
-    /// Cuts or mends the way between two slots, one way only.
+    /// Cuts or restores the link from one slot to another, in this direction
+    /// only.
     void cut(std::size_t from, std::size_t to, bool is_cut);
     void cut_store(std::size_t slot, bool is_cut);
 
-    /// The witnesses in the record that the store holds under a slot's name.
+    /// Returns the witnesses in the stored record of a slot's name.
     core::membership::witness_list const& stored_witnesses(std::size_t slot);
 
-    /// The platform's list: `lag` behind the truth.
+    /// Delay with which the platform's instance list is delivered.
     duration list_lag = std::chrono::seconds(2);
-    /// Empty while everything that must hold does.
+    /// Description of the first violated invariant; empty while all hold.
     std::string violation;
-    std::uint64_t checks_proved_by_witnesses = 0; ///< Checks that found one.
+    /// Checks in which a member acted on witness promises alone.
+    std::uint64_t checks_proved_by_witnesses = 0;
     std::uint64_t rejoins = 0;
     std::uint64_t fencing_writes = 0;
     std::uint64_t pauses = 0;
@@ -113,21 +118,23 @@
 private:
     using process_pointer = std::shared_ptr<process>;
 
-    void tick(process_pointer const& who);
-    void act(process_pointer const& who, ports::actions const& actions);
-    void deliver(process_pointer const& who, process::delivery const& what);
-    void run_in(
-        process_pointer const& who,
-        std::function<void(process&, time_point, ports::actions&)> const& what);
-    void drain(process_pointer const& who);
-    void follow_changes(process& who, time_point local, ports::actions& out);
-    void rejoin(process_pointer const& who);
+    void tick(process_pointer const& node);
+    void perform(process_pointer const& node, ports::actions const& actions);
+    void deliver(process_pointer const& node, process::delivery const& handler);
+    void
+    run_step(process_pointer const& node,
+             std::function<void(process&, time_point, ports::actions&)> const&
+                 handler);
+    void handle_inbox(process_pointer const& node);
+    void
+    apply_claim_changes(process& node, time_point local, ports::actions& out);
+    void rejoin(process_pointer const& node);
     void publish_list();
-    void check();
-    void check_fenced(process& who);
+    void check_invariants();
+    void check_not_fenced(process& node);
 
-    /// What the store shows under one name, parsed once a version.
-    struct shown_record
+    /// Parsed form of the stored record of one name, cached by version.
+    struct parsed_record
     {
         std::uint64_t version = 0;
         std::uint64_t incarnation = 0;
@@ -135,14 +142,14 @@
         core::membership::witness_list witnesses;
     };
 
-    shown_record const& stored(std::string const& name);
+    parsed_record const& stored_record(std::string const& name);
 
     membership_simulation_options options_;
     std::mt19937_64 random_;
     std::vector<std::string> partitions_;
     std::vector<process_pointer> slots_;
-    std::vector<process_pointer> everyone_; ///< Zombies included.
-    std::map<std::string, shown_record> shown_;
+    std::vector<process_pointer> all_processes_; ///< Includes zombies.
+    std::map<std::string, parsed_record> parsed_records_;
 };
 
 } // namespace fuchsia::tests::unit::walks
--- a/tests/unit/walks/membership_simulation_test.cpp
+++ b/tests/unit/walks/membership_simulation_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST(small_system, members_join_and_share_out_all_partitions)
+TEST(simulated_members, members_join_and_claim_all_partitions)
 {
     membership_simulation_options options;
     membership_simulation system(options);
@@ -34,7 +34,8 @@
     EXPECT_EQ(system.violation, "");
 }
 
-TEST(small_system, planned_stop_hands_over_and_removes_the_record)
+TEST(simulated_members,
+     planned_stop_hands_partitions_over_and_removes_the_record)
 {
     membership_simulation_options options;
     membership_simulation system(options);
@@ -57,9 +58,9 @@
     EXPECT_EQ(system.violation, "");
 }
 
-// A process is killed. Its users wait until another member has buried it and
-// taken its partitions.
-TEST(small_system, partitions_of_a_killed_member_are_taken_over)
+// Partitions of a killed process are unavailable until another member has
+// fenced it and claimed them; without a takeover they stay unavailable.
+TEST(simulated_members, partitions_of_a_killed_member_are_taken_over)
 {
     membership_simulation_options options;
     membership_simulation system(options);
@@ -75,22 +76,23 @@
     EXPECT_EQ(system.violation, "");
 }
 
-// A process is killed and started again at once under the same name. Its
-// former self might run on elsewhere, so it must not act before that one is
-// buried; then it joins.
-TEST(small_system, restarted_member_joins_after_its_former_self_is_buried)
+// A process is killed and restarted at once under the same name. Its previous
+// incarnation may still be running elsewhere, so the new one must not act until
+// the previous one is fenced; then it joins.
+TEST(simulated_members,
+     restarted_member_joins_after_its_previous_incarnation_is_fenced)
 {
     membership_simulation_options options;
     membership_simulation system(options);
     start_all(system, options.members);
     system.run(20s);
-    auto& again = system.start(2);
+    auto& restarted = system.start(2);
     system.run(2500ms);
-    EXPECT_FALSE(again.may_act(system.time.now()));
+    EXPECT_FALSE(restarted.may_act(system.time.now()));
     EXPECT_TRUE(system.run_until(
         [&]
         {
-            return again.may_act(system.time.now());
+            return restarted.may_act(system.time.now());
         },
         10s));
     EXPECT_EQ(system.violation, "");
--- a/tests/unit/walks/virtual_clock.hpp
+++ b/tests/unit/walks/virtual_clock.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-// True time of a test, and what is to happen when.
+// Virtual time of a test and its scheduled events.
 namespace fuchsia::tests::unit::walks
 {
 
@@ -25,12 +25,13 @@
         return now_;
     }
 
-    void after(duration wait, event what)
+    void after(duration wait, event action)
     {
-        events_.push({now_ + wait, ++last_, std::move(what)});
+        events_.push({now_ + wait, ++last_, std::move(action)});
     }
 
-    /// Runs the next event, unless it lies beyond `until`; then it is `until`.
+    /// Runs the next event. If it is later than `until`, or there is none, sets
+    /// the time to `until` and returns false.
     bool step(time_point until)
     {
         if (events_.empty() || events_.top().when > until)
@@ -38,11 +39,12 @@
             now_ = until;
             return false;
         }
-        // The queue gives no access to move from; the copy is a test's cost.
+        // std::priority_queue does not allow moving its top element out, so it
+        // is copied.
         auto const next = events_.top();
         events_.pop();
         now_ = next.when;
-        next.what();
+        next.action();
         return true;
     }
 
@@ -59,7 +61,7 @@
     {
         time_point when;
         std::uint64_t order = 0;
-        event what;
+        event action;
 
         bool operator<(entry const& other) const noexcept
         {
--- a/tests/unit/walks/walk.cpp
+++ b/tests/unit/walks/walk.cpp
@@ -16,46 +16,47 @@
 constexpr duration calm_start = std::chrono::seconds(9);
 constexpr duration recovery_limit = std::chrono::seconds(90);
 
-membership_simulation_options describe(walk_options const& options)
+membership_simulation_options
+make_simulation_options(walk_options const& options)
 {
-    membership_simulation_options described;
-    described.members = member_count;
-    described.partitions = 6;
-    described.seed = options.seed;
-    described.drift_permille = 30;
-    described.parts = options.parts;
-    described.settings.witness_count = options.seed % 4 == 0 ? 0 : 3;
-    described.settings.platform_list_replaces_consent = options.seed % 2 == 0;
-    return described;
+    membership_simulation_options simulation;
+    simulation.members = member_count;
+    simulation.partitions = 6;
+    simulation.seed = options.seed;
+    simulation.drift_permille = 30;
+    simulation.rules = options.rules;
+    simulation.settings.witness_count = options.seed % 4 == 0 ? 0 : 3;
+    simulation.settings.platform_list_replaces_consent = options.seed % 2 == 0;
+    return simulation;
 }
 
-/// Brings about one random fault after another, and mends each again.
-class trouble
+/// Injects random faults one after another and ends each after a while.
+class fault_injector
 {
 public:
-    trouble(membership_simulation& system, walk_options const& options)
+    fault_injector(membership_simulation& system, walk_options const& options)
         : system_(system), random_(options.seed * 7919),
           zombies_(options.seed % 2 != 0)
     {
         system_.store.after_write = [this](std::string const& key)
         {
-            lose_list_change_at(key);
+            on_store_write(key);
         };
     }
 
     void run(duration length)
     {
-        spread_over_links();
+        set_random_fault_rates();
         time_point const until = system_.time.now() + length;
         while (system_.time.now() < until && system_.violation.empty())
         {
-            one();
-            system_.run(between(100ms, 1500ms));
+            inject_random_fault();
+            system_.run(random_duration(100ms, 1500ms));
         }
     }
 
-    /// Ends all faults and fills all slots.
-    void mend()
+    /// Ends all faults and starts a process in every slot whose process ended.
+    void clear_faults()
     {
         system_.store.faults = {};
         system_.link.faults = {};
@@ -70,89 +71,92 @@
     }
 
 private:
-    duration between(duration least, duration most)
+    duration random_duration(duration shortest, duration longest)
     {
-        auto const range = static_cast<std::uint64_t>((most - least).count());
-        return least +
+        auto const range =
+            static_cast<std::uint64_t>((longest - shortest).count());
+        return shortest +
                duration(static_cast<std::int64_t>(random_() % (range + 1)));
     }
 
-    std::size_t any_slot()
+    std::size_t random_slot()
     {
         return random_() % member_count;
     }
 
-    std::uint32_t any_of(std::initializer_list<std::uint32_t> values)
+    std::uint32_t random_choice(std::initializer_list<std::uint32_t> values)
     {
         return *(values.begin() + random_() % values.size());
     }
 
-    void spread_over_links()
+    void set_random_fault_rates()
     {
         auto& link = system_.link.faults;
-        link.lose_permille = any_of({0, 0, 20, 100});
-        link.duplicate_permille = any_of({0, 50});
-        link.late_permille = any_of({0, 20, 200});
+        link.lose_permille = random_choice({0, 0, 20, 100});
+        link.duplicate_permille = random_choice({0, 50});
+        link.late_permille = random_choice({0, 20, 200});
         auto& store = system_.store.faults;
-        store.lose_request_permille = any_of({0, 0, 20, 100});
-        store.lose_reply_permille = any_of({0, 20, 100, 300});
-        store.stale_permille = any_of({0, 0, 100, 500});
-        store.duplicate_permille = any_of({0, 50});
-        store.late_permille = any_of({0, 20, 200});
-        store.timeout = std::chrono::milliseconds(any_of({500, 1000, 5000}));
+        store.lose_request_permille = random_choice({0, 0, 20, 100});
+        store.lose_reply_permille = random_choice({0, 20, 100, 300});
+        store.stale_permille = random_choice({0, 0, 100, 500});
+        store.duplicate_permille = random_choice({0, 50});
+        store.late_permille = random_choice({0, 20, 200});
+        store.timeout =
+            std::chrono::milliseconds(random_choice({500, 1000, 5000}));
     }
 
-    void one()
+    void inject_random_fault()
     {
         switch (random_() % 16)
         {
         case 0:
-            store_down(between(500ms, 15s));
+            take_store_down(random_duration(500ms, 15s));
             break;
         case 1:
         case 2:
         case 3:
-            store_cut(any_slot(), between(500ms, 12s));
+            cut_store_for(random_slot(), random_duration(500ms, 12s));
             break;
         case 4:
-            one_way_cut(any_slot(), any_slot(), between(500ms, 12s));
+            one_way_cut(
+                random_slot(), random_slot(), random_duration(500ms, 12s));
             break;
         case 5:
-            lose_some_peers(any_slot(), between(500ms, 12s));
+            cut_some_peers(random_slot(), random_duration(500ms, 12s));
             break;
         case 6:
-            isolate(any_slot(), between(500ms, 12s));
+            isolate(random_slot(), random_duration(500ms, 12s));
             break;
         case 7:
-            freeze(any_slot(), between(200ms, 9s));
+            freeze(random_slot(), random_duration(200ms, 9s));
             break;
         case 8:
-            system_.end(any_slot());
+            system_.end(random_slot());
             break;
         case 9:
-            restart(any_slot());
+            restart(random_slot());
             break;
         case 10:
-            leave(any_slot());
+            leave(random_slot());
             break;
         case 11:
-            lose_beat(any_slot());
+            lose_heartbeat_replies(random_slot());
             break;
         case 12:
         case 13:
-            lose_list_change(any_slot());
+            lose_next_witness_change(random_slot());
             break;
         case 14:
-            answer_late(any_slot());
+            delay_replies(random_slot());
             break;
         default:
-            spread_over_links();
+            set_random_fault_rates();
             break;
         }
-        start_one_that_ended();
+        restart_random_ended_slot();
     }
 
-    void store_down(duration length)
+    void take_store_down(duration length)
     {
         system_.store.faults.down = true;
         system_.time.after(length,
@@ -162,7 +166,7 @@
                            });
     }
 
-    void store_cut(std::size_t slot, duration length)
+    void cut_store_for(std::size_t slot, duration length)
     {
         system_.cut_store(slot, true);
         system_.time.after(length,
@@ -172,81 +176,85 @@
                            });
     }
 
-    /// A beat takes effect but its member never learns it: the answers are
-    /// lost for a while, and then the store can't be reached; nor can some of
-    /// its peers.
-    void lose_beat(std::size_t slot)
+    /// Heartbeats of the member take effect but their replies are lost; then
+    /// the member reaches neither the store nor some of its peers.
+    void lose_heartbeat_replies(std::size_t slot)
     {
         std::string const caller = system_.address_of(slot);
         system_.store.faults.replies_lost.insert(caller);
-        system_.time.after(between(500ms, 2s),
+        system_.time.after(random_duration(500ms, 2s),
                            [this, slot, caller]
                            {
                                system_.store.faults.replies_lost.erase(caller);
-                               store_cut(slot, between(4s, 12s));
+                               cut_store_for(slot, random_duration(4s, 12s));
                            });
-        lose_some_peers(slot, between(4s, 12s));
+        cut_some_peers(slot, random_duration(4s, 12s));
     }
 
-    /// The next beat of the member that names other witnesses takes effect,
-    /// and its member loses the answer, the store and some of its peers.
-    void lose_list_change(std::size_t slot)
+    /// The member's next heartbeat that changes its witnesses takes effect, and
+    /// the member then loses the reply, the store and some of its peers.
+    void lose_next_witness_change(std::size_t slot)
     {
-        list_changes_[slot] = system_.stored_witnesses(slot);
+        witness_changes_to_lose_[slot] = system_.stored_witnesses(slot);
     }
 
-    void lose_list_change_at(std::string const& key)
+    void on_store_write(std::string const& key)
     {
-        for (auto const& [slot, before] : list_changes_)
+        for (auto const& [slot, previous_witnesses] : witness_changes_to_lose_)
         {
             if (key.ends_with(system_.at(slot).id.name) &&
-                system_.stored_witnesses(slot) != before)
+                system_.stored_witnesses(slot) != previous_witnesses)
             {
-                store_cut(slot, between(6s, 12s));
-                lose_some_peers(slot, between(6s, 12s));
-                lose_added(slot, before);
-                list_changes_.erase(slot);
+                cut_store_for(slot, random_duration(6s, 12s));
+                cut_some_peers(slot, random_duration(6s, 12s));
+                cut_added_witnesses(slot, previous_witnesses);
+                witness_changes_to_lose_.erase(slot);
                 return;
             }
         }
     }
 
-    void lose_added(std::size_t slot,
-                    core::membership::witness_list const& before)
+    void cut_added_witnesses(
+        std::size_t slot,
+        core::membership::witness_list const& previous_witnesses)
     {
-        auto const now = system_.stored_witnesses(slot);
+        auto const current_witnesses = system_.stored_witnesses(slot);
         for (std::size_t other = 0; other < member_count; ++other)
         {
             auto const& id = system_.at(other).id;
-            if (std::count(now.begin(), now.end(), id) != 0 &&
-                std::count(before.begin(), before.end(), id) == 0)
+            if (std::count(current_witnesses.begin(),
+                           current_witnesses.end(),
+                           id) != 0 &&
+                std::count(previous_witnesses.begin(),
+                           previous_witnesses.end(),
+                           id) == 0)
             {
-                one_way_cut(slot, other, between(6s, 12s));
+                one_way_cut(slot, other, random_duration(6s, 12s));
             }
         }
     }
 
-    /// A member's beats are accepted and answered late, and then its calls
-    /// arrive no more: a one-way cut.
-    void answer_late(std::size_t slot)
+    /// The member's heartbeats are accepted but answered late; then its
+    /// requests to the store are lost, as with a one-way cut.
+    void delay_replies(std::size_t slot)
     {
         std::string const caller = system_.address_of(slot);
         system_.store.faults.replies_late.insert(caller);
-        system_.time.after(between(200ms, 2s),
+        system_.time.after(random_duration(200ms, 2s),
                            [this, caller]
                            {
                                auto& faults = system_.store.faults;
                                faults.replies_late.erase(caller);
                                faults.requests_lost.insert(caller);
                                system_.time.after(
-                                   between(4s, 10s),
+                                   random_duration(4s, 10s),
                                    [this, caller]
                                    {
                                        system_.store.faults.requests_lost.erase(
                                            caller);
                                    });
                            });
-        isolate(slot, between(1s, 10s));
+        isolate(slot, random_duration(1s, 10s));
     }
 
     void one_way_cut(std::size_t from, std::size_t to, duration length)
@@ -259,7 +267,7 @@
                            });
     }
 
-    void lose_some_peers(std::size_t slot, duration length)
+    void cut_some_peers(std::size_t slot, duration length)
     {
         for (std::size_t other = 0; other < member_count; ++other)
         {
@@ -280,22 +288,22 @@
         }
         if (random_() % 2 == 0)
         {
-            store_cut(slot, length);
+            cut_store_for(slot, length);
         }
     }
 
     void freeze(std::size_t slot, duration length)
     {
         system_.freeze(slot);
-        bool const second = zombies_ && random_() % 3 == 0;
-        if (second)
+        bool const starts_zombie = zombies_ && random_() % 3 == 0;
+        if (starts_zombie)
         {
             system_.start(slot, true);
         }
         system_.time.after(length,
-                           [this, slot, second]
+                           [this, slot, starts_zombie]
                            {
-                               if (second)
+                               if (starts_zombie)
                                {
                                    system_.unfreeze_all();
                                }
@@ -319,9 +327,9 @@
         }
     }
 
-    void start_one_that_ended()
+    void restart_random_ended_slot()
     {
-        std::size_t const slot = any_slot();
+        std::size_t const slot = random_slot();
         if (system_.at(slot).ended && random_() % 3 == 0)
         {
             system_.start(slot);
@@ -331,16 +339,18 @@
     membership_simulation& system_;
     std::mt19937_64 random_;
     bool zombies_;
-    /// Members whose next change of witnesses is lost, and these before it.
-    std::map<std::size_t, core::membership::witness_list> list_changes_;
+    /// Slots whose next witness change is to be lost, with the witnesses before
+    /// the change.
+    std::map<std::size_t, core::membership::witness_list>
+        witness_changes_to_lose_;
 };
 
 } // namespace
 
 walk_result run_walk(walk_options const& options)
 {
-    membership_simulation system(describe(options));
-    trouble faults(system, options);
+    membership_simulation system(make_simulation_options(options));
+    fault_injector faults(system, options);
     for (std::size_t slot = 0; slot < member_count; ++slot)
     {
         system.start(slot);
@@ -349,9 +359,10 @@
     faults.run(options.faults);
     if (system.violation.empty() && options.must_recover)
     {
-        faults.mend();
+        faults.clear_faults();
         system.run(std::chrono::seconds(1));
-        faults.mend(); // Faults that were still to end may have left some.
+        // Timed events may have set further faults.
+        faults.clear_faults();
     }
     walk_result result;
     result.recovered =
--- a/tests/unit/walks/walk_test.cpp
+++ b/tests/unit/walks/walk_test.cpp
@@ -14,22 +14,23 @@
 constexpr std::uint64_t shard_count = 8;
 constexpr std::uint64_t walks_in_ci = 2000;
 
-/// All walks of a run; FUCHSIA_WALKS asks for more than CI has time for.
+/// Number of walks of a run. FUCHSIA_WALKS sets a number that CI has no time
+/// for.
 std::uint64_t walk_count()
 {
     char const* text = std::getenv("FUCHSIA_WALKS");
     return text == nullptr ? walks_in_ci : std::strtoull(text, nullptr, 10);
 }
 
-/// The first of the seeds up to `last` whose walk fails; 0 where none does.
-std::uint64_t first_caught(fuchsia::core::membership::safety_rules parts,
-                           std::uint64_t last)
+/// Returns the first seed up to `last_seed` whose walk fails, or 0.
+std::uint64_t first_failing_seed(fuchsia::core::membership::safety_rules rules,
+                                 std::uint64_t last_seed)
 {
-    for (std::uint64_t seed = 1; seed <= last; ++seed)
+    for (std::uint64_t seed = 1; seed <= last_seed; ++seed)
     {
         walk_options options;
         options.seed = seed;
-        options.parts = parts;
+        options.rules = rules;
         options.must_recover = false;
         if (!run_walk(options).violation.empty())
         {
@@ -49,14 +50,14 @@
                          safety_walks,
                          testing::Range<std::uint64_t>(0, shard_count));
 
-// Stores, links, clocks and processes fail in any order, together and twice.
-// Were the takeover rule wrong, two members would act on one partition: a slot
-// would be given twice, or a bid recorded twice. Were it too careful, some
-// partition would stay without an owner after all was mended.
-TEST_P(safety_walks, no_two_members_act_and_all_recovers)
+// Store, links, clocks and processes fail in any order, also together and
+// repeatedly. With a wrong takeover rule two members act on one partition, so
+// that a slot is granted twice or a bid is recorded twice. With a rule that is
+// too strict some partition stays without an owner after all faults ended.
+TEST_P(safety_walks, one_owner_per_partition_and_full_recovery)
 {
-    std::uint64_t burials = 0;
-    std::uint64_t by_witnesses = 0;
+    std::uint64_t walks_with_fencing = 0;
+    std::uint64_t walks_with_witness_proof = 0;
     std::uint64_t const walks = walk_count() / shard_count;
     for (std::uint64_t walk = 0; walk < walks; ++walk)
     {
@@ -68,44 +69,47 @@
         ASSERT_EQ(result.violation, "") << "seed " << options.seed;
         ASSERT_TRUE(result.recovered || !options.must_recover)
             << "seed " << options.seed;
-        burials += result.fencing_writes > 0 ? 1 : 0;
-        by_witnesses += result.checks_proved_by_witnesses > 0 ? 1 : 0;
+        walks_with_fencing += result.fencing_writes > 0 ? 1 : 0;
+        walks_with_witness_proof +=
+            result.checks_proved_by_witnesses > 0 ? 1 : 0;
     }
-    // Walks in which nothing happens would prove nothing.
-    EXPECT_GE(burials * 2, walks);
-    EXPECT_GE(by_witnesses * 4, walks);
+    // The walks are only meaningful if members are fenced and act on witness
+    // promises in enough of them.
+    EXPECT_GE(walks_with_fencing * 2, walks);
+    EXPECT_GE(walks_with_witness_proof * 4, walks);
 }
 
-// With one part of the rule switched off the same walks must fail; else they
-// would not see the fault which that part prevents.
-TEST(safety_walks_see, burial_without_consent)
+// With one part of the takeover rule switched off, some of the walks must fail;
+// otherwise they could not detect the fault that this part prevents.
+TEST(safety_walks_detect, fencing_without_consent)
 {
-    EXPECT_NE(first_caught({.require_consent = false}, 50), 0);
+    EXPECT_NE(first_failing_seed({.require_consent = false}, 50), 0);
 }
 
-TEST(safety_walks_see, burial_of_a_record_that_moves)
+TEST(safety_walks_detect, fencing_of_a_record_that_changes)
 {
-    EXPECT_NE(first_caught({.require_unchanged_version = false}, 50), 0);
+    EXPECT_NE(first_failing_seed({.require_unchanged_version = false}, 50), 0);
 }
 
-TEST(safety_walks_see, proof_counted_from_the_answer)
+TEST(safety_walks_detect, proof_lifetime_counted_from_the_reply)
 {
-    EXPECT_NE(first_caught({.count_proof_from_send = false}, 400), 0);
+    EXPECT_NE(first_failing_seed({.count_proof_from_send = false}, 400), 0);
 }
 
-// One walk in a few thousand sees this part missing. Seeds that did are kept;
-// a change to the core or to the walks draws other walks from them, and then
-// new seeds have to be looked for, with the loop above and thousands of seeds.
-TEST(safety_walks_see, majority_in_one_of_two_possible_lists)
+// Only about one walk in a few thousand detects that this part is missing, so
+// the test uses seeds that are known to. A change to the core or to the walks
+// changes the walks of these seeds; new ones are then found by
+// `first_failing_seed` with thousands of seeds.
+TEST(safety_walks_detect, majority_of_only_one_possible_witness_list)
 {
-    constexpr std::array<std::uint64_t, 4> found{166, 2622, 3414, 4210};
-    EXPECT_TRUE(std::any_of(found.begin(),
-                            found.end(),
+    constexpr std::array<std::uint64_t, 4> failing_seeds{166, 2622, 3414, 4210};
+    EXPECT_TRUE(std::any_of(failing_seeds.begin(),
+                            failing_seeds.end(),
                             [](std::uint64_t seed)
                             {
                                 walk_options options;
                                 options.seed = seed;
-                                options.parts.require_both_witness_lists =
+                                options.rules.require_both_witness_lists =
                                     false;
                                 options.must_recover = false;
                                 return !run_walk(options).violation.empty();
