--- a/tests/process/child.hpp
+++ b/tests/process/child.hpp
@@ -5,11 +5,12 @@
 namespace fuchsia::tests::process
 {
 
-/// One of our programs as a child of the test; killed at the end of its scope.
+/// A program of this project as a child process of the test. The destructor
+/// kills it.
 class child : public adapters::runtime::child
 {
 public:
-    /// Starts `program` of the build folder; its output goes to `log`.
+    /// Starts `program` from the build folder and writes its output to `log`.
     child(std::string const& program,
           std::vector<std::string> const& arguments,
           std::string const& log)
--- a/tests/process/entry_deployment.cpp
+++ b/tests/process/entry_deployment.cpp
@@ -54,70 +54,70 @@
     request.method_string(method);
     request.target(target);
     request.set("Host", "127.0.0.1");
-    for (auto const& one : headers)
+    for (auto const& field : headers)
     {
-        request.set(one.name, one.value);
+        request.set(field.name, field.value);
     }
     request.body() = body;
     request.prepare_payload();
-    beast::http::response<beast::http::string_body> answer;
-    bool whole = false;
+    beast::http::response<beast::http::string_body> response;
+    bool complete = false;
     stream.expires_after(call_limit);
     stream.async_connect(
         tcp::endpoint(boost::asio::ip::make_address(process_loopback_address()),
                       port),
-        [&](beast::error_code error)
+        [&](beast::error_code connect_error)
         {
-            if (error)
+            if (connect_error)
             {
                 return;
             }
             beast::http::async_write(
                 stream,
                 request,
-                [&](beast::error_code failed, std::size_t)
+                [&](beast::error_code write_error, std::size_t)
                 {
-                    if (failed)
+                    if (write_error)
                     {
                         return;
                     }
                     beast::http::async_read(
                         stream,
                         buffer,
-                        answer,
-                        [&](beast::error_code broken, std::size_t)
+                        response,
+                        [&](beast::error_code read_error, std::size_t)
                         {
-                            whole = !broken;
+                            complete = !read_error;
                         });
                 });
         });
     io.run();
-    if (!whole)
+    if (!complete)
     {
         return std::nullopt;
     }
     adapters::http::response result;
-    result.status = static_cast<std::uint16_t>(answer.result_int());
-    for (auto const& one : answer)
+    result.status = static_cast<std::uint16_t>(response.result_int());
+    for (auto const& field : response)
     {
         result.headers.push_back(
-            {std::string(one.name_string()), std::string(one.value())});
+            {std::string(field.name_string()), std::string(field.value())});
     }
-    result.body = answer.body();
+    result.body = response.body();
     return result;
 }
 
-std::string header_of(std::optional<adapters::http::response> const& answer,
+std::string header_of(std::optional<adapters::http::response> const& response,
                       std::string_view name)
 {
-    return answer ? std::string(answer->header(name).value_or("")) : "";
+    return response ? std::string(response->header(name).value_or("")) : "";
 }
 
-bool is_own(std::optional<adapters::http::response> const& answer,
+bool is_own(std::optional<adapters::http::response> const& response,
             std::string const& token)
 {
-    return answer && answer->body.starts_with(token + "\n") &&
-           answer->body.ends_with("\n" + token);
+    return response && response->body.starts_with(token + "\n") &&
+           response->body.ends_with("\n" + token);
 }
 
 entry_deployment::entry_deployment(std::string const& name)
@@ -152,43 +152,44 @@
     {
         start_entry(number);
     }
-    is_ready =
-        up && wait_until(
-                  [this]
-                  {
-                      bool const all = ready(0) && ready(1) && ready(2);
-                      auto const served = bid(0, "probe", 1, "T");
-                      return all && owns_as_assigned() && is_own(served, "T");
-                  });
+    is_ready = up && wait_until(
+                         [this]
+                         {
+                             bool const all_ready =
+                                 ready(0) && ready(1) && ready(2);
+                             auto const served = bid(0, "probe", 1, "T");
+                             return all_ready && owns_as_assigned() &&
+                                    is_own(served, "T");
+                         });
 }
 
 bool entry_deployment::owns_as_assigned() const
 {
     std::vector<std::string> names;
-    std::vector<std::int64_t> wished(entries, 0);
+    std::vector<std::int64_t> assigned_counts(entries, 0);
     for (std::size_t number = 0; number < entries; ++number)
     {
         names.push_back("entry-" + std::to_string(number));
     }
-    std::vector<std::string> all;
+    std::vector<std::string> partition_names;
     for (std::int64_t at = 0; at < partitions; ++at)
     {
-        all.push_back(std::to_string(at));
+        partition_names.push_back(std::to_string(at));
     }
-    std::sort(all.begin(), all.end());
+    std::sort(partition_names.begin(), partition_names.end());
     core::claims::partition_assignment shares;
-    shares.update(all, names);
-    for (auto const& partition : all)
+    shares.update(partition_names, names);
+    for (auto const& partition : partition_names)
     {
         auto const* owner = shares.assigned_owner(partition);
         auto const at = std::find(names.begin(), names.end(), *owner);
-        ++wished[static_cast<std::size_t>(at - names.begin())];
+        ++assigned_counts[static_cast<std::size_t>(at - names.begin())];
     }
     for (std::size_t number = 0; number < entries; ++number)
     {
         auto const metrics = call(entry_ports_[number], "GET", "/metrics");
-        auto const line =
-            "\nfuchsia_claims_owned " + std::to_string(wished[number]) + "\n";
+        auto const line = "\nfuchsia_claims_owned " +
+                          std::to_string(assigned_counts[number]) + "\n";
         if (!metrics || metrics->body.find(line) == std::string::npos)
         {
             return false;
@@ -201,7 +202,7 @@
 {
     running_.clear();
     standins_.clear();
-    // The logs of one that did not come up, or whose test failed, tell why.
+    // Keeps the logs if the deployment did not become ready or the test failed.
     if (is_ready && !testing::Test::HasFailure())
     {
         std::error_code ignored;
@@ -226,8 +227,8 @@
 
 bool entry_deployment::ready(std::size_t number) const
 {
-    auto const answer = call(entry_ports_[number], "GET", "/readyz");
-    return answer && answer->status == 200;
+    auto const response = call(entry_ports_[number], "GET", "/readyz");
+    return response && response->status == 200;
 }
 
 std::optional<adapters::http::response>
@@ -249,10 +250,10 @@
 
 std::int64_t entry_deployment::upstream_count(std::string const& name) const
 {
-    auto const answer = call(upstreams_port_, "GET", "/control/counts");
+    auto const response = call(upstreams_port_, "GET", "/control/counts");
     core::common::failure reason;
     auto const books = core::common::parse_json_object(
-        answer ? answer->body : "", "counts", reason);
+        response ? response->body : "", "counts", reason);
     return books && books->contains(name) ? books->at(name).to_number<int64_t>()
                                           : -1;
 }
--- a/tests/process/entry_deployment.hpp
+++ b/tests/process/entry_deployment.hpp
@@ -10,12 +10,13 @@
 #include <string>
 #include <vector>
 
-// Three entries with the platform's and the upstreams' stand-ins, as processes
-// on loopback.
+// Deployment of three entries and the stand-ins of the platform and of the
+// upstreams, as processes on loopback.
 namespace fuchsia::tests::process
 {
 
-/// One exchange over a connection of its own; empty where no whole answer came.
+/// Sends one request over a new connection. Returns nullopt if no complete
+/// response was received.
 std::optional<adapters::http::response>
 call(std::uint16_t port,
      std::string const& method,
@@ -28,27 +29,30 @@
 public:
     static constexpr std::size_t entries = 3;
 
-    /// Starts everything, writes a contract and waits until all are ready.
+    /// Starts all processes, writes a contract and waits until all entries are
+    /// ready.
     explicit entry_deployment(std::string const& name);
     ~entry_deployment();
 
     void start_entry(std::size_t number);
     child& entry(std::size_t number);
     bool ready(std::size_t number) const;
-    /// A bid through one entry; the load token comes back in a whole answer.
+    /// Sends a bid through one entry. A complete response contains the load
+    /// token.
     std::optional<adapters::http::response> bid(std::size_t entry,
                                                 std::string const& key,
                                                 std::uint32_t attempt,
                                                 std::string const& token) const;
-    /// Whether each entry owns just the partitions that are wished to be its,
-    /// by its metrics: claims move until then.
+    /// Whether the metrics of each entry show as many owned partitions as the
+    /// assignment gives it. Claims move between entries until then.
     bool owns_as_assigned() const;
-    /// A number in the books of the upstreams' stand-in.
+    /// Returns a counter of the upstreams' stand-in, or -1 if it is
+    /// unavailable.
     std::int64_t upstream_count(std::string const& name) const;
-    /// Sets faults of the platform's stand-in.
+    /// Sets the faults of the platform's stand-in, given as JSON.
     void platform_faults(std::string const& json) const;
 
-    bool is_ready = false; ///< Whether all came up.
+    bool is_ready = false; ///< Whether all processes became ready.
 
 private:
     void write_settings();
@@ -63,12 +67,12 @@
     std::vector<std::optional<child>> running_;
 };
 
-/// Value of an answer's header; empty where it is absent.
-std::string header_of(std::optional<adapters::http::response> const& answer,
+/// Returns the value of a response header, or an empty string.
+std::string header_of(std::optional<adapters::http::response> const& response,
                       std::string_view name);
 
-/// Whether the answer is whole and its own caller's.
-bool is_own(std::optional<adapters::http::response> const& answer,
+/// Whether the response is complete and belongs to the request with `token`.
+bool is_own(std::optional<adapters::http::response> const& response,
             std::string const& token);
 
 } // namespace fuchsia::tests::process
--- a/tests/process/entry_test.cpp
+++ b/tests/process/entry_test.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-/// Callers that send bids through given entries, one after the other, and
-/// check each answer.
-class bidders
+/// Concurrent callers, each of which sends bids through the given entries one
+/// after another and checks every response.
+class bid_load
 {
 public:
-    bidders(entry_deployment const& system,
-            std::string const& name,
-            std::vector<std::size_t> const& entries)
+    bid_load(entry_deployment const& system,
+             std::string const& name,
+             std::vector<std::size_t> const& entries)
     {
         for (std::size_t number = 0; number < callers; ++number)
         {
@@ -32,12 +32,12 @@
         }
     }
 
-    ~bidders()
+    ~bid_load()
     {
         stop();
     }
-    bidders(bidders const&) = delete;
-    bidders& operator=(bidders const&) = delete;
+    bid_load(bid_load const&) = delete;
+    bid_load& operator=(bid_load const&) = delete;
 
     void stop()
     {
@@ -52,10 +52,11 @@
     std::atomic<std::uint64_t> ran{0};
     std::atomic<std::uint64_t> not_run{0};
     std::atomic<std::uint64_t> unknown{0};
-    std::atomic<std::uint64_t> lost{0};  ///< No whole answer.
-    std::atomic<std::uint64_t> mixed{0}; ///< Another's or a part.
+    std::atomic<std::uint64_t> unanswered{0}; ///< No complete response.
+    std::atomic<std::uint64_t> wrong_body{
+        0}; ///< Another request's or truncated.
 
-    /// How often each code came, for the messages of failures.
+    /// Returns how often each result code was received, for failure messages.
     std::string codes()
     {
         std::lock_guard const lock(mutex_);
@@ -75,20 +76,20 @@
              std::vector<std::size_t> const& entries,
              std::size_t number)
     {
-        for (std::uint64_t turn = 0; !stopping_; ++turn)
+        for (std::uint64_t sequence = 0; !stopping_; ++sequence)
         {
             auto const key = name + "-" + std::to_string(number) + "-" +
-                             std::to_string(turn);
-            auto const entry = entries[(number + turn) % entries.size()];
+                             std::to_string(sequence);
+            auto const entry = entries[(number + sequence) % entries.size()];
             auto const answer = system.bid(entry, key, 1, "T" + key);
             auto const outcome = header_of(answer, "Fuchsia-Outcome");
             if (!answer)
             {
-                ++lost;
+                ++unanswered;
             }
             else if (outcome == "ran")
             {
-                ++(is_own(answer, "T" + key) ? ran : mixed);
+                ++(is_own(answer, "T" + key) ? ran : wrong_body);
             }
             else
             {
@@ -105,31 +106,31 @@
     std::vector<std::thread> threads_;
 };
 
-/// Waits until all but a hundredth of a thousand answers in a row are whole.
-/// Without any refusal would be too much to ask of a busy machine, where a
-/// process may stand still for a second.
-bool is_served_again(bidders& load)
+/// Waits until at most 1% of 1,000 successive bids fail. Requiring no failure
+/// at all is too strict on a busy machine, where a process may not be scheduled
+/// for a second. Returns whether this happened in time.
+bool wait_until_served(bid_load& load)
 {
     constexpr std::uint64_t window = 1000;
     std::uint64_t ran = load.ran;
-    std::uint64_t bad = load.not_run + load.unknown;
+    std::uint64_t failed_before = load.not_run + load.unknown;
     return wait_until(
         [&]
         {
-            std::uint64_t const now_ran = load.ran;
-            std::uint64_t const now_bad = load.not_run + load.unknown;
-            if (now_ran + now_bad < ran + bad + window)
+            std::uint64_t const ran_now = load.ran;
+            std::uint64_t const failed_now = load.not_run + load.unknown;
+            if (ran_now + failed_now < ran + failed_before + window)
             {
                 return false;
             }
-            bool const served = now_bad - bad <= window / 100;
-            ran = now_ran;
-            bad = now_bad;
+            bool const served = failed_now - failed_before <= window / 100;
+            ran = ran_now;
+            failed_before = failed_now;
             return served;
         });
 }
 
-void expect_clean_books(entry_deployment const& system)
+void expect_no_violations(entry_deployment const& system)
 {
     EXPECT_EQ(system.upstream_count("doubled"), 0);
     EXPECT_EQ(system.upstream_count("overfilled"), 0);
@@ -137,7 +138,7 @@
 
 } // namespace
 
-TEST(entry_process, bid_runs_once_and_is_answered_alike_by_every_entry)
+TEST(entry_process, bid_runs_once_and_every_entry_gives_the_same_answer)
 {
     entry_deployment system("alike");
     ASSERT_TRUE(system.is_ready);
@@ -150,23 +151,24 @@
         EXPECT_EQ(header_of(answer, "Fuchsia-Outcome"), "ran");
     }
     EXPECT_EQ(system.upstream_count("received"), received + 1);
-    expect_clean_books(system);
+    expect_no_violations(system);
 }
 
-// An entry is stopped as planned while callers are bidding through it and the
-// others. No bid is cut off or left unknown, and its keys are still known.
-TEST(entry_process, planned_stop_under_load_cuts_no_request)
+// An entry is stopped as planned while callers bid through the other entries,
+// which forward bids to it. A stop without a complete handover would cut off
+// bids, leave their outcome unknown or forget their idempotency keys.
+TEST(entry_process, planned_stop_under_load_loses_no_request)
 {
     entry_deployment system("stop");
     ASSERT_TRUE(system.is_ready);
-    bidders before(system, "before", {0, 1, 2});
+    bid_load before(system, "before", {0, 1, 2});
     ASSERT_TRUE(wait_until(
         [&before]
         {
             return before.ran > 200;
         }));
     before.stop();
-    bidders load(system, "load", {0, 1});
+    bid_load load(system, "load", {0, 1});
     system.entry(2).signal(SIGTERM);
     EXPECT_EQ(system.entry(2).wait(), 0);
     auto const ran = load.ran.load();
@@ -176,26 +178,26 @@
             return load.ran > ran + 200;
         }));
     load.stop();
-    EXPECT_EQ(load.lost, 0U);
-    EXPECT_EQ(load.mixed, 0U);
+    EXPECT_EQ(load.unanswered, 0U);
+    EXPECT_EQ(load.wrong_body, 0U);
     EXPECT_EQ(load.unknown, 0U) << load.codes();
     for (int number = 0; number < 8; ++number)
     {
         auto const key = "before-" + std::to_string(number) + "-0";
-        auto const again = system.bid(number % 2, key, 2, "T" + key);
-        EXPECT_TRUE(is_own(again, "T" + key)) << key;
+        auto const repeated = system.bid(number % 2, key, 2, "T" + key);
+        EXPECT_TRUE(is_own(repeated, "T" + key)) << key;
     }
-    expect_clean_books(system);
+    expect_no_violations(system);
 }
 
-// An entry is killed under load. Callers of the others are answered, bids
-// whose owner it was are refused or unknown for some seconds, and then all is
-// served again; no bid is recorded twice.
-TEST(entry_process, killed_entry_is_taken_over_and_nothing_runs_twice)
+// An entry is killed under load. Bids of its partitions are refused or have an
+// unknown outcome for some seconds until another entry takes over. Callers of
+// the other entries still get a response, and no bid may be recorded twice.
+TEST(entry_process, killed_entry_is_replaced_and_no_bid_runs_twice)
 {
     entry_deployment system("kill");
     ASSERT_TRUE(system.is_ready);
-    bidders load(system, "load", {0, 1});
+    bid_load load(system, "load", {0, 1});
     ASSERT_TRUE(wait_until(
         [&load]
         {
@@ -208,43 +210,44 @@
         {
             return load.not_run + load.unknown > 0;
         }));
-    EXPECT_TRUE(is_served_again(load)) << load.codes();
+    EXPECT_TRUE(wait_until_served(load)) << load.codes();
     auto const gap = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::steady_clock::now() - killed);
     RecordProperty("ms_until_served_again", static_cast<int>(gap.count()));
     load.stop();
-    EXPECT_EQ(load.lost, 0U);
-    EXPECT_EQ(load.mixed, 0U);
+    EXPECT_EQ(load.unanswered, 0U);
+    EXPECT_EQ(load.wrong_body, 0U);
     system.start_entry(2);
     EXPECT_TRUE(wait_until(
         [&system]
         {
             return system.ready(2);
         }));
-    expect_clean_books(system);
+    expect_no_violations(system);
 }
 
-// An entry is frozen for longer than its proof lasts, with callers' requests
-// in its buffers, and goes on. It must not act on what it owned before.
-TEST(entry_process, frozen_entry_rejoins_and_runs_nothing_twice)
+// An entry is frozen for longer than its proof is valid, with requests in its
+// socket buffers, and then resumes. It must not act on the partitions that it
+// owned before, or bids run twice.
+TEST(entry_process, frozen_entry_rejoins_and_no_bid_runs_twice)
 {
     entry_deployment system("freeze");
     ASSERT_TRUE(system.is_ready);
-    bidders load(system, "load", {0, 1, 2});
+    bid_load load(system, "load", {0, 1, 2});
     ASSERT_TRUE(wait_until(
         [&load]
         {
             return load.ran > 200;
         }));
     system.entry(2).signal(SIGSTOP);
-    bidders others(system, "others", {0, 1});
-    // The others have buried it once the bids of all partitions run.
+    bid_load other_load(system, "others", {0, 1});
+    // Once bids of all partitions run, the others have fenced the frozen entry.
     EXPECT_TRUE(wait_until(
-        [&others]
+        [&other_load]
         {
-            return others.not_run + others.unknown > 0;
+            return other_load.not_run + other_load.unknown > 0;
         }));
-    EXPECT_TRUE(is_served_again(others)) << others.codes();
+    EXPECT_TRUE(wait_until_served(other_load)) << other_load.codes();
     system.entry(2).signal(SIGCONT);
     EXPECT_TRUE(wait_until(
         [&system]
@@ -253,27 +256,27 @@
             return is_own(answer, "T");
         }));
     load.stop();
-    others.stop();
-    EXPECT_EQ(load.mixed + others.mixed, 0U);
-    EXPECT_EQ(others.lost, 0U);
-    expect_clean_books(system);
+    other_load.stop();
+    EXPECT_EQ(load.wrong_body + other_load.wrong_body, 0U);
+    EXPECT_EQ(other_load.unanswered, 0U);
+    expect_no_violations(system);
 }
 
-// The platform's store goes away. Entries go on answering on the promises of
-// each other.
-TEST(entry_process, requests_go_on_without_the_platform)
+// The platform's store fails. Entries must keep serving on the promises of
+// their witnesses.
+TEST(entry_process, requests_are_served_during_a_platform_outage)
 {
     entry_deployment system("outage");
     ASSERT_TRUE(system.is_ready);
     system.platform_faults(R"({"down":true})");
-    bidders load(system, "load", {0, 1, 2});
-    std::this_thread::sleep_for(8s); // The outage itself, not a wait for it.
+    bid_load load(system, "load", {0, 1, 2});
+    std::this_thread::sleep_for(8s); // Length of the outage.
     load.stop();
     system.platform_faults(R"({"down":false})");
     EXPECT_GT(load.ran, 0U);
     EXPECT_EQ(load.not_run, 0U) << load.codes();
     EXPECT_EQ(load.unknown, 0U) << load.codes();
-    EXPECT_EQ(load.lost, 0U);
-    EXPECT_EQ(load.mixed, 0U);
-    expect_clean_books(system);
+    EXPECT_EQ(load.unanswered, 0U);
+    EXPECT_EQ(load.wrong_body, 0U);
+    expect_no_violations(system);
 }
--- a/tests/process/operators_test.cpp
+++ b/tests/process/operators_test.cpp
@@ -17,7 +17,8 @@
 #include <sstream>
 #include <unistd.h>
 
-// Operators' commands against real planners and the platform's stand-in.
+// Tests of the operators' commands with real planners and the platform's
+// stand-in.
 using namespace fuchsia;
 using namespace std::chrono_literals;
 using testing::HasSubstr;
@@ -33,11 +34,11 @@
            std::to_string(port);
 }
 
-/// One HTTP call; status 0 where there was no answer.
-adapters::http::response ask(std::uint16_t port,
-                             std::string const& method,
-                             std::string const& target,
-                             std::string const& body = "")
+/// Sends one HTTP request. The status is 0 if there was no response.
+adapters::http::response send_request(std::uint16_t port,
+                                      std::string const& method,
+                                      std::string const& target,
+                                      std::string const& body = "")
 {
     boost::asio::io_context io;
     adapters::http::client client(io, {});
@@ -61,28 +62,28 @@
     return answer;
 }
 
-struct ended
+struct command_result
 {
     int status = 0;
-    std::string text; ///< Output and errors.
+    std::string text; ///< Standard output and standard error.
 
-    /// Number after `label`.
+    /// Returns the number after `label`, or 0.
     std::uint64_t number_after(std::string const& label) const
     {
-        auto const at = text.find(label);
-        return at == std::string::npos
+        auto const position = text.find(label);
+        return position == std::string::npos
                    ? 0
-                   : std::stoull(text.substr(at + label.size()));
+                   : std::stoull(text.substr(position + label.size()));
     }
 };
 
-/// A `fuchsiactl` under way.
-struct operator_call
+/// A running `fuchsiactl` process.
+struct running_command
 {
     child process;
     std::string log;
 
-    ended wait()
+    command_result wait()
     {
         int const status = process.wait();
         std::ifstream file(log);
@@ -92,7 +93,8 @@
     }
 };
 
-/// Three planners in three data centres and the platform's stand-in.
+/// Three planners in three data centres and the stand-ins of the platform and
+/// of the workers.
 class operators : public testing::Test
 {
 protected:
@@ -106,16 +108,16 @@
         std::filesystem::create_directories(folder_);
         write("token", "0123456789abcdef0123456789abcdef\n");
         start_platform();
-        for (std::size_t at = 0; at < names.size(); ++at)
+        for (std::size_t index = 0; index < names.size(); ++index)
         {
-            start_planner(at);
+            start_planner(index);
         }
         for (auto const port : http_ports_)
         {
             ASSERT_TRUE(wait_until(
                 [port]
                 {
-                    return ask(port, "GET", "/readyz").status == 200;
+                    return send_request(port, "GET", "/readyz").status == 200;
                 }))
                 << "logs in " << folder_;
         }
@@ -124,7 +126,7 @@
     void TearDown() override
     {
         planners.clear();
-        platform_.clear();
+        standins_.clear();
         if (!HasFailure())
         {
             std::filesystem::remove_all(folder_);
@@ -149,14 +151,15 @@
                          R"("latency_target_ms":250})");
     }
 
-    /// Starts `fuchsiactl` with these planners, all by default.
-    operator_call begin(std::vector<std::string> arguments,
-                        std::vector<std::size_t> const& through = {0, 1, 2})
+    /// Starts `fuchsiactl` with the given planners, by default all.
+    running_command
+    start_command(std::vector<std::string> arguments,
+                  std::vector<std::size_t> const& planner_indexes = {0, 1, 2})
     {
         std::string list;
-        for (auto const at : through)
+        for (auto const index : planner_indexes)
         {
-            list += '"' + loopback(http_ports_[at]) + "\",";
+            list += '"' + loopback(http_ports_[index]) + "\",";
         }
         auto const number = std::to_string(++calls_);
         arguments.insert(arguments.begin(),
@@ -168,25 +171,27 @@
         return {child("fuchsiactl", arguments, log), log};
     }
 
-    ended run(std::vector<std::string> arguments,
-              std::vector<std::size_t> const& through = {0, 1, 2})
+    command_result run(std::vector<std::string> arguments,
+                       std::vector<std::size_t> const& planner_indexes = {
+                           0, 1, 2})
     {
-        return begin(std::move(arguments), through).wait();
+        return start_command(std::move(arguments), planner_indexes).wait();
     }
 
     void set_faults(std::string const& json) const
     {
-        ASSERT_EQ(ask(platform_port_, "POST", "/control/faults", json).status,
+        ASSERT_EQ(send_request(platform_port_, "POST", "/control/faults", json)
+                      .status,
                   200);
     }
 
-    void start_planner(std::size_t at)
+    void start_planner(std::size_t index)
     {
         planners.emplace_back(
             "fuchsia-planner",
             std::vector<std::string>{
-                "--settings", (folder_ / (names[at] + ".toml")).string()},
-            (folder_ / (names[at] + ".log")).string());
+                "--settings", (folder_ / (names[index] + ".toml")).string()},
+            (folder_ / (names[index] + ".log")).string());
     }
 
     std::vector<std::uint16_t> const& http_ports() const
@@ -233,14 +238,14 @@
         ASSERT_TRUE(wait_until(
             [this]
             {
-                return ask(platform_port_, "GET", "/control/counts").status ==
-                       200;
+                return send_request(platform_port_, "GET", "/control/counts")
+                           .status == 200;
             }));
     }
 
     void start_standin(std::string const& kind, std::string const& settings)
     {
-        platform_.emplace_back(
+        standins_.emplace_back(
             "fuchsia-standin",
             std::vector<std::string>{
                 kind, "--settings", write(kind + ".toml", settings)},
@@ -250,21 +255,21 @@
     std::filesystem::path folder_;
     std::uint16_t platform_port_ = 0;
     std::vector<std::uint16_t> http_ports_;
-    std::deque<child> platform_;
+    std::deque<child> standins_;
     int calls_ = 0;
 };
 
 } // namespace
 
-TEST_F(operators, a_contract_comes_into_force_everywhere_and_goes_again)
+TEST_F(operators, contract_takes_effect_on_all_planners_and_can_be_withdrawn)
 {
     auto const put = run({"contract", "put", contract("mill", 9), "--wait"});
     EXPECT_EQ(put.status, 0) << put.text;
     EXPECT_THAT(put.text, HasSubstr("in force everywhere"));
-    for (std::size_t at = 0; at < names.size(); ++at)
+    for (std::size_t index = 0; index < names.size(); ++index)
     {
-        auto const listed = run({"contract", "list"}, {at});
-        EXPECT_THAT(listed.text, HasSubstr("mill")) << names[at];
+        auto const listed = run({"contract", "list"}, {index});
+        EXPECT_THAT(listed.text, HasSubstr("mill")) << names[index];
     }
     auto const status = run({"status"});
     for (auto const& name : names)
@@ -277,7 +282,7 @@
     EXPECT_EQ(run({"contract", "show", "mill"}, {1}).status, 1);
 }
 
-TEST_F(operators, a_data_centre_goes_out_and_comes_back)
+TEST_F(operators, data_centre_is_taken_out_and_in_again)
 {
     EXPECT_EQ(run({"data-centre", "out", "kochi-a", "--wait"}).status, 0);
     EXPECT_THAT(run({"data-centre", "list", "--json"}, {2}).text,
@@ -285,74 +290,77 @@
     EXPECT_EQ(run({"data-centre", "in", "kochi-a", "--wait"}).status, 0);
     EXPECT_THAT(run({"data-centre", "list", "--json"}, {1}).text,
                 HasSubstr(R"({"name":"kochi-a","state":"in")"));
-    auto const mistyped = run({"data-centre", "out", "kochi-aa"});
-    EXPECT_EQ(mistyped.status, 1);
-    EXPECT_THAT(mistyped.text, HasSubstr("4004"));
+    auto const unknown_data_centre = run({"data-centre", "out", "kochi-aa"});
+    EXPECT_EQ(unknown_data_centre.status, 1);
+    EXPECT_THAT(unknown_data_centre.text, HasSubstr("4004"));
 }
 
-// Two operators change one contract at the same moment through different
-// planners. If both were told "accepted" for the same revision, or the loser's
-// figure stayed, somebody would work with a limit that does not stand.
-TEST_F(operators, of_racing_changes_the_highest_accepted_one_stands)
+// Operators change one contract at the same time through different planners. If
+// two changes are accepted as the same revision, or the limit of an older
+// revision stays, an operator relies on a limit that is not in force.
+TEST_F(operators,
+       highest_accepted_revision_of_concurrent_changes_stays_in_force)
 {
     int conflicts = 0;
     for (int round = 0; round < 20; ++round)
     {
-        std::vector<operator_call> racing;
-        for (std::size_t at = 0; at < names.size(); ++at)
+        std::vector<running_command> commands;
+        for (std::size_t index = 0; index < names.size(); ++index)
         {
-            int const limit = 10 * round + static_cast<int>(at) + 1;
-            racing.push_back(
-                begin({"contract", "put", contract("mill", limit)}, {at}));
+            int const limit = 10 * round + static_cast<int>(index) + 1;
+            commands.push_back(start_command(
+                {"contract", "put", contract("mill", limit)}, {index}));
         }
-        std::uint64_t newest = 0;
-        int wanted = 0;
-        for (std::size_t at = 0; at < names.size(); ++at)
+        std::uint64_t newest_revision = 0;
+        int winning_limit = 0;
+        for (std::size_t index = 0; index < names.size(); ++index)
         {
-            auto const end = racing[at].wait();
-            if (end.status != 0)
+            auto const result = commands[index].wait();
+            if (result.status != 0)
             {
                 ++conflicts;
-                EXPECT_EQ(end.status, 1) << end.text;
-                EXPECT_THAT(end.text, HasSubstr("4003 conflict"));
-                EXPECT_NE(end.number_after("newest revision: "), 0U);
+                EXPECT_EQ(result.status, 1) << result.text;
+                EXPECT_THAT(result.text, HasSubstr("4003 conflict"));
+                EXPECT_NE(result.number_after("newest revision: "), 0U);
                 continue;
             }
-            auto const revision = end.number_after("accepted as revision ");
-            EXPECT_NE(revision, newest) << "one revision, two operators";
-            if (revision > newest)
+            auto const revision = result.number_after("accepted as revision ");
+            EXPECT_NE(revision, newest_revision)
+                << "one revision was accepted for two operators";
+            if (revision > newest_revision)
             {
-                newest = revision;
-                wanted = 10 * round + static_cast<int>(at) + 1;
+                newest_revision = revision;
+                winning_limit = 10 * round + static_cast<int>(index) + 1;
             }
         }
-        ASSERT_NE(newest, 0U) << "one of them must win";
+        ASSERT_NE(newest_revision, 0U)
+            << "none of the concurrent changes was accepted";
         EXPECT_TRUE(wait_until(
             [&]
             {
                 auto const shown = run({"contract", "show", "mill"});
-                return shown.text.find(
-                           "\"requests_in_flight\":" + std::to_string(wanted) +
-                           ",") != std::string::npos;
+                return shown.text.find("\"requests_in_flight\":" +
+                                       std::to_string(winning_limit) + ",") !=
+                       std::string::npos;
             }))
             << "round " << round;
     }
     RecordProperty("conflicts", conflicts);
 }
 
-// A planner is frozen when a data centre is taken out. Until it is buried it
-// may wake up and start a task there, so the operator must be told its name.
-TEST_F(operators, waiting_names_a_frozen_planner_and_ends_with_its_burial)
+// A planner is frozen when a data centre is taken out. Until it is fenced it
+// may resume and start a task there, so the command must report its name.
+TEST_F(operators, wait_names_a_frozen_planner_and_ends_when_it_is_fenced)
 {
     planners[2].signal(SIGSTOP);
-    auto const early = run(
+    auto const before_fencing = run(
         {"data-centre", "out", "kochi-a", "--wait", "--timeout", "1"}, {0, 1});
-    EXPECT_EQ(early.status, 4) << early.text;
-    EXPECT_THAT(early.text, HasSubstr(names[2]));
+    EXPECT_EQ(before_fencing.status, 4) << before_fencing.text;
+    EXPECT_THAT(before_fencing.text, HasSubstr(names[2]));
 
-    auto const late = run(
+    auto const after_fencing = run(
         {"data-centre", "in", "kochi-a", "--wait", "--timeout", "60"}, {0, 1});
-    EXPECT_EQ(late.status, 0) << late.text;
+    EXPECT_EQ(after_fencing.status, 0) << after_fencing.text;
 
     planners[2].signal(SIGCONT);
     EXPECT_TRUE(wait_until(
@@ -362,11 +370,12 @@
             return listed.text.find(R"("name":"kochi-a","state":"in")") !=
                    std::string::npos;
         }))
-        << "it woke with the configuration of before";
+        << "the resumed planner kept the old configuration";
 }
 
-// The store is down. "Nothing was changed" must stay true when it comes back.
-TEST_F(operators, an_outage_refuses_changes_and_leaves_nothing_behind)
+// A change that was refused while the store was down must not take effect when
+// the store is back.
+TEST_F(operators, changes_during_a_store_outage_are_refused_without_effect)
 {
     EXPECT_EQ(run({"contract", "put", contract("mill", 9), "--wait"}).status,
               0);
@@ -375,7 +384,7 @@
     EXPECT_EQ(down.status, 1) << down.text;
     EXPECT_THAT(down.text, HasSubstr("4001 store_unavailable"));
     set_faults(R"({"down":false})");
-    // Planners notice its return at their next read of the store.
+    // Planners notice that the store is back at their next read.
     EXPECT_TRUE(wait_until(
         [this]
         {
@@ -386,9 +395,9 @@
                 HasSubstr("\"requests_in_flight\":9,"));
 }
 
-// The store makes the change and its answer is lost. Reported as failed, the
-// operator would make it twice or believe that the old limit stands.
-TEST_F(operators, a_change_whose_answer_the_store_lost_is_told_as_accepted)
+// The store applies the change but its reply is lost. If the change were
+// reported as failed, the operator would repeat it or rely on the old limit.
+TEST_F(operators, change_whose_store_reply_is_lost_is_reported_as_accepted)
 {
     set_faults(R"({"lose_answers":1,"lose_prefix":"config/index"})");
     auto const put = run({"contract", "put", contract("mill", 9), "--wait"});
@@ -396,11 +405,11 @@
     EXPECT_THAT(put.text, HasSubstr("accepted as revision 1"));
 }
 
-TEST_F(operators, a_dead_planner_is_passed_over_and_can_be_removed)
+TEST_F(operators, dead_planner_is_skipped_and_can_be_removed)
 {
     EXPECT_EQ(run({"member", "remove", "planner", names[1], "--gone"}).status,
               1)
-        << "it runs";
+        << "the planner is still running";
     planners[0].kill();
     EXPECT_EQ(run({"contract", "put", contract("mill", 9)}).status, 0);
     auto const removed =
@@ -409,8 +418,8 @@
     EXPECT_EQ(run({"contract", "withdraw", "mill", "--wait"}).status, 0);
 }
 
-// Somebody on call looks a metric up and the page does not know it.
-TEST_F(operators, every_metric_of_a_planner_stands_on_its_page)
+// Guards against a metric of a planner that is missing in docs/METRICS.md.
+TEST_F(operators, every_planner_metric_is_documented)
 {
     std::ifstream file(FUCHSIA_SOURCE_DIR "/docs/METRICS.md");
     std::ostringstream page;
@@ -420,7 +429,7 @@
         [&]
         {
             std::istringstream lines(
-                ask(http_ports()[0], "GET", "/metrics").body);
+                send_request(http_ports()[0], "GET", "/metrics").body);
             std::string line;
             while (std::getline(lines, line))
             {
@@ -438,7 +447,7 @@
     }
 }
 
-TEST_F(operators, bad_input_is_refused_and_the_plannerslive_on)
+TEST_F(operators, invalid_input_is_refused_and_planners_keep_running)
 {
     auto const bad = write("bad.json", R"({"customer":"mill"})");
     EXPECT_EQ(run({"contract", "put", bad}).status, 1);
--- a/tests/process/pool_test.cpp
+++ b/tests/process/pool_test.cpp
@@ -11,7 +11,7 @@
 #include <gtest/gtest.h>
 #include <sstream>
 
-// Three real instances against the stand-in of the platform.
+// Tests of three real pool instances with the platform's stand-in.
 using namespace fuchsia;
 using namespace std::chrono_literals;
 using tests::process::child;
@@ -37,15 +37,15 @@
         store_port_ = tests::process::next_loopback_port();
         auto const first_worker = tests::process::next_loopback_port();
         constexpr int workers = 4;
-        for (int used = 1; used < workers; ++used)
+        for (int reserved = 1; reserved < workers; ++reserved)
         {
             tests::process::next_loopback_port();
         }
         write("standin.toml",
-              "store = \"" + at(store_port_) +
+              "store = \"" + endpoint(store_port_) +
                   "\"\nfirst_worker_port = " + std::to_string(first_worker) +
                   "\nworkers = " + std::to_string(workers) + "\n");
-        platform_.emplace_back("fuchsia-standin",
+        standins_.emplace_back("fuchsia-standin",
                                std::vector<std::string>{
                                    "pool", "--settings", path("standin.toml")},
                                path("standin.log"));
@@ -69,10 +69,10 @@
         auto const name = "pool-" + std::to_string(number);
         write(name + ".toml",
               "name = \"" + name + "\"\ndata_centre = \"a\"\nsubmissions = \"" +
-                  at(submissions_[number]) + "\"\nreadiness = \"" +
-                  at(readiness_[number]) + "\"\nmetrics = \"" +
-                  at(metrics_[number]) + "\"\nstore = \"" + at(store_port_) +
-                  "\"\n");
+                  endpoint(submissions_[number]) + "\"\nreadiness = \"" +
+                  endpoint(readiness_[number]) + "\"\nmetrics = \"" +
+                  endpoint(metrics_[number]) + "\"\nstore = \"" +
+                  endpoint(store_port_) + "\"\n");
         children_.emplace_back(
             "fuchsia-pool",
             std::vector<std::string>{"--settings", path(name + ".toml")},
@@ -89,38 +89,40 @@
     adapters::http::response
     submit(std::size_t number, std::string const& id, std::string const& body)
     {
-        return ask(submissions_[number], "POST", "/jobs/" + id, body);
+        return send_request(submissions_[number], "POST", "/jobs/" + id, body);
     }
 
     std::string state(std::size_t number, std::string const& id)
     {
-        return ask(submissions_[number], "GET", "/jobs/" + id, "").body;
+        return send_request(submissions_[number], "GET", "/jobs/" + id, "")
+            .body;
     }
 
     bool ready(std::size_t number)
     {
-        return ask(readiness_[number], "GET", "/readyz", "").status == 200;
+        return send_request(readiness_[number], "GET", "/readyz", "").status ==
+               200;
     }
 
     bool owns(std::size_t number)
     {
-        return told(number, "/v1/pool").find("\"owner\":true") !=
+        return operator_view(number, "/v1/pool").find("\"owner\":true") !=
                std::string::npos;
     }
 
-    /// What an operator is told.
-    std::string told(std::size_t number, std::string const& target)
+    /// Returns the body of an operator's request to the metrics port.
+    std::string operator_view(std::size_t number, std::string const& target)
     {
-        return ask(metrics_[number], "GET", target, "").body;
+        return send_request(metrics_[number], "GET", target, "").body;
     }
 
     std::string counts()
     {
-        return ask(store_port_, "GET", "/control/counts", "").body;
+        return send_request(store_port_, "GET", "/control/counts", "").body;
     }
 
 private:
-    std::string at(std::uint16_t port) const
+    std::string endpoint(std::uint16_t port) const
     {
         return tests::process::process_loopback_address() + ":" +
                std::to_string(port);
@@ -136,10 +138,10 @@
         std::ofstream(path(name)) << text;
     }
 
-    static adapters::http::response ask(std::uint16_t port,
-                                        std::string const& method,
-                                        std::string const& target,
-                                        std::string const& body)
+    static adapters::http::response send_request(std::uint16_t port,
+                                                 std::string const& method,
+                                                 std::string const& target,
+                                                 std::string const& body)
     {
         boost::asio::io_context io;
         adapters::http::client client(io, {});
@@ -167,7 +169,7 @@
     std::vector<std::uint16_t> submissions_;
     std::vector<std::uint16_t> readiness_;
     std::vector<std::uint16_t> metrics_;
-    std::deque<child> platform_;
+    std::deque<child> standins_;
     std::deque<child> children_;
     std::vector<child*> running_;
 };
@@ -190,7 +192,7 @@
     return owner;
 }
 
-bool no_promise_broken(std::string const& counts)
+bool no_violation_counted(std::string const& counts)
 {
     return counts.find("\"two_places\":0") != std::string::npos &&
            counts.find("\"after_done\":0") != std::string::npos;
@@ -198,9 +200,10 @@
 
 } // namespace
 
-// The owner is killed with SIGKILL while tasks run. The others go on answering,
-// one of them takes over, and every task still runs just once to its end.
-TEST(pool_process, a_killed_owner_is_replaced)
+// The owner is killed with SIGKILL while tasks run. The other instances must
+// keep accepting jobs and one must take over, without losing a task or running
+// it twice.
+TEST(pool_process, killed_owner_is_replaced_and_every_task_runs_once)
 {
     deployment system;
     auto const owner = wait_for_owner(system);
@@ -218,12 +221,13 @@
         {
             return system.counts().find("\"starts\":4") != std::string::npos;
         }));
-    EXPECT_NE(system.told(owner, "/v1/pool/jobs/00000000000000a1")
+    EXPECT_NE(system.operator_view(owner, "/v1/pool/jobs/00000000000000a1")
                   .find("\"tasks\":[{"),
               std::string::npos);
-    EXPECT_NE(system.told(other, "/v1/pool").find("\"owner\":false"),
+    EXPECT_NE(system.operator_view(other, "/v1/pool").find("\"owner\":false"),
               std::string::npos);
-    EXPECT_NE(system.told(other, "/v1/pool/workers").find("owner_unreachable"),
+    EXPECT_NE(system.operator_view(other, "/v1/pool/workers")
+                  .find("owner_unreachable"),
               std::string::npos);
     system.instance(owner).kill();
     EXPECT_EQ(system.submit(other, "00000000000000a2", job_of_four).status,
@@ -238,14 +242,14 @@
             }))
             << id << ' ' << system.state(other, id);
     }
-    EXPECT_TRUE(no_promise_broken(system.counts())) << system.counts();
+    EXPECT_TRUE(no_violation_counted(system.counts())) << system.counts();
     EXPECT_NE(system.counts().find("\"starts\":16"), std::string::npos)
         << system.counts();
 }
 
-// Every instance is stopped and started in turn, as on an ordinary day of
-// upkeep. Each ends with status 0 and no task is lost or doubled.
-TEST(pool_process, planned_stops_in_turn)
+// Every instance is stopped and restarted in turn, as during maintenance. Each
+// must exit with status 0, and no task may be lost or run twice.
+TEST(pool_process, rolling_restart_loses_no_task)
 {
     deployment system;
     ASSERT_LT(wait_for_owner(system), instances);
@@ -272,5 +276,5 @@
             return system.state(0, "00000000000000b1").find("completed") !=
                    std::string::npos;
         }));
-    EXPECT_TRUE(no_promise_broken(system.counts())) << system.counts();
+    EXPECT_TRUE(no_violation_counted(system.counts())) << system.counts();
 }
--- a/tests/process/soak_test.cpp
+++ b/tests/process/soak_test.cpp
@@ -6,21 +6,22 @@
 #include <sstream>
 #include <unistd.h>
 
-// Short runs of the fault soak: clean ones, and lies that it has to find.
+// Short runs of fuchsia-soak: runs without violations, and runs with a planted
+// violation that it must report.
 using namespace fuchsia;
 using tests::process::child;
 
 namespace
 {
 
-struct result
+struct soak_result
 {
     int status = -1;
     std::string violations;
-    std::string closing; ///< The last line of its output.
+    std::string last_line; ///< Last line of the output.
 };
 
-std::string text_of(std::filesystem::path const& path)
+std::string read_file(std::filesystem::path const& path)
 {
     std::ifstream in(path);
     std::ostringstream out;
@@ -28,7 +29,7 @@
     return out.str();
 }
 
-result play(std::string const& name, std::vector<std::string> options)
+soak_result run_soak(std::string const& name, std::vector<std::string> options)
 {
     auto const folder =
         std::filesystem::temp_directory_path() /
@@ -36,75 +37,80 @@
     std::filesystem::create_directories(folder);
     options.insert(options.end(), {"--out", folder.string()});
     auto const log = folder / "soak.log";
-    result made;
-    made.status = child("fuchsia-soak", options, log.string()).wait();
-    made.violations = text_of(folder / "violations.txt");
-    auto const output = text_of(log);
+    soak_result result;
+    result.status = child("fuchsia-soak", options, log.string()).wait();
+    result.violations = read_file(folder / "violations.txt");
+    auto const output = read_file(log);
     auto const end = output.find_last_not_of('\n');
     auto const begin = output.rfind('\n', end);
-    made.closing = output.substr(begin + 1, end - begin);
+    result.last_line = output.substr(begin + 1, end - begin);
     std::filesystem::remove_all(folder);
-    return made;
+    return result;
 }
 
 class soak_seed : public testing::TestWithParam<int>
 {
 };
 
-struct lie
+struct planted_violation
 {
     char const* name;
     char const* rule;
 };
 
-class soak_lie : public testing::TestWithParam<lie>
+class soak_planted_violation : public testing::TestWithParam<planted_violation>
 {
 };
 
 } // namespace
 
-// A promise is broken under faults drawn from this seed.
-TEST_P(soak_seed, keeps_every_promise)
+// Guards against a guarantee that is violated under the random faults of a
+// seed.
+TEST_P(soak_seed, run_reports_no_violation)
 {
     auto const seed = std::to_string(GetParam());
-    auto const seen = play("seed-" + seed, {"--seed", seed, "--seconds", "10"});
-    EXPECT_EQ(seen.status, 0) << seen.violations << seen.closing;
-    EXPECT_TRUE(seen.closing.starts_with("jobs accepted ")) << seen.closing;
-    EXPECT_FALSE(seen.closing.starts_with("jobs accepted 0,")) << seen.closing;
+    auto const result =
+        run_soak("seed-" + seed, {"--seed", seed, "--seconds", "10"});
+    EXPECT_EQ(result.status, 0) << result.violations << result.last_line;
+    EXPECT_TRUE(result.last_line.starts_with("jobs accepted "))
+        << result.last_line;
+    EXPECT_FALSE(result.last_line.starts_with("jobs accepted 0,"))
+        << result.last_line;
 }
 
 INSTANTIATE_TEST_SUITE_P(short_runs, soak_seed, testing::Values(1, 2));
 
-// A check that finds nothing, whatever happens.
-TEST_P(soak_lie, is_found)
+// Guards against a check of the soak that never reports a violation.
+TEST_P(soak_planted_violation, violation_is_reported)
 {
     auto const& planted = GetParam();
-    auto const seen = play(planted.name,
-                           {"--seed",
-                            "2",
-                            "--seconds",
-                            "8",
-                            "--instances",
-                            "3",
-                            "--fault-set",
-                            "configuration",
-                            "--plant",
-                            planted.name});
-    EXPECT_EQ(seen.status, 1);
-    EXPECT_NE(seen.violations.find(std::string(" ms ") + planted.rule + " "),
+    auto const result = run_soak(planted.name,
+                                 {"--seed",
+                                  "2",
+                                  "--seconds",
+                                  "8",
+                                  "--instances",
+                                  "3",
+                                  "--fault-set",
+                                  "configuration",
+                                  "--plant",
+                                  planted.name});
+    EXPECT_EQ(result.status, 1);
+    EXPECT_NE(result.violations.find(std::string(" ms ") + planted.rule + " "),
               std::string::npos)
-        << seen.violations;
+        << result.violations;
 }
 
-INSTANTIATE_TEST_SUITE_P(planted,
-                         soak_lie,
-                         testing::Values(lie{"two_places", "doubled"},
-                                         lie{"lost_job", "lost"},
-                                         lie{"forgotten_cancel", "cancelled"},
-                                         lie{"stale_config", "configuration"},
-                                         lie{"ended_twice", "doubled"},
-                                         lie{"early_step", "order"}),
-                         [](auto const& test)
-                         {
-                             return std::string(test.param.name);
-                         });
+INSTANTIATE_TEST_SUITE_P(
+    planted,
+    soak_planted_violation,
+    testing::Values(planted_violation{"two_places", "doubled"},
+                    planted_violation{"lost_job", "lost"},
+                    planted_violation{"forgotten_cancel", "cancelled"},
+                    planted_violation{"stale_config", "configuration"},
+                    planted_violation{"ended_twice", "doubled"},
+                    planted_violation{"early_step", "order"}),
+    [](auto const& test)
+    {
+        return std::string(test.param.name);
+    });
--- a/tests/process/wait_until.cpp
+++ b/tests/process/wait_until.cpp
@@ -16,12 +16,12 @@
 
 } // namespace
 
-bool wait_until(std::function<bool()> const& wanted)
+bool wait_until(std::function<bool()> const& condition)
 {
-    auto const until = std::chrono::steady_clock::now() + wait_limit;
-    while (!wanted())
+    auto const deadline = std::chrono::steady_clock::now() + wait_limit;
+    while (!condition())
     {
-        if (std::chrono::steady_clock::now() > until)
+        if (std::chrono::steady_clock::now() > deadline)
         {
             return false;
         }
--- a/tests/process/wait_until.hpp
+++ b/tests/process/wait_until.hpp
@@ -5,7 +5,8 @@
 namespace fuchsia::tests::process
 {
 
-/// Waits until `wanted` holds, at most a minute; whether it does.
-bool wait_until(std::function<bool()> const& wanted);
+/// Waits until `condition` holds, for at most a minute. Returns whether it
+/// holds.
+bool wait_until(std::function<bool()> const& condition);
 
 } // namespace fuchsia::tests::process
