--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,9 +1,10 @@
-"""Measures what an entry and a planner cost at growing sizes and fits slopes.
+"""Measures the resource use of entries and planners at growing system sizes
+and fits a line for each dimension.
 
-One dimension grows at a time from a common base; each reading is taken from a
-settled system over some seconds: processor time and memory from the kernel's
-account of each process, peer bytes from /metrics, store calls from the books of
-the platform's stand-in. Called by scripts/measure-capacity.
+One dimension grows at a time from a common base. Each reading is taken over
+some seconds after the system has settled: processor time and memory from /proc,
+peer bytes from /metrics, store calls from the counters of the platform's
+stand-in. Called by scripts/measure-capacity.
 """
 
 import argparse
@@ -26,8 +27,8 @@
     "rate": [0, 150, 450],
     "tasks": [0, 120, 360],
 }
-# What the size of a dimension is called and counted in; the rate is requests
-# a second over all entries.
+# Heading and unit of each dimension. The rate is in requests per second over
+# all entries.
 NAMES = {"per_centre": "members of a role", "upstreams": "upstreams",
          "workers": "workers", "contracts": "contracts",
          "rate": "requests/s in all", "tasks": "running tasks"}
@@ -86,7 +87,7 @@
         system.put_contracts()
         submit_tasks(system, size["tasks"])
         if size["rate"]:
-            # Three customers with two and a quarter shares each.
+            # Three customers send 2.25 times the base rate each.
             load = subprocess.Popen(
                 [str(system.build / "fuchsia-load"), "run",
                  system.experiment(SETTLE_SECONDS + seconds + 30,
@@ -98,7 +99,7 @@
         before = reading(system)
         start = time.monotonic()
         time.sleep(seconds)
-        passed = time.monotonic() - start
+        elapsed = time.monotonic() - start
         after = reading(system)
     finally:
         system.kill_all()
@@ -106,17 +107,17 @@
     for role in ("entry", "planner"):
         roles[role] = {
             "cpu_percent": 100 * (after[role]["cpu"] - before[role]["cpu"])
-            / passed,
+            / elapsed,
             "memory_mb": after[role]["memory"],
             "bytes_per_second":
-                (after[role]["bytes"] - before[role]["bytes"]) / passed}
-    store = {kind: (after["store"][kind] - before["store"][kind]) / passed
+                (after[role]["bytes"] - before[role]["bytes"]) / elapsed}
+    store = {kind: (after["store"][kind] - before["store"][kind]) / elapsed
              for kind in ("reads", "lists", "watches", "writes", "erases")}
     return {"size": size, "roles": roles, "store": store}
 
 
 def slope(points):
-    """Least squares through (x, y): constant and slope."""
+    """Returns constant and slope of a least-squares line through (x, y)."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -131,20 +132,20 @@
           "| MB | peer B/s | store reads/s | lists/s | watches/s | writes/s |")
     print("|---|---|---|---|---|---|---|---|---|---|---|")
     scale = 3 if dimension == "per_centre" else 1
-    for one in readings:
-        cells = [str(one["size"][dimension] * scale)]
+    for row in readings:
+        cells = [str(row["size"][dimension] * scale)]
         for role in ("entry", "planner"):
-            cost = one["roles"][role]
+            cost = row["roles"][role]
             cells += [f"{cost['cpu_percent']:.2f}", f"{cost['memory_mb']:.1f}",
                       f"{cost['bytes_per_second']:.0f}"]
-        cells += [f"{one['store'][kind]:.1f}"
+        cells += [f"{row['store'][kind]:.1f}"
                   for kind in ("reads", "lists", "watches")]
-        cells.append(f"{one['store']['writes'] + one['store']['erases']:.1f}")
+        cells.append(f"{row['store']['writes'] + row['store']['erases']:.1f}")
         print("| " + " | ".join(cells) + " |")
     for role in ("entry", "planner"):
         for cost in ("cpu_percent", "memory_mb", "bytes_per_second"):
-            points = [(one["size"][dimension] * scale, one["roles"][role][cost])
-                      for one in readings]
+            points = [(row["size"][dimension] * scale, row["roles"][role][cost])
+                      for row in readings]
             constant, rise = slope(points)
             print(f"- {role} {cost}: {constant:.3f} + {rise:.5f} each")
     sys.stdout.flush()
@@ -157,18 +158,18 @@
     parser.add_argument("--seconds", type=float,
                         default=float(os.environ.get("SECONDS_EACH", 15)))
     parser.add_argument("--only", nargs="*", choices=sorted(SIZES))
-    parser.add_argument("--json", help="write all readings here")
+    parser.add_argument("--json", help="file for all readings")
     arguments = parser.parse_args()
-    kept = {}
+    all_readings = {}
     for dimension in arguments.only or SIZES:
-        readings = [measure(arguments.build, {**BASE, dimension: each},
+        readings = [measure(arguments.build, {**BASE, dimension: size},
                             arguments.seconds, arguments.net)
-                    for each in SIZES[dimension]]
+                    for size in SIZES[dimension]]
         show(dimension, readings)
-        kept[dimension] = readings
+        all_readings[dimension] = readings
     if arguments.json:
         with open(arguments.json, "w") as file:
-            json.dump(kept, file, indent=1)
+            json.dump(all_readings, file, indent=1)
     return 0
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Runs the whole system on loopback and prints what came of it.
+"""Runs the whole system on loopback and prints the results.
 
 Called by scripts/demo, which builds first.
 """
@@ -22,12 +22,12 @@
             (arguments.seconds * 0.70, lambda: system.take_in(centre))])
         system.ctl("data-centre", "list")
         clean = system.stop(system.daemons())
-        line, kept = system.books()
+        line, is_clean = system.summary()
         system.stop(list(system.children))
         if not clean:
             print("a planned stop did not end with status 0")
         print(line, flush=True)
-        return 0 if clean and kept else 1
+        return 0 if clean and is_clean else 1
     finally:
         system.kill_all()
 
@@ -38,8 +38,8 @@
     parser.add_argument("--user", choices=sorted(USERS), default="vanamudra")
     parser.add_argument("--seconds", type=int, default=60)
     parser.add_argument("--net", type=int, default=0,
-                        help="second number of the loopback addresses")
-    parser.add_argument("--keep", help="folder for settings, logs and books")
+                        help="second octet of the loopback addresses")
+    parser.add_argument("--keep", help="folder for settings, logs and results")
     return run(parser.parse_args())
 
 
--- a/scripts/experiment.py
+++ b/scripts/experiment.py
@@ -1,7 +1,7 @@
-"""Runs one file of experiments/ against the whole system, once a variant.
+"""Runs one file of experiments/ against the whole system, once per variant.
 
-Called by scripts/run-experiment. A variant is NAME=TABLE.KEY=VALUE of the
-entries' settings, such as fixed=queue.admission=\"fixed_bound\".
+Called by scripts/run-experiment. A variant is NAME=TABLE.KEY=VALUE and
+sets one key of the entries' settings, such as fixed=queue.admission=\"fixed_bound\".
 """
 
 import argparse
@@ -18,8 +18,8 @@
     system = System(arguments.build, arguments.user, arguments.net,
                     f"{arguments.folder}/{name}", quiet=True)
     if setting:
-        place, value = setting.split("=", 1)
-        table, key = place.split(".", 1)
+        path, value = setting.split("=", 1)
+        table, key = path.split(".", 1)
         system.entry_extra = f"\n[{table}]\n{key} = {value}\n"
     try:
         system.start_all()
@@ -31,9 +31,9 @@
             "--summary", str(system.folder / "summary.json"),
             "--csv", str(system.folder / "load.csv"),
             "--svg", str(system.folder / "load.svg")], check=True)
-        line, kept = system.books()
+        line, is_clean = system.summary()
         print(line, flush=True)
-        return kept
+        return is_clean
     finally:
         system.kill_all()
 
@@ -47,11 +47,11 @@
     parser.add_argument("--folder", default="out/experiment")
     parser.add_argument("--variant", action="append", default=[])
     arguments = parser.parse_args()
-    kept = run_variant(arguments, "as-shipped", "")
+    is_clean = run_variant(arguments, "as-shipped", "")
     for variant in arguments.variant:
         name, setting = variant.split("=", 1)
-        kept = run_variant(arguments, name, setting) and kept
-    return 0 if kept else 1
+        is_clean = run_variant(arguments, name, setting) and is_clean
+    return 0 if is_clean else 1
 
 
 if __name__ == "__main__":
--- a/scripts/failures.py
+++ b/scripts/failures.py
@@ -1,9 +1,9 @@
-"""Brings one failure about in a running system and prints what users saw.
+"""Injects failures into a running system and prints the effect on clients.
 
     python3 scripts/failures.py --build build [--only NAME ...] [--out FILE]
 
-Each case starts the whole system anew, runs the same load, and judges it by the
-books of the load tool and the stand-ins. Called by scripts/measure-failures.
+Each case starts a new system, runs the same load, and evaluates the counters of
+the load tool and of the stand-ins. Called by scripts/measure-failures.
 """
 
 import argparse
@@ -69,7 +69,7 @@
 
 
 def platform_down_and_kill(system):
-    """A second failure while the first lasts: nothing may be taken over."""
+    """An entry is killed during an outage: nothing may be taken over."""
     name = first(system, "entry")
     return RUN_SECONDS + 20, [
         (FAULT_AT, lambda: system.platform_faults(down=True)),
@@ -79,7 +79,7 @@
 
 
 def answers_lost(system):
-    """Every write of ten seconds takes effect and is not answered."""
+    """For ten seconds every write takes effect but its reply is lost."""
     return RUN_SECONDS, [
         (FAULT_AT, lambda: system.platform_faults(lose_answers=-1)),
         (FAULT_AT + 10, lambda: system.platform_faults(lose_answers=0))]
@@ -92,22 +92,22 @@
 
 
 def upstreams_frozen(system):
-    def tell(freeze):
+    def set_fault(freeze):
         for number in range(1, 6):
             call("POST", f"http://{system.upstream_control}/control/faults",
                  {"upstream": f"upstream-{number}", "freeze": freeze})
     system.direct = False
-    return RUN_SECONDS, [(FAULT_AT, lambda: tell(True)),
-                         (FAULT_AT + 15, lambda: tell(False))]
+    return RUN_SECONDS, [(FAULT_AT, lambda: set_fault(True)),
+                         (FAULT_AT + 15, lambda: set_fault(False))]
 
 
 def workers_gone(system):
-    def tell(gone):
+    def set_fault(gone):
         for number in range(1, 6):
             call("POST", f"http://{system.worker_agent}/control/faults",
                  {"worker": f"worker-{number}", "gone": gone})
-    return RUN_SECONDS, [(FAULT_AT, lambda: tell(True)),
-                         (FAULT_AT + 20, lambda: tell(False))]
+    return RUN_SECONDS, [(FAULT_AT, lambda: set_fault(True)),
+                         (FAULT_AT + 20, lambda: set_fault(False))]
 
 
 def data_centre_out(system):
@@ -117,7 +117,7 @@
 
 
 def replace_all(system):
-    """Every instance is replaced in turn, by planned stops, under load."""
+    """All instances are stopped as planned and replaced in turn under load."""
     names = [(f"entry-{centre}-{number}", f"planner-{centre}-{number}")
              for centre, number, _ in system.instances()]
 
@@ -150,13 +150,13 @@
 }
 
 
-def worst_gap(path):
-    """Seconds of the run in which less than half of the usual was answered."""
+def low_seconds(path):
+    """Number of seconds with less than half of the median answer rate."""
     with open(path, newline="") as file:
         rows = list(csv.DictReader(file))
     per_second = [float(row["answered"]) for row in rows]
-    usual = sorted(per_second)[len(per_second) // 2]
-    return sum(1 for each in per_second[1:-2] if each < usual / 2)
+    median = sorted(per_second)[len(per_second) // 2]
+    return sum(1 for rate in per_second[1:-2] if rate < median / 2)
 
 
 def run_case(name, arguments):
@@ -171,16 +171,16 @@
         seconds, steps = CASES[name](system)
         started = time.monotonic()
         system.run_load(seconds, steps, out=subprocess.DEVNULL)
-        passed = time.monotonic() - started
+        elapsed = time.monotonic() - started
         after = system.store_counts()
         clean = system.stop(system.daemons()) and not system.unclean
-        line, kept = system.books()
-        calls = {kind: (after[kind] - before[kind]) / passed
+        line, is_clean = system.summary()
+        calls = {kind: (after[kind] - before[kind]) / elapsed
                  for kind in ("reads", "lists", "watches", "writes", "erases")}
         summary = json.loads((system.folder / "summary.json").read_text())
-        return {"case": name, "kept": kept, "clean": clean, "line": line,
+        return {"case": name, "is_clean": is_clean, "clean": clean, "line": line,
                 "store": calls, "summary": summary,
-                "low_seconds": worst_gap(system.folder / "load.csv")}
+                "low_seconds": low_seconds(system.folder / "load.csv")}
     finally:
         with contextlib.suppress(ProcessLookupError):
             system.kill_all()
@@ -204,12 +204,12 @@
     parser.add_argument("--settle", type=float, default=8.0)
     parser.add_argument("--only", nargs="*", choices=sorted(CASES))
     arguments = parser.parse_args()
-    good = True
+    all_clean = True
     for name in arguments.only or CASES:
         result = run_case(name, arguments)
         show(result)
-        good = good and result["kept"] and result["clean"]
-    return 0 if good else 1
+        all_clean = all_clean and result["is_clean"] and result["clean"]
+    return 0 if all_clean else 1
 
 
 if __name__ == "__main__":
--- a/scripts/system.py
+++ b/scripts/system.py
@@ -1,6 +1,5 @@
-"""The whole system as child processes on loopback, for the demo and the
-measurements. Every process is a child of the script and is ended by its
-process id."""
+"""Runs the whole system on loopback for the demo and the measurements. Every
+process is a child of the script and is ended by its process id."""
 
 import contextlib
 import json
@@ -41,7 +40,7 @@
 
 
 def call(method, url, body=None, headers=None, timeout=5):
-    """Body of a 2xx answer; raises OSError for everything else."""
+    """Returns the body of a 2xx response; raises OSError for all others."""
     request = urllib.request.Request(
         url, method=method, headers=headers or {},
         data=None if body is None else json.dumps(body).encode())
@@ -67,7 +66,7 @@
                            range(len(self.customers), contracts)]
         self.quiet = quiet
         self.direct = True
-        self.entry_extra = ""  # Further tables of the entries' settings.
+        self.entry_extra = ""  # Additional tables of the entries' settings.
         self.children = {}
         base = f"127.{net}.0.1"
         self.platform = f"{base}:8500"
@@ -204,10 +203,10 @@
                    str(self.folder / f"{name}.toml"))
 
     def daemons(self, role=None, centre=None):
-        return [f"{each}-{name}-{number}"
+        return [f"{kind}-{name}-{number}"
                 for name, number, _ in self.instances()
-                for each in ("entry", "planner")
-                if role in (None, each) and centre in (None, name)]
+                for kind in ("entry", "planner")
+                if role in (None, kind) and centre in (None, name)]
 
     def start_all(self):
         self.write_settings()
@@ -229,9 +228,9 @@
             time.sleep(0.05)
         raise SystemExit(f"not ready within {READY_SECONDS} s: {url}")
 
-    def check_children(self, but=()):
+    def check_children(self, ignored=()):
         for name, child in self.children.items():
-            if name not in but and child.poll() is not None:
+            if name not in ignored and child.poll() is not None:
                 raise SystemExit(f"{name} ended early, status "
                                  f"{child.returncode}; see {self.folder}")
 
@@ -243,15 +242,17 @@
         child.kill()
         child.wait()
 
-    def stop(self, names, patience=60):
-        """Planned stops, all at once; whether each ended with status 0."""
+    def stop(self, names, timeout=60):
+        """Stops the processes as planned, all at once. Returns whether each
+        exited with status 0; one that takes longer than `timeout` seconds is
+        killed."""
         for name in names:
             self.signal(name, signal.SIGTERM)
         clean = True
         for name in names:
             child = self.children.pop(name)
             try:
-                status = child.wait(patience)
+                status = child.wait(timeout)
             except subprocess.TimeoutExpired:
                 child.kill()
                 status = child.wait()
@@ -269,16 +270,16 @@
     # Operators ------------------------------------------------------------
 
     def ctl(self, *arguments):
-        done = subprocess.run(
+        result = subprocess.run(
             [str(self.build / "fuchsiactl"), "--settings",
              str(self.folder / "ctl.toml"), *arguments],
             stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
         if not self.quiet:
             print("$ fuchsiactl", " ".join(arguments))
-            print("  " + done.stdout.strip().replace("\n", "\n  "), flush=True)
-        if done.returncode != 0:
-            raise SystemExit(f"fuchsiactl ended with status {done.returncode}: "
-                             f"{done.stdout}")
+            print("  " + result.stdout.strip().replace("\n", "\n  "), flush=True)
+        if result.returncode != 0:
+            raise SystemExit(f"fuchsiactl ended with status {result.returncode}: "
+                             f"{result.stdout}")
 
     def put_contracts(self):
         for customer in self.customers:
@@ -291,16 +292,16 @@
             self.ctl("contract", "put", path, "--wait")
 
     def take_out(self, centre):
-        """The workers' stand-in counts late starts from when it is told, which
-        is after the change was accepted."""
+        """Takes a data centre out. The workers' stand-in is notified after the
+        change was accepted, because it counts late starts from then on."""
         self.ctl("data-centre", "out", centre)
-        self.tell_workers(centre, "out")
+        self.notify_workers(centre, "out")
 
     def take_in(self, centre):
-        self.tell_workers(centre, "in")
+        self.notify_workers(centre, "in")
         self.ctl("data-centre", "in", centre, "--wait")
 
-    def tell_workers(self, centre, state):
+    def notify_workers(self, centre, state):
         call("POST", f"http://{self.worker_agent}/control/data-centres/{centre}",
              {"state": state})
 
@@ -313,9 +314,9 @@
     # Load -----------------------------------------------------------------
 
     def experiment(self, seconds, rate=60.0, jobs=True):
-        """Without `direct` no request goes past the entries: a direct one
-        takes a slot that no entry knows of, which a frozen upstream counts as
-        overfilled."""
+        """Writes the settings of the load. Without `self.direct` no request
+        bypasses the entries: a direct request takes a slot that no entry knows
+        of, and a frozen upstream counts that as overfilled."""
         traffic = ""
         for customer in self.user["contracts"]:
             for label, kind, method, share, deadline in (
@@ -383,7 +384,7 @@
 """
 
     def run_load(self, seconds, steps=(), rate=60.0, jobs=True, out=None):
-        """Runs the load; `steps` are (seconds after the start, function)."""
+        """Runs the load. `steps` is a list of (seconds after start, function)."""
         load = subprocess.Popen([
             str(self.build / "fuchsia-load"), "run",
             self.experiment(seconds, rate, jobs),
@@ -397,16 +398,16 @@
         while load.poll() is None:
             if steps and time.monotonic() - started >= steps[0][0]:
                 steps.pop(0)[1]()
-            self.check_children(but=("load",))
+            self.check_children(ignored=("load",))
             time.sleep(0.05)
         del self.children["load"]
 
-    def books(self):
-        """The last line of the demo, and whether all that must be 0 is."""
-        done = subprocess.run([
+    def summary(self):
+        """Returns the summary line and whether all violation counters are 0."""
+        result = subprocess.run([
             str(self.build / "fuchsia-load"), "books",
             "--summary", str(self.folder / "summary.json"),
             "--upstreams", self.upstream_control,
             "--workers", self.worker_agent],
             stdout=subprocess.PIPE, text=True)
-        return done.stdout.strip(), done.returncode == 0
+        return result.stdout.strip(), result.returncode == 0
