--- a/tests/process/entry_deployment.cpp
+++ b/tests/process/entry_deployment.cpp
@@ -252,10 +252,11 @@
 {
     auto const response = call(upstreams_port_, "GET", "/control/counts");
     core::common::failure reason;
-    auto const books = core::common::parse_json_object(
+    auto const counts = core::common::parse_json_object(
         response ? response->body : "", "counts", reason);
-    return books && books->contains(name) ? books->at(name).to_number<int64_t>()
-                                          : -1;
+    return counts && counts->contains(name)
+               ? counts->at(name).to_number<int64_t>()
+               : -1;
 }
 
 void entry_deployment::platform_faults(std::string const& json) const
