--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -342,5 +342,5 @@
 TEST(witness_list_change, lost_reply_lets_fenced_member_act_without_both_lists)
 {
     EXPECT_EQ(run_witness_change_with_lost_reply(false),
-              "entry-0 acts though it is buried");
+              "entry-0 acts although it is fenced");
 }
