--- a/src/programs/planner/planner_samples.cpp
+++ b/src/programs/planner/planner_samples.cpp
@@ -39,7 +39,7 @@
     {
         metrics
             .gauge("fuchsia_task_attempts",
-                   "Attempts since this planner joined, by outcome",
+                   "Attempts since this planner joined, by what became of them",
                    {{"what", kind}})
             .Set(static_cast<double>(value));
     }
@@ -70,10 +70,10 @@
         metrics.gauge(name, help).Set(value);
     };
     set("fuchsia_tasks_queued",
-        "Queued tasks in the cells of this planner",
+        "Tasks that wait in the cells of this planner",
         static_cast<double>(queued));
     set("fuchsia_tasks_running",
-        "Running attempts in the cells of this planner",
+        "Attempts under way in the cells of this planner",
         static_cast<double>(running));
     set("fuchsia_cells_owned",
         "Cells that this planner owns",
@@ -82,14 +82,14 @@
         "Age of the newest proof of membership",
         adapters::metrics::seconds(engine_->members().proof_age(now)));
     set("fuchsia_config_revision",
-        "Configuration revision in force on this planner",
+        "Revision of the configuration in force here",
         static_cast<double>(engine_->follower().current().revision));
     for (std::size_t owner = 0; owner < tasks::call_owner_count; ++owner)
     {
         auto const kind = static_cast<tasks::call_owner>(owner);
         metrics
             .gauge("fuchsia_task_store_calls",
-                   "Store calls of the task scheduler, by purpose",
+                   "Store calls of the tasks part, by what they were for",
                    {{"for", std::string(tasks::name_of(kind))}})
             .Set(static_cast<double>(engine_->calls().count(kind)));
     }
