--- a/tools/load/commands.hpp
+++ b/tools/load/commands.hpp
@@ -28,9 +28,10 @@
 struct verdict_options
 {
     std::vector<std::string> summaries;
-    std::string
-        upstreams;       ///< IP:port of the upstream stand-in's control paths.
-    std::string workers; ///< IP:port of the worker stand-in's control paths.
+    /// IP:port of the upstream stand-in's control paths.
+    std::string upstreams;
+    /// IP:port of the worker stand-in's control paths.
+    std::string workers;
 };
 
 /// Prints the verdict line. Returns 1 if one of its last six figures is not 0.
