--- a/tools/load/schedule.hpp
+++ b/tools/load/schedule.hpp
@@ -43,8 +43,8 @@
     std::mt19937_64 random_;
     core::common::duration end_{};
     double steady_at_us_ = 0;
-    double accumulated_share_ =
-        0; ///< Fraction of a request due (even streams).
+    /// Fraction of a request that is due; used for evenly spaced arrivals.
+    double accumulated_share_ = 0;
     std::optional<core::common::duration> steady_;
     std::optional<core::common::duration> burst_;
     std::uint32_t burst_remaining_ = 0;
