--- a/src/programs/ctl/command_line.cpp
+++ b/src/programs/ctl/command_line.cpp
@@ -269,7 +269,7 @@
         auto& job = add_command(group,
                                 "job",
                                 "One job: its tasks and attempts, and why it "
-                                "is waiting",
+                                "waits",
                                 [this]
                                 {
                                     return pool_query{pool_subject::job, name_};
@@ -304,7 +304,7 @@
             .add_flag("--gone",
                       confirmed_gone_,
                       "Confirm that the process of the member has ended. If it "
-                      "still runs, partitioned from the store, it may continue "
+                      "still runs, cut off from the store, it may continue "
                       "to act beside its successor")
             ->required();
         auto& settings = add_group(app_, "settings", "Settings files");
--- a/src/programs/ctl/command_line.hpp
+++ b/src/programs/ctl/command_line.hpp
@@ -121,8 +121,7 @@
 {
     std::string settings; ///< Path of the settings file.
     bool json = false;
-    bool wait =
-        false; ///< Whether to wait until the change is in force everywhere.
+    bool wait = false; ///< Wait until the change is in force everywhere.
     core::common::duration timeout = std::chrono::seconds(14);
     std::optional<std::uint64_t> if_revision;
     command selected_command;
--- a/tests/contract/ctl/administration_test.cpp
+++ b/tests/contract/ctl/administration_test.cpp
@@ -216,7 +216,7 @@
     EXPECT_EQ(fixture.configuration.current().data_centres_out_of_service.count(
                   "kochi-a"),
               1U)
-        << "must be in force on this planner without a read of the store";
+        << "must be in force on this planner before anybody reads the store";
     auto const listed = fixture.request("GET", "/v1/data-centres");
     EXPECT_EQ(listed.text("data_centres"),
               R"([{"name":"kochi-a","state":"out","changed_at":1},)"
