--- a/src/programs/ctl/ctl_settings.cpp
+++ b/src/programs/ctl/ctl_settings.cpp
@@ -12,36 +12,36 @@
 using namespace std::chrono_literals;
 using core::common::result_code;
 
-// A change is given up after 6 s by its planner, a removal after 9 s. With
-// less patience than that the outcome would be unknown without need.
-constexpr core::common::duration least_timeout = 10s;
-constexpr core::common::duration most_timeout = 10min;
+// A planner gives up a change after 6 s and a removal after 9 s. With a shorter
+// time-out the outcome could be unknown although the planner would report it.
+constexpr core::common::duration min_timeout = 10s;
+constexpr core::common::duration max_timeout = 10min;
 constexpr std::size_t max_addresses = 64;
 
 std::vector<ports::endpoint>
 read_addresses(adapters::settings::toml_table& root, char const* key)
 {
-    std::vector<ports::endpoint> made;
+    std::vector<ports::endpoint> endpoints;
     for (auto const& text : root.texts_or(key, {}))
     {
-        auto const where = adapters::http::parse_endpoint(text);
-        if (!where)
+        auto const endpoint = adapters::http::parse_endpoint(text);
+        if (!endpoint)
         {
             root.fail(result_code::out_of_range,
                       key,
-                      text + " is no IP number and port");
-            return made;
+                      text + " is not an IP address and port");
+            return endpoints;
         }
-        made.push_back(*where);
+        endpoints.push_back(*endpoint);
     }
-    if (made.size() > max_addresses)
+    if (endpoints.size() > max_addresses)
     {
         root.fail(result_code::out_of_range, key, "at most 64 are expected");
     }
-    return made;
+    return endpoints;
 }
 
-// A deployment has planners, a pool or both.
+// Reads the addresses. A deployment has planners, a pool or both.
 void read_instances(adapters::settings::toml_table& root, ctl_settings& out)
 {
     out.planners = read_addresses(root, "planners");
@@ -87,13 +87,13 @@
     auto root = file->root();
     ctl_settings settings;
     read_instances(root, settings);
-    // Only planners ask for a token.
+    // Only planners require a token.
     if (!settings.planners.empty() || !root.text_or("token_file", "").empty())
     {
         read_token(root, settings);
     }
     settings.timeout = root.duration_or(
-        "timeout_ms", settings.timeout, least_timeout, most_timeout);
+        "timeout_ms", settings.timeout, min_timeout, max_timeout);
     root.reject_unknown_keys();
     if (!file->ok())
     {
--- a/tests/unit/membership/outage_test.cpp
+++ b/tests/unit/membership/outage_test.cpp
@@ -285,7 +285,7 @@
     membership_simulation_options options;
     options.members = member_count;
     options.settings.witness_count = 3;
-    options.parts.require_both_witness_lists = require_both_lists;
+    options.rules.require_both_witness_lists = require_both_lists;
     membership_simulation system(options);
     std::size_t const added = 1;
     std::size_t const kept = 2;
@@ -342,5 +342,5 @@
 TEST(witness_list_change, lost_reply_lets_fenced_member_act_without_both_lists)
 {
     EXPECT_EQ(run_witness_change_with_lost_reply(false),
-              "entry-0 acts though it is buried");
+              "entry-0 acts although it is fenced");
 }
