--- a/src/adapters/runtime/io_thread.hpp
+++ b/src/adapters/runtime/io_thread.hpp
@@ -8,8 +8,9 @@
 namespace fuchsia::adapters::runtime
 {
 
-/// A thread that runs the handlers of its own `io_context`. It does not access
-/// the state of other threads; threads exchange values through `ring` queues.
+/// A thread that runs the handlers of its own `io_context`. The handlers must
+/// not access the state of other threads; threads exchange values through
+/// `ring` queues.
 class io_thread
 {
 public:
@@ -21,8 +22,9 @@
 
     boost::asio::io_context& io() noexcept;
     void start();
-    /// Ends the thread after the current handler and drops pending work. Safe
-    /// to call twice, and from any thread except this one.
+    /// Ends the thread after the current handler and waits for its end. Pending
+    /// handlers do not run. May be called more than once, but neither
+    /// concurrently nor from this thread.
     void stop();
 
 private:
--- a/src/adapters/settings/toml_reader.hpp
+++ b/src/adapters/settings/toml_reader.hpp
@@ -40,8 +40,8 @@
                      double min_value,
                      double max_value);
     bool flag_or(std::string_view key, bool fallback);
-    /// Returns a duration. The key's name ends in `_ms` or `_us`, the unit of
-    /// its value.
+    /// Returns a duration, whose value is in milliseconds if the key ends in
+    /// `_ms`, else in microseconds.
     core::common::duration duration_or(std::string_view key,
                                        core::common::duration fallback,
                                        core::common::duration min_value,
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -83,7 +83,7 @@
         watching,  ///< Another instance holds the claim; a watch is pending.
         acquiring, ///< Requests a lease, then writes the key.
         held,      ///< This instance holds the claim.
-        released,  ///< Given back for good.
+        released,  ///< This instance does not acquire the claim again.
     };
 
     void acquire_or_yield(common::time_point now);
@@ -112,10 +112,13 @@
     lifetime_token life_ = std::make_shared<char>();
     phase phase_ = phase::reading;
     bool retired_ = false;
-    bool call_pending_ = false; ///< A call of the current phase is pending.
+    /// A call to read, watch or acquire the claim is pending.
+    bool call_pending_ = false;
     std::uint64_t lease_ = 0;
     std::uint64_t epoch_ = 0;
+    /// Revision from which the next watch continues.
     std::uint64_t watched_revision_ = 0;
+    /// Earliest time of the next renewal or read.
     common::time_point next_step_at_{};
     common::time_point lease_requested_at_{};
     common::time_point confirmed_at_{};
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -45,8 +45,9 @@
                         ports::order_reply const& reply);
     void on_policy_reply(common::time_point now,
                          ports::policy_reply const& reply);
-    /// Begins a planned stop: releases the claim and goes on until all open
-    /// requests are answered. Ends with a `stop_complete` action.
+    /// Begins a planned stop: releases the claim and answers requests until
+    /// none is open, for at least `linger` and at most `stop_limit`. Ends with
+    /// a `stop_complete` action.
     void begin_stop(common::time_point now);
     void set_unix_offset(std::int64_t offset_ms) noexcept;
 
--- a/src/core/pool/interference_estimates.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -15,9 +15,10 @@
 using common::failure;
 using common::result_code;
 
-// Values are stored as integers, in hundredths.
+// Estimates are stored as integers in hundredths, and images as indexes.
 constexpr double storage_scale = 100;
-// Maximum stored value; greater than any headroom.
+// Greatest integer that is accepted when a stored row is parsed. In hundredths
+// it is greater than any headroom.
 constexpr std::int64_t max_stored_value = 1'000'000'000;
 constexpr std::size_t headroom_columns = 3;
 constexpr std::size_t pair_columns = 4;
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -191,8 +191,8 @@
 
 // A store that does not answer this owner may have granted the claim to a
 // successor that can't reach all workers that this owner reaches. Once the
-// successor has raised the fencing token on half of the workers it relies on
-// this owner sending no more orders.
+// successor has raised the fencing token on more than half of the workers, it
+// relies on this owner sending no more orders.
 bool owner::may_act(common::time_point now) const
 {
     auto const& limits = settings_.workers;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -158,7 +158,9 @@
     void drop_old_finals(common::time_point now);
     void drop_unmatched_cancels(common::time_point now);
 
-    // owner_jobs.cpp: state changes of jobs and tasks.
+    // owner_jobs.cpp: state changes of jobs and tasks. The functions for gangs
+    // are in owner_gangs.cpp, `find_job` and `find_task` are in owner.cpp, and
+    // `log_task` is in owner_workers.cpp.
     void open_steps(common::time_point now, job_run& run);
     bool step_may_open(job_run const& run,
                        std::uint32_t occurrence,
@@ -344,7 +346,9 @@
                          ready_key const& key,
                          ports::policy_reply const& reply);
 
-    // owner_dispatch.cpp: scheduling order of ready tasks, and their start.
+    // owner_dispatch.cpp: scheduling order of ready tasks, and their start. The
+    // functions for gangs are in owner_gangs.cpp, and `dispatch_if_requested`
+    // is in owner.cpp.
     struct ready_key
     {
         std::uint32_t rank = 0;
@@ -363,6 +367,7 @@
     void dispatch_steps(common::time_point now);
     void dispatch_if_requested(common::time_point now);
     bool dispatch_step(common::time_point now, ready_key const& key);
+    /// Returns false if no worker was found for a task of the gang.
     bool
     dispatch_gang(common::time_point now, ready_key const& key, job_run& run);
     bool place_gang(common::time_point now,
@@ -470,13 +475,17 @@
 
     common::time_point created_at_{};
     common::time_point load_advanced_at_{}; ///< Time the last page arrived.
-    std::uint64_t watched_revision_ = 0;    ///< Revision of the last event.
-    std::uint64_t first_page_revision_ = 0; ///< Of the first page of jobs.
+    /// Revision from which the next watch continues.
+    std::uint64_t watched_revision_ = 0;
+    /// Store revision of the first page of jobs.
+    std::uint64_t first_page_revision_ = 0;
     common::time_point pages_requested_at_{};
     std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
-    /// Time the last answered watch was sent.
+    /// Time at which the last successful watch, or the first page of the last
+    /// complete read of the jobs, was requested.
     common::time_point synced_until_{};
-    /// Time of the last answer to a watch.
+    /// Time of the last successful answer to a watch that was not stalled, or
+    /// of the end of loading if that is later.
     common::time_point watch_answered_at_{};
     /// Revision of this owner's last backlog record.
     std::uint64_t backlog_revision_ = 0;
@@ -496,11 +505,15 @@
     /// Number of state parts that are still loading.
     std::uint32_t loading_parts_ = 0;
     bool loaded_ = false;
-    bool policy_call_pending_ = false; ///< Only one call at a time.
-    bool dispatch_requested_ = false;  ///< A waiting task may fit now.
+    /// A policy request has not been answered yet; no other one is sent before.
+    bool policy_call_pending_ = false;
+    /// Capacity or a policy decision has changed, so a waiting task may now
+    /// fit.
+    bool dispatch_requested_ = false;
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
-    /// Time at which more than half of the workers had answered; 0: not yet.
+    /// Time at which more than half of the workers had answered; zero until
+    /// then.
     common::time_point quorum_since_{};
     /// All starts by earlier owners are known.
     bool takeover_complete_ = false;
--- a/src/core/pool/owner_gangs.cpp
+++ b/src/core/pool/owner_gangs.cpp
@@ -33,7 +33,9 @@
     if (steps.ready.size() < steps.tasks.size() ||
         run.phase != job_phase::active)
     {
-        // The previous attempt of a member is not over yet.
+        // The previous attempt of a member is not over yet, or the job is
+        // ending. The gang does not wait for capacity, so this does not count
+        // as a failed placement.
         return true;
     }
     std::set<std::string> racks{""};
--- a/src/core/pool/owner_policy.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-// Number of workers in one policy request, which takes longer for each of them.
+// Bounds of the maximum number of workers in one policy request. A request
+// takes longer for each worker.
 constexpr std::size_t min_workers = 12;
 constexpr std::size_t max_workers = 30;
 // A ticket is not used any more during this time before it expires.
@@ -30,8 +31,9 @@
            now < found->second.until;
 }
 
-// Sends a policy request for the first step in dispatch order; the service
-// handles one call at a time.
+// Sends a policy request for the step unless another request is pending: the
+// service accepts one concurrent call from each instance. Steps are dispatched
+// in order, so the first one that needs a request sends it.
 void owner::request_policy(common::time_point now, ready_key const& key)
 {
     auto& run = *find_job(key.job);
@@ -43,8 +45,9 @@
     auto workers = workers_for_policy_request(now, run, key);
     if (workers.empty())
     {
-        // All workers were refused or are full. The policy's answer for a
-        // worker does not change; its capacity does.
+        // Every worker has a valid ticket, was refused by the policy, or can't
+        // take a task of the step now. The policy's answer for a worker does
+        // not change, but the capacity of the worker does.
         return;
     }
     policy_call_pending_ = true;
@@ -68,8 +71,9 @@
                         });
 }
 
-// Returns workers that could take a task of the step now: those that the policy
-// has allowed before, or else those that no request has named.
+// Returns workers that can take a task of the step now but have no valid ticket
+// for it: those that the policy has allowed before, or if there are none, those
+// that no pending or answered request has named.
 std::vector<std::string> owner::workers_for_policy_request(
     common::time_point now, job_run& run, ready_key const& key)
 {
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -168,10 +168,13 @@
     finish_if_over(run);
 }
 
-// Whether the leases given by earlier owners have ended on every worker, even
-// on those that this owner can't reach. Once half of the workers know the new
-// fencing token, an earlier owner can renew leases for at most one quorum
-// window, and the last of them ends one lease later.
+// Returns whether the leases granted by earlier owners have expired on every
+// worker, even on those that this owner can't reach. Once more than half of the
+// workers have answered this owner, they know the new fencing token. An earlier
+// owner can then renew leases for at most one quorum window, and the last one
+// expires one lease duration later. Without such a quorum, an earlier owner
+// stops at `quorum_limit`. Also records the time at which the quorum was
+// reached.
 bool owner::earlier_leases_ended(common::time_point now)
 {
     auto const& limits = fleet_.settings();
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -73,7 +73,9 @@
     bool reading_pages_ = true;   ///< Pages are still to be read.
     bool call_pending_ = false;   ///< A call is waiting for its answer.
     bool loaded_ = false;
-    /// Revision of the last applied event, from which the next watch continues.
+    /// Revision from which the next watch continues: that of the last applied
+    /// event, or of the first page if none has arrived since the pages were
+    /// read.
     std::uint64_t watched_revision_ = 0;
     std::uint64_t page_revision_ = 0; ///< Revision of the first page.
     common::time_point pages_requested_at_{};
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -67,19 +67,21 @@
     std::string upstream;
     endpoint remote_endpoint;
     caller_request request;
-    /// Time after which the adapter reports `timed_out`. It then keeps the
-    /// connection open and drains the late answer.
+    /// Time after which the adapter reports `timed_out`, or `not_sent` if it
+    /// has sent nothing by then. After `timed_out` it keeps the connection open
+    /// and drains the late answer.
     core::common::duration timeout{};
 };
 
 enum class exchange_status : std::uint8_t
 {
     answered,  ///< The complete answer was received.
-    not_sent,  ///< No connection was made; no byte was sent.
-    timed_out, ///< The time-out passed; the request may still be running.
+    not_sent,  ///< No byte of the request was sent.
+    timed_out, ///< The timeout passed; the request may still be running.
     drained,   ///< After `timed_out`: the late answer is complete.
     lost,      ///< The connection ended before the answer was complete.
-    too_large, ///< The answer exceeded its size limit; connection closed.
+    /// The answer exceeded its size limit, and the connection was closed.
+    too_large,
 };
 
 /// The end of an exchange. After `timed_out` a second end follows, either
