--- a/src/adapters/runtime/io_thread.hpp
+++ b/src/adapters/runtime/io_thread.hpp
@@ -14,6 +14,7 @@
 class io_thread
 {
 public:
+    /// The first 15 characters of `name` become the name of the thread.
     explicit io_thread(std::string name);
     /// Stops and joins the thread.
     ~io_thread();
--- a/src/adapters/settings/toml_reader.hpp
+++ b/src/adapters/settings/toml_reader.hpp
@@ -18,9 +18,10 @@
 
 class toml_file;
 
-/// Reads one table of a settings file. The file records the first error with
-/// file and line, so that a parse function can read all keys and check
-/// `toml_file::ok` once.
+/// Reads one table of a settings file. The `toml_file` records the first error
+/// with its path and line, so that a parse function can read all keys and check
+/// `toml_file::ok` once. Functions whose names end in `_or` return `fallback`
+/// if the key is missing; `text`, `integer` and `endpoint` record an error.
 class toml_table
 {
 public:
@@ -48,20 +49,22 @@
                                        core::common::duration max_value);
     /// Returns an endpoint that is written as "IP:port".
     ports::endpoint endpoint(std::string_view key);
-    /// Returns the index of the value in `names`.
+    /// Returns the index of the key's value in `names`, or the index `fallback`
+    /// if the key is missing or its value is not in `names`.
     std::size_t choice_or(std::string_view key,
                           std::size_t fallback,
                           std::initializer_list<std::string_view> names);
 
-    /// Returns the table under `key`; an empty one if it is missing.
+    /// Returns the table under `key`, or an empty table if the key is missing.
     toml_table table(std::string_view key);
     /// Returns the elements of the array of tables `[[key]]`.
     std::vector<toml_table> tables(std::string_view key);
     bool has(std::string_view key) const;
-    /// Returns all keys, for tables whose keys are data.
+    /// Returns all keys, for tables whose keys are names chosen by the user.
     std::vector<std::string> keys() const;
 
-    /// Reports an error for a key that has not been read; to be called last.
+    /// Records an error if the table has a key that has not been read. Must be
+    /// called after all reads.
     void reject_unknown_keys();
     /// Records an error at `key`, unless the file has one already.
     void fail(core::common::result_code code,
@@ -86,8 +89,8 @@
 class toml_file : public std::enable_shared_from_this<toml_file>
 {
 public:
-    /// Parses the file at `path`. Null, with the reason, if it can't be read or
-    /// is not valid TOML.
+    /// Parses the file at `path`. Returns null and sets `reason` if the file
+    /// can't be read or is not valid TOML.
     static std::shared_ptr<toml_file> open(std::string const& path,
                                            core::common::failure& reason);
     /// Parses `text`; `name` replaces the path in error messages.
@@ -110,8 +113,8 @@
     core::common::failure reason_;
 };
 
-/// Returns the content of a small file, such as a token, without a final
-/// newline.
+/// Returns the content of a file of at most 4 MiB, such as a token, without a
+/// final newline. Returns nothing and sets `reason` on failure.
 std::optional<std::string> read_file(std::string const& path,
                                      core::common::failure& reason);
 
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -29,17 +29,19 @@
     /// Scheduling capacity of this instance, relative to half a core and 200
     /// Mbit/s.
     double size = 1;
-    /// Ratio of two sizes from which on one instance counts as clearly larger.
-    /// An instance that is smaller than the largest known holder by this factor
-    /// lets others acquire a free claim first; one that is larger than the
-    /// current holder by this factor requests a handover.
+    /// Minimum ratio of two sizes at which one instance counts as clearly
+    /// larger. An instance that is smaller than the largest known holder by at
+    /// least this factor lets others acquire a free claim first; one that is
+    /// larger than the current holder by at least this factor requests a
+    /// handover.
     double size_ratio = 2;
-    /// Time for which a smaller instance leaves a free claim to others.
+    /// Time for which a clearly smaller instance waits before it acquires a
+    /// free claim, so that others can acquire it first.
     common::duration yield_delay = std::chrono::milliseconds(500);
     /// Minimum time between two handover requests to a smaller holder.
     common::duration handover_request_interval = std::chrono::seconds(5);
-    /// Time for which an instance that handed the claim over does not acquire
-    /// it again.
+    /// Time for which an instance does not acquire the claim after it has
+    /// handed the claim over.
     common::duration handover_pause = std::chrono::seconds(2);
 };
 
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -18,17 +18,17 @@
     operator_follower_settings operators;
     request_handler_settings request_handler;
     owner_settings owner;
-    /// Time for which a stopping instance goes on answering: the load balancer
-    /// needs two health checks, a second apart, to send new connections
-    /// elsewhere.
+    /// Minimum time for which a stopping instance still answers requests: the
+    /// load balancer sends new connections elsewhere only after two failed
+    /// health checks, one second apart.
     common::duration linger = std::chrono::milliseconds(2500);
     /// Maximum time of a planned stop, even if requests are still open then.
     common::duration stop_limit = std::chrono::milliseconds(4500);
 };
 
-/// One instance without its protocols. It answers requests and, while it holds
-/// the claim, schedules. Events come in with the current time; `take_actions`
-/// returns the resulting actions.
+/// The logic of one instance, independent of network protocols. It answers
+/// requests and, while it holds the claim, schedules. Each event is passed with
+/// the current time; `take_actions` returns the resulting actions.
 class engine
 {
 public:
@@ -49,15 +49,16 @@
     /// none is open, for at least `linger` and at most `stop_limit`. Ends with
     /// a `stop_complete` action.
     void begin_stop(common::time_point now);
+    /// Sets the milliseconds to add to a `time_point` to get Unix time.
     void set_unix_offset(std::int64_t offset_ms) noexcept;
 
     ports::pool_actions take_actions();
     /// Maximum time until the next `tick`.
     common::duration tick_interval() const noexcept;
     bool owns() const noexcept;
+    /// Returns the owner that runs in this instance, or null.
     owner const* active_owner() const noexcept;
-    /// Owner in this instance, for requests that it answers; null if there is
-    /// none.
+    /// As above, for requests that the owner answers.
     owner* active_owner() noexcept;
     instance_status status(common::time_point now) const;
     claim const& claimed() const noexcept;
--- a/src/core/pool/interference_estimates.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -61,8 +61,8 @@
     return static_cast<double>(cell) / storage_scale;
 }
 
-/// Assigns numbers to images: rows refer to an image by its index in a list of
-/// names.
+/// Assigns each image an index in a list of names, by which rows refer to the
+/// image.
 class image_numbering
 {
 public:
--- a/src/core/pool/keys.hpp
+++ b/src/core/pool/keys.hpp
@@ -5,23 +5,26 @@
 #include <string_view>
 
 // Keys of the scheduler's state in the store. The claim and the accepted jobs
-// share one prefix on purpose: an owner watches both in one ordered sequence,
-// so it learns of the loss of its claim before any job accepted after that
-// loss.
+// share one prefix, so that an owner receives the events of both in one ordered
+// sequence: it learns that it has lost its claim before it receives a job that
+// was accepted after the loss.
 namespace fuchsia::core::pool::keys
 {
 
 constexpr std::string_view owned_prefix = "pool/";
 constexpr std::string_view claim = "pool/claim";
-/// Request of an instance with more capacity to take over the owner's claim.
+/// Request for a handover of the claim, written by an instance with more
+/// scheduling capacity than the holder.
 constexpr std::string_view handover = "pool/handover";
-/// Number of waiting jobs of each queue. The key is written continually and
-/// watched together with the jobs: a watch that does not report the writes has
-/// stalled.
+/// Number of waiting jobs of each queue. The owner writes the key
+/// periodically below the prefix that it watches, so a watch that returns no
+/// event for a write has stalled.
 constexpr std::string_view backlog = "pool/backlog";
 constexpr std::string_view job_prefix = "pool/job/";
 constexpr std::string_view cancel_suffix = "/cancel";
+/// Progress of each job that has started and not ended.
 constexpr std::string_view progress_prefix = "progress/";
+/// Final state of each ended job.
 constexpr std::string_view final_prefix = "final/";
 /// Workers that may run tasks. A new owner queries each of them on takeover.
 constexpr std::string_view roster = "roster";
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -48,7 +48,8 @@
     void tick(common::time_point now);
     /// Handles a change of the operators' configuration.
     void on_operators(common::time_point now);
-    /// From now on no task is started and no lease is renewed.
+    /// Stops scheduling: after this call the owner starts no task and renews
+    /// no lease.
     void stop() noexcept;
 
     /// Whether the state is loaded, so that this owner can answer requests
@@ -213,7 +214,8 @@
                   std::string const& worker_id,
                   std::vector<ports::header> extra_fields = {});
 
-    // owner_workers.cpp: polls of workers, and the handling of silent ones.
+    // owner_workers.cpp: polls of workers, and the handling of workers that do
+    // not answer.
     void poll_workers(common::time_point now);
     void poll_worker(common::time_point now, worker& target);
     void on_poll_reply(common::time_point now,
@@ -287,7 +289,8 @@
     bool earlier_leases_ended(common::time_point now);
     bool may_belong_to_earlier_owner(job_run const& run, task const& t) const;
 
-    // owner_sharing.cpp: best-effort tasks next to serving tasks.
+    // owner_sharing.cpp: keeps best-effort tasks from slowing down serving
+    // tasks on the same worker.
     worker_view const& view_of(worker& target);
     void protect_serving(common::time_point now, worker& target);
     bool tails_are_outliers(worker& target);
@@ -321,13 +324,15 @@
                          worker const& target,
                          std::uint16_t image) const;
 
-    // owner_reserve.cpp: capacity that long-running tasks leave to short jobs.
+    // owner_reserve.cpp: reserves capacity for short jobs by restricting
+    // long-running tasks.
     short_job_reserve& short_job_reserve_of(std::string const& service);
     void observe_short_job_demand(common::time_point now);
     short_job_demand short_job_demand_of(common::time_point now,
                                          job_run const& run) const;
     void note_capacity_of_unusable(common::time_point now);
-    /// Whether the task may start only on a worker with capacity for two of it.
+    /// Whether the task may start only on a worker with capacity for two such
+    /// tasks.
     bool must_leave_reserve(job_run const& run, ports::task_name const& name);
     /// Records that the task was placed on a worker.
     void note_placement(job_run const& run, ports::task_name const& name);
@@ -352,7 +357,7 @@
     struct ready_key
     {
         std::uint32_t rank = 0;
-        std::int64_t order = 0; ///< By due time; see `key_of`.
+        std::int64_t order = 0; ///< Order by due time; see `key_of`.
         std::string job;
         std::uint32_t occurrence = 0;
         std::uint32_t step = 0;
@@ -474,7 +479,8 @@
     std::vector<std::string> scheduled_jobs_; ///< Ids of jobs with start times.
 
     common::time_point created_at_{};
-    common::time_point load_advanced_at_{}; ///< Time the last page arrived.
+    /// Time at which the last page of stored state arrived.
+    common::time_point load_advanced_at_{};
     /// Revision from which the next watch continues.
     std::uint64_t watched_revision_ = 0;
     /// Store revision of the first page of jobs.
@@ -489,15 +495,16 @@
     common::time_point watch_answered_at_{};
     /// Revision of this owner's last backlog record.
     std::uint64_t backlog_revision_ = 0;
-    /// Time that record became durable.
+    /// Time at which the last backlog record of this owner became durable.
     common::time_point backlog_current_at_{};
     /// Last time at which the claim's renewal was overdue.
     common::time_point store_silent_at_{};
-    /// Actions to retry and when, the earliest first.
+    /// Actions to retry with the time of the retry, the earliest first.
     std::deque<
         std::pair<common::time_point, std::function<void(common::time_point)>>>
         retries_;
-    /// Reads to resend if still unanswered and when, the earliest first.
+    /// Reads that are sent again if still unanswered, with the time of the
+    /// resending, the earliest first.
     std::deque<std::pair<common::time_point, std::shared_ptr<state_read>>>
         pending_resends_;
     std::vector<ports::kv_item> progress_items_;
@@ -507,8 +514,8 @@
     bool loaded_ = false;
     /// A policy request has not been answered yet; no other one is sent before.
     bool policy_call_pending_ = false;
-    /// Capacity or a policy decision has changed, so a waiting task may now
-    /// fit.
+    /// A task has become ready, capacity has become free, or a policy request
+    /// has ended, so a waiting task may now be placed.
     bool dispatch_requested_ = false;
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
--- a/src/core/pool/owner_gangs.cpp
+++ b/src/core/pool/owner_gangs.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-// Gang scheduling: tasks that run only together.
+// Gang scheduling: all tasks of a gang run at the same time, or none does.
 namespace fuchsia::core::pool
 {
 
@@ -24,7 +24,7 @@
 } // namespace
 
 // All tasks of a gang start at once or none does: a task that waits for the
-// others occupies its capacity for nothing.
+// others would hold capacity on its worker without doing any work.
 bool owner::dispatch_gang(common::time_point now,
                           ready_key const& key,
                           job_run& run)
@@ -38,6 +38,7 @@
         // as a failed placement.
         return true;
     }
+    // The empty name stands for all racks.
     std::set<std::string> racks{""};
     if (run.spec.steps[key.step].same_rack)
     {
@@ -81,7 +82,7 @@
 
 // All members get the same attempt number and the same checkpoint. Checkpoints
 // begin with the progress that they contain, in a fixed number of digits, so
-// the greatest one is the furthest.
+// the lexicographically greatest one contains the most progress.
 void owner::start_gang(common::time_point now,
                        ready_key const& key,
                        job_run& run)
@@ -108,7 +109,8 @@
     }
 }
 
-// The members of a gang finish together, so the end of one marks all as done.
+// Marks all members as done after one has completed, since the members of a
+// gang complete together.
 void owner::gang_done(common::time_point now,
                       job_run& run,
                       ports::task_name const& name)
@@ -125,8 +127,8 @@
     after_done(now, run);
 }
 
-// The other members can't finish without the one that ended, so they are
-// stopped.
+// Stops the other members of a gang after the attempt of one member has ended
+// without completing: they can't finish without it.
 void owner::break_gang(common::time_point now,
                        job_run& run,
                        ports::task_name const& name)
--- a/src/core/pool/owner_policy.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-// Steps whose workers are subject to a policy.
+// Steps whose tasks may start only on workers that the policy service allows.
 namespace fuchsia::core::pool
 {
 
@@ -14,9 +14,9 @@
 // takes longer for each worker.
 constexpr std::size_t min_workers = 12;
 constexpr std::size_t max_workers = 30;
-// A ticket is not used any more during this time before it expires.
+// Time before the expiry of a ticket from which on the ticket is not used.
 constexpr common::duration ticket_margin = std::chrono::milliseconds(150);
-// Added to the expected duration of a policy request to give its timeout.
+// Margin between the expected duration of a policy request and its timeout.
 constexpr common::duration call_grace = std::chrono::milliseconds(1500);
 
 } // namespace
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// Takeover: finds out which tasks earlier owners have started.
+// Takeover: a new owner determines which tasks earlier owners have started.
 namespace fuchsia::core::pool
 {
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Maximum number of unreached workers named in the takeover's log line.
+// Maximum number of unreached workers that the log line of the takeover names.
 constexpr std::size_t max_missing_named = 8;
 
 } // namespace
@@ -45,8 +45,8 @@
 }
 
 // Whether an earlier owner may have started the task. This includes blocked
-// tasks of steps that are not open yet, since workers report the ends of their
-// predecessors in any order.
+// tasks of steps that are not open yet, since workers report the ends of the
+// tasks before them in any order.
 bool owner::may_belong_to_earlier_owner(job_run const& run, task const& t) const
 {
     bool const blocked = t.phase == task_phase::blocked &&
@@ -55,9 +55,9 @@
 }
 
 // Counts a failure that happened before this owner adopted the worker. A worker
-// repeats such ends to each owner that adopts it, whether or not an earlier
-// owner has handled them. The task may already run again on another worker; the
-// failure counts all the same.
+// reports such failures to each owner that adopts it, whether or not an earlier
+// owner has handled them. The failure counts even if the task already runs
+// again on another worker.
 void owner::count_inherited_failure(common::time_point now,
                                     ports::ended_attempt const& row)
 {
@@ -102,7 +102,7 @@
 }
 
 // Completes the takeover once every worker that an earlier owner may have used
-// has either reported what it runs or can't run any of it any more.
+// has either reported its tasks or can no longer run tasks of an earlier owner.
 void owner::complete_takeover(common::time_point now)
 {
     if (takeover_complete_ || !loaded_ || !list_.known())
@@ -143,7 +143,8 @@
     }
 }
 
-// Tasks that no worker has reported do not run anywhere.
+// Ends the attempts that an earlier owner may have started but that no worker
+// has reported: they do not run anywhere.
 void owner::resolve_unresolved(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -71,7 +71,7 @@
 }
 
 // The pages are not a snapshot, so the watch continues from the revision of the
-// first one.
+// first page.
 void worker_list::on_page(common::time_point now, kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
@@ -113,8 +113,9 @@
                });
 }
 
-// An answer without events looks the same as one of a stalled watch. It neither
-// makes the list more current nor advances the revision of the next watch.
+// An answer without events can't be distinguished from the answer of a stalled
+// watch, so it changes neither `current_as_of_` nor the revision of the next
+// watch.
 void worker_list::on_watch(common::time_point now, kv_reply const& reply)
 {
     next_call_at_ = std::max(now, call_sent_at_ + settings_.interval);
@@ -146,7 +147,7 @@
     }
     else
     {
-        // Even if it was cut short, the answer contains every change up to its
+        // The answer may be incomplete, but it contains every change up to its
         // last revision.
         current_as_of_ = std::max(
             current_as_of_,
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-// Requests of callers, exchanges with upstreams, and their answers.
+// Requests of callers, exchanges with upstreams, and the answers to both.
 namespace fuchsia::ports
 {
 
@@ -41,7 +41,7 @@
     std::vector<header> headers; ///< Headers passed on to the upstream.
     std::string body;
     std::string idempotency_key; ///< Empty if the caller sent none.
-    std::uint32_t attempt = 0;   ///< 1: first sending; 0: not stated.
+    std::uint32_t attempt = 0;   ///< 1 for the first attempt; 0: not stated.
     /// Time left when the request was received, from the caller's
     /// Fuchsia-Deadline-Ms header.
     core::common::duration deadline{};
@@ -60,7 +60,7 @@
     core::common::duration retry_after{};
 };
 
-/// One request to one upstream. `exchange` is returned in `upstream_end`.
+/// One request to one upstream. `exchange` is copied to `upstream_end`.
 struct upstream_send
 {
     std::uint64_t exchange = 0;
