--- a/src/adapters/settings/toml_reader.cpp
+++ b/src/adapters/settings/toml_reader.cpp
@@ -121,10 +121,10 @@
     }
     if (number->get() < min_value || number->get() > max_value)
     {
-        out_of_range(key,
-                     std::to_string(number->get()),
-                     std::to_string(min_value),
-                     std::to_string(max_value));
+        fail_out_of_range(key,
+                          std::to_string(number->get()),
+                          std::to_string(min_value),
+                          std::to_string(max_value));
         return min_value;
     }
     return number->get();
@@ -158,10 +158,10 @@
     // This form of the comparison rejects NaN as well.
     if (!(*number >= min_value && *number <= max_value))
     {
-        out_of_range(key,
-                     std::to_string(*number),
-                     std::to_string(min_value),
-                     std::to_string(max_value));
+        fail_out_of_range(key,
+                          std::to_string(*number),
+                          std::to_string(min_value),
+                          std::to_string(max_value));
         return fallback;
     }
     return *number;
@@ -331,10 +331,10 @@
                           std::move(reason)};
 }
 
-void toml_table::out_of_range(std::string_view key,
-                              std::string const& value,
-                              std::string const& min_value,
-                              std::string const& max_value)
+void toml_table::fail_out_of_range(std::string_view key,
+                                   std::string const& value,
+                                   std::string const& min_value,
+                                   std::string const& max_value)
 {
     fail(result_code::out_of_range,
          key,
--- a/src/adapters/settings/toml_reader.hpp
+++ b/src/adapters/settings/toml_reader.hpp
@@ -76,10 +76,10 @@
     struct node;
     toml_table(std::shared_ptr<toml_file> file,
                std::shared_ptr<node> table_node);
-    void out_of_range(std::string_view key,
-                      std::string const& value,
-                      std::string const& min_value,
-                      std::string const& max_value);
+    void fail_out_of_range(std::string_view key,
+                           std::string const& value,
+                           std::string const& min_value,
+                           std::string const& max_value);
 
     std::shared_ptr<toml_file> file_;
     std::shared_ptr<node> node_;
--- a/src/core/pool/claim.cpp
+++ b/src/core/pool/claim.cpp
@@ -12,9 +12,10 @@
 using ports::kv_status;
 using ports::severity;
 
-claim::claim(claim_settings settings, std::string self, outbox& out)
+claim::claim(claim_settings settings, std::string instance_name, outbox& out)
     : settings_(settings),
-      own_record_(to_json(claim_holder{std::move(self), settings.size})),
+      own_record_(
+          to_json(claim_holder{std::move(instance_name), settings.size})),
       out_(out)
 {
 }
--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -51,7 +51,7 @@
 class claim
 {
 public:
-    claim(claim_settings settings, std::string self, outbox& out);
+    claim(claim_settings settings, std::string instance_name, outbox& out);
 
     void tick(common::time_point now);
     /// Revokes the lease, so that another instance can acquire the claim at
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -16,10 +16,10 @@
 
 engine::engine(pool_settings const& settings,
                platform_records records,
-               std::string self)
+               std::string instance_name)
     : settings_(settings), platform_records_(std::move(records)),
       operators_(settings.operators, platform_records_, out_, times_),
-      claim_(settings.claim, std::move(self), out_),
+      claim_(settings.claim, std::move(instance_name), out_),
       request_handler_(settings.request_handler, operators_, out_, times_)
 {
 }
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -34,7 +34,7 @@
 public:
     engine(pool_settings const& settings,
            platform_records records,
-           std::string self);
+           std::string instance_name);
 
     void start(common::time_point now);
     /// Must be called at least every `tick_interval`.
--- a/src/core/pool/interference_estimates.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t headroom_columns = 3;
 constexpr std::size_t pair_columns = 4;
 
-std::int64_t scaled(double value)
+std::int64_t to_hundredths(double value)
 {
     return std::llround(value * storage_scale);
 }
@@ -56,7 +56,7 @@
     return numbers;
 }
 
-double unscaled(std::int64_t cell)
+double from_hundredths(std::int64_t cell)
 {
     return static_cast<double>(cell) / storage_scale;
 }
@@ -66,7 +66,7 @@
 class image_numbering
 {
 public:
-    std::int64_t number_of(std::string const& image)
+    std::int64_t index_of(std::string const& image)
     {
         auto const [found, added] = numbers_.emplace(image, names_.size());
         if (added)
@@ -94,17 +94,17 @@
     json::array headrooms;
     for (auto const& record : value.headrooms)
     {
-        headrooms.push_back(json::array{images.number_of(record.image),
-                                        scaled(record.mean),
-                                        scaled(record.readings)});
+        headrooms.push_back(json::array{images.index_of(record.image),
+                                        to_hundredths(record.mean),
+                                        to_hundredths(record.readings)});
     }
     json::array pairs;
     for (auto const& record : value.pairs)
     {
-        pairs.push_back(json::array{images.number_of(record.serving_image),
-                                    images.number_of(record.neighbour_image),
-                                    scaled(record.weight),
-                                    scaled(record.variance)});
+        pairs.push_back(json::array{images.index_of(record.serving_image),
+                                    images.index_of(record.neighbour_image),
+                                    to_hundredths(record.weight),
+                                    to_hundredths(record.variance)});
     }
     return json::serialize(json::object{{"images", images.names()},
                                         {"headrooms", std::move(headrooms)},
@@ -119,14 +119,14 @@
     {
         return std::nullopt;
     }
-    common::json_reader in(*object, "learned");
-    auto const* const names = in.array("images");
-    auto const* const headrooms = in.array("headrooms");
-    auto const* const pairs = in.array("pairs");
+    common::json_reader reader(*object, "learned");
+    auto const* const names = reader.array("images");
+    auto const* const headrooms = reader.array("headrooms");
+    auto const* const pairs = reader.array("pairs");
     if (names == nullptr || headrooms == nullptr || pairs == nullptr)
     {
-        in.fail(result_code::missing_key, "", "a list is missing");
-        reason = in.reason();
+        reader.fail(result_code::missing_key, "", "a list is missing");
+        reason = reader.reason();
         return std::nullopt;
     }
     std::vector<std::string> images;
@@ -151,8 +151,8 @@
         }
         result.headrooms.push_back(
             {images[static_cast<std::size_t>((*cells)[0])],
-             unscaled((*cells)[1]),
-             unscaled((*cells)[2])});
+             from_hundredths((*cells)[1]),
+             from_hundredths((*cells)[2])});
     }
     for (auto const& row : *pairs)
     {
@@ -164,8 +164,8 @@
         }
         result.pairs.push_back({images[static_cast<std::size_t>((*cells)[0])],
                                 images[static_cast<std::size_t>((*cells)[1])],
-                                unscaled((*cells)[2]),
-                                unscaled((*cells)[3])});
+                                from_hundredths((*cells)[2]),
+                                from_hundredths((*cells)[3])});
     }
     return result;
 }
--- a/src/core/pool/keys.hpp
+++ b/src/core/pool/keys.hpp
@@ -11,7 +11,7 @@
 namespace fuchsia::core::pool::keys
 {
 
-constexpr std::string_view owned_prefix = "pool/";
+constexpr std::string_view watched_prefix = "pool/";
 constexpr std::string_view claim = "pool/claim";
 /// Request for a handover of the claim, written by an instance with more
 /// scheduling capacity than the holder.
--- a/src/core/pool/owner.cpp
+++ b/src/core/pool/owner.cpp
@@ -44,7 +44,7 @@
     load_roster(now);
     load_jobs(now);
     load_progress(now);
-    load_finals(now);
+    load_final_states(now);
     load_estimates(now);
     list_.tick(now);
 }
@@ -66,7 +66,7 @@
         check_load_timeout(now);
         return;
     }
-    give_up_stalled_watch(now);
+    hand_over_if_watch_stalled(now);
     check_silent_workers(now);
     complete_takeover(now);
     poll_workers(now);
@@ -81,7 +81,7 @@
     {
         rank_again(now);
         observe_short_job_demand(now);
-        drop_old_finals(now);
+        drop_old_final_states(now);
         drop_unmatched_cancels(now);
         next_rank_ = now + rank_interval;
     }
@@ -128,7 +128,7 @@
 // counts, and no other instance replaces it as long as its claim is renewed.
 // While the store does not answer at all, a successor could do no better, so
 // that time does not count.
-void owner::give_up_stalled_watch(common::time_point now)
+void owner::hand_over_if_watch_stalled(common::time_point now)
 {
     if (now - claim_.confirmed_at() >= settings_.workers.unconfirmed_limit)
     {
@@ -208,7 +208,7 @@
     out_.store(
         life_,
         ports::kv_watch{
-            std::string(keys::owned_prefix), watched_revision_, watch_wait},
+            std::string(keys::watched_prefix), watched_revision_, watch_wait},
         watch_wait + settings_.call_timeout,
         [this, requested_at = now](common::time_point at, kv_reply const& reply)
         {
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -78,13 +78,13 @@
 
 private:
     job_status_row row_of(common::time_point now, job_run const& run) const;
-    step_status why_waiting(common::time_point now,
-                            job_run& run,
-                            ports::task_name const& first);
+    step_status waiting_status(common::time_point now,
+                               job_run& run,
+                               ports::task_name const& first);
 
     // owner.cpp: periodic work, and the watch for new jobs.
     void check_load_timeout(common::time_point now);
-    void give_up_stalled_watch(common::time_point now);
+    void hand_over_if_watch_stalled(common::time_point now);
     /// Runs `action` at the first tick after `owner_settings::retry_pause`.
     void retry_later(common::time_point now,
                      std::function<void(common::time_point)> action);
@@ -140,7 +140,7 @@
     bool apply_job_pages(common::time_point now);
     void load_progress(common::time_point now);
     void load_roster(common::time_point now);
-    void load_finals(common::time_point now);
+    void load_final_states(common::time_point now);
     void load_estimates(common::time_point now);
     void on_part_loaded(common::time_point now);
 
@@ -156,7 +156,7 @@
     void write_estimates(common::time_point now);
     void log_backlog(common::duration elapsed);
     void log_load(common::time_point now);
-    void drop_old_finals(common::time_point now);
+    void drop_old_final_states(common::time_point now);
     void drop_unmatched_cancels(common::time_point now);
 
     // owner_jobs.cpp: state changes of jobs and tasks. The functions for gangs
@@ -165,7 +165,7 @@
     void open_steps(common::time_point now, job_run& run);
     bool step_may_open(job_run const& run,
                        std::uint32_t occurrence,
-                       std::uint32_t number,
+                       std::uint32_t step_index,
                        std::int64_t now_ms) const;
     void make_ready(job_run& run, ports::task_name const& name);
     void task_done(common::time_point now,
@@ -179,19 +179,19 @@
                        std::uint32_t attempt);
     void mark_done(job_run& run, ports::task_name const& name);
     void after_done(common::time_point now, job_run& run);
-    void stop_run(common::time_point now,
-                  job_run& run,
-                  ports::task_name const& name);
+    void stop_attempt(common::time_point now,
+                      job_run& run,
+                      ports::task_name const& name);
     void gang_done(common::time_point now,
                    job_run& run,
                    ports::task_name const& name);
-    void break_gang(common::time_point now,
-                    job_run& run,
-                    ports::task_name const& name);
+    void stop_gang(common::time_point now,
+                   job_run& run,
+                   ports::task_name const& name);
     void task_over(common::time_point now,
                    job_run& run,
                    ports::task_name const& name);
-    void unplace(job_run& run, ports::task_name const& name);
+    void remove_from_worker(job_run& run, ports::task_name const& name);
     void place(job_run& run, ports::task_name const& name, worker& target);
     void cancel_job(common::time_point now, job_run& run);
     void end_job(common::time_point now, job_run& run, job_phase phase);
@@ -219,15 +219,16 @@
     void poll_workers(common::time_point now);
     void poll_worker(common::time_point now, worker& target);
     void on_poll_reply(common::time_point now,
-                       common::time_point sent,
+                       common::time_point sent_at,
                        std::string const& id,
                        ports::order_reply const& reply);
     void acknowledge_ends(common::time_point now, worker& target);
     void note_worker_failure(common::time_point now,
                              worker& target,
                              std::string const& job);
-    void
-    mark_runs_lost(common::time_point now, worker& target, char const* reason);
+    void mark_attempts_lost(common::time_point now,
+                            worker& target,
+                            char const* reason);
     void check_silent_workers(common::time_point now);
     void order_stop(common::time_point now,
                     std::string const& id,
@@ -238,24 +239,24 @@
 
     // owner_rows.cpp: running and ended attempts that a worker reports.
     void apply_rows(common::time_point now,
-                    common::time_point sent,
+                    common::time_point sent_at,
                     worker& target,
                     ports::order_reply const& reply,
                     bool first_report);
     /// Names of the tasks in a worker's report, sorted.
     using reported_names = std::vector<ports::task_name const*>;
     bool is_inconsistent(worker const& target, reported_names const& reported);
-    void check_missing(common::time_point now,
-                       common::time_point sent,
-                       worker& target,
-                       reported_names const& reported);
+    void handle_unreported_tasks(common::time_point now,
+                                 common::time_point sent_at,
+                                 worker& target,
+                                 reported_names const& reported);
     void apply_running(common::time_point now,
                        worker& target,
                        ports::running_attempt const& row);
-    void adopt_run(common::time_point now,
-                   worker& target,
-                   job_run& run,
-                   ports::pool_attempt const& attempt_id);
+    void adopt_attempt(common::time_point now,
+                       worker& target,
+                       job_run& run,
+                       ports::pool_attempt const& attempt_id);
     void update_progress(common::time_point now,
                          worker& target,
                          job_run& run,
@@ -285,7 +286,7 @@
                                  ports::ended_attempt const& row);
     void fail_exhausted_job(common::time_point now, job_run& run);
     void complete_takeover(common::time_point now);
-    void resolve_unresolved(common::time_point now, job_run& run);
+    void end_unreported_attempts(common::time_point now, job_run& run);
     bool earlier_leases_ended(common::time_point now);
     bool may_belong_to_earlier_owner(job_run const& run, task const& t) const;
 
@@ -293,7 +294,7 @@
     // tasks on the same worker.
     worker_view const& view_of(worker& target);
     void protect_serving(common::time_point now, worker& target);
-    bool tails_are_outliers(worker& target);
+    bool tail_latencies_are_outliers(worker& target);
     void read_serving(common::time_point now, worker& target);
     void evict_idle(common::time_point now,
                     worker& target,
@@ -330,7 +331,7 @@
     void observe_short_job_demand(common::time_point now);
     short_job_demand short_job_demand_of(common::time_point now,
                                          job_run const& run) const;
-    void note_capacity_of_unusable(common::time_point now);
+    void note_capacity_of_unusable_workers(common::time_point now);
     /// Whether the task may start only on a worker with capacity for two such
     /// tasks.
     bool must_leave_reserve(job_run const& run, ports::task_name const& name);
@@ -366,7 +367,7 @@
     };
     ready_key key_of(job_run const& run,
                      std::uint32_t occurrence,
-                     std::uint32_t number) const;
+                     std::uint32_t step_index) const;
     void rank_again(common::time_point now);
     void dispatch(common::time_point now);
     void dispatch_steps(common::time_point now);
@@ -405,7 +406,7 @@
     struct ranked_worker
     {
         double score = 0;
-        worker* which = nullptr;
+        worker* candidate = nullptr;
     };
     capacity_index usable_workers(common::time_point now);
     /// Must be called for each task placed or removed within a dispatch round.
@@ -424,17 +425,17 @@
                      worker& target,
                      bool leaves_room,
                      std::vector<ranked_worker>& ranked);
-    bool may_trust(worker const& target) const;
-    std::optional<obstacle> obstacle_at(common::time_point now,
-                                        worker const& target) const;
-    std::optional<obstacle> obstacle_of(common::time_point now,
-                                        worker const& target,
-                                        job_run const& run,
-                                        step const& spec) const;
-    std::optional<obstacle> obstacle_to(common::time_point now,
-                                        worker& target,
-                                        job_run& run,
-                                        ports::task_name const& name);
+    bool claim_confirmed_since_restart(worker const& target) const;
+    std::optional<obstacle> obstacle_to_any_task(common::time_point now,
+                                                 worker const& target) const;
+    std::optional<obstacle> obstacle_to_step(common::time_point now,
+                                             worker const& target,
+                                             job_run const& run,
+                                             step const& spec) const;
+    std::optional<obstacle> obstacle_to_task(common::time_point now,
+                                             worker& target,
+                                             job_run& run,
+                                             ports::task_name const& name);
     bool fits(worker const& target, step const& spec) const;
     bool serves_only(worker const& target, std::uint16_t image);
     std::optional<double> score(common::time_point now,
--- a/src/core/pool/owner_gangs.cpp
+++ b/src/core/pool/owner_gangs.cpp
@@ -69,7 +69,8 @@
         {
             for (std::uint32_t placed = 0; placed < index; ++placed)
             {
-                unplace(run, {key.job, key.occurrence, key.step, placed});
+                remove_from_worker(run,
+                                   {key.job, key.occurrence, key.step, placed});
                 capacity_changed(*fleet_.find(steps.tasks[placed].worker));
             }
             return false;
@@ -129,14 +130,14 @@
 
 // Stops the other members of a gang after the attempt of one member has ended
 // without completing: they can't finish without it.
-void owner::break_gang(common::time_point now,
-                       job_run& run,
-                       ports::task_name const& name)
+void owner::stop_gang(common::time_point now,
+                      job_run& run,
+                      ports::task_name const& name)
 {
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
     for (std::uint32_t index = 0; index < steps.tasks.size(); ++index)
     {
-        stop_run(now, run, {name.job, name.occurrence, name.step, index});
+        stop_attempt(now, run, {name.job, name.occurrence, name.step, index});
     }
 }
 
--- a/src/core/pool/owner_jobs.cpp
+++ b/src/core/pool/owner_jobs.cpp
@@ -36,15 +36,15 @@
 
 bool owner::step_may_open(job_run const& run,
                           std::uint32_t occurrence,
-                          std::uint32_t number,
+                          std::uint32_t step_index,
                           std::int64_t now_ms) const
 {
     auto const& current = run.occurrences[occurrence];
-    if (current.steps[number].open || current.due_unix_ms > now_ms)
+    if (current.steps[step_index].open || current.due_unix_ms > now_ms)
     {
         return false;
     }
-    for (auto const earlier : run.spec.steps[number].after)
+    for (auto const earlier : run.spec.steps[step_index].after)
     {
         if (current.steps[earlier].tasks_left > 0)
         {
@@ -68,17 +68,19 @@
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
         auto& steps = run.occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            if (!step_may_open(run, k, number, now_ms))
+            if (!step_may_open(run, k, step_index, now_ms))
             {
                 continue;
             }
-            steps[number].open = true;
-            for (std::uint32_t index = 0; index < steps[number].tasks.size();
+            steps[step_index].open = true;
+            for (std::uint32_t index = 0;
+                 index < steps[step_index].tasks.size();
                  ++index)
             {
-                auto& t = steps[number].tasks[index];
+                auto& t = steps[step_index].tasks[index];
                 if (t.phase != task_phase::blocked)
                 {
                     continue;
@@ -89,7 +91,7 @@
                 }
                 else
                 {
-                    make_ready(run, {run.spec.id, k, number, index});
+                    make_ready(run, {run.spec.id, k, step_index, index});
                 }
             }
         }
@@ -130,7 +132,7 @@
     }
 }
 
-void owner::unplace(job_run& run, ports::task_name const& name)
+void owner::remove_from_worker(job_run& run, ports::task_name const& name)
 {
     auto const& spec = run.step_of(name);
     auto* const target = fleet_.find(run.at(name).worker);
@@ -162,7 +164,7 @@
                       ports::task_name const& name)
 {
     auto& t = run.at(name);
-    unplace(run, name);
+    remove_from_worker(run, name);
     if (run.step_of(name).long_running)
     {
         task_over(now, run, name);
@@ -189,7 +191,7 @@
 void owner::mark_done(job_run& run, ports::task_name const& name)
 {
     auto& t = run.at(name);
-    unplace(run, name);
+    remove_from_worker(run, name);
     ++counters_.tasks_done;
     t.phase = task_phase::done;
     t.checkpoint.clear();
@@ -215,7 +217,7 @@
 {
     ++counters_.tasks_failed;
     auto& t = run.at(name);
-    unplace(run, name);
+    remove_from_worker(run, name);
     t.failed_on.push_back(t.worker);
     count_failure(run, name, t.attempt);
     if (run.phase == job_phase::active &&
@@ -253,7 +255,7 @@
                       job_run& run,
                       ports::task_name const& name)
 {
-    unplace(run, name);
+    remove_from_worker(run, name);
     auto& t = run.at(name);
     t.percent = 0;
     t.speed_limit = 100;
@@ -275,7 +277,7 @@
         }
         if (run.step_of(name).gang)
         {
-            break_gang(now, run, name);
+            stop_gang(now, run, name);
         }
         return;
     }
@@ -302,20 +304,22 @@
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
         auto& steps = run.occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            steps[number].ready.clear();
-            for (std::uint32_t index = 0; index < steps[number].tasks.size();
+            steps[step_index].ready.clear();
+            for (std::uint32_t index = 0;
+                 index < steps[step_index].tasks.size();
                  ++index)
             {
-                auto& t = steps[number].tasks[index];
-                ports::task_name const name{run.spec.id, k, number, index};
+                auto& t = steps[step_index].tasks[index];
+                ports::task_name const name{run.spec.id, k, step_index, index};
                 if (t.phase == task_phase::ready)
                 {
                     t.phase = task_phase::blocked;
                 }
                 release_reservation(run, name);
-                stop_run(now, run, name);
+                stop_attempt(now, run, name);
             }
         }
     }
@@ -324,9 +328,9 @@
 
 // Stops the task if it runs or may run: a start that is not answered yet may
 // still take effect.
-void owner::stop_run(common::time_point now,
-                     job_run& run,
-                     ports::task_name const& name)
+void owner::stop_attempt(common::time_point now,
+                         job_run& run,
+                         ports::task_name const& name)
 {
     auto& t = run.at(name);
     if (t.phase != task_phase::starting && t.phase != task_phase::running)
--- a/src/core/pool/owner_load.cpp
+++ b/src/core/pool/owner_load.cpp
@@ -109,7 +109,7 @@
     pages_requested_at_ = now;
     load_pages(
         now,
-        keys::owned_prefix,
+        keys::watched_prefix,
         "",
         [this](common::time_point, kv_reply const& reply)
         {
@@ -189,7 +189,7 @@
         });
 }
 
-void owner::load_finals(common::time_point now)
+void owner::load_final_states(common::time_point now)
 {
     load_pages(
         now,
--- a/src/core/pool/owner_placement.cpp
+++ b/src/core/pool/owner_placement.cpp
@@ -58,16 +58,17 @@
 // A worker that restarted has lost the fencing token of a successor that polled
 // its previous incarnation, and would accept our orders. No task starts there
 // before the store has confirmed since the restart that there is no successor.
-bool owner::may_trust(worker const& target) const
+bool owner::claim_confirmed_since_restart(worker const& target) const
 {
     return claim_.confirmed_at() >= target.restarted_at;
 }
 
 // Returns the obstacle at the worker that holds for any task.
-std::optional<obstacle> owner::obstacle_at(common::time_point now,
-                                           worker const& target) const
+std::optional<obstacle> owner::obstacle_to_any_task(common::time_point now,
+                                                    worker const& target) const
 {
-    if (!target.adopted || !target.rostered || !may_trust(target))
+    if (!target.adopted || !target.rostered ||
+        !claim_confirmed_since_restart(target))
     {
         return obstacle::unknown;
     }
@@ -95,16 +96,16 @@
 }
 
 // Returns the obstacle at the worker that holds for any task of the step.
-std::optional<obstacle> owner::obstacle_of(common::time_point now,
-                                           worker const& target,
-                                           job_run const& run,
-                                           step const& step_spec) const
+std::optional<obstacle> owner::obstacle_to_step(common::time_point now,
+                                                worker const& target,
+                                                job_run const& run,
+                                                step const& step_spec) const
 {
     if (target.info.service != run.rules.service)
     {
         return obstacle::service;
     }
-    if (auto const reason = obstacle_at(now, target))
+    if (auto const reason = obstacle_to_any_task(now, target))
     {
         return reason;
     }
@@ -118,13 +119,13 @@
 
 // Returns the obstacle that keeps this task from the worker now; empty if the
 // task may start there.
-std::optional<obstacle> owner::obstacle_to(common::time_point now,
-                                           worker& target,
-                                           job_run& run,
-                                           ports::task_name const& name)
+std::optional<obstacle> owner::obstacle_to_task(common::time_point now,
+                                                worker& target,
+                                                job_run& run,
+                                                ports::task_name const& name)
 {
     auto const& step_spec = run.step_of(name);
-    if (auto const reason = obstacle_of(now, target, run, step_spec))
+    if (auto const reason = obstacle_to_step(now, target, run, step_spec))
     {
         return reason;
     }
@@ -165,7 +166,7 @@
     usable.reserve(fleet_.all().size());
     for (auto& [id, w] : fleet_.all())
     {
-        if (!obstacle_at(now, w))
+        if (!obstacle_to_any_task(now, w))
         {
             usable.push_back(&w);
         }
@@ -223,7 +224,7 @@
                          {
                              return lhs.score < rhs.score;
                          });
-    return best == ranked.end() ? nullptr : best->which;
+    return best == ranked.end() ? nullptr : best->candidate;
 }
 
 // Updates the score of `target`, on which `name` has just been placed, for the
@@ -239,7 +240,7 @@
                                   ranked.end(),
                                   [&target](ranked_worker const& r)
                                   {
-                                      return r.which == &target;
+                                      return r.candidate == &target;
                                   });
     if (row == ranked.end())
     {
@@ -280,7 +281,7 @@
                                    ports::task_name const& name)
 {
     ++counters_.scored;
-    if (obstacle_to(now, target, run, name))
+    if (obstacle_to_task(now, target, run, name))
     {
         return std::nullopt;
     }
--- a/src/core/pool/owner_policy.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -12,12 +12,13 @@
 
 // Bounds of the maximum number of workers in one policy request. A request
 // takes longer for each worker.
-constexpr std::size_t min_workers = 12;
-constexpr std::size_t max_workers = 30;
+constexpr std::size_t min_worker_limit = 12;
+constexpr std::size_t max_worker_limit = 30;
 // Time before the expiry of a ticket from which on the ticket is not used.
 constexpr common::duration ticket_margin = std::chrono::milliseconds(150);
 // Margin between the expected duration of a policy request and its timeout.
-constexpr common::duration call_grace = std::chrono::milliseconds(1500);
+constexpr common::duration call_timeout_margin =
+    std::chrono::milliseconds(1500);
 
 } // namespace
 
@@ -57,7 +58,7 @@
     ports::policy_request call;
     call.step = {key.job, key.occurrence, key.step, 0};
     call.workers = std::move(workers);
-    call.timeout = expected_time + call_grace;
+    call.timeout = expected_time + call_timeout_margin;
     for (auto const& id : call.workers)
     {
         steps.policy_requested_for.insert(id);
@@ -84,7 +85,7 @@
     for (auto const& [id, w] : fleet_.all())
     {
         bool const usable =
-            !obstacle_of(now, w, run, step_spec) && fits(w, step_spec);
+            !obstacle_to_step(now, w, run, step_spec) && fits(w, step_spec);
         if (!usable || has_ticket(now, steps, w))
         {
             continue;
@@ -100,7 +101,7 @@
     }
     auto& chosen = allowed_before.empty() ? not_requested : allowed_before;
     auto const max_chosen = std::clamp<std::size_t>(
-        std::size_t{2} * step_spec.count, min_workers, max_workers);
+        std::size_t{2} * step_spec.count, min_worker_limit, max_worker_limit);
     chosen.resize(std::min(chosen.size(), max_chosen));
     return std::move(chosen);
 }
--- a/src/core/pool/owner_rebalance.cpp
+++ b/src/core/pool/owner_rebalance.cpp
@@ -92,7 +92,7 @@
     std::vector<rebalance_worker> result;
     for (auto& [id, w] : fleet_.all())
     {
-        if (obstacle_at(now, w))
+        if (obstacle_to_any_task(now, w))
         {
             continue;
         }
@@ -186,7 +186,7 @@
         target->view_known = false;
         moved_tasks.push_back(move.name.job + "." + text_of(move.name) + ">" +
                               move.to);
-        stop_run(now, *run, move.name);
+        stop_attempt(now, *run, move.name);
     }
     if (!moved_tasks.empty())
     {
@@ -208,7 +208,7 @@
 {
     auto* const target = release_reservation(run, name);
     bool const usable =
-        target != nullptr && !obstacle_to(now, *target, run, name);
+        target != nullptr && !obstacle_to_task(now, *target, run, name);
     return usable ? target : nullptr;
 }
 
--- a/src/core/pool/owner_reports.cpp
+++ b/src/core/pool/owner_reports.cpp
@@ -108,7 +108,7 @@
 
 // Drops all expired final states at once: a limit per call below the rate at
 // which jobs end would let them pile up.
-void owner::drop_old_finals(common::time_point now)
+void owner::drop_old_final_states(common::time_point now)
 {
     while (!final_times_.empty() &&
            now - final_times_.front().first >= settings_.final_state_retention)
--- a/src/core/pool/owner_reserve.cpp
+++ b/src/core/pool/owner_reserve.cpp
@@ -41,7 +41,7 @@
         reserve.observe(now, demand);
         reserve.set_available(available[service]);
     }
-    note_capacity_of_unusable(now);
+    note_capacity_of_unusable_workers(now);
 }
 
 // Late jobs do not count: they may wait for the capacity that remains.
@@ -75,12 +75,12 @@
 
 // A long-running task may not wait while a worker has capacity for two of its
 // tasks, whether or not this owner would use that worker now.
-void owner::note_capacity_of_unusable(common::time_point now)
+void owner::note_capacity_of_unusable_workers(common::time_point now)
 {
     std::vector<worker const*> unusable;
     for (auto const& [id, w] : fleet_.all())
     {
-        if (w.listed && !w.info.draining && obstacle_at(now, w))
+        if (w.listed && !w.info.draining && obstacle_to_any_task(now, w))
         {
             unusable.push_back(&w);
         }
--- a/src/core/pool/owner_rows.cpp
+++ b/src/core/pool/owner_rows.cpp
@@ -79,7 +79,7 @@
 } // namespace
 
 void owner::apply_rows(common::time_point now,
-                       common::time_point sent,
+                       common::time_point sent_at,
                        worker& target,
                        order_reply const& reply,
                        bool first_report)
@@ -110,7 +110,7 @@
     sort_names(reported);
     if (is_inconsistent(target, reported))
     {
-        check_missing(now, sent, target, reported);
+        handle_unreported_tasks(now, sent_at, target, reported);
     }
 }
 
@@ -139,10 +139,10 @@
 
 // A task that the worker had confirmed before the poll was sent, and that it no
 // longer lists, is lost. Stops that were not confirmed are sent again.
-void owner::check_missing(common::time_point now,
-                          common::time_point sent,
-                          worker& target,
-                          reported_names const& reported)
+void owner::handle_unreported_tasks(common::time_point now,
+                                    common::time_point sent_at,
+                                    worker& target,
+                                    reported_names const& reported)
 {
     auto const runs = target.runs;
     for (auto const& name : runs)
@@ -158,7 +158,7 @@
         }
         if (contains(reported, name) || t == nullptr ||
             t->phase == task_phase::starting || t->start_unanswered ||
-            t->started >= sent)
+            t->started >= sent_at)
         {
             continue;
         }
@@ -184,7 +184,7 @@
     }
     if (may_belong_to_earlier_owner(*run, *t))
     {
-        adopt_run(now, target, *run, row.attempt_id);
+        adopt_attempt(now, target, *run, row.attempt_id);
     }
     bool const is_current = t->placed() && t->worker == target.info.id &&
                             t->attempt == row.attempt_id.attempt;
@@ -205,10 +205,10 @@
 }
 
 // Adopts a run that an earlier owner started.
-void owner::adopt_run(common::time_point now,
-                      worker& target,
-                      job_run& run,
-                      ports::pool_attempt const& attempt_id)
+void owner::adopt_attempt(common::time_point now,
+                          worker& target,
+                          job_run& run,
+                          ports::pool_attempt const& attempt_id)
 {
     auto& t = run.at(attempt_id.task);
     t.phase = task_phase::running;
--- a/src/core/pool/owner_sharing.cpp
+++ b/src/core/pool/owner_sharing.cpp
@@ -103,7 +103,7 @@
 
 // A worker that becomes slow makes all its tails long at once. If this were
 // attributed to the neighbours, every image would be learned as disturbing.
-bool owner::tails_are_outliers(worker& w)
+bool owner::tail_latencies_are_outliers(worker& w)
 {
     std::vector<double> ratios;
     for (auto const& serving_task : view_of(w).serving)
@@ -132,7 +132,8 @@
 // have the load of their users in common.
 void owner::read_serving(common::time_point now, worker& w)
 {
-    if (w.speed.value(now) < slow_worker_speed && tails_are_outliers(w))
+    if (w.speed.value(now) < slow_worker_speed &&
+        tail_latencies_are_outliers(w))
     {
         return;
     }
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -38,7 +38,7 @@
                  "worker_restarted",
                  {{"worker", target.info.id},
                   {"born", std::to_string(incarnation)}});
-        mark_runs_lost(now, target, "worker restarted");
+        mark_attempts_lost(now, target, "worker restarted");
         return;
     }
     digest_.worker_adopted(now, target.info.id);
@@ -139,25 +139,26 @@
     }
     for (auto const& id : ids)
     {
-        resolve_unresolved(now, *find_job(id));
+        end_unreported_attempts(now, *find_job(id));
     }
 }
 
 // Ends the attempts that an earlier owner may have started but that no worker
 // has reported: they do not run anywhere.
-void owner::resolve_unresolved(common::time_point now, job_run& run)
+void owner::end_unreported_attempts(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
         auto& steps = run.occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            auto& tasks = steps[number].tasks;
+            auto& tasks = steps[step_index].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
                 if (tasks[index].phase == task_phase::unresolved)
                 {
-                    task_over(now, run, {run.spec.id, k, number, index});
+                    task_over(now, run, {run.spec.id, k, step_index, index});
                 }
             }
         }
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -63,9 +63,9 @@
     return result;
 }
 
-step_status owner::why_waiting(common::time_point now,
-                               job_run& run,
-                               ports::task_name const& first)
+step_status owner::waiting_status(common::time_point now,
+                                  job_run& run,
+                                  ports::task_name const& first)
 {
     step_status status;
     status.occurrence = first.occurrence;
@@ -76,7 +76,7 @@
     bool const leave_reserve = must_leave_reserve(run, first);
     for (auto& [id, w] : fleet_.all())
     {
-        auto reason = obstacle_to(now, w, run, first);
+        auto reason = obstacle_to_task(now, w, run, first);
         if (!reason && leave_reserve && !w.has_capacity_for_two(declared))
         {
             reason = obstacle::short_job_reserve;
@@ -131,12 +131,12 @@
             if (!steps[step_index].ready.empty())
             {
                 detail.waiting.push_back(
-                    why_waiting(now,
-                                *run,
-                                {id,
-                                 occurrence_index,
-                                 step_index,
-                                 steps[step_index].ready.back()}));
+                    waiting_status(now,
+                                   *run,
+                                   {id,
+                                    occurrence_index,
+                                    step_index,
+                                    steps[step_index].ready.back()}));
             }
         }
     }
--- a/src/core/pool/owner_waiting.cpp
+++ b/src/core/pool/owner_waiting.cpp
@@ -81,7 +81,7 @@
         {
             continue;
         }
-        auto const status = why_waiting(
+        auto const status = waiting_status(
             now, run, {key.job, key.occurrence, key.step, ready.back()});
         std::vector<ports::header> fields{
             {"queue", run.spec.queue},
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -80,7 +80,7 @@
 }
 
 void owner::on_poll_reply(common::time_point now,
-                          common::time_point sent,
+                          common::time_point sent_at,
                           std::string const& id,
                           order_reply const& reply)
 {
@@ -107,7 +107,7 @@
     if (reply.status != order_status::done || anonymous)
     {
         target->silent = true;
-        target->silent_since_lapse = fleet_.lapsed(*target, sent);
+        target->silent_since_lapse = fleet_.lapsed(*target, sent_at);
         target->next_poll = now + settings_.full_pause;
         return;
     }
@@ -123,7 +123,7 @@
         adopt_incarnation(now, *target, reply.incarnation);
     }
     target->view_known = false;
-    apply_rows(now, sent, *target, reply, first_report);
+    apply_rows(now, sent_at, *target, reply, first_report);
     target->next_poll =
         target->runs.empty() ? now + settings_.idle_interval : now;
     if (target->highest_end > target->durable_end)
@@ -201,9 +201,9 @@
     jobs.clear();
 }
 
-void owner::mark_runs_lost(common::time_point now,
-                           worker& target,
-                           char const* reason)
+void owner::mark_attempts_lost(common::time_point now,
+                               worker& target,
+                               char const* reason)
 {
     auto const runs = target.runs;
     for (auto const& name : runs)
@@ -239,7 +239,7 @@
                             now - w.last_contact > settings_.workers.lease;
         if (silent && w.silent_since_lapse)
         {
-            mark_runs_lost(now, w, "lease expired without an answer");
+            mark_attempts_lost(now, w, "lease expired without an answer");
         }
         else if (silent && fleet_.lapsed(w, now))
         {
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -79,7 +79,8 @@
         next_call_at_ = now + settings_.retry_interval;
         return;
     }
-    page_revision_ = next_page_after_.empty() ? reply.revision : page_revision_;
+    first_page_revision_ =
+        next_page_after_.empty() ? reply.revision : first_page_revision_;
     for (auto const& item : reply.items)
     {
         apply_item(item, loaded_pages_);
@@ -93,7 +94,7 @@
     next_page_after_.clear();
     reading_pages_ = false;
     loaded_ = true;
-    watched_revision_ = page_revision_;
+    watched_revision_ = first_page_revision_;
     current_as_of_ = pages_requested_at_;
     next_call_at_ = pages_requested_at_ + settings_.interval;
     on_changes_(now, std::exchange(loaded_pages_, {}));
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -77,7 +77,7 @@
     /// event, or of the first page if none has arrived since the pages were
     /// read.
     std::uint64_t watched_revision_ = 0;
-    std::uint64_t page_revision_ = 0; ///< Revision of the first page.
+    std::uint64_t first_page_revision_ = 0; ///< Revision of the first page.
     common::time_point pages_requested_at_{};
     common::time_point call_sent_at_{};
     common::time_point current_as_of_{};
