--- a/src/core/pool/configuration.cpp
+++ b/src/core/pool/configuration.cpp
@@ -9,9 +9,9 @@
     queue const* best = nullptr;
     for (auto const& candidate : queues)
     {
-        bool const fits =
+        bool const matches =
             candidate.host == host && path.starts_with(candidate.prefix);
-        if (fits &&
+        if (matches &&
             (best == nullptr || best->prefix.size() < candidate.prefix.size()))
         {
             best = &candidate;
--- a/src/core/pool/engine.cpp
+++ b/src/core/pool/engine.cpp
@@ -78,7 +78,7 @@
     stopping_since_ = now;
     out_.log(ports::severity::info,
              "stopping",
-             {{"owner", owns() ? "true" : "false"},
+             {{"owner", has_owner() ? "true" : "false"},
               {"open", std::to_string(request_handler_.open())}});
     if (owner_)
     {
@@ -103,7 +103,7 @@
     return owner_ ? owner_tick : idle_tick;
 }
 
-bool engine::owns() const noexcept
+bool engine::has_owner() const noexcept
 {
     return owner_ != nullptr;
 }
@@ -121,8 +121,8 @@
 instance_status engine::status(common::time_point now) const
 {
     instance_status result;
-    result.owner = owns();
-    result.loaded = owns() && owner_->loaded();
+    result.owner = has_owner();
+    result.loaded = has_owner() && owner_->loaded();
     result.epoch = claim_.held() ? claim_.epoch() : 0;
     result.owned_for =
         claim_.held() ? now - claim_.held_since() : common::duration{};
@@ -166,9 +166,9 @@
                                          out_,
                                          now);
     }
-    if (owner_ && operators_.change_count() != reported_change_count_)
+    if (owner_ && operators_.change_count() != applied_change_count_)
     {
-        reported_change_count_ = operators_.change_count();
+        applied_change_count_ = operators_.change_count();
         owner_->on_operators(now);
     }
     report_readiness(now);
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -55,7 +55,7 @@
     ports::pool_actions take_actions();
     /// Maximum time until the next `tick`.
     common::duration tick_interval() const noexcept;
-    bool owns() const noexcept;
+    bool has_owner() const noexcept;
     /// Returns the owner that runs in this instance, or null.
     owner const* active_owner() const noexcept;
     /// As above, for requests that the owner answers.
@@ -78,7 +78,8 @@
     request_handler request_handler_;
     std::unique_ptr<owner> owner_;
     common::time_point started_at_{};
-    std::uint64_t reported_change_count_ = 0;
+    /// Count of operator changes when the owner was last notified.
+    std::uint64_t applied_change_count_ = 0;
     std::optional<bool> reported_ready_;
     std::optional<common::time_point> stopping_since_;
     bool stop_reported_ = false;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -80,7 +80,7 @@
     job_status_row row_of(common::time_point now, job_run const& run) const;
     step_status waiting_status(common::time_point now,
                                job_run& run,
-                               ports::task_name const& first);
+                               ports::task_name const& first_task);
 
     // owner.cpp: periodic work, and the watch for new jobs.
     void check_load_timeout(common::time_point now);
@@ -97,9 +97,12 @@
                     ports::kv_reply const& reply) const;
     void apply_item(common::time_point now, ports::kv_item const& item);
     void add_job(common::time_point now, ports::kv_item const& item);
+    /// Returns the time of acceptance on this instance's clock, in Unix
+    /// milliseconds.
     std::int64_t accepted_by_own_clock(common::time_point now,
                                        job const& spec,
                                        bool just_accepted) const;
+    /// Whether this owner may still send orders to workers.
     bool may_act(common::time_point now) const;
 
     // owner_load.cpp: loads the state that the previous owner left in the
@@ -235,6 +238,7 @@
                     ports::pool_attempt const& attempt_id);
     task* find_stopping_task(std::string const& id,
                              ports::pool_attempt const& attempt_id);
+    /// Handles a worker's answer that it knows a higher fencing token.
     void on_fenced(std::string const& worker_id);
 
     // owner_rows.cpp: running and ended attempts that a worker reports.
--- a/src/core/pool/owner_list.cpp
+++ b/src/core/pool/owner_list.cpp
@@ -33,7 +33,7 @@
         now - list_.current_as_of() <= settings_.list_age_limit &&
         now - operators_.current_as_of <= settings_.configuration_age_limit &&
         now - synced_until_ <= settings_.jobs_age_limit;
-    return list_.known() && (silent || fresh);
+    return list_.loaded() && (silent || fresh);
 }
 
 void owner::complete_roster()
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -105,7 +105,7 @@
 // has either reported its tasks or can no longer run tasks of an earlier owner.
 void owner::complete_takeover(common::time_point now)
 {
-    if (takeover_complete_ || !loaded_ || !list_.known())
+    if (takeover_complete_ || !loaded_ || !list_.loaded())
     {
         return;
     }
--- a/src/core/pool/owner_view.cpp
+++ b/src/core/pool/owner_view.cpp
@@ -65,18 +65,19 @@
 
 step_status owner::waiting_status(common::time_point now,
                                   job_run& run,
-                                  ports::task_name const& first)
+                                  ports::task_name const& first_task)
 {
     step_status status;
-    status.occurrence = first.occurrence;
-    status.step = first.step;
-    status.ready =
-        run.occurrences[first.occurrence].steps[first.step].ready.size();
-    auto const& declared = run.step_of(first).declared;
-    bool const leave_reserve = must_leave_reserve(run, first);
+    status.occurrence = first_task.occurrence;
+    status.step = first_task.step;
+    status.ready = run.occurrences[first_task.occurrence]
+                       .steps[first_task.step]
+                       .ready.size();
+    auto const& declared = run.step_of(first_task).declared;
+    bool const leave_reserve = must_leave_reserve(run, first_task);
     for (auto& [id, w] : fleet_.all())
     {
-        auto reason = obstacle_to_task(now, w, run, first);
+        auto reason = obstacle_to_task(now, w, run, first_task);
         if (!reason && leave_reserve && !w.has_capacity_for_two(declared))
         {
             reason = obstacle::short_job_reserve;
--- a/src/core/pool/owner_workers.cpp
+++ b/src/core/pool/owner_workers.cpp
@@ -245,7 +245,7 @@
         {
             w.next_poll = now;
         }
-        bool const absent = !w.listed && list_.known() && w.runs.empty() &&
+        bool const absent = !w.listed && list_.loaded() && w.runs.empty() &&
                             !w.poll_pending && fleet_.lapsed(w, now);
         // A worker that this owner never reached may still run tasks of an
         // earlier owner.
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-bool worker_list::known() const noexcept
+bool worker_list::loaded() const noexcept
 {
     return loaded_;
 }
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -52,7 +52,7 @@
     /// Records that the store had reached at most `revision` at `sent_at`.
     void note(common::time_point sent_at, std::uint64_t revision);
     /// Whether the list has been read completely.
-    bool known() const noexcept;
+    bool loaded() const noexcept;
     /// Time before which every written change is known.
     common::time_point current_as_of() const noexcept;
 
--- a/tests/unit/pool/worker_list_test.cpp
+++ b/tests/unit/pool/worker_list_test.cpp
@@ -173,7 +173,7 @@
     list_follower follower;
     follower.answer({worker_entry("a", 3), worker_entry("b", 4)}, 7, true);
     follower.answer({worker_entry("c", 5)}, 9);
-    EXPECT_TRUE(follower.list().known());
+    EXPECT_TRUE(follower.list().loaded());
     EXPECT_EQ(follower.listed(),
               (listing{{"a", false}, {"b", false}, {"c", false}}));
     for (std::uint64_t revision = 10; revision < 30; ++revision)
