--- a/src/core/pool/interference_estimates.cpp
+++ b/src/core/pool/interference_estimates.cpp
@@ -125,7 +125,9 @@
     auto const* const pairs = reader.array("pairs");
     if (names == nullptr || headrooms == nullptr || pairs == nullptr)
     {
-        reader.fail(result_code::missing_key, "", "a list is missing");
+        reader.fail(result_code::missing_key,
+                    "",
+                    "images, headrooms or pairs is missing");
         reason = reader.reason();
         return std::nullopt;
     }
