--- a/src/core/pool/claim.hpp
+++ b/src/core/pool/claim.hpp
@@ -29,17 +29,19 @@
     /// Scheduling capacity of this instance, relative to half a core and 200
     /// Mbit/s.
     double size = 1;
-    /// Ratio of two sizes from which on one instance counts as clearly larger.
-    /// An instance that is smaller than the largest known holder by this factor
-    /// lets others acquire a free claim first; one that is larger than the
-    /// current holder by this factor requests a handover.
+    /// Minimum ratio of two sizes at which one instance counts as clearly
+    /// larger. An instance that is smaller than the largest known holder by at
+    /// least this factor lets others acquire a free claim first; one that is
+    /// larger than the current holder by at least this factor requests a
+    /// handover.
     double size_ratio = 2;
-    /// Time for which a smaller instance leaves a free claim to others.
+    /// Time for which a clearly smaller instance waits before it acquires a
+    /// free claim, so that others can acquire it first.
     common::duration yield_delay = std::chrono::milliseconds(500);
     /// Minimum time between two handover requests to a smaller holder.
     common::duration handover_request_interval = std::chrono::seconds(5);
-    /// Time for which an instance that handed the claim over does not acquire
-    /// it again.
+    /// Time for which an instance does not acquire the claim after it has
+    /// handed the claim over.
     common::duration handover_pause = std::chrono::seconds(2);
 };
 
@@ -49,7 +51,7 @@
 class claim
 {
 public:
-    claim(claim_settings settings, std::string self, outbox& out);
+    claim(claim_settings settings, std::string instance_name, outbox& out);
 
     void tick(common::time_point now);
     /// Revokes the lease, so that another instance can acquire the claim at
@@ -83,7 +85,7 @@
         watching,  ///< Another instance holds the claim; a watch is pending.
         acquiring, ///< Requests a lease, then writes the key.
         held,      ///< This instance holds the claim.
-        released,  ///< Given back for good.
+        released,  ///< This instance does not acquire the claim again.
     };
 
     void acquire_or_yield(common::time_point now);
@@ -112,10 +114,13 @@
     lifetime_token life_ = std::make_shared<char>();
     phase phase_ = phase::reading;
     bool retired_ = false;
-    bool call_pending_ = false; ///< A call of the current phase is pending.
+    /// A call to read, watch or acquire the claim is pending.
+    bool call_pending_ = false;
     std::uint64_t lease_ = 0;
     std::uint64_t epoch_ = 0;
+    /// Revision from which the next watch continues.
     std::uint64_t watched_revision_ = 0;
+    /// Earliest time of the next renewal or read.
     common::time_point next_step_at_{};
     common::time_point lease_requested_at_{};
     common::time_point confirmed_at_{};
--- a/src/core/pool/engine.hpp
+++ b/src/core/pool/engine.hpp
@@ -18,23 +18,23 @@
     operator_follower_settings operators;
     request_handler_settings request_handler;
     owner_settings owner;
-    /// Time for which a stopping instance goes on answering: the load balancer
-    /// needs two health checks, a second apart, to send new connections
-    /// elsewhere.
+    /// Minimum time for which a stopping instance still answers requests: the
+    /// load balancer sends new connections elsewhere only after two failed
+    /// health checks, one second apart.
     common::duration linger = std::chrono::milliseconds(2500);
     /// Maximum time of a planned stop, even if requests are still open then.
     common::duration stop_limit = std::chrono::milliseconds(4500);
 };
 
-/// One instance without its protocols. It answers requests and, while it holds
-/// the claim, schedules. Events come in with the current time; `take_actions`
-/// returns the resulting actions.
+/// The logic of one instance, independent of network protocols. It answers
+/// requests and, while it holds the claim, schedules. Each event is passed with
+/// the current time; `take_actions` returns the resulting actions.
 class engine
 {
 public:
     engine(pool_settings const& settings,
            platform_records records,
-           std::string self);
+           std::string instance_name);
 
     void start(common::time_point now);
     /// Must be called at least every `tick_interval`.
@@ -45,18 +45,20 @@
                         ports::order_reply const& reply);
     void on_policy_reply(common::time_point now,
                          ports::policy_reply const& reply);
-    /// Begins a planned stop: releases the claim and goes on until all open
-    /// requests are answered. Ends with a `stop_complete` action.
+    /// Begins a planned stop: releases the claim and answers requests until
+    /// none is open, for at least `linger` and at most `stop_limit`. Ends with
+    /// a `stop_complete` action.
     void begin_stop(common::time_point now);
+    /// Sets the milliseconds to add to a `time_point` to get Unix time.
     void set_unix_offset(std::int64_t offset_ms) noexcept;
 
     ports::pool_actions take_actions();
     /// Maximum time until the next `tick`.
     common::duration tick_interval() const noexcept;
-    bool owns() const noexcept;
+    bool has_owner() const noexcept;
+    /// Returns the owner that runs in this instance, or null.
     owner const* active_owner() const noexcept;
-    /// Owner in this instance, for requests that it answers; null if there is
-    /// none.
+    /// As above, for requests that the owner answers.
     owner* active_owner() noexcept;
     instance_status status(common::time_point now) const;
     claim const& claimed() const noexcept;
@@ -76,7 +78,8 @@
     request_handler request_handler_;
     std::unique_ptr<owner> owner_;
     common::time_point started_at_{};
-    std::uint64_t reported_change_count_ = 0;
+    /// Count of operator changes when the owner was last notified.
+    std::uint64_t applied_change_count_ = 0;
     std::optional<bool> reported_ready_;
     std::optional<common::time_point> stopping_since_;
     bool stop_reported_ = false;
--- a/src/core/pool/owner.hpp
+++ b/src/core/pool/owner.hpp
@@ -48,7 +48,8 @@
     void tick(common::time_point now);
     /// Handles a change of the operators' configuration.
     void on_operators(common::time_point now);
-    /// From now on no task is started and no lease is renewed.
+    /// Stops scheduling: after this call the owner starts no task and renews
+    /// no lease.
     void stop() noexcept;
 
     /// Whether the state is loaded, so that this owner can answer requests
@@ -77,13 +78,13 @@
 
 private:
     job_status_row row_of(common::time_point now, job_run const& run) const;
-    step_status why_waiting(common::time_point now,
-                            job_run& run,
-                            ports::task_name const& first);
+    step_status waiting_status(common::time_point now,
+                               job_run& run,
+                               ports::task_name const& first_task);
 
     // owner.cpp: periodic work, and the watch for new jobs.
     void check_load_timeout(common::time_point now);
-    void give_up_stalled_watch(common::time_point now);
+    void hand_over_if_watch_stalled(common::time_point now);
     /// Runs `action` at the first tick after `owner_settings::retry_pause`.
     void retry_later(common::time_point now,
                      std::function<void(common::time_point)> action);
@@ -96,9 +97,12 @@
                     ports::kv_reply const& reply) const;
     void apply_item(common::time_point now, ports::kv_item const& item);
     void add_job(common::time_point now, ports::kv_item const& item);
+    /// Returns the time of acceptance on this instance's clock, in Unix
+    /// milliseconds.
     std::int64_t accepted_by_own_clock(common::time_point now,
                                        job const& spec,
                                        bool just_accepted) const;
+    /// Whether this owner may still send orders to workers.
     bool may_act(common::time_point now) const;
 
     // owner_load.cpp: loads the state that the previous owner left in the
@@ -139,7 +143,7 @@
     bool apply_job_pages(common::time_point now);
     void load_progress(common::time_point now);
     void load_roster(common::time_point now);
-    void load_finals(common::time_point now);
+    void load_final_states(common::time_point now);
     void load_estimates(common::time_point now);
     void on_part_loaded(common::time_point now);
 
@@ -155,14 +159,16 @@
     void write_estimates(common::time_point now);
     void log_backlog(common::duration elapsed);
     void log_load(common::time_point now);
-    void drop_old_finals(common::time_point now);
+    void drop_old_final_states(common::time_point now);
     void drop_unmatched_cancels(common::time_point now);
 
-    // owner_jobs.cpp: state changes of jobs and tasks.
+    // owner_jobs.cpp: state changes of jobs and tasks. The functions for gangs
+    // are in owner_gangs.cpp, `find_job` and `find_task` are in owner.cpp, and
+    // `log_task` is in owner_workers.cpp.
     void open_steps(common::time_point now, job_run& run);
     bool step_may_open(job_run const& run,
                        std::uint32_t occurrence,
-                       std::uint32_t number,
+                       std::uint32_t step_index,
                        std::int64_t now_ms) const;
     void make_ready(job_run& run, ports::task_name const& name);
     void task_done(common::time_point now,
@@ -176,19 +182,19 @@
                        std::uint32_t attempt);
     void mark_done(job_run& run, ports::task_name const& name);
     void after_done(common::time_point now, job_run& run);
-    void stop_run(common::time_point now,
-                  job_run& run,
-                  ports::task_name const& name);
+    void stop_attempt(common::time_point now,
+                      job_run& run,
+                      ports::task_name const& name);
     void gang_done(common::time_point now,
                    job_run& run,
                    ports::task_name const& name);
-    void break_gang(common::time_point now,
-                    job_run& run,
-                    ports::task_name const& name);
+    void stop_gang(common::time_point now,
+                   job_run& run,
+                   ports::task_name const& name);
     void task_over(common::time_point now,
                    job_run& run,
                    ports::task_name const& name);
-    void unplace(job_run& run, ports::task_name const& name);
+    void remove_from_worker(job_run& run, ports::task_name const& name);
     void place(job_run& run, ports::task_name const& name, worker& target);
     void cancel_job(common::time_point now, job_run& run);
     void end_job(common::time_point now, job_run& run, job_phase phase);
@@ -211,47 +217,50 @@
                   std::string const& worker_id,
                   std::vector<ports::header> extra_fields = {});
 
-    // owner_workers.cpp: polls of workers, and the handling of silent ones.
+    // owner_workers.cpp: polls of workers, and the handling of workers that do
+    // not answer.
     void poll_workers(common::time_point now);
     void poll_worker(common::time_point now, worker& target);
     void on_poll_reply(common::time_point now,
-                       common::time_point sent,
+                       common::time_point sent_at,
                        std::string const& id,
                        ports::order_reply const& reply);
     void acknowledge_ends(common::time_point now, worker& target);
     void note_worker_failure(common::time_point now,
                              worker& target,
                              std::string const& job);
-    void
-    mark_runs_lost(common::time_point now, worker& target, char const* reason);
+    void mark_attempts_lost(common::time_point now,
+                            worker& target,
+                            char const* reason);
     void check_silent_workers(common::time_point now);
     void order_stop(common::time_point now,
                     std::string const& id,
                     ports::pool_attempt const& attempt_id);
     task* find_stopping_task(std::string const& id,
                              ports::pool_attempt const& attempt_id);
+    /// Handles a worker's answer that it knows a higher fencing token.
     void on_fenced(std::string const& worker_id);
 
     // owner_rows.cpp: running and ended attempts that a worker reports.
     void apply_rows(common::time_point now,
-                    common::time_point sent,
+                    common::time_point sent_at,
                     worker& target,
                     ports::order_reply const& reply,
                     bool first_report);
     /// Names of the tasks in a worker's report, sorted.
     using reported_names = std::vector<ports::task_name const*>;
     bool is_inconsistent(worker const& target, reported_names const& reported);
-    void check_missing(common::time_point now,
-                       common::time_point sent,
-                       worker& target,
-                       reported_names const& reported);
+    void handle_unreported_tasks(common::time_point now,
+                                 common::time_point sent_at,
+                                 worker& target,
+                                 reported_names const& reported);
     void apply_running(common::time_point now,
                        worker& target,
                        ports::running_attempt const& row);
-    void adopt_run(common::time_point now,
-                   worker& target,
-                   job_run& run,
-                   ports::pool_attempt const& attempt_id);
+    void adopt_attempt(common::time_point now,
+                       worker& target,
+                       job_run& run,
+                       ports::pool_attempt const& attempt_id);
     void update_progress(common::time_point now,
                          worker& target,
                          job_run& run,
@@ -281,14 +290,15 @@
                                  ports::ended_attempt const& row);
     void fail_exhausted_job(common::time_point now, job_run& run);
     void complete_takeover(common::time_point now);
-    void resolve_unresolved(common::time_point now, job_run& run);
+    void end_unreported_attempts(common::time_point now, job_run& run);
     bool earlier_leases_ended(common::time_point now);
     bool may_belong_to_earlier_owner(job_run const& run, task const& t) const;
 
-    // owner_sharing.cpp: best-effort tasks next to serving tasks.
+    // owner_sharing.cpp: keeps best-effort tasks from slowing down serving
+    // tasks on the same worker.
     worker_view const& view_of(worker& target);
     void protect_serving(common::time_point now, worker& target);
-    bool tails_are_outliers(worker& target);
+    bool tail_latencies_are_outliers(worker& target);
     void read_serving(common::time_point now, worker& target);
     void evict_idle(common::time_point now,
                     worker& target,
@@ -319,13 +329,15 @@
                          worker const& target,
                          std::uint16_t image) const;
 
-    // owner_reserve.cpp: capacity that long-running tasks leave to short jobs.
+    // owner_reserve.cpp: reserves capacity for short jobs by restricting
+    // long-running tasks.
     short_job_reserve& short_job_reserve_of(std::string const& service);
     void observe_short_job_demand(common::time_point now);
     short_job_demand short_job_demand_of(common::time_point now,
                                          job_run const& run) const;
-    void note_capacity_of_unusable(common::time_point now);
-    /// Whether the task may start only on a worker with capacity for two of it.
+    void note_capacity_of_unusable_workers(common::time_point now);
+    /// Whether the task may start only on a worker with capacity for two such
+    /// tasks.
     bool must_leave_reserve(job_run const& run, ports::task_name const& name);
     /// Records that the task was placed on a worker.
     void note_placement(job_run const& run, ports::task_name const& name);
@@ -344,11 +356,13 @@
                          ready_key const& key,
                          ports::policy_reply const& reply);
 
-    // owner_dispatch.cpp: scheduling order of ready tasks, and their start.
+    // owner_dispatch.cpp: scheduling order of ready tasks, and their start. The
+    // functions for gangs are in owner_gangs.cpp, and `dispatch_if_requested`
+    // is in owner.cpp.
     struct ready_key
     {
         std::uint32_t rank = 0;
-        std::int64_t order = 0; ///< By due time; see `key_of`.
+        std::int64_t order = 0; ///< Order by due time; see `key_of`.
         std::string job;
         std::uint32_t occurrence = 0;
         std::uint32_t step = 0;
@@ -357,12 +371,13 @@
     };
     ready_key key_of(job_run const& run,
                      std::uint32_t occurrence,
-                     std::uint32_t number) const;
+                     std::uint32_t step_index) const;
     void rank_again(common::time_point now);
     void dispatch(common::time_point now);
     void dispatch_steps(common::time_point now);
     void dispatch_if_requested(common::time_point now);
     bool dispatch_step(common::time_point now, ready_key const& key);
+    /// Returns false if no worker was found for a task of the gang.
     bool
     dispatch_gang(common::time_point now, ready_key const& key, job_run& run);
     bool place_gang(common::time_point now,
@@ -395,7 +410,7 @@
     struct ranked_worker
     {
         double score = 0;
-        worker* which = nullptr;
+        worker* candidate = nullptr;
     };
     capacity_index usable_workers(common::time_point now);
     /// Must be called for each task placed or removed within a dispatch round.
@@ -414,17 +429,17 @@
                      worker& target,
                      bool leaves_room,
                      std::vector<ranked_worker>& ranked);
-    bool may_trust(worker const& target) const;
-    std::optional<obstacle> obstacle_at(common::time_point now,
-                                        worker const& target) const;
-    std::optional<obstacle> obstacle_of(common::time_point now,
-                                        worker const& target,
-                                        job_run const& run,
-                                        step const& spec) const;
-    std::optional<obstacle> obstacle_to(common::time_point now,
-                                        worker& target,
-                                        job_run& run,
-                                        ports::task_name const& name);
+    bool claim_confirmed_since_restart(worker const& target) const;
+    std::optional<obstacle> obstacle_to_any_task(common::time_point now,
+                                                 worker const& target) const;
+    std::optional<obstacle> obstacle_to_step(common::time_point now,
+                                             worker const& target,
+                                             job_run const& run,
+                                             step const& spec) const;
+    std::optional<obstacle> obstacle_to_task(common::time_point now,
+                                             worker& target,
+                                             job_run& run,
+                                             ports::task_name const& name);
     bool fits(worker const& target, step const& spec) const;
     bool serves_only(worker const& target, std::uint16_t image);
     std::optional<double> score(common::time_point now,
@@ -469,26 +484,32 @@
     std::vector<std::string> scheduled_jobs_; ///< Ids of jobs with start times.
 
     common::time_point created_at_{};
-    common::time_point load_advanced_at_{}; ///< Time the last page arrived.
-    std::uint64_t watched_revision_ = 0;    ///< Revision of the last event.
-    std::uint64_t first_page_revision_ = 0; ///< Of the first page of jobs.
+    /// Time at which the last page of stored state arrived.
+    common::time_point load_advanced_at_{};
+    /// Revision from which the next watch continues.
+    std::uint64_t watched_revision_ = 0;
+    /// Store revision of the first page of jobs.
+    std::uint64_t first_page_revision_ = 0;
     common::time_point pages_requested_at_{};
     std::uint64_t synced_revision_ = 0; ///< All jobs up to it are known.
-    /// Time the last answered watch was sent.
+    /// Time at which the last successful watch, or the first page of the last
+    /// complete read of the jobs, was requested.
     common::time_point synced_until_{};
-    /// Time of the last answer to a watch.
+    /// Time of the last successful answer to a watch that was not stalled, or
+    /// of the end of loading if that is later.
     common::time_point watch_answered_at_{};
     /// Revision of this owner's last backlog record.
     std::uint64_t backlog_revision_ = 0;
-    /// Time that record became durable.
+    /// Time at which the last backlog record of this owner became durable.
     common::time_point backlog_current_at_{};
     /// Last time at which the claim's renewal was overdue.
     common::time_point store_silent_at_{};
-    /// Actions to retry and when, the earliest first.
+    /// Actions to retry with the time of the retry, the earliest first.
     std::deque<
         std::pair<common::time_point, std::function<void(common::time_point)>>>
         retries_;
-    /// Reads to resend if still unanswered and when, the earliest first.
+    /// Reads that are sent again if still unanswered, with the time of the
+    /// resending, the earliest first.
     std::deque<std::pair<common::time_point, std::shared_ptr<state_read>>>
         pending_resends_;
     std::vector<ports::kv_item> progress_items_;
@@ -496,11 +517,15 @@
     /// Number of state parts that are still loading.
     std::uint32_t loading_parts_ = 0;
     bool loaded_ = false;
-    bool policy_call_pending_ = false; ///< Only one call at a time.
-    bool dispatch_requested_ = false;  ///< A waiting task may fit now.
+    /// A policy request has not been answered yet; no other one is sent before.
+    bool policy_call_pending_ = false;
+    /// A task has become ready, capacity has become free, or a policy request
+    /// has ended, so a waiting task may now be placed.
+    bool dispatch_requested_ = false;
     common::time_point next_dispatch_{};
     common::time_point last_dispatch_{};
-    /// Time at which more than half of the workers had answered; 0: not yet.
+    /// Time at which more than half of the workers had answered; zero until
+    /// then.
     common::time_point quorum_since_{};
     /// All starts by earlier owners are known.
     bool takeover_complete_ = false;
--- a/src/core/pool/owner_gangs.cpp
+++ b/src/core/pool/owner_gangs.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-// Gang scheduling: tasks that run only together.
+// Gang scheduling: all tasks of a gang run at the same time, or none does.
 namespace fuchsia::core::pool
 {
 
@@ -24,7 +24,7 @@
 } // namespace
 
 // All tasks of a gang start at once or none does: a task that waits for the
-// others occupies its capacity for nothing.
+// others would hold capacity on its worker without doing any work.
 bool owner::dispatch_gang(common::time_point now,
                           ready_key const& key,
                           job_run& run)
@@ -33,9 +33,12 @@
     if (steps.ready.size() < steps.tasks.size() ||
         run.phase != job_phase::active)
     {
-        // The previous attempt of a member is not over yet.
+        // The previous attempt of a member is not over yet, or the job is
+        // ending. The gang does not wait for capacity, so this does not count
+        // as a failed placement.
         return true;
     }
+    // The empty name stands for all racks.
     std::set<std::string> racks{""};
     if (run.spec.steps[key.step].same_rack)
     {
@@ -66,7 +69,8 @@
         {
             for (std::uint32_t placed = 0; placed < index; ++placed)
             {
-                unplace(run, {key.job, key.occurrence, key.step, placed});
+                remove_from_worker(run,
+                                   {key.job, key.occurrence, key.step, placed});
                 capacity_changed(*fleet_.find(steps.tasks[placed].worker));
             }
             return false;
@@ -79,7 +83,7 @@
 
 // All members get the same attempt number and the same checkpoint. Checkpoints
 // begin with the progress that they contain, in a fixed number of digits, so
-// the greatest one is the furthest.
+// the lexicographically greatest one contains the most progress.
 void owner::start_gang(common::time_point now,
                        ready_key const& key,
                        job_run& run)
@@ -106,7 +110,8 @@
     }
 }
 
-// The members of a gang finish together, so the end of one marks all as done.
+// Marks all members as done after one has completed, since the members of a
+// gang complete together.
 void owner::gang_done(common::time_point now,
                       job_run& run,
                       ports::task_name const& name)
@@ -123,16 +128,16 @@
     after_done(now, run);
 }
 
-// The other members can't finish without the one that ended, so they are
-// stopped.
-void owner::break_gang(common::time_point now,
-                       job_run& run,
-                       ports::task_name const& name)
+// Stops the other members of a gang after the attempt of one member has ended
+// without completing: they can't finish without it.
+void owner::stop_gang(common::time_point now,
+                      job_run& run,
+                      ports::task_name const& name)
 {
     auto const& steps = run.occurrences[name.occurrence].steps[name.step];
     for (std::uint32_t index = 0; index < steps.tasks.size(); ++index)
     {
-        stop_run(now, run, {name.job, name.occurrence, name.step, index});
+        stop_attempt(now, run, {name.job, name.occurrence, name.step, index});
     }
 }
 
--- a/src/core/pool/owner_policy.cpp
+++ b/src/core/pool/owner_policy.cpp
@@ -3,20 +3,22 @@
 #include <algorithm>
 #include <utility>
 
-// Steps whose workers are subject to a policy.
+// Steps whose tasks may start only on workers that the policy service allows.
 namespace fuchsia::core::pool
 {
 
 namespace
 {
 
-// Number of workers in one policy request, which takes longer for each of them.
-constexpr std::size_t min_workers = 12;
-constexpr std::size_t max_workers = 30;
-// A ticket is not used any more during this time before it expires.
+// Bounds of the maximum number of workers in one policy request. A request
+// takes longer for each worker.
+constexpr std::size_t min_worker_limit = 12;
+constexpr std::size_t max_worker_limit = 30;
+// Time before the expiry of a ticket from which on the ticket is not used.
 constexpr common::duration ticket_margin = std::chrono::milliseconds(150);
-// Added to the expected duration of a policy request to give its timeout.
-constexpr common::duration call_grace = std::chrono::milliseconds(1500);
+// Margin between the expected duration of a policy request and its timeout.
+constexpr common::duration call_timeout_margin =
+    std::chrono::milliseconds(1500);
 
 } // namespace
 
@@ -30,8 +32,9 @@
            now < found->second.until;
 }
 
-// Sends a policy request for the first step in dispatch order; the service
-// handles one call at a time.
+// Sends a policy request for the step unless another request is pending: the
+// service accepts one concurrent call from each instance. Steps are dispatched
+// in order, so the first one that needs a request sends it.
 void owner::request_policy(common::time_point now, ready_key const& key)
 {
     auto& run = *find_job(key.job);
@@ -43,8 +46,9 @@
     auto workers = workers_for_policy_request(now, run, key);
     if (workers.empty())
     {
-        // All workers were refused or are full. The policy's answer for a
-        // worker does not change; its capacity does.
+        // Every worker has a valid ticket, was refused by the policy, or can't
+        // take a task of the step now. The policy's answer for a worker does
+        // not change, but the capacity of the worker does.
         return;
     }
     policy_call_pending_ = true;
@@ -54,7 +58,7 @@
     ports::policy_request call;
     call.step = {key.job, key.occurrence, key.step, 0};
     call.workers = std::move(workers);
-    call.timeout = expected_time + call_grace;
+    call.timeout = expected_time + call_timeout_margin;
     for (auto const& id : call.workers)
     {
         steps.policy_requested_for.insert(id);
@@ -68,8 +72,9 @@
                         });
 }
 
-// Returns workers that could take a task of the step now: those that the policy
-// has allowed before, or else those that no request has named.
+// Returns workers that can take a task of the step now but have no valid ticket
+// for it: those that the policy has allowed before, or if there are none, those
+// that no pending or answered request has named.
 std::vector<std::string> owner::workers_for_policy_request(
     common::time_point now, job_run& run, ready_key const& key)
 {
@@ -80,7 +85,7 @@
     for (auto const& [id, w] : fleet_.all())
     {
         bool const usable =
-            !obstacle_of(now, w, run, step_spec) && fits(w, step_spec);
+            !obstacle_to_step(now, w, run, step_spec) && fits(w, step_spec);
         if (!usable || has_ticket(now, steps, w))
         {
             continue;
@@ -96,7 +101,7 @@
     }
     auto& chosen = allowed_before.empty() ? not_requested : allowed_before;
     auto const max_chosen = std::clamp<std::size_t>(
-        std::size_t{2} * step_spec.count, min_workers, max_workers);
+        std::size_t{2} * step_spec.count, min_worker_limit, max_worker_limit);
     chosen.resize(std::min(chosen.size(), max_chosen));
     return std::move(chosen);
 }
--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// Takeover: finds out which tasks earlier owners have started.
+// Takeover: a new owner determines which tasks earlier owners have started.
 namespace fuchsia::core::pool
 {
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Maximum number of unreached workers named in the takeover's log line.
+// Maximum number of unreached workers that the log line of the takeover names.
 constexpr std::size_t max_missing_named = 8;
 
 } // namespace
@@ -38,15 +38,15 @@
                  "worker_restarted",
                  {{"worker", target.info.id},
                   {"born", std::to_string(incarnation)}});
-        mark_runs_lost(now, target, "worker restarted");
+        mark_attempts_lost(now, target, "worker restarted");
         return;
     }
     digest_.worker_adopted(now, target.info.id);
 }
 
 // Whether an earlier owner may have started the task. This includes blocked
-// tasks of steps that are not open yet, since workers report the ends of their
-// predecessors in any order.
+// tasks of steps that are not open yet, since workers report the ends of the
+// tasks before them in any order.
 bool owner::may_belong_to_earlier_owner(job_run const& run, task const& t) const
 {
     bool const blocked = t.phase == task_phase::blocked &&
@@ -55,9 +55,9 @@
 }
 
 // Counts a failure that happened before this owner adopted the worker. A worker
-// repeats such ends to each owner that adopts it, whether or not an earlier
-// owner has handled them. The task may already run again on another worker; the
-// failure counts all the same.
+// reports such failures to each owner that adopts it, whether or not an earlier
+// owner has handled them. The failure counts even if the task already runs
+// again on another worker.
 void owner::count_inherited_failure(common::time_point now,
                                     ports::ended_attempt const& row)
 {
@@ -102,10 +102,10 @@
 }
 
 // Completes the takeover once every worker that an earlier owner may have used
-// has either reported what it runs or can't run any of it any more.
+// has either reported its tasks or can no longer run tasks of an earlier owner.
 void owner::complete_takeover(common::time_point now)
 {
-    if (takeover_complete_ || !loaded_ || !list_.known())
+    if (takeover_complete_ || !loaded_ || !list_.loaded())
     {
         return;
     }
@@ -139,24 +139,26 @@
     }
     for (auto const& id : ids)
     {
-        resolve_unresolved(now, *find_job(id));
+        end_unreported_attempts(now, *find_job(id));
     }
 }
 
-// Tasks that no worker has reported do not run anywhere.
-void owner::resolve_unresolved(common::time_point now, job_run& run)
+// Ends the attempts that an earlier owner may have started but that no worker
+// has reported: they do not run anywhere.
+void owner::end_unreported_attempts(common::time_point now, job_run& run)
 {
     for (std::uint32_t k = 0; k < run.occurrences.size(); ++k)
     {
         auto& steps = run.occurrences[k].steps;
-        for (std::uint32_t number = 0; number < steps.size(); ++number)
+        for (std::uint32_t step_index = 0; step_index < steps.size();
+             ++step_index)
         {
-            auto& tasks = steps[number].tasks;
+            auto& tasks = steps[step_index].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index)
             {
                 if (tasks[index].phase == task_phase::unresolved)
                 {
-                    task_over(now, run, {run.spec.id, k, number, index});
+                    task_over(now, run, {run.spec.id, k, step_index, index});
                 }
             }
         }
@@ -168,10 +170,13 @@
     finish_if_over(run);
 }
 
-// Whether the leases given by earlier owners have ended on every worker, even
-// on those that this owner can't reach. Once half of the workers know the new
-// fencing token, an earlier owner can renew leases for at most one quorum
-// window, and the last of them ends one lease later.
+// Returns whether the leases granted by earlier owners have expired on every
+// worker, even on those that this owner can't reach. Once more than half of the
+// workers have answered this owner, they know the new fencing token. An earlier
+// owner can then renew leases for at most one quorum window, and the last one
+// expires one lease duration later. Without such a quorum, an earlier owner
+// stops at `quorum_limit`. Also records the time at which the quorum was
+// reached.
 bool owner::earlier_leases_ended(common::time_point now)
 {
     auto const& limits = fleet_.settings();
--- a/src/core/pool/worker_list.cpp
+++ b/src/core/pool/worker_list.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-bool worker_list::known() const noexcept
+bool worker_list::loaded() const noexcept
 {
     return loaded_;
 }
@@ -71,7 +71,7 @@
 }
 
 // The pages are not a snapshot, so the watch continues from the revision of the
-// first one.
+// first page.
 void worker_list::on_page(common::time_point now, kv_reply const& reply)
 {
     if (reply.status != kv_status::done)
@@ -79,7 +79,8 @@
         next_call_at_ = now + settings_.retry_interval;
         return;
     }
-    page_revision_ = next_page_after_.empty() ? reply.revision : page_revision_;
+    first_page_revision_ =
+        next_page_after_.empty() ? reply.revision : first_page_revision_;
     for (auto const& item : reply.items)
     {
         apply_item(item, loaded_pages_);
@@ -93,7 +94,7 @@
     next_page_after_.clear();
     reading_pages_ = false;
     loaded_ = true;
-    watched_revision_ = page_revision_;
+    watched_revision_ = first_page_revision_;
     current_as_of_ = pages_requested_at_;
     next_call_at_ = pages_requested_at_ + settings_.interval;
     on_changes_(now, std::exchange(loaded_pages_, {}));
@@ -113,8 +114,9 @@
                });
 }
 
-// An answer without events looks the same as one of a stalled watch. It neither
-// makes the list more current nor advances the revision of the next watch.
+// An answer without events can't be distinguished from the answer of a stalled
+// watch, so it changes neither `current_as_of_` nor the revision of the next
+// watch.
 void worker_list::on_watch(common::time_point now, kv_reply const& reply)
 {
     next_call_at_ = std::max(now, call_sent_at_ + settings_.interval);
@@ -146,7 +148,7 @@
     }
     else
     {
-        // Even if it was cut short, the answer contains every change up to its
+        // The answer may be incomplete, but it contains every change up to its
         // last revision.
         current_as_of_ = std::max(
             current_as_of_,
--- a/src/core/pool/worker_list.hpp
+++ b/src/core/pool/worker_list.hpp
@@ -52,7 +52,7 @@
     /// Records that the store had reached at most `revision` at `sent_at`.
     void note(common::time_point sent_at, std::uint64_t revision);
     /// Whether the list has been read completely.
-    bool known() const noexcept;
+    bool loaded() const noexcept;
     /// Time before which every written change is known.
     common::time_point current_as_of() const noexcept;
 
@@ -73,9 +73,11 @@
     bool reading_pages_ = true;   ///< Pages are still to be read.
     bool call_pending_ = false;   ///< A call is waiting for its answer.
     bool loaded_ = false;
-    /// Revision of the last applied event, from which the next watch continues.
+    /// Revision from which the next watch continues: that of the last applied
+    /// event, or of the first page if none has arrived since the pages were
+    /// read.
     std::uint64_t watched_revision_ = 0;
-    std::uint64_t page_revision_ = 0; ///< Revision of the first page.
+    std::uint64_t first_page_revision_ = 0; ///< Revision of the first page.
     common::time_point pages_requested_at_{};
     common::time_point call_sent_at_{};
     common::time_point current_as_of_{};
--- a/src/ports/requests.hpp
+++ b/src/ports/requests.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-// Requests of callers, exchanges with upstreams, and their answers.
+// Requests of callers, exchanges with upstreams, and the answers to both.
 namespace fuchsia::ports
 {
 
@@ -41,7 +41,7 @@
     std::vector<header> headers; ///< Headers passed on to the upstream.
     std::string body;
     std::string idempotency_key; ///< Empty if the caller sent none.
-    std::uint32_t attempt = 0;   ///< 1: first sending; 0: not stated.
+    std::uint32_t attempt = 0;   ///< 1 for the first attempt; 0: not stated.
     /// Time left when the request was received, from the caller's
     /// Fuchsia-Deadline-Ms header.
     core::common::duration deadline{};
@@ -60,26 +60,28 @@
     core::common::duration retry_after{};
 };
 
-/// One request to one upstream. `exchange` is returned in `upstream_end`.
+/// One request to one upstream. `exchange` is copied to `upstream_end`.
 struct upstream_send
 {
     std::uint64_t exchange = 0;
     std::string upstream;
     endpoint remote_endpoint;
     caller_request request;
-    /// Time after which the adapter reports `timed_out`. It then keeps the
-    /// connection open and drains the late answer.
+    /// Time after which the adapter reports `timed_out`, or `not_sent` if it
+    /// has sent nothing by then. After `timed_out` it keeps the connection open
+    /// and drains the late answer.
     core::common::duration timeout{};
 };
 
 enum class exchange_status : std::uint8_t
 {
     answered,  ///< The complete answer was received.
-    not_sent,  ///< No connection was made; no byte was sent.
-    timed_out, ///< The time-out passed; the request may still be running.
+    not_sent,  ///< No byte of the request was sent.
+    timed_out, ///< The timeout passed; the request may still be running.
     drained,   ///< After `timed_out`: the late answer is complete.
     lost,      ///< The connection ended before the answer was complete.
-    too_large, ///< The answer exceeded its size limit; connection closed.
+    /// The answer exceeded its size limit, and the connection was closed.
+    too_large,
 };
 
 /// The end of an exchange. After `timed_out` a second end follows, either
