--- a/src/core/tasks/cell_attempts.cpp
+++ b/src/core/tasks/cell_attempts.cpp
@@ -75,9 +75,9 @@
 // resumes after a pause finds all leases expired before it has received the
 // reports of these ends, so it waits for a report before it counts a batch
 // attempt as lost.
-void cell_runner::end_expired(cell_context& context,
-                              task_key const& key,
-                              active_attempt& run)
+void cell_runner::end_attempt_after_lease_expiry(cell_context& context,
+                                                 task_key const& key,
+                                                 active_attempt& run)
 {
     bool const awaits_report = run.part->definition.kind == job_kind::batch;
     if (awaits_report && !run.final_report_deadline)
@@ -124,7 +124,7 @@
     auto const& part = *run.part;
     if (run.start_possibly_sent && context.now >= run.lease_expired_at)
     {
-        end_expired(context, key, run);
+        end_attempt_after_lease_expiry(context, key, run);
         return;
     }
     if (part.stopped && run.eviction_reason.empty())
@@ -185,7 +185,7 @@
     auto const& part = *run.part;
     return context.may_act && context.may_start && !handing_over_ &&
            !part.stopped && run.eviction_reason.empty() &&
-           !data_centre_out(context) &&
+           !data_centre_out_of_service(context) &&
            context.config.contracts.count(part.definition.customer) != 0 &&
            view != nullptr && view->listed &&
            view->info.state == ports::instance_state::live &&
@@ -421,13 +421,13 @@
     {
         workers.insert(task.failed_workers.begin(), task.failed_workers.end());
     }
-    auto const trusted_workers =
-        std::count_if(workers.begin(),
-                      workers.end(),
-                      [&context](std::string const& worker)
-                      {
-                          return !context.workers.suspect(context.now, worker);
-                      });
+    auto const trusted_workers = std::count_if(
+        workers.begin(),
+        workers.end(),
+        [&context](std::string const& worker)
+        {
+            return !context.workers.is_suspect(context.now, worker);
+        });
     if (part.stopped ||
         trusted_workers < static_cast<std::ptrdiff_t>(
                               context.settings.failed_workers_before_stop))
--- a/src/core/tasks/cell_inbox.cpp
+++ b/src/core/tasks/cell_inbox.cpp
@@ -37,7 +37,7 @@
                             item.message.definition.kind == job_kind::service;
         if (commit(context, message_accepted{item.message}, urgent))
         {
-            accepting_.insert(name);
+            messages_being_accepted_.insert(name);
             auto const& definition = item.message.definition;
             if (!context.workers.all().empty() &&
                 !context.workers.ever_fits(definition.declared,
@@ -63,8 +63,8 @@
         bool const already_accepted =
             part != log_.state().jobs.end() &&
             part->second.accepted_messages.count(name) != 0;
-        if (!already_accepted || accepting_.count(name) != 0 ||
-            erasing_.count(name) != 0)
+        if (!already_accepted || messages_being_accepted_.count(name) != 0 ||
+            inbox_erase_calls_.count(name) != 0)
         {
             continue;
         }
@@ -72,7 +72,7 @@
         {
             return;
         }
-        erasing_[name] =
+        inbox_erase_calls_[name] =
             context.calls.send(call_owner::erase,
                                cell_,
                                ports::store_erase{item.key, item.version},
@@ -85,7 +85,8 @@
     for (auto const& name : ready_to_send_)
     {
         auto const found = log_.state().outgoing.find(name);
-        if (found == log_.state().outgoing.end() || sending_.count(name) != 0)
+        if (found == log_.state().outgoing.end() ||
+            inbox_write_calls_.count(name) != 0)
         {
             continue;
         }
@@ -93,7 +94,7 @@
         {
             return;
         }
-        sending_[name] = context.calls.send(
+        inbox_write_calls_[name] = context.calls.send(
             call_owner::inbox_message,
             cell_,
             ports::store_write{inbox_key(found->second.target_cell, name),
@@ -113,7 +114,8 @@
             context.now, tag, reply, context.calls, context.out);
         return;
     }
-    auto& calls = tag.owner == call_owner::erase ? erasing_ : sending_;
+    auto& calls = tag.owner == call_owner::erase ? inbox_erase_calls_
+                                                 : inbox_write_calls_;
     auto const found = std::find_if(calls.begin(),
                                     calls.end(),
                                     [&tag](auto const& item)
--- a/src/core/tasks/cell_moves.cpp
+++ b/src/core/tasks/cell_moves.cpp
@@ -32,7 +32,8 @@
     bool const wrong_data_centre =
         !part.definition.data_centre.empty() &&
         part.definition.data_centre != context.workers.data_centre_of(cell_);
-    if (data_centre_out(context) || fits_no_worker || wrong_data_centre)
+    if (data_centre_out_of_service(context) || fits_no_worker ||
+        wrong_data_centre)
     {
         return true;
     }
@@ -46,12 +47,12 @@
 void cell_runner::move_tasks(cell_context& context)
 {
     if (context.now < next_move_ || context.workers.all().empty() ||
-        log_.pending_changes() >= max_waiting_changes)
+        log_.pending_changes() >= max_pending_changes)
     {
         return;
     }
     next_move_ = context.now + move_interval;
-    bool const forced = data_centre_out(context);
+    bool const forced = data_centre_out_of_service(context);
     std::map<std::string, std::vector<std::uint32_t>> tasks_by_job;
     for (auto const& task : queue_)
     {
@@ -103,13 +104,13 @@
 
 void cell_runner::drain_data_centre(cell_context& context)
 {
-    bool const out_of_service = data_centre_out(context);
-    if (data_centre_was_out_ && !out_of_service)
+    bool const out_of_service = data_centre_out_of_service(context);
+    if (data_centre_was_out_of_service_ && !out_of_service)
     {
-        data_centre_back_since_ = context.now;
-        starts_since_data_centre_back_ = 0;
+        data_centre_in_service_since_ = context.now;
+        starts_since_data_centre_in_service_ = 0;
     }
-    data_centre_was_out_ = out_of_service;
+    data_centre_was_out_of_service_ = out_of_service;
     if (!out_of_service)
     {
         return;
--- a/src/core/tasks/cell_placement.cpp
+++ b/src/core/tasks/cell_placement.cpp
@@ -128,8 +128,8 @@
         }
         free -= definition.declared;
     }
-    bool const may_place =
-        context.may_start && !handing_over_ && !data_centre_out(context);
+    bool const may_place = context.may_start && !handing_over_ &&
+                           !data_centre_out_of_service(context);
     for (auto const& task : queue_)
     {
         auto const& definition = log_.state().jobs.at(task.key.job).definition;
@@ -216,25 +216,27 @@
 // Whether the ramp-up after a data centre's return to service allows a start.
 // Without the ramp-up all cells would start tasks there at once; a slow
 // increase lets grants, reports and interference estimates keep up.
-bool cell_runner::ramp_allows(cell_context& context) const
+bool cell_runner::ramp_up_allows_start(cell_context& context) const
 {
-    if (!data_centre_back_since_ || context.now - *data_centre_back_since_ >=
-                                        context.settings.ramp_up_duration)
+    if (!data_centre_in_service_since_ ||
+        context.now - *data_centre_in_service_since_ >=
+            context.settings.ramp_up_duration)
     {
         return true;
     }
-    double const seconds =
-        std::chrono::duration<double>(context.now - *data_centre_back_since_)
-            .count();
+    double const seconds = std::chrono::duration<double>(
+                               context.now - *data_centre_in_service_since_)
+                               .count();
     double const allowed =
         context.settings.ramp_up_starts_per_second * seconds * (1 + seconds);
-    return static_cast<double>(starts_since_data_centre_back_) < allowed;
+    return static_cast<double>(starts_since_data_centre_in_service_) < allowed;
 }
 
 void cell_runner::place(cell_context& context)
 {
     waiting_for_capacity_.clear();
-    if (!context.may_start || data_centre_out(context) || queue_.empty())
+    if (!context.may_start || data_centre_out_of_service(context) ||
+        queue_.empty())
     {
         return;
     }
@@ -245,8 +247,8 @@
     {
         if (starts >= context.settings.max_starts_per_tick ||
             misses >= max_consecutive_misses ||
-            log_.pending_changes() >= max_waiting_changes ||
-            !ramp_allows(context))
+            log_.pending_changes() >= max_pending_changes ||
+            !ramp_up_allows_start(context))
         {
             return;
         }
@@ -266,7 +268,7 @@
         if (fits_here && place_one(context, task.key, workers))
         {
             ++starts;
-            ++starts_since_data_centre_back_;
+            ++starts_since_data_centre_in_service_;
         }
         else
         {
@@ -374,7 +376,7 @@
         if (contract != context.config.contracts.end() &&
             context.quotas.grant_known(customer, cell_))
         {
-            evict_overage(
+            evict_excess_attempts(
                 context,
                 customer,
                 context.quotas.allowed(customer, cell_, contract->second));
@@ -384,9 +386,9 @@
 
 // Evicts batch before services, and within each the attempts with the least
 // work done first.
-void cell_runner::evict_overage(cell_context& context,
-                                std::string const& customer,
-                                allowance const& allowed)
+void cell_runner::evict_excess_attempts(cell_context& context,
+                                        std::string const& customer,
+                                        allowance const& allowed)
 {
     auto remaining = customer_usage_[customer].retained;
     if (covers(allowed, remaining))
--- a/src/core/tasks/cell_replies.cpp
+++ b/src/core/tasks/cell_replies.cpp
@@ -1,6 +1,6 @@
 #include "core/tasks/cell_runner.hpp"
 
-// Replies of workers to calls for attempts.
+// Handles the workers' replies to calls about attempts.
 namespace fuchsia::core::tasks
 {
 
@@ -10,7 +10,7 @@
 {
     if (tag.kind == worker_call_kind::renew)
     {
-        on_renewed(context, tag, reply);
+        on_renew_reply(context, tag, reply);
         return;
     }
     auto const found = active_attempts_.find(tag.task);
@@ -71,9 +71,9 @@
         }
         break;
     case ports::worker_status::refused:
-        // The refusal of a retried start tells nothing about the first one: the
-        // retry may have arrived after the start window, or the attempt may
-        // have ended already.
+        // If a retried start is refused, the worker may still have accepted the
+        // first start: the retry may have arrived after the start window, or
+        // the attempt may have ended already.
         if (run.tries > 1)
         {
             apply_event(run, attempt_event::stop);
@@ -84,6 +84,8 @@
         end_attempt(context, key, attempt_outcome::refused, reply.reason);
         break;
     case ports::worker_status::unreachable:
+        // If the only start call was never sent, no start can have reached the
+        // worker.
         if (run.tries == 1)
         {
             run.start_possibly_sent = false;
@@ -100,9 +102,9 @@
                                 active_attempt& run,
                                 ports::worker_reply const& reply)
 {
-    bool const over = reply.status == ports::worker_status::done ||
-                      reply.status == ports::worker_status::refused;
-    if (run.phase != attempt_phase::stopping || !over)
+    bool const no_longer_runs = reply.status == ports::worker_status::done ||
+                                reply.status == ports::worker_status::refused;
+    if (run.phase != attempt_phase::stopping || !no_longer_runs)
     {
         return;
     }
@@ -114,7 +116,8 @@
         return;
     }
     // The attempt may have finished before the stop arrived, and running the
-    // task again would do the work twice. A report of the worker shows which.
+    // task again would do the work twice. A report of the worker shows
+    // whether it finished or was stopped.
     if (apply_event(run, attempt_event::stop_confirmed))
     {
         run.final_report_deadline =
@@ -150,9 +153,9 @@
     }
 }
 
-void cell_runner::on_renewed(cell_context& context,
-                             worker_call_tag const& tag,
-                             ports::worker_reply const& reply)
+void cell_runner::on_renew_reply(cell_context& context,
+                                 worker_call_tag const& tag,
+                                 ports::worker_reply const& reply)
 {
     auto const found = renewals_.find(tag.worker);
     if (found == renewals_.end() || found->second.call != tag.number)
@@ -174,8 +177,8 @@
         if (run != active_attempts_.end() &&
             run->second.attempt == unknown.attempt)
         {
-            // A report shows how the attempt ended; without one its lease
-            // expires.
+            // A report shows how the attempt ended. If none arrives, the
+            // attempt ends after its lease has expired.
             run->second.unknown_to_worker = true;
         }
     }
--- a/src/core/tasks/cell_reports.cpp
+++ b/src/core/tasks/cell_reports.cpp
@@ -38,12 +38,12 @@
     {
         on_attempt_report(context, report, reported);
     }
-    end_absent(context, report);
+    end_unreported_attempts(context, report);
     auto const* view = context.workers.find(report.worker);
-    auto const present = reported_attempts(report.worker);
-    check_memory_use(context, *view, present);
-    learn_interference(context, *view, present);
-    guard_services(context, *view, present);
+    auto const listed_attempts = reported_attempts(report.worker);
+    check_memory_use(context, *view, listed_attempts);
+    update_interference_estimates(context, *view, listed_attempts);
+    protect_service_latency(context, *view, listed_attempts);
 }
 
 void cell_runner::on_attempt_report(cell_context& context,
@@ -115,8 +115,8 @@
 // Ends the attempts that a report does not list although it was made after the
 // last moment at which their start could be accepted: they neither run nor will
 // run.
-void cell_runner::end_absent(cell_context& context,
-                             ports::worker_report const& report)
+void cell_runner::end_unreported_attempts(cell_context& context,
+                                          ports::worker_report const& report)
 {
     std::vector<std::pair<task_key, attempt_phase>> absent;
     for (auto const& [key, run] : active_attempts_)
@@ -165,15 +165,16 @@
     return out;
 }
 
-void cell_runner::check_memory_use(cell_context& context,
-                                   worker_view const& worker,
-                                   std::vector<reported_attempt> const& present)
+void cell_runner::check_memory_use(
+    cell_context& context,
+    worker_view const& worker,
+    std::vector<reported_attempt> const& listed_attempts)
 {
     std::int64_t used = 0;
     std::int64_t over = 0;
     std::int64_t most = 0;
     task_key const* worst = nullptr;
-    for (auto const& [key, run] : present)
+    for (auto const& [key, run] : listed_attempts)
     {
         auto const& definition = run->part->definition;
         auto const excess = run->used.memory_mb - definition.declared.memory_mb;
@@ -195,22 +196,22 @@
     }
 }
 
-void cell_runner::learn_interference(
+void cell_runner::update_interference_estimates(
     cell_context& context,
     worker_view const& worker,
-    std::vector<reported_attempt> const& present)
+    std::vector<reported_attempt> const& listed_attempts)
 {
     std::vector<placement::neighbour> all;
-    all.reserve(present.size());
-    for (auto const& [key, run] : present)
+    all.reserve(listed_attempts.size());
+    for (auto const& [key, run] : listed_attempts)
     {
         all.push_back({context.interference_estimates.class_index(
                            run->part->definition.task_class),
                        share(run->used, worker.info.capacity)});
     }
-    for (std::size_t self = 0; self < present.size(); ++self)
+    for (std::size_t self = 0; self < listed_attempts.size(); ++self)
     {
-        auto const& run = *present[self].run;
+        auto const& run = *listed_attempts[self].run;
         if (run.part->definition.kind != job_kind::service ||
             run.latency_p99_us == 0)
         {
@@ -227,13 +228,14 @@
     }
 }
 
-void cell_runner::guard_services(cell_context& context,
-                                 worker_view const& worker,
-                                 std::vector<reported_attempt> const& present)
+void cell_runner::protect_service_latency(
+    cell_context& context,
+    worker_view const& worker,
+    std::vector<reported_attempt> const& listed_attempts)
 {
     std::vector<placement::guarded_service> services;
     std::vector<placement::guarded_task> batch;
-    for (auto const& [key, run] : present)
+    for (auto const& [key, run] : listed_attempts)
     {
         auto const& definition = run->part->definition;
         if (run->phase != attempt_phase::running ||
@@ -261,8 +263,9 @@
                                     contract->second.latency_target.count())});
         }
     }
-    auto& guard = guards_.try_emplace(worker.info.id, context.settings.guard)
-                      .first->second;
+    auto& guard =
+        latency_guards_.try_emplace(worker.info.id, context.settings.guard)
+            .first->second;
     auto const wanted =
         guard.on_report(services, batch, context.interference_estimates);
     auto const key = wanted ? parse_task_name(wanted->task) : std::nullopt;
--- a/src/core/tasks/cell_runner.cpp
+++ b/src/core/tasks/cell_runner.cpp
@@ -136,7 +136,7 @@
     {
         if (auto const* accepted = std::get_if<message_accepted>(&item))
         {
-            accepting_.erase(accepted->message.name);
+            messages_being_accepted_.erase(accepted->message.name);
         }
         else if (auto const* transfer = std::get_if<transfer_started>(&item))
         {
@@ -202,10 +202,11 @@
     {
         if (!part.ended())
         {
-            ended_at_.erase(id);
+            job_end_seen_at_.erase(id);
             continue;
         }
-        auto const since = ended_at_.try_emplace(id, context.now).first->second;
+        auto const since =
+            job_end_seen_at_.try_emplace(id, context.now).first->second;
         auto const retention_time = near_job_limit
                                         ? context.settings.retention / 10
                                         : context.settings.retention;
@@ -216,7 +217,7 @@
     }
     for (auto const& id : expired)
     {
-        ended_at_.erase(id);
+        job_end_seen_at_.erase(id);
         commit(context, job_removed{id}, false);
     }
 }
@@ -256,13 +257,13 @@
     }
     load.queued_tasks = static_cast<std::int64_t>(queue_.size());
     load.running_tasks = static_cast<std::int64_t>(active_attempts_.size());
-    load.ended_jobs = static_cast<std::int64_t>(ended_at_.size());
+    load.ended_jobs = static_cast<std::int64_t>(job_end_seen_at_.size());
     load.live_jobs =
         static_cast<std::int64_t>(log_.state().jobs.size()) - load.ended_jobs;
     context.loads.set_own(cell_, load);
 }
 
-bool cell_runner::data_centre_out(cell_context const& context) const
+bool cell_runner::data_centre_out_of_service(cell_context const& context) const
 {
     auto const name = context.workers.data_centre_of(cell_);
     return context.config.data_centres_out_of_service.count(name) != 0;
@@ -289,8 +290,8 @@
                    (item.second.phase == attempt_phase::starting &&
                     item.second.call_in_flight != 0);
         });
-    return log_.idle() && !start_in_progress && sending_.empty() &&
-           erasing_.empty();
+    return log_.idle() && !start_in_progress && inbox_write_calls_.empty() &&
+           inbox_erase_calls_.empty();
 }
 
 bool cell_runner::active() const noexcept
@@ -330,7 +331,7 @@
     out.queued = queue_.size();
     out.running = active_attempts_.size();
     out.jobs = log_.state().jobs.size();
-    out.ended = ended_at_.size();
+    out.ended = job_end_seen_at_.size();
     return out;
 }
 
--- a/src/core/tasks/cell_runner.hpp
+++ b/src/core/tasks/cell_runner.hpp
@@ -24,7 +24,8 @@
     job_part const* part = nullptr;
     attempt_phase phase = attempt_phase::committing_start;
     std::uint64_t start_before_ms = 0;
-    std::uint64_t lease_until_ms = 0; ///< Latest end of lease that was sent.
+    /// Latest end of a lease sent to the worker, on the worker's clock.
+    std::uint64_t lease_until_ms = 0;
     /// Time on this planner's clock after which no lease that was sent can
     /// still be valid.
     common::time_point lease_expired_at{};
@@ -35,7 +36,9 @@
     /// Number of the worker call in flight; 0 if there is none.
     std::uint64_t call_in_flight = 0;
     common::time_point next_retry_at{};
-    std::uint32_t tries = 0; ///< Number of calls sent in the current phase.
+    /// Number of calls in the current phase. Starts before the first one that
+    /// may have reached the worker do not count.
+    std::uint32_t tries = 0;
     /// Time after which the attempt is ended without a final report.
     std::optional<common::time_point> final_report_deadline;
     std::uint32_t speed_limit_permille = 1000;
@@ -86,9 +89,10 @@
     void on_worker_reply(cell_context& context,
                          worker_call_tag const& tag,
                          ports::worker_reply const& reply);
-    /// Takes only reports that the worker registry accepted as new.
+    /// Processes a report, which the worker registry must have accepted as new.
     void on_report(cell_context& context, ports::worker_report const& report);
-    /// Takes the complete current contents of this cell's inbox.
+    /// Replaces the known contents of this cell's inbox by `items`, which must
+    /// be complete.
     void on_inbox(cell_context& context,
                   std::vector<stored_inbox_message> items);
     void stop_job(cell_context& context,
@@ -96,13 +100,17 @@
                   common::result_code code,
                   std::string const& why);
 
-    /// Prepares the handover of the cell: nothing is started or moved any more.
+    /// Begins the handover of the cell: no attempt is started and no task is
+    /// newly moved. Messages of transfers whose start is committed are still
+    /// sent.
     void begin_handover() noexcept;
     bool handing_over() const noexcept;
     /// Whether no change is being committed and no start, inbox write or inbox
     /// erase call is in flight.
     bool idle() const noexcept;
 
+    /// Whether the attempts have been restored from the log and the cell is
+    /// still owned.
     bool active() const noexcept;
     bool ownership_lost() const noexcept;
     std::uint64_t epoch() const noexcept;
@@ -126,34 +134,35 @@
     struct queued_task
     {
         task_key key;
-        std::uint32_t rank = 0;
-        common::time_point since{};
+        std::uint32_t rank = 0;     ///< Lower ranks are placed first.
+        common::time_point since{}; ///< Time at which the task was queued.
     };
     struct customer_usage
     {
         allowance in_use;
-        allowance retained; ///< Use without attempts that are being ended.
-        allowance queued;
-        allowance next_task;
+        allowance retained;  ///< Use without attempts that are being ended.
+        allowance queued;    ///< Need of the customer's queued tasks.
+        allowance next_task; ///< Need of the customer's first queued task.
         bool has_queued = false;
     };
 
-    /// Number of pending log changes at which no more are made.
-    static constexpr std::size_t max_waiting_changes = 2000;
+    /// Number of pending log changes from which on no attempt is started and no
+    /// task is moved.
+    static constexpr std::size_t max_pending_changes = 2000;
 
-    /// An attempt on the worker whose report is being evaluated.
+    /// An attempt that at least one report of its worker has listed.
     struct reported_attempt
     {
         task_key const* key = nullptr;
         active_attempt* run = nullptr;
     };
 
-    // cell_runner.cpp: the cell as a whole.
+    // cell_runner.cpp: takeover, commits, removal of ended jobs and load.
     void restore_attempts(cell_context& context);
     void process_commits(cell_context& context);
     void remove_expired_jobs(cell_context& context);
     void publish_load(cell_context& context);
-    bool data_centre_out(cell_context const& context) const;
+    bool data_centre_out_of_service(cell_context const& context) const;
     bool commit(cell_context& context, change new_change, bool urgent);
 
     // cell_inbox.cpp: incoming and outgoing messages.
@@ -169,10 +178,10 @@
                    std::vector<placement::candidate>& workers);
     bool quota_allows(cell_context& context, job const& definition);
     std::vector<placement::candidate> candidates(cell_context& context) const;
-    bool ramp_allows(cell_context& context) const;
-    void evict_overage(cell_context& context,
-                       std::string const& customer,
-                       allowance const& allowed);
+    bool ramp_up_allows_start(cell_context& context) const;
+    void evict_excess_attempts(cell_context& context,
+                               std::string const& customer,
+                               allowance const& allowed);
     void enforce_contracts(cell_context& context);
 
     // cell_moves.cpp: moves to other cells and draining.
@@ -187,9 +196,9 @@
     void advance_attempt(cell_context& context,
                          task_key const& key,
                          active_attempt& run);
-    void end_expired(cell_context& context,
-                     task_key const& key,
-                     active_attempt& run);
+    void end_attempt_after_lease_expiry(cell_context& context,
+                                        task_key const& key,
+                                        active_attempt& run);
     void advance_running_attempt(cell_context& context,
                                  task_key const& key,
                                  active_attempt& run,
@@ -224,26 +233,29 @@
                              task_key const& key,
                              active_attempt& run,
                              ports::worker_reply const& reply);
-    void on_renewed(cell_context& context,
-                    worker_call_tag const& tag,
-                    ports::worker_reply const& reply);
+    void on_renew_reply(cell_context& context,
+                        worker_call_tag const& tag,
+                        ports::worker_reply const& reply);
 
     // cell_reports.cpp: reports of workers.
     void on_attempt_report(cell_context& context,
                            ports::worker_report const& report,
                            ports::attempt_report const& reported);
-    void end_absent(cell_context& context, ports::worker_report const& report);
+    void end_unreported_attempts(cell_context& context,
+                                 ports::worker_report const& report);
     /// Returns the attempts on the worker that at least one report has listed.
     std::vector<reported_attempt> reported_attempts(std::string const& worker);
-    void learn_interference(cell_context& context,
-                            worker_view const& worker,
-                            std::vector<reported_attempt> const& present);
-    void guard_services(cell_context& context,
-                        worker_view const& worker,
-                        std::vector<reported_attempt> const& present);
+    void update_interference_estimates(
+        cell_context& context,
+        worker_view const& worker,
+        std::vector<reported_attempt> const& listed_attempts);
+    void protect_service_latency(
+        cell_context& context,
+        worker_view const& worker,
+        std::vector<reported_attempt> const& listed_attempts);
     void check_memory_use(cell_context& context,
                           worker_view const& worker,
-                          std::vector<reported_attempt> const& present);
+                          std::vector<reported_attempt> const& listed_attempts);
 
     std::string cell_;
     std::uint64_t epoch_;
@@ -252,7 +264,7 @@
     bool handing_over_ = false;
     std::map<task_key, active_attempt> active_attempts_;
     std::map<std::string, renewal> renewals_;
-    std::map<std::string, placement::latency_guard> guards_;
+    std::map<std::string, placement::latency_guard> latency_guards_;
 
     std::vector<queued_task> queue_;
     /// Whether the queue or the use of resources may have changed.
@@ -266,24 +278,25 @@
     /// Contents of the inbox by message name.
     std::map<std::string, stored_inbox_message> inbox_messages_;
     /// Names of messages whose acceptance is being committed.
-    std::set<std::string> accepting_;
+    std::set<std::string> messages_being_accepted_;
     /// Numbers of the erase calls in flight by message name.
-    std::map<std::string, std::uint64_t> erasing_;
+    std::map<std::string, std::uint64_t> inbox_erase_calls_;
     /// Names of messages whose transfer start is committed.
     std::set<std::string> ready_to_send_;
     /// Numbers of the write calls in flight by message name.
-    std::map<std::string, std::uint64_t> sending_;
+    std::map<std::string, std::uint64_t> inbox_write_calls_;
     /// Times at which jobs were first found ended.
-    std::map<std::string, common::time_point> ended_at_;
+    std::map<std::string, common::time_point> job_end_seen_at_;
     common::time_point next_job_removal_{};
     common::time_point next_move_{};
     std::vector<job_stopped> faulty_jobs_;
 
-    bool data_centre_was_out_ = false;
-    std::optional<common::time_point> data_centre_back_since_;
-    std::uint64_t starts_since_data_centre_back_ = 0;
+    bool data_centre_was_out_of_service_ = false;
+    std::optional<common::time_point> data_centre_in_service_since_;
+    std::uint64_t starts_since_data_centre_in_service_ = 0;
 };
 
+/// Returns a log event with the given fields.
 ports::log_event make_log_event(ports::severity level,
                                 std::string name,
                                 std::vector<ports::header> fields);
--- a/src/core/tasks/load_table.cpp
+++ b/src/core/tasks/load_table.cpp
@@ -107,42 +107,43 @@
 
 void load_table::set_own(std::string const& cell, cell_load const& load)
 {
-    own_[cell] = load;
-    cells_[cell] = {load, member_};
+    own_loads_[cell] = load;
+    known_loads_[cell] = {load, member_};
 }
 
 void load_table::drop_own(std::string const& cell)
 {
-    own_.erase(cell);
+    own_loads_.erase(cell);
 }
 
 void load_table::tick(common::time_point now,
                       store_calls& calls,
                       ports::actions& out)
 {
-    if (read_call_ == 0 && now >= next_read_)
+    if (read_call_ == 0 && now >= next_read_at_)
     {
-        next_read_ = now + settings_.read_interval;
+        next_read_at_ = now + settings_.read_interval;
         read_call_ = calls.send(call_owner::load,
                                 member_,
                                 ports::store_list{std::string(load_prefix)},
                                 out);
     }
-    if (write_call_ != 0 || now < next_write_)
+    if (write_call_ != 0 || now < next_write_at_)
     {
         return;
     }
-    auto value = to_json(own_);
+    auto value = to_json(own_loads_);
     if (value != last_written_ && calls.may_write(now))
     {
-        next_write_ = now + settings_.publish_interval;
-        value_in_flight_ = std::move(value);
-        write_call_ = calls.send(
-            call_owner::load,
-            member_,
-            ports::store_write{
-                std::string(load_prefix) + member_, value_in_flight_, version_},
-            out);
+        next_write_at_ = now + settings_.publish_interval;
+        written_value_in_flight_ = std::move(value);
+        write_call_ =
+            calls.send(call_owner::load,
+                       member_,
+                       ports::store_write{std::string(load_prefix) + member_,
+                                          written_value_in_flight_,
+                                          version_},
+                       out);
     }
 }
 
@@ -156,13 +157,13 @@
         write_call_ = 0;
         if (done)
         {
-            last_written_ = std::move(value_in_flight_);
+            last_written_ = std::move(written_value_in_flight_);
             version_ = reply.index;
         }
         else if (reply.status == ports::store_status::conflict)
         {
             // The next list gives the current version.
-            next_read_ = now;
+            next_read_at_ = now;
         }
         return;
     }
@@ -195,11 +196,11 @@
             }
         }
     }
-    for (auto const& [cell, load] : own_)
+    for (auto const& [cell, load] : own_loads_)
     {
         cells[cell] = {load, member_};
     }
-    cells_ = std::move(cells);
+    known_loads_ = std::move(cells);
 }
 
 std::optional<std::string>
@@ -218,9 +219,10 @@
         {
             continue;
         }
-        auto const found = cells_.find(cell);
-        auto const load = found == cells_.end() ? empty_cell(cell, workers)
-                                                : found->second.load;
+        auto const found = known_loads_.find(cell);
+        auto const load = found == known_loads_.end()
+                              ? empty_cell(cell, workers)
+                              : found->second.load;
         auto& list = load.largest_free.covers(query.declared)
                          ? with_capacity
                          : without_capacity;
@@ -246,7 +248,7 @@
 cell_load load_table::totals() const noexcept
 {
     cell_load out;
-    for (auto const& [cell, published] : cells_)
+    for (auto const& [cell, published] : known_loads_)
     {
         out.free += published.load.free;
         out.queued_millicores += published.load.queued_millicores;
@@ -261,8 +263,8 @@
 void load_table::reserve(std::string const& cell,
                          ports::resources const& amount)
 {
-    auto const found = cells_.find(cell);
-    if (found != cells_.end())
+    auto const found = known_loads_.find(cell);
+    if (found != known_loads_.end())
     {
         found->second.load.free -= amount;
         found->second.load.largest_free -= amount;
--- a/src/core/tasks/load_table.hpp
+++ b/src/core/tasks/load_table.hpp
@@ -19,13 +19,14 @@
 struct cell_load
 {
     ports::resources free; ///< Sum over its workers.
-    ports::resources
-        largest_free; ///< Free on the worker with the most free cores.
+    /// Free resources of the worker with the most free cores.
+    ports::resources largest_free;
     std::int64_t queued_millicores = 0;
     std::int64_t queued_tasks = 0;
     std::int64_t running_tasks = 0;
-    std::int64_t ended_jobs = 0; ///< Ended jobs that are still listed.
-    std::int64_t live_jobs = 0;
+    /// Ended jobs that the cell state still contains.
+    std::int64_t ended_jobs = 0;
+    std::int64_t live_jobs = 0; ///< Jobs that have not ended.
 
     bool operator==(cell_load const&) const = default;
 };
@@ -46,6 +47,8 @@
     load_table(std::string member, std::uint64_t seed, load_table_settings);
 
     void set_own(std::string const& cell, cell_load const& load);
+    /// Stops publishing the load of the cell. The table keeps its last load
+    /// until the next read.
     void drop_own(std::string const& cell);
 
     void tick(common::time_point now, store_calls& calls, ports::actions& out);
@@ -59,17 +62,21 @@
         std::string data_centre;   ///< Empty for any.
         std::string excluded_cell; ///< Empty for none.
         bool requires_capacity = false;
-        std::set<std::string, std::less<>> const&
-            unavailable_data_centres; ///< Data centres to skip.
+        /// Data centres whose cells are not chosen.
+        std::set<std::string, std::less<>> const& unavailable_data_centres;
     };
-    /// Returns the better of two random cells with enough free capacity, or
-    /// nothing if no cell matches the query.
+    /// Returns the better of two random cells that match the query, chosen
+    /// among those with enough free capacity. If no matching cell has enough,
+    /// chooses among the others, unless `requires_capacity` is set. Returns
+    /// nothing if there is no cell to choose from.
     std::optional<std::string> choose_cell(cell_query const& query,
                                            worker_registry const& workers);
-    /// Returns the sums over all cells, as last published, for the status page.
+    /// Returns the sums over all known cells, for the status page;
+    /// `largest_free` stays 0.
     cell_load totals() const noexcept;
-    /// Counts the resources of work sent to a cell as used until its owner
-    /// publishes its load again.
+    /// Counts the resources of work sent to a cell as used until the next read
+    /// of the table, or `set_own`, replaces the load of the cell. Has no effect
+    /// on a cell whose load is not known.
     void reserve(std::string const& cell, ports::resources const& amount);
 
 private:
@@ -82,15 +89,15 @@
     std::string member_;
     std::mt19937_64 random_;
     load_table_settings settings_;
-    std::map<std::string, cell_load> own_;
+    std::map<std::string, cell_load> own_loads_;
     std::string last_written_;
     std::uint64_t version_ = 0;
     std::uint64_t write_call_ = 0;
     std::uint64_t read_call_ = 0;
-    std::string value_in_flight_;
-    common::time_point next_write_{};
-    common::time_point next_read_{};
-    std::map<std::string, published_load> cells_;
+    std::string written_value_in_flight_;
+    common::time_point next_write_at_{};
+    common::time_point next_read_at_{};
+    std::map<std::string, published_load> known_loads_;
 };
 
 } // namespace fuchsia::core::tasks
--- a/src/core/tasks/quota.cpp
+++ b/src/core/tasks/quota.cpp
@@ -126,7 +126,7 @@
             continue;
         }
         auto const before = next.cells[cell];
-        auto after = grow_grant(next, cell, need.requested, contract);
+        auto after = adjust_grant(next, cell, need.requested, contract);
         if (!fits_next_task(next, cell, after, need, contract))
         {
             after.granted.total =
--- a/src/core/tasks/quota_document.cpp
+++ b/src/core/tasks/quota_document.cpp
@@ -171,10 +171,10 @@
     return out;
 }
 
-cell_grant grow_grant(quota_document const& document,
-                      std::string const& cell,
-                      allowance const& need,
-                      contracts::contract const& contract)
+cell_grant adjust_grant(quota_document const& document,
+                        std::string const& cell,
+                        allowance const& need,
+                        contracts::contract const& contract)
 {
     auto const found = document.cells.find(cell);
     cell_grant const before =
--- a/src/core/tasks/worker_registry.cpp
+++ b/src/core/tasks/worker_registry.cpp
@@ -53,6 +53,8 @@
     auto& view = found->second;
     if (report.sequence <= view.sequence && view.clock_ms != 0)
     {
+        // A repeated number shows that the worker has not restarted its
+        // numbering.
         bool const repeated = report.sequence == view.sequence;
         view.stale_reports = repeated ? 0 : view.stale_reports + 1;
         if (view.stale_reports < settings_.stale_reports_before_reset)
@@ -109,11 +111,11 @@
                                    worker_view const& worker) const noexcept
 {
     auto const elapsed = common::to_milliseconds(now - worker.report_received);
-    auto const certain_ms =
+    auto const min_elapsed_ms =
         std::max<std::int64_t>(0, elapsed) *
         (1000 - static_cast<std::int64_t>(settings_.clock_drift_permille)) /
         1000;
-    return worker.clock_ms + static_cast<std::uint64_t>(certain_ms);
+    return worker.clock_ms + static_cast<std::uint64_t>(min_elapsed_ms);
 }
 
 bool worker_registry::may_start(common::time_point now,
@@ -151,7 +153,7 @@
     auto const doublings =
         std::min<std::uint32_t>(view.consecutive_refusals, 10);
     ++view.consecutive_refusals;
-    view.closed_until =
+    view.refusal_pause_until =
         now + std::min(settings_.refusal_pause * (1 << doublings),
                        settings_.max_refusal_pause);
     view.report_lag =
@@ -178,7 +180,7 @@
         auto& view = found->second;
         view.consecutive_failures = 0;
         view.last_failed_job.clear();
-        view.proven = true;
+        view.succeeded_since_quarantine = true;
         view.quarantines = 0;
         view.probing = false;
         view.quarantined_until.reset();
@@ -208,12 +210,12 @@
                  settings_.max_quarantine_duration);
     view.quarantined_until = now + length;
     view.probing = true;
-    view.proven = false;
+    view.succeeded_since_quarantine = false;
     ++view.quarantines;
 }
 
-bool worker_registry::suspect(common::time_point now,
-                              std::string const& worker) const
+bool worker_registry::is_suspect(common::time_point now,
+                                 std::string const& worker) const
 {
     auto const* view = find(worker);
     if (view == nullptr)
@@ -222,7 +224,8 @@
     }
     bool const quarantined =
         view->quarantined_until && now < *view->quarantined_until;
-    return quarantined || (view->consecutive_failures >= 2 && !view->proven);
+    return quarantined || (view->consecutive_failures >= 2 &&
+                           !view->succeeded_since_quarantine);
 }
 
 void worker_registry::set_memory_over_declared(std::string const& worker,
--- a/src/core/tasks/worker_registry.hpp
+++ b/src/core/tasks/worker_registry.hpp
@@ -31,8 +31,9 @@
     /// refuses starts, since the starts may arrive too late.
     common::duration report_lag = std::chrono::seconds(3);
     common::duration max_report_lag = std::chrono::seconds(10);
-    /// Time without starts for a worker that refused a start. Doubles with each
-    /// consecutive refusal, up to `max_refusal_pause`.
+    /// Length of the pause recorded in `refusal_pause_until` for a worker that
+    /// refused a start. Doubles with each consecutive refusal, up to
+    /// `max_refusal_pause`. `may_start` does not check the pause.
     common::duration refusal_pause = std::chrono::milliseconds(500);
     common::duration max_refusal_pause = std::chrono::seconds(30);
     /// Number of reports with a lower sequence number after which the worker is
@@ -56,12 +57,14 @@
 
     common::duration report_lag{};          ///< Added to the start window.
     std::uint32_t consecutive_refusals = 0; ///< Refused starts.
-    common::time_point closed_until{}; ///< End of the pause after a refusal.
+    /// End of the pause after a refusal. `may_start` does not check it.
+    common::time_point refusal_pause_until{};
 
     // Failure detection.
     std::uint32_t consecutive_failures = 0; ///< Failures of different jobs.
     std::string last_failed_job;
-    bool proven = false; ///< Success since it was listed or last quarantined.
+    /// Whether it succeeded since it was listed or last quarantined.
+    bool succeeded_since_quarantine = false;
     std::uint32_t quarantines = 0; ///< Number since the last success.
     std::optional<common::time_point> quarantined_until;
     bool probing = false; ///< After a quarantine: one attempt at a time.
@@ -90,8 +93,8 @@
     /// its latest report plus the time since then, reduced by the clock drift.
     std::uint64_t clock_lower_bound(common::time_point now,
                                     worker_view const& worker) const noexcept;
-    /// Whether attempts may be started on the worker, regardless of its free
-    /// capacity.
+    /// Whether the worker is listed, live, not quarantined and has reported
+    /// recently. Its free capacity and whether it is probing are not checked.
     bool may_start(common::time_point now,
                    worker_view const& worker) const noexcept;
     /// Whether any worker, in whatever state, has the total capacity for
@@ -111,7 +114,7 @@
                         std::string const& job);
     /// Whether a failure on the worker is more likely caused by the worker than
     /// by the job.
-    bool suspect(common::time_point now, std::string const& worker) const;
+    bool is_suspect(common::time_point now, std::string const& worker) const;
     void set_memory_over_declared(std::string const& worker, std::int64_t mb);
 
 private:
--- a/tests/unit/tasks/modules_test.cpp
+++ b/tests/unit/tasks/modules_test.cpp
@@ -244,10 +244,10 @@
     contract.batch_permille = 500;
     quota_document document;
     allowance const need{{8000, 1000, 0}, {8000, 1000, 0}};
-    document.cells["a"] = grow_grant(document, "a", need, contract);
+    document.cells["a"] = adjust_grant(document, "a", need, contract);
     EXPECT_EQ(document.cells["a"].granted.total.millicores, 8000);
     EXPECT_EQ(document.cells["a"].granted.batch.millicores, 5000);
-    document.cells["b"] = grow_grant(document, "b", need, contract);
+    document.cells["b"] = adjust_grant(document, "b", need, contract);
     EXPECT_EQ(document.cells["b"].granted.total.millicores, 2000);
     EXPECT_EQ(document.cells["b"].granted.batch.millicores, 0);
     contract.capacity = {5000, 100000, 0};
