--- a/src/core/tasks/change.cpp
+++ b/src/core/tasks/change.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::array<std::string_view, 6> outcome_names{
     "finished", "failed", "refused", "stopped", "lost", "unsent"};
-constexpr std::int64_t max_number = std::numeric_limits<std::int64_t>::max();
-constexpr std::int64_t max_count = std::numeric_limits<std::int32_t>::max();
+constexpr std::int64_t max_int64 = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t max_int32 = std::numeric_limits<std::int32_t>::max();
 
 json::array strings(std::vector<std::string> const& values)
 {
@@ -130,12 +130,12 @@
 
 std::uint64_t read_number(common::json_reader& reader, std::string_view key)
 {
-    return static_cast<std::uint64_t>(reader.integer(key, 0, max_number));
+    return static_cast<std::uint64_t>(reader.integer(key, 0, max_int64));
 }
 
 std::uint32_t read_count(common::json_reader& reader, std::string_view key)
 {
-    return static_cast<std::uint32_t>(reader.integer(key, 0, max_count));
+    return static_cast<std::uint32_t>(reader.integer(key, 0, max_int32));
 }
 
 std::optional<transferred_task> read_task(json::value const& item,
@@ -143,10 +143,12 @@
 {
     if (!item.is_object())
     {
-        reason = {common::result_code::wrong_type, "parcel.tasks", "object"};
+        reason = {common::result_code::wrong_type,
+                  "inbox message.tasks",
+                  "an object is expected"};
         return std::nullopt;
     }
-    common::json_reader reader(item.as_object(), "parcel.tasks");
+    common::json_reader reader(item.as_object(), "inbox message.tasks");
     transferred_task task;
     task.index = read_count(reader, "i");
     task.attempt = read_count(reader, "a");
@@ -163,7 +165,7 @@
 std::optional<inbox_message> read_inbox_message(json::object const& object,
                                                 common::failure& reason)
 {
-    common::json_reader reader(object, "parcel");
+    common::json_reader reader(object, "inbox message");
     inbox_message value;
     value.name = reader.text("name");
     value.moves = read_count(reader, "moves");
@@ -172,8 +174,8 @@
     if (!reader.ok() || job_object == nullptr || tasks == nullptr)
     {
         reason = reader.ok() ? common::failure{common::result_code::missing_key,
-                                               "parcel",
-                                               "job or tasks absent"}
+                                               "inbox message",
+                                               "job or tasks is missing"}
                              : reader.reason();
         return std::nullopt;
     }
@@ -195,12 +197,12 @@
     return value;
 }
 
-task_key read_key(common::json_reader& reader)
+task_key read_task_key(common::json_reader& reader)
 {
     auto key = parse_task_name(reader.text("t"));
     if (!key)
     {
-        reader.fail(common::result_code::malformed_job, "t", "no task name");
+        reader.fail(common::result_code::malformed_job, "t", "not a task name");
         return {};
     }
     return *key;
@@ -213,8 +215,9 @@
         std::find(outcome_names.begin(), outcome_names.end(), name);
     if (found == outcome_names.end())
     {
-        reader.fail(common::result_code::out_of_range, "h", "unknown end");
-        return attempt_outcome::lost;
+        reader.fail(
+            common::result_code::out_of_range, "h", "unknown attempt outcome");
+        return attempt_outcome::lost; // Ignored: the reader has failed.
     }
     return static_cast<attempt_outcome>(found - outcome_names.begin());
 }
@@ -230,7 +233,7 @@
         }
     }
     reader.fail(common::result_code::out_of_range, "n", "unknown result code");
-    return common::result_code::job_cancelled;
+    return common::result_code::job_cancelled; // Ignored: the reader failed.
 }
 
 std::vector<std::uint32_t> read_indexes(common::json_reader& reader)
@@ -278,7 +281,7 @@
     }
     else if (kind == "started")
     {
-        out = attempt_started{read_key(reader),
+        out = attempt_started{read_task_key(reader),
                               read_count(reader, "a"),
                               reader.text("w"),
                               read_number(reader, "s"),
@@ -286,7 +289,7 @@
     }
     else if (kind == "ended")
     {
-        out = attempt_ended{read_key(reader),
+        out = attempt_ended{read_task_key(reader),
                             read_count(reader, "a"),
                             read_outcome(reader),
                             reader.text("y")};
@@ -294,7 +297,7 @@
     else if (kind == "checkpoint")
     {
         out = checkpoint_taken{
-            read_key(reader), read_count(reader, "a"), reader.text("c")};
+            read_task_key(reader), read_count(reader, "a"), reader.text("c")};
     }
     else if (kind == "stopped")
     {
@@ -367,7 +370,8 @@
 std::optional<inbox_message> parse_inbox_message(std::string_view json,
                                                  common::failure& reason)
 {
-    auto const object = common::parse_json_object(json, "parcel", reason);
+    auto const object =
+        common::parse_json_object(json, "inbox message", reason);
     return object ? read_inbox_message(*object, reason) : std::nullopt;
 }
 
@@ -389,9 +393,9 @@
     for (auto const& item : value.changes)
     {
         std::visit(
-            [&changes](auto const& kind)
+            [&changes](auto const& alternative)
             {
-                changes.emplace_back(encoded(kind));
+                changes.emplace_back(encoded(alternative));
             },
             item);
     }
--- a/src/core/tasks/store_calls.cpp
+++ b/src/core/tasks/store_calls.cpp
@@ -9,6 +9,8 @@
 namespace
 {
 
+// Values of the label `for` of the metric `fuchsia_task_store_calls`. Some
+// differ from the enumerators, since the label values must not change.
 constexpr std::array<std::string_view, call_owner_count> owner_names{"log",
                                                                      "snapshot",
                                                                      "inbox",
--- a/src/core/tasks/store_calls.hpp
+++ b/src/core/tasks/store_calls.hpp
@@ -28,7 +28,8 @@
 
 constexpr std::size_t call_owner_count = 9;
 
-/// Identifies the owner of a store call. `name` is a cell, a customer or a job.
+/// Identifies a store call and its purpose. `name` is that of a cell, a
+/// customer, a job or a member.
 struct call_tag
 {
     call_owner owner = call_owner::log;
@@ -54,8 +55,8 @@
 public:
     explicit store_calls(store_call_settings settings);
 
-    /// Takes one write from the rate limit. Returns false if the caller must
-    /// retry at a later tick.
+    /// Takes one write from the rate limit and returns true, or returns false
+    /// if the caller must retry at a later tick.
     bool may_write(common::time_point now);
 
     std::uint64_t send(call_owner owner,
