--- a/src/core/claims/assignment.cpp
+++ b/src/core/claims/assignment.cpp
@@ -7,14 +7,14 @@
 
 owner_candidates find_owner_candidates(common::time_point now,
                                        membership::member const& members,
-                                       bool leaving,
+                                       bool self_leaving,
                                        common::duration stable_after)
 {
     owner_candidates candidates;
     for (auto const& info : members.live())
     {
         bool const self = info.id == members.self().id;
-        if (info.leaving || (self && leaving))
+        if (info.leaving || (self && self_leaving))
         {
             continue;
         }
@@ -45,24 +45,24 @@
     }
     std::size_t const max_share =
         (partitions_.size() + names_.size() - 1) / names_.size();
-    std::vector<std::size_t> owned_counts(names_.size(), 0);
+    std::vector<std::size_t> assigned_counts(names_.size(), 0);
     for (auto const& partition : partitions_)
     {
-        std::size_t best = names_.size();
+        std::size_t best_index = names_.size(); // The size stands for none.
         std::uint64_t best_weight = 0;
         for (std::size_t index = 0; index < names_.size(); ++index)
         {
             auto const weight =
                 common::rendezvous_weight(partition, names_[index]);
-            if (owned_counts[index] < max_share &&
-                (best == names_.size() || weight > best_weight))
+            if (assigned_counts[index] < max_share &&
+                (best_index == names_.size() || weight > best_weight))
             {
-                best = index;
+                best_index = index;
                 best_weight = weight;
             }
         }
-        ++owned_counts[best];
-        owners_.emplace(partition, best);
+        ++assigned_counts[best_index];
+        owners_.emplace(partition, best_index);
     }
 }
 
--- a/src/core/claims/assignment.hpp
+++ b/src/core/claims/assignment.hpp
@@ -20,11 +20,11 @@
                                      ///< have been live for `stable_after`.
 };
 
-/// Returns the members that may own partitions. `leaving` excludes this member,
-/// which may begin to leave before its own record says so.
+/// Returns the members that may own partitions. `self_leaving` excludes this
+/// member, which may begin to leave before its own record says so.
 owner_candidates find_owner_candidates(common::time_point now,
                                        membership::member const& members,
-                                       bool leaving,
+                                       bool self_leaving,
                                        common::duration stable_after);
 
 /// Assigns partitions to members by rendezvous hashing, with at most the even
--- a/src/core/membership/own_record.cpp
+++ b/src/core/membership/own_record.cpp
@@ -29,7 +29,7 @@
                  witness_list const& witnesses,
                  std::mt19937_64& random)
 {
-    if (in_flight_ != call_kind::none || now < next_call_)
+    if (in_flight_ != call_kind::none || now < next_call_at_)
     {
         return std::nullopt;
     }
@@ -47,7 +47,7 @@
         return ports::store_write{key(), to_json(marked), predecessor_version_};
     }
     case step::writing:
-        if (now < next_write_)
+        if (now < next_write_at_)
         {
             return std::nullopt;
         }
@@ -67,7 +67,7 @@
                                               std::mt19937_64& random)
 {
     in_flight_ = call_kind::write;
-    next_write_ = now + heartbeat_interval_;
+    next_write_at_ = now + heartbeat_interval_;
     if (unconfirmed_writes_.size() == max_unconfirmed)
     {
         unconfirmed_writes_.erase(unconfirmed_writes_.begin());
@@ -100,7 +100,7 @@
     if (reply.status == ports::store_status::unavailable ||
         reply.status == ports::store_status::unclear)
     {
-        next_call_ = now + retry_interval;
+        next_call_at_ = now + retry_interval;
     }
     switch (kind)
     {
@@ -173,8 +173,8 @@
     auto value = parse_record(self_.role, self_.id.name, entry.value, reason);
     if (!value)
     {
-        finish_fenced("own record is unreadable: " + common::to_string(reason),
-                      update);
+        end_incarnation(
+            "own record is unreadable: " + common::to_string(reason), update);
         return;
     }
     if (value->info.id == self_.id && !value->fenced && value->successor == 0)
@@ -194,7 +194,7 @@
     }
     if (joined_)
     {
-        finish_fenced("own record was removed from the store", update);
+        end_incarnation("own record was removed from the store", update);
         return;
     }
     version_ = 0;
@@ -241,9 +241,9 @@
     }
     if (joined_ || value.info.id == self_.id)
     {
-        finish_fenced(value.fenced ? "fenced by another member"
-                                   : "a newer process runs under this name",
-                      update);
+        end_incarnation(value.fenced ? "fenced by another member"
+                                     : "a newer process runs under this name",
+                        update);
         return;
     }
     if (value.fenced)
@@ -296,7 +296,7 @@
     unconfirmed_writes_.clear();
 }
 
-void own_record::finish_fenced(std::string reason, own_record_update& update)
+void own_record::end_incarnation(std::string reason, own_record_update& update)
 {
     step_ = step::finished;
     update.fenced_reason = std::move(reason);
@@ -316,8 +316,8 @@
 
 void own_record::schedule_now(common::time_point now) noexcept
 {
-    next_write_ = now;
-    next_call_ = now;
+    next_write_at_ = now;
+    next_call_at_ = now;
 }
 
 void own_record::set_config_revision(std::uint64_t revision) noexcept
--- a/src/core/membership/own_record.hpp
+++ b/src/core/membership/own_record.hpp
@@ -10,11 +10,12 @@
 #include <string>
 #include <vector>
 
-// Record of this process in the store: joining, heartbeats, resolution of
-// writes with an unknown outcome, and removal.
+// Maintains the record of this process in the store: joins, writes heartbeats,
+// resolves writes with an unknown outcome, and removes the record.
 namespace fuchsia::core::membership
 {
 
+/// Witnesses of a member; see `record::witnesses`.
 using witness_list = std::vector<ports::member_identity>;
 
 /// Result of a store reply about the own record.
@@ -41,7 +42,8 @@
     own_record(member_info self, common::duration heartbeat_interval);
 
     /// Call to send now; empty if one is in flight or none is due. The next
-    /// write names `witnesses`, unless there are unconfirmed writes.
+    /// write stores `witnesses` in the record, unless there are unconfirmed
+    /// writes.
     std::optional<ports::store_operation> next(common::time_point now,
                                                witness_list const& witnesses,
                                                std::mt19937_64& random);
@@ -61,26 +63,29 @@
 
     /// Whether a write of this incarnation is known to have been accepted.
     bool has_joined() const noexcept;
-    /// Newest known version written by this incarnation; 0 before it joined.
+    /// Newest known version written by this incarnation; 0 before it has
+    /// joined.
     std::uint64_t version() const noexcept;
     member_info const& info() const noexcept;
     /// Newest record that the store is known to have accepted.
     record const& accepted_record() const noexcept;
     /// Distinct witness lists that the store may hold now: the list of the
-    /// accepted record and those of unconfirmed writes. Empty before it joined.
+    /// accepted record and those of unconfirmed writes. Empty before this
+    /// incarnation has joined.
     std::vector<witness_list> possible_witness_lists() const;
-    /// Earlier incarnation under this name that must be fenced first.
+    /// Earlier incarnation with this member's name, which must be fenced before
+    /// this one writes heartbeats.
     std::optional<ports::member_identity> const& predecessor() const noexcept;
 
 private:
     enum class step : std::uint8_t
     {
-        reading, ///< The record must be read.
-        marking, ///< The predecessor's record must name its successor.
-        waiting, ///< The predecessor is being fenced.
-        writing, ///< Heartbeats are written, from the known version.
-        erasing,
-        finished,
+        reading,  ///< The record must be read.
+        marking,  ///< The predecessor's record must name its successor.
+        waiting,  ///< The predecessor is being fenced.
+        writing,  ///< Heartbeats are written; each expects the known version.
+        erasing,  ///< The record is being erased.
+        finished, ///< The record is removed or this incarnation is fenced.
     };
 
     enum class call_kind : std::uint8_t
@@ -119,15 +124,15 @@
     void accept(sent_write const& write,
                 std::uint64_t version,
                 own_record_update& update);
-    void finish_fenced(std::string reason, own_record_update& update);
+    void end_incarnation(std::string reason, own_record_update& update);
     std::string key() const;
 
     member_info self_;
     common::duration heartbeat_interval_;
     step step_ = step::reading;
     call_kind in_flight_ = call_kind::none;
-    common::time_point next_call_{};
-    common::time_point next_write_{};
+    common::time_point next_call_at_{};
+    common::time_point next_write_at_{};
     bool removing_ = false;
     bool joined_ = false;
     std::uint64_t version_ = 0;
--- a/src/core/tasks/job_view.cpp
+++ b/src/core/tasks/job_view.cpp
@@ -179,14 +179,14 @@
 } // namespace
 
 std::map<std::string, job_view>
-build_job_views(std::vector<ports::store_entry> const& inboxes,
-                std::vector<ports::store_entry> const& cells,
+build_job_views(std::vector<ports::store_entry> const& inbox_entries,
+                std::vector<ports::store_entry> const& cell_entries,
                 config::configuration const& config)
 {
     std::map<std::string, merged_job> jobs;
     std::map<std::string, std::vector<stored_inbox_message>> items;
     std::vector<stop_notice> notices;
-    parse_inbox_entries(inboxes, items, notices);
+    parse_inbox_entries(inbox_entries, items, notices);
     for (auto const& [cell, list] : items)
     {
         for (auto const& item : list)
@@ -195,7 +195,7 @@
         }
     }
     std::map<std::string, std::vector<ports::store_entry>> by_cell;
-    for (auto const& entry : cells)
+    for (auto const& entry : cell_entries)
     {
         constexpr std::string_view prefix = "tasks/";
         auto const slash = entry.key.find('/', prefix.size());
@@ -269,12 +269,12 @@
 }
 
 std::string to_json(std::map<std::string, job_view> const& jobs,
-                    std::string const& only_state)
+                    std::string const& state_filter)
 {
     json::array list;
     for (auto const& [id, view] : jobs)
     {
-        if (only_state.empty() || view.state == only_state)
+        if (state_filter.empty() || view.state == state_filter)
         {
             list.emplace_back(encoded(view));
         }
--- a/src/core/tasks/job_view.hpp
+++ b/src/core/tasks/job_view.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-// Jobs as shown to operators, merged from the tasks in several cells and the
-// messages that wait in inboxes.
+// Builds the view of jobs that operators see, from the tasks in several cells
+// and the messages that wait in inboxes.
 namespace fuchsia::core::tasks
 {
 
@@ -38,16 +38,17 @@
     std::vector<task_view> tasks;
 };
 
-/// Returns the jobs in the entries below `inbox/` and `tasks/`. The inboxes
-/// must be read first: a job that is accepted by its cell between the two reads
-/// is then found twice rather than missed.
+/// Returns the jobs in the entries below `inbox/` and `tasks/`, by job id. The
+/// inboxes must be read first: a job that is accepted by its cell between the
+/// two reads is then found twice rather than missed.
 std::map<std::string, job_view>
-build_job_views(std::vector<ports::store_entry> const& inboxes,
-                std::vector<ports::store_entry> const& cells,
+build_job_views(std::vector<ports::store_entry> const& inbox_entries,
+                std::vector<ports::store_entry> const& cell_entries,
                 config::configuration const& config);
 
 std::string to_json(job_view const& value, bool with_tasks);
+/// Returns the jobs in the state `state_filter`, or all jobs if it is empty.
 std::string to_json(std::map<std::string, job_view> const& jobs,
-                    std::string const& only_state);
+                    std::string const& state_filter);
 
 } // namespace fuchsia::core::tasks
