--- a/src/core/contracts/slice_holder.cpp
+++ b/src/core/contracts/slice_holder.cpp
@@ -9,18 +9,21 @@
 namespace
 {
 
-/// Factor and constants by which a request for a slice exceeds the measured
-/// demand, so that the slice is large enough when demand rises.
+/// Factor by which a request for a slice exceeds the measured demand, so that
+/// the slice is large enough when demand rises.
 constexpr double demand_headroom = 1.5;
+/// Slots requested in addition, for the same reason.
 constexpr double spare_slots = 2.0;
+/// Requests per second requested in addition, for the same reason.
 constexpr double spare_rate = 20.0;
 /// Factor by which earlier demand decreases with each request for a slice.
-constexpr double decay = 0.8;
-/// Below this many requests in flight the entry needs no slice.
+constexpr double demand_decay = 0.8;
+/// Decayed demand, in requests in flight, below which an entry without requests
+/// in flight needs no slice.
 constexpr double min_demand = 0.1;
 /// Size of the token bucket, in seconds of the slice's rate.
 constexpr double burst_seconds = 0.1;
-/// Time without use after which the token bucket is full.
+/// Time without a refill of the token bucket after which a grant fills it.
 constexpr common::duration bucket_idle_time = std::chrono::seconds(1);
 constexpr std::uint32_t permille = 1000;
 
@@ -94,10 +97,10 @@
     }
     double const elapsed =
         requested_at_ ? std::max(seconds(now - *requested_at_), 0.02) : 0.5;
-    demand_ =
-        std::max<double>(peak_in_flight_ + unmet_demand_, demand_ * decay);
-    demand_rate_ =
-        std::max((arrivals_ + unmet_demand_) / elapsed, demand_rate_ * decay);
+    demand_ = std::max<double>(peak_in_flight_ + unmet_demand_,
+                               demand_ * demand_decay);
+    demand_rate_ = std::max((arrivals_ + unmet_demand_) / elapsed,
+                            demand_rate_ * demand_decay);
     bool const idle = in_flight() == 0 && demand_ < min_demand;
     ports::slice_request request;
     request.round = ++round_;
@@ -111,7 +114,8 @@
     request.wanted = std::min(request.wanted, limits.requests_in_flight);
     request.wanted_rate =
         std::min(request.wanted_rate, limits.requests_per_second);
-    // This request returns the part of the slice that is no longer needed.
+    // The slots that are no longer needed are given up before this request
+    // reports `in_use`.
     slots_ = std::min(slots_, std::max(request.wanted, in_flight()));
     if (idle)
     {
@@ -138,9 +142,9 @@
 void slice_holder::on_grant(common::time_point now,
                             ports::slice_grant const& grant)
 {
-    // A grant for an earlier request was made before the owner received the
-    // report in the last one, after which the owner no longer counts that
-    // grant.
+    // A grant for an earlier request is ignored: the owner made it before it
+    // received the report in the latest request, and no longer counts that
+    // grant once it has received that report.
     if (!awaiting_grant_ || grant.round != round_ || !requested_at_)
     {
         return;
@@ -148,7 +152,8 @@
     awaiting_grant_ = false;
     auto const valid_for = std::min<std::uint64_t>(
         grant.valid_us, static_cast<std::uint64_t>(settings_.lifetime.count()));
-    // A token bucket that was not used for `bucket_idle_time` is full.
+    // The grant fills a token bucket that had no refill for
+    // `bucket_idle_time`.
     bool const was_idle = now - refilled_at_ >= bucket_idle_time;
     refill_tokens(now);
     slots_ = grant.in_flight;
--- a/src/core/requests/admission.hpp
+++ b/src/core/requests/admission.hpp
@@ -17,23 +17,25 @@
         0; ///< Requests that would be served before the new one.
     std::size_t requests_waiting = 0; ///< All requests in the queue.
     std::uint32_t slots = 0;          ///< Slots that serve the queue.
-    common::duration service_time{};  ///< Measured average; 0: no sample yet.
+    /// Measured average time that a request occupies a slot; 0 without a
+    /// sample.
+    common::duration service_time{};
 };
 
 /// Refuses a request that is not expected to be answered before its deadline.
-/// Queueing it would cost the caller time and the upstream a slot that another
-/// request could use.
+/// Queueing it would make the caller wait in vain and would occupy an upstream
+/// slot that another request could use.
 struct deadline_admission
 {
     /// Factor applied to the predicted answer time, in thousandths.
     std::uint32_t safety_factor_permille = 1000;
 };
 
-/// Baseline for comparison: a fixed number of requests may wait, regardless of
-/// their deadlines.
+/// Policy for comparison with `deadline_admission`: a fixed number of requests
+/// may wait, regardless of their deadlines.
 struct fixed_bound_admission
 {
-    std::size_t max_waiting = 100;
+    std::size_t max_waiting = 100; ///< Maximum number of waiting requests.
 };
 
 using admission_policy =
--- a/src/core/requests/entry_answers.cpp
+++ b/src/core/requests/entry_answers.cpp
@@ -112,7 +112,7 @@
     if (req.counted_in_slice && req.stage != request_stage::awaiting_same_key &&
         end_time > now)
     {
-        keep_until_ended(req, end_time);
+        keep_until_execution_ends(req, end_time);
     }
     else
     {
@@ -173,8 +173,8 @@
     }
 }
 
-void entry_engine::keep_until_ended(open_request& req,
-                                    common::time_point end_time)
+void entry_engine::keep_until_execution_ends(open_request& req,
+                                             common::time_point end_time)
 {
     by_attempt_.erase(req.attempt_id);
     open_bytes_ -= req.request.body.size();
--- a/src/core/requests/entry_contracts.cpp
+++ b/src/core/requests/entry_contracts.cpp
@@ -54,7 +54,7 @@
     if (last_takeover &&
         now - last_takeover->started_at < settings_.upstreams.max_execution)
     {
-        ledger.take_over(now, last_takeover->possible_holders);
+        ledger.take_over(now, last_takeover->possible_slice_holders);
     }
     return ledger;
 }
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -37,16 +37,16 @@
 struct entry_status
 {
     entry_phase phase = entry_phase::joining;
-    bool may_act = false;
+    bool may_act = false; ///< Whether the membership proof is valid.
     common::duration proof_age{};
-    std::uint64_t revision = 0;
+    std::uint64_t revision = 0; ///< Revision of the current configuration.
     std::size_t members = 0;
     std::size_t owned_partitions = 0;
     std::uint32_t free_slots = 0;
     std::uint32_t usable_slots = 0;
-    std::size_t queued = 0;
-    std::size_t open = 0;
-    std::size_t keys = 0;
+    std::size_t queued = 0; ///< Requests that wait for a slot.
+    std::size_t open = 0;   ///< Requests in the request table.
+    std::size_t keys = 0;   ///< Keys in the key memory.
     std::size_t key_bytes = 0;
 };
 
@@ -57,7 +57,9 @@
     std::uint64_t retries = 0;
     std::uint64_t forwarded = 0;
     std::uint64_t spilled = 0;
+    /// Requests that waited for a running request with the same key.
     std::uint64_t joined_keys = 0;
+    /// Requests answered from the key memory.
     std::uint64_t replayed_keys = 0;
     std::uint64_t takeovers = 0;
     std::uint64_t handovers = 0;
@@ -77,9 +79,9 @@
 ///   sent to another one only if no byte of it was sent to the first.
 /// - A request with an Idempotency-Key runs only through the owner of the key's
 ///   partition, which first looks up the key in its memory (see `key_memory`).
-/// - A refusal says "not run" only if this sending reached no upstream. For the
-///   second or a later sending of a key, it says so only if the owner's memory
-///   holds no earlier run either.
+/// - A refusal says "not run" only if the refused sending reached no upstream.
+///   For the second or a later sending of a key, it says so only if the owner's
+///   memory holds no earlier run either.
 class entry_engine
 {
 public:
@@ -95,8 +97,8 @@
                            std::uint64_t caller,
                            ports::caller_request request,
                            ports::actions& out);
-    /// The caller's connection closed: a request that has not been sent to an
-    /// upstream or peer need not run.
+    /// Handles the end of the caller's connection. A request that has not been
+    /// sent to an upstream or peer need not run.
     void on_caller_disconnected(common::time_point now,
                                 std::uint64_t caller,
                                 ports::actions& out);
@@ -112,11 +114,13 @@
     void on_instances(common::time_point now,
                       ports::instance_list const& list,
                       ports::actions& out);
-    /// Begins a planned stop, which ends with `stop_complete`.
+    /// Begins a planned stop, which ends with the action
+    /// `ports::stop_complete`.
     void begin_stop(common::time_point now, ports::actions& out);
-    /// Called after this incarnation was fenced. Answers the requests that it
-    /// can't complete. Requests that run on upstreams still get their answers
-    /// from this object; new events go to the engine of the next incarnation.
+    /// Ends the work of this engine; must be called after its incarnation was
+    /// fenced. Answers the requests that it can't complete. Requests that run
+    /// on upstreams still get their answers from this object; new events go to
+    /// the engine of the next incarnation.
     void retire(common::time_point now, ports::actions& out);
 
     /// Time of the next deadline or time-out of a request. `tick` must be
@@ -150,12 +154,12 @@
     struct takeover
     {
         common::time_point started_at;
-        std::vector<ports::member_identity> possible_holders;
+        std::vector<ports::member_identity> possible_slice_holders;
     };
 
-    // entry_engine.cpp: components and time.
+    // entry_engine.cpp: dispatch of events, pauses of the process and timers.
     void detect_pause(common::time_point now, ports::actions& out);
-    /// Sends the waiting requests for which the last event freed a slot or made
+    /// Sends the waiting requests for which the last event freed a slot or
     /// capacity in a slice.
     void process_waiting_work(common::time_point now, ports::actions& out);
     void sync_platform_state(common::time_point now, ports::actions& out);
@@ -165,7 +169,8 @@
              std::string event,
              std::vector<ports::header> fields) const;
 
-    // entry_members.cpp: changes of the members and of the configuration.
+    // entry_members.cpp: changes of the members and of the configuration, and
+    // the permission to send.
     void sync_members(common::time_point now, ports::actions& out);
     void sync_configuration(common::time_point now, ports::actions& out);
     bool is_live(ports::member_identity const& id) const noexcept;
@@ -267,7 +272,8 @@
                             open_request& req,
                             ports::caller_answer const& answer,
                             ports::actions& out);
-    void keep_until_ended(open_request& req, common::time_point end_time);
+    void keep_until_execution_ends(open_request& req,
+                                   common::time_point end_time);
     void erase(std::uint64_t id);
     void set_timer(open_request& req, std::optional<common::time_point> when);
     open_request* find_attempt(std::uint64_t attempt_id) noexcept;
@@ -387,23 +393,30 @@
     std::map<std::uint32_t, std::vector<std::uint64_t>> awaiting_owner_;
     /// Time of the last message from each live member.
     std::map<ports::member_identity, common::time_point> last_received_;
-    /// Time at which a draining entry last had work.
+    /// Time at which a forwarded request last arrived or a draining entry last
+    /// had work.
     common::time_point last_work_at_{};
-    /// Live members, and former members with the time at which they were gone.
+    /// Live members, and former members with the time since which they are not
+    /// live.
     std::map<ports::member_identity, std::optional<common::time_point>>
         known_members_;
 
     std::uint64_t next_id_ = 0;
-    std::size_t open_bytes_ = 0;
-    std::size_t unanswered_ = 0;
-    std::set<std::string> customers_to_resume_; ///< Slices to check again.
+    std::size_t open_bytes_ = 0; ///< Size of the bodies of all open requests.
+    std::size_t unanswered_ = 0; ///< Number of open requests without an answer.
+    /// Customers whose waiting requests are to be checked against the slice
+    /// again.
+    std::set<std::string> customers_to_resume_;
     std::optional<common::time_point> last_event_at_;
-    common::time_point resumed_at_{}; ///< End of the last pause, or the start.
+    /// End of the last pause of the process, or the start of the entry.
+    common::time_point resumed_at_{};
     common::time_point next_load_report_at_{};
     std::size_t next_load_peer_ = 0;
     common::time_point stop_announced_at_{};
     std::uint64_t applied_revision_ = 0;
-    std::uint64_t newest_reported_revision_ = 0; ///< By any member.
+    /// Newest configuration revision that any member reported.
+    std::uint64_t newest_reported_revision_ = 0;
+    /// Time since which a newer configuration is known but not in use.
     std::optional<common::time_point> behind_since_;
     /// Time at which the configuration was last confirmed to be the newest.
     common::time_point configuration_current_as_of_{};
--- a/src/core/requests/entry_partitions.cpp
+++ b/src/core/requests/entry_partitions.cpp
@@ -86,11 +86,12 @@
         takeover new_takeover{now, {}};
         for (auto const& [id, gone_since] : known_members_)
         {
-            new_takeover.possible_holders.push_back(id);
+            new_takeover.possible_slice_holders.push_back(id);
         }
         if (!change.previous_owner.name.empty())
         {
-            new_takeover.possible_holders.push_back(change.previous_owner);
+            new_takeover.possible_slice_holders.push_back(
+                change.previous_owner);
         }
         takeovers_[partition] = std::move(new_takeover);
     }
--- a/src/core/requests/entry_peers.cpp
+++ b/src/core/requests/entry_peers.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-// Messages between entries: forwarded requests and their answers, load reports
-// and configuration revisions.
+// Sends and handles messages between entries: forwarded requests and their
+// answers, load reports and configuration revisions. Dispatches the others.
 namespace fuchsia::core::requests
 {
 
@@ -138,8 +138,8 @@
         return;
     }
     // A crashed owner is fenced some seconds after its crash. A request that is
-    // forwarded to it before that ends as "unknown" at its deadline. A refusal
-    // instead ends it as "not run" at once.
+    // forwarded to it in between ends as "unknown" at its deadline. A refusal
+    // ends the request as "not run" at once.
     if (is_peer_silent(now, owner) ||
         !send_to_peer(now, req, owner, false, out))
     {
@@ -149,8 +149,9 @@
     ++counts_.forwarded;
 }
 
-// Forwards a request to a free slot of a peer. A request takes at most one such
-// hop: one that arrived as a spill, or was spilled before, is not spilled.
+// Forwards a request to the peer that reported the most free slots. A request
+// is spilled at most once: one that arrived as a spill, or was spilled before,
+// is not spilled.
 bool entry_engine::spill(common::time_point now,
                          open_request& req,
                          ports::actions& out)
@@ -239,7 +240,7 @@
     new_request.expires = now + message.request.deadline;
     set_key_and_idempotency(new_request, contract_of(message.request.customer));
     // A spilled request with a key comes from the owner of that key, which has
-    // already looked it up.
+    // already looked up the key. It is handled here as a request without a key.
     new_request.has_key = new_request.has_key && !message.spill;
     auto const& owner_info = owners_.owner_of(new_request.partition);
     new_request.first_sending_confirmed =
@@ -248,7 +249,8 @@
     auto& req = add_request(std::move(new_request));
     if (!message.spill)
     {
-        // Only the owner may run the request. It is never forwarded again.
+        // Only the owner may run the request. A forwarded request is never
+        // forwarded again.
         bool const is_owner = req.has_key && owns(now, req.partition);
         if (is_owner)
         {
@@ -270,11 +272,12 @@
 namespace
 {
 
-// Whether this sending may still run on an upstream of the peer. The outcome
-// "unknown" alone does not imply that: if the peer's key memory does not hold
-// the key, or if the peer refuses a retry, an earlier sending may have run but
-// this one has not. If such answers counted as running requests, 30 of them a
-// second would use up a contract of 900 requests.
+// Whether the sending that `answer` belongs to may still run on an upstream of
+// the peer. The outcome "unknown" alone does not imply that it may: if the
+// peer's key memory does not hold the key, or if the peer refuses a retry, an
+// earlier sending may have run but this sending has not. If such answers
+// counted as running requests, 30 of them per second would use up a contract of
+// 900 requests.
 bool may_still_run(ports::caller_answer const& answer) noexcept
 {
     using enum common::result_code;
@@ -307,9 +310,9 @@
     by_attempt_.erase(message.id);
     peer_loads_.on_report(now, from, {message.free_slots, message.queued});
     bool const not_run = message.answer.outcome == common::outcome::not_run;
-    bool const owner_changed =
+    bool const peer_is_not_owner =
         message.answer.code == result_code::owner_unreachable;
-    if (not_run && owner_changed && req->has_key && !req->spilled &&
+    if (not_run && peer_is_not_owner && req->has_key && !req->spilled &&
         !req->answered && now < req->expires)
     {
         req->stage = request_stage::arrived;
@@ -329,7 +332,7 @@
         // of the slice until the maximum execution time has passed.
         send_answer(*req, message.answer, out);
         record_key_outcome(now, *req, message.answer, out);
-        keep_until_ended(
+        keep_until_execution_ends(
             *req, req->attempt_sent_at + settings_.upstreams.max_execution);
         return;
     }
@@ -348,8 +351,8 @@
               out);
 }
 
-// Ends or retries the requests at peers that were fenced or have left: their
-// answers will not arrive.
+// Ends or retries the requests that were sent to peers which were fenced or
+// have left, since these peers will not answer.
 void entry_engine::on_peer_lost(common::time_point now, ports::actions& out)
 {
     std::vector<std::uint64_t> lost_ids;
@@ -408,8 +411,8 @@
     auto const report = own_load();
     auto const& live = members_.live();
     auto const count = std::min(live.size(), settings_.load_fanout);
-    // Round robin over the members, so that every peer gets the load of every
-    // other.
+    // Round robin over the members, so that each of them in turn gets the load
+    // of this entry.
     for (std::size_t turn = 0; turn < count; ++turn)
     {
         auto const& info = live[next_load_peer_++ % live.size()];
