--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -27,11 +27,12 @@
         };
     }
 
-    // Returns the pending call; there is never more than one.
-    ports::kv_call call()
+    // Empties the outbox and returns the last store call in it. The follower
+    // has at most one call in flight.
+    ports::kv_call take_call()
     {
         ports::kv_call last_call;
-        for (auto const& action : out_.take_actions())
+        for (auto const& action : outbox_.take_actions())
         {
             if (auto const* const pending =
                     std::get_if<ports::kv_call>(&action))
@@ -55,7 +56,7 @@
             reply.items.push_back(
                 {"operators/config", "text", revision, revision, 0, false});
         }
-        out_.on_kv_reply(now, reply);
+        outbox_.on_kv_reply(now, reply);
     }
 
     void advance(core::common::duration elapsed)
@@ -69,39 +70,40 @@
 
 private:
     core::pool::platform_records records_;
-    core::pool::outbox out_;
+    core::pool::outbox outbox_;
     core::pool::revision_times times_;
 
 protected:
-    core::pool::operator_follower follower{{}, records_, out_, times_};
+    core::pool::operator_follower follower{{}, records_, outbox_, times_};
 };
 
 } // namespace
 
 // Guards against parsing an unchanged configuration document each time all keys
-// are read, which takes a small instance most of a second for thousands of
-// queues.
+// are read. With thousands of queues, parsing takes a small instance most of a
+// second.
 TEST_F(pool_operator_follower, unchanged_document_is_parsed_once)
 {
     follower.start(now);
-    answer_call(call(), ports::kv_status::done);
+    answer_call(take_call(), ports::kv_status::done);
     ASSERT_TRUE(follower.loaded());
     ASSERT_EQ(parse_count, 1U);
-    answer_call(call(), ports::kv_status::compacted);
+    answer_call(take_call(), ports::kv_status::compacted);
     advance(1s);
-    answer_call(call(), ports::kv_status::done);
+    answer_call(take_call(), ports::kv_status::done);
     EXPECT_EQ(follower.state().current_as_of, now);
     EXPECT_EQ(parse_count, 1U);
 }
 
-// Over a slow link the pages are already outdated when they arrive. If a long
-// watch followed, the instance would refuse jobs until that watch is answered.
-TEST_F(pool_operator_follower, watch_after_slow_pages_is_short)
+// Over a slow link the configuration is already outdated when it arrives. If a
+// long watch followed, the instance would refuse jobs until that watch is
+// answered.
+TEST_F(pool_operator_follower, watch_after_slow_first_read_is_short)
 {
     follower.start(now);
     now += 1200ms;
-    answer_call(call(), ports::kv_status::done);
-    auto const next = call();
+    answer_call(take_call(), ports::kv_status::done);
+    auto const next = take_call();
     auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
     ASSERT_NE(watch, nullptr);
     EXPECT_EQ(watch->wait,
@@ -111,11 +113,13 @@
 // If watches did not advance while operators write nothing, their revision
 // would drop out of the store's history, and every instance would read all keys
 // again.
-TEST_F(pool_operator_follower, watches_without_changes_stay_within_the_history)
+TEST_F(pool_operator_follower,
+       watches_without_changes_stay_within_the_store_history)
 {
+    // The store's revision grows by one per second in this test.
     constexpr auto history = 20s;
     follower.start(now);
-    answer_call(call(), ports::kv_status::done);
+    answer_call(take_call(), ports::kv_status::done);
     auto const started_at = now;
     auto const revision_at = [started_at](time_point time)
     {
@@ -123,7 +127,7 @@
     };
     for (int answers = 0; answers < 100; ++answers)
     {
-        auto const next = call();
+        auto const next = take_call();
         auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
         ASSERT_NE(watch, nullptr);
         EXPECT_LE(watch->after, revision_at(now));
@@ -134,16 +138,16 @@
 }
 
 // A stalled watch may have missed a change, so its answers without events must
-// not advance the revision of the next watch at once.
+// not advance the revision of the next watch within `watch_overlap`.
 TEST_F(pool_operator_follower, stalled_watch_does_not_skip_changes)
 {
     constexpr auto stalled_for = 8s;
     follower.start(now);
-    answer_call(call(), ports::kv_status::done);
+    answer_call(take_call(), ports::kv_status::done);
     auto const started_at = now;
     while (now - started_at < stalled_for)
     {
-        auto const next = call();
+        auto const next = take_call();
         auto const* const watch = std::get_if<ports::kv_watch>(&next.operation);
         ASSERT_NE(watch, nullptr);
         EXPECT_EQ(watch->after, revision);
