--- a/src/core/pool/owner_takeover.cpp
+++ b/src/core/pool/owner_takeover.cpp
@@ -175,7 +175,8 @@
 // workers have answered this owner, they know the new fencing token. An earlier
 // owner can then renew leases for at most one quorum window, and the last one
 // expires one lease duration later. Without such a quorum, an earlier owner
-// stops at `quorum_limit`. Also records the time at which the quorum was
+// stops `quorum_limit` after its last confirmed renewal, which was before this
+// owner acquired the claim. Also records the time at which the quorum was
 // reached.
 bool owner::earlier_leases_ended(common::time_point now)
 {
