--- a/src/core/membership/member.hpp
+++ b/src/core/membership/member.hpp
@@ -86,7 +86,8 @@
     void remove(common::time_point now, ports::actions& out);
     bool is_removed() const noexcept;
 
-    /// Whether the newest proof is younger than `proof_lifetime`.
+    /// Whether this member participates, was active within `pause_limit` and
+    /// has a proof younger than `proof_lifetime`.
     bool may_act(common::time_point now) const noexcept;
     /// Age of the newest proof; one year if there is none.
     common::duration proof_age(common::time_point now) const noexcept;
--- a/src/core/requests/entry_engine.hpp
+++ b/src/core/requests/entry_engine.hpp
@@ -37,7 +37,7 @@
 struct entry_status
 {
     entry_phase phase = entry_phase::joining;
-    bool may_act = false; ///< Whether the membership proof is valid.
+    bool may_act = false; ///< See `membership::member::may_act`.
     common::duration proof_age{};
     std::uint64_t revision = 0; ///< Revision of the current configuration.
     std::size_t members = 0;
