--- a/src/adapters/http/client.cpp
+++ b/src/adapters/http/client.cpp
@@ -22,8 +22,8 @@
 using ports::exchange_status;
 using tcp = asio::ip::tcp;
 
-// Maximum time without new data while a late response is read. A lost packet
-// is retransmitted after 200 ms.
+// Maximum time without new data while a late response is read. It is longer
+// than the 200 ms after which a lost packet is retransmitted.
 constexpr core::common::duration max_read_gap = std::chrono::milliseconds(400);
 } // namespace
 
@@ -98,7 +98,8 @@
         connect();
     }
 
-    // Watches the idle connection and closes it if anything arrives.
+    // Closes the idle connection when anything arrives on it or `idle_timeout`
+    // has passed.
     void watch_idle()
     {
         arm(owner_->settings_.idle_timeout);
@@ -113,7 +114,8 @@
                            });
     }
 
-    // Ends the watch of `watch_idle`. Returns whether the connection is usable.
+    // Ends the watch that `watch_idle` started. Returns whether the connection
+    // is usable: still open, with no data to read.
     bool end_idle_watch()
     {
         ++watch_id_;
@@ -177,7 +179,7 @@
 
     void on_deadline()
     {
-        // After a stall of this process the handler may still run for the
+        // After a stall of this process, `on_deadline` may still run for the
         // deadline of an earlier call.
         if (deadline_.expiry() > core::common::clock::now())
         {
@@ -219,7 +221,8 @@
     // large response may take longer on a slow link; if it were aborted and
     // requested again, it would never complete. Also, after a stall of this
     // process, its timers and the data received meanwhile are due at the same
-    // time. A call that drains reads the response in any case.
+    // time. Returns false for a call with `drain` set, since such a call reads
+    // the late response in any case.
     bool is_receiving_response()
     {
         auto const now = core::common::clock::now();
@@ -235,7 +238,7 @@
     }
 
     // Returns a value that grows with each byte of the response that arrives
-    // and with each byte that is parsed.
+    // and with each byte of its body that is parsed.
     std::size_t progress()
     {
         beast::error_code ignored;
@@ -395,10 +398,12 @@
     bool sent_ = false; ///< A byte of the current call may have been sent.
     bool ended_ = true;
     bool timed_out_ = false;
-    std::size_t progress_ = 0; ///< Value at the last check after the timeout.
-    /// End of reading a response that was still arriving at the timeout.
+    std::size_t progress_ = 0; ///< `progress()` at the last check.
+    /// Time at which reading ends of a response that was still arriving at the
+    /// timeout.
     std::optional<core::common::time_point> read_deadline_;
-    bool final_check_done_ = false; ///< Check after `read_deadline_`.
+    /// Whether the only check allowed after `read_deadline_` has been made.
+    bool final_check_done_ = false;
     std::uint64_t call_started_ =
         0; ///< `event_counter_` at the start of the call.
     std::uint64_t last_response_ =
@@ -466,8 +471,11 @@
     }
 }
 
+// Closes the idle connections to the endpoint of `silent_connection` that have
+// received no response since the call on `silent_connection` started.
 // Connections to one endpoint can become unresponsive together, without a
-// reset. If they were used one after the other, each would cost a call.
+// reset. If the idle connections were then used one after the other, each would
+// cost a call.
 void client::pool::close_silent_idle(connection const& silent_connection)
 {
     auto const it = endpoints_.find(silent_connection.remote_endpoint());
--- a/src/adapters/http/message.hpp
+++ b/src/adapters/http/message.hpp
@@ -42,21 +42,22 @@
 /// Returns a response with the given status and a JSON body.
 response json_response(std::uint16_t status, std::string body);
 
-/// Returns an error response in the format of docs/API.md: the HTTP status of
-/// the result code, its number and name in a header and in the body, and the
-/// outcome that the caller may assume for its request.
+/// Returns an error response in the format of docs/API.md. The result code
+/// determines the HTTP status; its number and name are in a header and in the
+/// body. A second header states the outcome that the caller may assume for the
+/// request.
 response failure_response(core::common::failure const& reason);
 
-/// Returns whether a header applies to a single connection and must not be
-/// forwarded. This includes the headers that the HTTP library writes itself.
+/// Returns whether a header must not be forwarded, because it applies to a
+/// single connection or is set by the HTTP client or server itself.
 bool is_hop_by_hop(std::string_view header_name) noexcept;
 
 /// Compares two strings in a run time that does not reveal where they differ.
 bool equal_in_constant_time(std::string_view lhs,
                             std::string_view rhs) noexcept;
 
-/// Parses "127.0.0.1:8080" or "[::1]:8080". Empty if the text is not an IP
-/// address with a port.
+/// Parses an endpoint such as "127.0.0.1:8080" or "[::1]:8080". The result is
+/// empty if the text is not an IP address with a port.
 std::optional<ports::endpoint> parse_endpoint(std::string_view text) noexcept;
 std::string to_string(ports::endpoint const& value);
 
--- a/src/adapters/logging/logger.cpp
+++ b/src/adapters/logging/logger.cpp
@@ -29,9 +29,10 @@
     return logger;
 }
 
-// Returns a field value for the log, truncated to `max_value_bytes`. Values
-// with spaces or quotes are quoted; control characters become spaces, so that
-// no value can start a new line.
+// Returns a field value for the log, truncated to `max_value_bytes`. Empty
+// values and values with spaces, double quotes or control characters are put in
+// double quotes. Double quotes in a value become single quotes, and control
+// characters become spaces, so that no value can start a new line.
 std::string printable(std::string_view value)
 {
     std::string text;
@@ -68,8 +69,8 @@
     properties.setProperty("log4cplus.appender.console",
                            "log4cplus::ConsoleAppender");
     properties.setProperty("log4cplus.appender.console.logToStdErr", "false");
-    // Buffered lines are lost if the process is killed, and they are the ones
-    // that tell the cause.
+    // Buffered lines would be lost if the process is killed, and the last lines
+    // are the ones that show the cause.
     properties.setProperty("log4cplus.appender.console.ImmediateFlush", "true");
     properties.setProperty("log4cplus.appender.console.layout",
                            "log4cplus::PatternLayout");
@@ -82,7 +83,7 @@
 }
 
 // The destructors of log4cplus wait for its thread pool, which this project
-// does not use. If those threads do not end, a process that has logged
+// does not use. If the pool's threads do not end, a process that has logged
 // "stopped" keeps running until it is killed seconds later. Each planned stop
 // then uses up its whole grace time, and the instance is unavailable for as
 // long.
--- a/src/adapters/peer/transport.hpp
+++ b/src/adapters/peer/transport.hpp
@@ -21,32 +21,40 @@
     /// "127.0.0.0/8".
     std::vector<std::string> allowed;
     core::common::duration connect_timeout = std::chrono::seconds(1);
-    /// Maximum size of the send queue of one peer. Messages beyond it are
-    /// dropped; the timeouts of the sender handle the loss like that of a
-    /// packet.
+    /// Maximum size of the send queue of one peer. A message that would exceed
+    /// it is dropped; the sender detects the loss by its own timeout, as it
+    /// detects the loss of a message on the network.
     std::size_t queue_bytes = 8 * 1024 * 1024;
     std::uint32_t connections = 512; ///< Maximum number of inbound connections.
 };
 
 struct transport_counts
 {
+    /// Frames sent, including the first frame of each connection, which carries
+    /// the token and no message.
     std::uint64_t sent = 0;
-    std::uint64_t received = 0;
+    std::uint64_t received = 0; ///< Messages received, without first frames.
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
+    /// Outbound messages that were not sent, and inbound messages that the
+    /// handler did not accept.
     std::uint64_t dropped = 0;
+    /// Inbound connections that were refused or were closed because of an
+    /// invalid frame.
     std::uint64_t refused = 0;
 };
 
 /// Transport of FlatBuffers frames over TCP. Each member opens a connection to
 /// each peer that it sends messages to; replies arrive on the connection that
-/// the peer opens in the other direction. Messages may be lost with a
-/// connection, but are never truncated, duplicated or reordered on one.
+/// the peer opens in the other direction. Messages may be lost when a
+/// connection is closed, but a connection never truncates, duplicates or
+/// reorders messages.
 class transport
 {
 public:
-    /// Called on `io` for each message. Returns false if the message could not
-    /// be accepted and its connection must be closed.
+    /// Called for each received message on the `io_context` given to the
+    /// constructor. Returns false if the message could not be accepted and its
+    /// connection must be closed.
     using handler = std::function<bool(ports::peer_receive)>;
 
     transport(boost::asio::io_context& io,
--- a/src/adapters/settings/entry_settings.cpp
+++ b/src/adapters/settings/entry_settings.cpp
@@ -55,8 +55,8 @@
         table.duration_or("idle_timeout_ms", 30s, 100ms, 1h);
     result.upstreams.body_bytes = static_cast<std::uint64_t>(
         table.integer_or("answer_bytes", 2 * megabyte, 1024, 3 * megabyte));
-    // The slot of a request is released after `max_execution` at the latest, so
-    // a late response is waited for just as long.
+    // The upstream slot of a request is released after `max_execution` at the
+    // latest, so the client waits for a late response for the same time.
     result.upstreams.drain_timeout = engine.max_execution;
     table.reject_unknown_keys();
 }
--- a/src/core/config/change_writer.hpp
+++ b/src/core/config/change_writer.hpp
@@ -18,8 +18,9 @@
 {
     change requested_change;
     /// Revision that the operator has seen. The change conflicts if the same
-    /// contract or data centre was changed after it. If not set, the change
-    /// conflicts only with one that is made while this one is in progress.
+    /// contract or data centre was changed after this revision, or if the index
+    /// has not reached it. If not set, the revision of the first index that the
+    /// writer reads is used, so that only a change made meanwhile conflicts.
     std::optional<std::uint64_t> if_revision;
     /// Unique for each change of each process; letters, digits and dots.
     std::string write_id;
@@ -47,22 +48,24 @@
 {
     /// Pause before the retry of a call.
     common::duration retry_interval = std::chrono::milliseconds(200);
-    /// Time since the start after which no further call is sent.
+    /// Time since the start after which no further call is sent for a change
+    /// without a result; the change then fails. The calls that erase
+    /// unreferenced documents after the result are not limited.
     common::duration give_up_after = std::chrono::seconds(5);
     /// Maximum number of compare-and-swaps lost to changes of other contracts
     /// or data centres, after which this change ends in a conflict.
     std::uint32_t max_lost_races = 16;
 };
 
-/// Writes one change to the store. It reads the index, checks that the same
-/// contract or data centre has not been changed by another writer, writes the
-/// contract's document, and replaces the index by one compare-and-swap. Only
-/// one call is in flight at a time.
+/// Writes one change to the store. The writer reads the index, checks that the
+/// same contract or data centre has not been changed by another writer, writes
+/// the document of a new or changed contract, and replaces the index by one
+/// compare-and-swap. Only one call is in flight at a time.
 ///
 /// If the reply to the swap is lost, the outcome is determined by reading the
-/// index again, which names the writers of its newest revisions. While the
-/// index is unchanged, the same swap is sent again; at most one of the two
-/// succeeds, since both expect the same version.
+/// index again, which contains the write ids of its newest revisions. While the
+/// index is unchanged, the same swap is sent again; at most one of these swaps
+/// succeeds, since all of them expect the same version.
 class change_writer
 {
 public:
@@ -84,8 +87,8 @@
     change_request const& request() const noexcept;
     /// Returns the outcome; empty while it is not known.
     std::optional<change_result> const& result() const noexcept;
-    /// Whether the writer has no more calls to send. It still erases
-    /// unreferenced documents after the result is set.
+    /// Whether the writer has no more calls to send. After a change of a
+    /// contract is accepted, the writer still erases unreferenced documents.
     bool finished() const noexcept;
 
 private:
@@ -131,13 +134,14 @@
     common::time_point retry_at_{};
     std::optional<std::uint64_t> pending_call_id_; ///< Call in flight.
     bool send_due_ = false; ///< Whether the call of `step_` is to be sent now.
-    /// A later change to the same contract or data centre is a conflict.
+    /// Revision on which the change is based. A change to the same contract or
+    /// data centre after this revision is a conflict.
     std::optional<std::uint64_t> base_revision_;
     std::uint32_t lost_races_ = 0;
     std::optional<sent_swap> swap_;
     std::string previous_document_; ///< Document that this change replaces.
-    std::vector<ports::store_entry> unreferenced_documents_; ///< At most
-                                                             ///< `max_erased`.
+    /// Documents still to be erased; at most `max_erased` of them.
+    std::vector<ports::store_entry> unreferenced_documents_;
 };
 
 } // namespace fuchsia::core::config
--- a/src/core/membership/fencing.cpp
+++ b/src/core/membership/fencing.cpp
@@ -13,24 +13,25 @@
 
 /// Additional wait of each rank in the hash order of the observers.
 constexpr common::duration rank_delay_step = std::chrono::milliseconds(400);
-/// Rank from which on the wait no longer grows, so that a takeover does not
-/// depend on many other members.
+/// Rank from which on the additional wait no longer grows, so that the time of
+/// a takeover does not grow with the number of members.
 constexpr std::size_t max_delayed_rank = 6;
 
 /// Minimum and maximum interval between consent requests. The interval doubles
-/// with each request: a member that lost only the store keeps running for a
-/// long time on the promises of the witnesses that receive these requests.
+/// with each request: a member that has lost only its connection to the store
+/// can run for a long time on promises, and its witnesses would receive these
+/// requests all that time.
 constexpr common::duration min_query_interval = std::chrono::milliseconds(500);
 constexpr common::duration max_query_interval = std::chrono::seconds(4);
 
-/// Time after which a fencing write is retried that failed or whose outcome is
-/// unknown.
+/// Time from the reply to a fencing write that failed or whose outcome is
+/// unknown until the write is retried.
 constexpr common::duration write_retry_interval =
     std::chrono::milliseconds(500);
 
 /// Interval at which the records are read, for `watch_duration`, once a record
 /// has been unchanged for `fencing_delay`, so that all members learn of the
-/// fencing at once. After that the regular list interval applies.
+/// fencing soon. After `watch_duration` the regular list interval applies.
 constexpr common::duration watch_interval = std::chrono::milliseconds(500);
 constexpr common::duration watch_duration = std::chrono::seconds(10);
 
@@ -103,7 +104,8 @@
 }
 
 // Drops candidates whose record was fenced or removed or has changed. A
-// candidate with a write in flight is kept until its reply has arrived.
+// candidate with a fencing write in flight is kept until the reply to the write
+// has arrived.
 void fencing::drop_outdated(roster const& members)
 {
     std::erase_if(candidates_,
@@ -116,10 +118,14 @@
                   });
 }
 
-// A heartbeat that was applied before the first list was also sent before it,
-// so its proof ends within `fencing_delay` of that list. A heartbeat that was
-// applied after the first list has changed the version. `version_seen` is the
-// time at which the reply to the first list arrived.
+// Returns whether two lists from the store show the record at the same version,
+// the second list sent at least `fencing_delay` after the reply to the first
+// arrived (`version_seen`). A heartbeat that was applied before the first list
+// was read was also sent before, so the proof from this heartbeat ends within
+// `fencing_delay` of the first list. A heartbeat that was applied after the
+// first list would have changed the version. Without
+// `require_unchanged_version`, every readable record that is not fenced counts
+// as unchanged.
 bool fencing::is_unchanged(observed_record const& observed,
                            roster const& members) const
 {
@@ -205,11 +211,14 @@
     return static_cast<std::size_t>(consenting) > value.witnesses.size() / 2;
 }
 
-// A terminated witness gave its last promise before it terminated, so its
-// promises have expired `fencing_delay` after its termination was observed. An
-// unchanged or fenced record does not show that the witness has terminated: it
-// may have lost only the store and still give promises. A removed record does
-// not show it either, because an operator may have removed it by mistake.
+// Returns whether a witness is known to have terminated so long ago that its
+// promises have expired. A terminated witness gave its last promise before it
+// terminated, so its promises have expired `fencing_delay` after its
+// termination was observed. An unchanged or fenced record does not show that
+// the witness has terminated: the witness may have lost only its connection to
+// the store and still give promises. A removed record does not show a
+// termination either, because an operator may have removed the record by
+// mistake.
 bool fencing::can_no_longer_promise(common::time_point now,
                                     ports::member_identity const& witness,
                                     roster const& members,
@@ -260,7 +269,9 @@
 }
 
 // Schedules the next read for the time at which a record will have been
-// unchanged for `fencing_delay`, so that the regular lists can be rare.
+// unchanged for `fencing_delay`, so that the interval between regular lists can
+// be long. Once a record has been unchanged for that time, the next read is due
+// after `watch_interval`, for `watch_duration`.
 common::time_point fencing::next_read_at(common::time_point now,
                                          ports::member_identity const& observer,
                                          roster const& members) const
--- a/src/core/membership/platform_list.cpp
+++ b/src/core/membership/platform_list.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Factor on the required time of absence for a name that no list has
-/// contained.
+/// Factor on the required time of absence for a name that no list has contained
+/// since the instance was first seen.
 constexpr int never_listed_factor = 10;
 
 } // namespace
--- a/src/core/membership/settings.hpp
+++ b/src/core/membership/settings.hpp
@@ -7,16 +7,16 @@
 namespace fuchsia::core::membership
 {
 
-/// Timing on which the safety of every claim depends. `is_consistent` checks
-/// the values against each other: two heartbeat intervals must be shorter than
-/// the proof lifetime, and the proof lifetime with clock drift shorter than the
-/// fencing delay.
+/// Timing of the membership protocol. The safety of every claim (a member's
+/// exclusive ownership of a partition) depends on it. `is_consistent` checks
+/// the values against each other.
 ///
 /// Store calls per second of a role with n members: 2n heartbeats (one write
 /// per heartbeat_interval) and n/2 lists (one read per list_interval). Two
 /// roles of 9: 36 writes and 9 reads. Two roles of 33 (11 data centres x 3):
 /// 132 writes and 33 reads. Both are far below the limits of several hundred
-/// writes and 2,000 reads. A test counts the calls.
+/// writes and 2,000 reads. The test
+/// `store_calls.steady_state_stays_within_the_budget` counts the calls.
 struct settings
 {
     /// Time between two heartbeats.
@@ -24,17 +24,18 @@
     /// Time for which a proof allows its member to act, counted from the time
     /// at which the heartbeat or promise request was sent.
     common::duration proof_lifetime = std::chrono::seconds(2);
-    /// Time for which the record must be unchanged and no promise given before
-    /// a member may be fenced.
+    /// Time for which a member's record must have been unchanged, and for which
+    /// a witness must have given the member no promise before it consents,
+    /// before the member may be fenced.
     common::duration fencing_delay = std::chrono::seconds(3);
-    /// Maximum time without activity. A longer gap counts as a pause of the
-    /// process and invalidates all proofs.
+    /// Maximum time without activity of this process. A longer gap counts as a
+    /// pause of the process and invalidates its proof.
     common::duration pause_limit = std::chrono::milliseconds(800);
     /// Maximum number of witnesses that a member names.
     std::uint32_t witness_count = 5;
-    /// Whether information from the platform may replace the consent of
-    /// terminated witnesses: its list no longer contains them, or it runs a
-    /// newer process under their name. If false, an operator must remove a
+    /// Whether the consent of a witness may be replaced by evidence that the
+    /// witness has terminated: the platform's list no longer contains it, or a
+    /// newer process runs under its name. If false, an operator must remove a
     /// member whose witnesses have terminated.
     bool platform_list_replaces_consent = true;
     /// Time between two reads of all records of the role; reads are more
@@ -48,8 +49,10 @@
 constexpr std::int64_t max_drift_permille = 30;
 
 /// Whether the values satisfy the safety conditions: `proof_lifetime` must have
-/// ended on the slowest clock before `fencing_delay` ends on the fastest, and
-/// `proof_lifetime` must leave time for two attempts at a heartbeat.
+/// ended on the slowest clock before `fencing_delay` ends on the fastest,
+/// `proof_lifetime` must leave time for two attempts at a heartbeat, and
+/// `pause_limit` must be shorter than `proof_lifetime`. `heartbeat_interval`
+/// and `list_interval` must be positive.
 constexpr bool is_consistent(settings const& value) noexcept
 {
     return value.heartbeat_interval.count() > 0 &&
--- a/src/core/placement/bench.cpp
+++ b/src/core/placement/bench.cpp
@@ -56,6 +56,8 @@
         return false;
     }
 
+    // Removes the newest task of a random worker; does nothing if the worker
+    // has no task.
     void remove_one()
     {
         auto& rack = racks_[random_() % racks_.size()];
@@ -116,6 +118,8 @@
             victim, neighbours, 1 + static_cast<double>(random_() % 100) / 100);
     }
 
+    // Adds a decision to the signature, an FNV-1a hash over whole numbers
+    // instead of bytes.
     void update_signature(std::uint64_t value) noexcept
     {
         signature_ = (signature_ ^ value) * 1099511628211ULL;
--- a/src/programs/ctl/answers.hpp
+++ b/src/programs/ctl/answers.hpp
@@ -7,16 +7,17 @@
 #include <string>
 #include <string_view>
 
-// Output of planners' answers in a form for operators.
+// Prints the planners' JSON answers as text for operators.
 namespace fuchsia::programs::ctl
 {
 
-/// The array under `key`; an empty one if there is none.
+/// Returns the array under `key`; an empty array if there is no such key or its
+/// value is not an array.
 boost::json::array const& array_of(boost::json::object const& body,
                                    std::string_view key);
-/// The value under `key` as text; "-" if there is none.
+/// Returns the value under `key` as text; "-" if there is no such key.
 std::string text_of(boost::json::object const& body, std::string_view key);
-/// The value of "revision"; 0 if there is none.
+/// Returns the value of "revision"; 0 if there is no such key.
 std::uint64_t revision_of(boost::json::object const& body);
 
 void print_revision(std::ostream& out, boost::json::object const& body);
--- a/src/programs/entry/entry_program.cpp
+++ b/src/programs/entry/entry_program.cpp
@@ -16,7 +16,8 @@
 namespace http = adapters::http;
 
 constexpr std::size_t send_ring_capacity = 8192;
-/// Each exchange ends at most twice, and slots bound the number of exchanges.
+/// Each exchange reports its end at most twice, as `timed_out` and then as
+/// `drained` or `lost`. The upstreams' slots bound the number of exchanges.
 constexpr std::size_t end_ring_capacity = 32'768;
 constexpr core::common::duration sample_interval = std::chrono::seconds(1);
 
@@ -182,7 +183,8 @@
 }
 
 // The engine of the fenced incarnation is kept until its requests on upstreams
-// have ended and are answered; everything else goes to the new engine.
+// have ended and are answered. The fenced engine receives only ticks and the
+// ends of exchanges with upstreams; all other events go to the new engine only.
 void entry_program::on_rejoin(time_point now,
                               ports::member_identity const& self)
 {
@@ -207,7 +209,10 @@
     }
 }
 
-// A fenced incarnation may answer its callers but must send nothing else.
+// Performs the pending actions. `retired` tells that they come from the engine
+// of a fenced incarnation. Such an incarnation may answer its callers and write
+// log lines, but must send nothing to the store, peers or upstreams. Upstream
+// sends are not filtered here, because a retired engine requests none.
 void entry_program::perform(time_point now, bool retired)
 {
     auto actions = std::exchange(actions_, {});
--- a/src/programs/planner/planner_program.hpp
+++ b/src/programs/planner/planner_program.hpp
@@ -17,8 +17,8 @@
 namespace fuchsia::programs::planner
 {
 
-/// `fuchsia-planner`: runs the engine on the decision thread of the daemon
-/// runtime, and the calls to workers on a thread of their own.
+/// `fuchsia-planner`: runs the planner's engine on the decision thread of the
+/// daemon runtime, and the calls to workers on a separate thread.
 class planner_program
 {
 public:
@@ -26,13 +26,14 @@
         adapters::settings::planner_daemon_settings settings);
     ~planner_program();
 
-    /// Runs until the process is stopped and returns the exit status. Empty,
-    /// with `reason` set, if an address can't be bound.
+    /// Runs until the process is stopped and returns the exit status. If an
+    /// address can't be bound, the result is empty and `reason` is set.
     std::optional<int> run(core::common::failure& reason);
 
 private:
-    // The generation counts the engines of this process. Replies to calls of an
-    // earlier engine are dropped.
+    // `generation` is the number of the engine that made the call; it grows
+    // with each engine of this process. Replies to calls of an earlier engine
+    // are dropped.
     struct outgoing_call
     {
         std::uint64_t generation = 0;
@@ -92,15 +93,16 @@
     std::vector<std::string> followed_racks_;
     core::common::time_point last_tick_{};
     core::common::time_point next_sample_{};
-    std::set<std::uint64_t> open_requests_; ///< Requests without an answer.
+    /// HTTP requests without an answer.
+    std::set<std::uint64_t> open_requests_;
     // State of the workers' thread.
-    /// Origin of a call in flight.
+    /// Engine that made a call in flight, and the engine's number of the call.
     struct open_call
     {
         std::uint64_t generation = 0;
-        std::uint64_t id = 0; ///< Number given by the engine.
+        std::uint64_t id = 0; ///< Call number assigned by the engine.
     };
-    /// Calls in flight by the number given on the workers' thread.
+    /// Calls in flight by the call number assigned on the workers' thread.
     std::map<std::uint64_t, open_call> open_calls_;
     std::uint64_t last_call_ = 0;
 };
