--- a/standins/common/process_address.hpp
+++ b/standins/common/process_address.hpp
@@ -16,7 +16,8 @@
            std::to_string(id / 256 % 256) + "." + std::to_string(id % 256);
 }
 
-/// Returns the next port of the process's loopback address, counting upwards.
+/// Returns the next unused port of the process's loopback address, from 20,001
+/// upwards.
 inline std::uint16_t next_loopback_port()
 {
     static std::uint16_t next = 20'000;
--- a/standins/common/registrar.hpp
+++ b/standins/common/registrar.hpp
@@ -11,7 +11,7 @@
 namespace fuchsia::standins
 {
 
-/// Registration of one instance in the platform's catalog.
+/// Registration of one instance in the platform's service catalog.
 struct instance_registration
 {
     std::string id;
@@ -21,9 +21,9 @@
     std::vector<ports::header> meta;
 };
 
-/// Registers the instances of a stand-in with the stand-in platform. Each
-/// instance is registered once per interval, and the calls are spread evenly
-/// over the interval.
+/// Registers the instances of a stand-in with the stand-in platform, again and
+/// again until `stop`. Each instance is registered once per interval, and the
+/// calls are spread evenly over the interval.
 class registrar
 {
 public:
--- a/standins/links/link_server.cpp
+++ b/standins/links/link_server.cpp
@@ -113,8 +113,8 @@
         {
             link->set_delay(std::chrono::milliseconds(delay));
         }
-        // The reset precedes the change of the cut, so that bytes queued during
-        // a cut are never delivered.
+        // The reset precedes the change of the cut, so that a call that resets
+        // the link and ends a cut does not deliver bytes queued during the cut.
         if (reset)
         {
             link->reset();
--- a/standins/pool/pool_server.hpp
+++ b/standins/pool/pool_server.hpp
@@ -23,8 +23,8 @@
     /// Port of the first worker; the others follow it. All workers listen at
     /// the store's address.
     std::uint16_t first_worker_port = 0;
-    /// First worker port in the published list, for workers behind relays; 0 is
-    /// `first_worker_port`.
+    /// Port of the first worker in the published list, for workers behind
+    /// relays; 0 means `first_worker_port`.
     std::uint16_t advertised_worker_port = 0;
     std::uint32_t workers = 4;
     ports::resources capacity{8000, 8000, 0};
@@ -33,7 +33,7 @@
     std::string prefix = "/jobs/";
 };
 
-/// Defects of the stand-in that a check has to detect.
+/// Deliberate defect of the stand-in, to test that a check detects it.
 enum class planted_defect : std::uint8_t
 {
     none,
@@ -47,8 +47,8 @@
 
 /// Stand-in for the users' platform in one process: the store and some workers,
 /// over HTTP in the platform's formats. GET /control/counts on the store's
-/// address returns the number of starts and of violated guarantees that the
-/// workers have counted.
+/// address returns the number of starts, of starts of a task that also runs on
+/// another worker, and of starts of a task whose end as done was acknowledged.
 class pool_server
 {
 public:
@@ -63,14 +63,14 @@
     /// Store, for writes of the operator's records and for faults of the store.
     kv_state& store() noexcept;
     fault_gate& store_fault_gate() noexcept;
-    /// Drops the watches that wait now: they are never answered.
+    /// Drops all pending watches without answering them.
     void stall_watches();
 
     std::size_t workers() const noexcept;
     ports::pool_worker const& info(std::size_t worker) const;
     fault_gate& worker_fault_gate(std::size_t worker);
-    /// Ends the worker with all its tasks. Its entry stays in the list for a
-    /// while.
+    /// Ends the worker with all its tasks. The worker's entry stays in the
+    /// published list for a few heartbeat intervals.
     void crash(std::size_t worker);
     /// Starts a new incarnation at the same address, under the same id or a new
     /// one.
--- a/standins/pool/worker_state.cpp
+++ b/standins/pool/worker_state.cpp
@@ -16,7 +16,8 @@
 namespace
 {
 
-// Worker clocks do not start at 0, because 0 stands for "unknown".
+// Clock of a new worker. It is not 0, because the pool treats clock 0 as
+// unknown.
 constexpr std::uint64_t clock_start_ms = 1000;
 
 std::uint64_t fencing_token_of(ports::pool_operation const& order)
@@ -29,7 +30,8 @@
         order);
 }
 
-// Returns the number after `name` in a script, or `fallback` if it is absent.
+// Returns the number after `name` in a task's spec, or `fallback` if there is
+// none.
 std::uint64_t
 number_in(std::string_view spec, std::string_view name, std::uint64_t fallback)
 {
--- a/tests/contract/adapters/silent_connections_test.cpp
+++ b/tests/contract/adapters/silent_connections_test.cpp
@@ -20,12 +20,13 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Far longer than any test needs; reached only if a test hangs.
+// Time limit of `exchange`, far longer than any test needs. It is reached only
+// if a test hangs.
 constexpr auto test_timeout = 20s;
 constexpr std::size_t call_count = 6;
 
-// A server that responds on every connection until `stop_answering` is called.
-// After that it responds only on connections opened later.
+// HTTP server that answers on every connection until `stop_answering` is
+// called. After that call it answers only on connections opened later.
 class server
 {
 public:
@@ -98,7 +99,8 @@
     std::size_t generation_ = 0;
 };
 
-// Sends `count` concurrent calls and waits until all have ended.
+// Sends `count` concurrent calls, waits until all have ended and returns their
+// statuses in the order of their ends.
 std::vector<exchange_status> exchange(asio::io_context& io,
                                       adapters::http::client& http_client,
                                       ports::endpoint const& remote_endpoint,
@@ -128,8 +130,8 @@
 
 } // namespace
 
-// Persistent connections became unresponsive together, and each of them cost
-// one more call.
+// When all persistent connections become unresponsive together, one timed-out
+// call must close the idle ones. Otherwise each of them fails one more call.
 TEST(silent_connections, one_timed_out_call_closes_all_idle_connections)
 {
     asio::io_context io;
--- a/tests/contract/docs/logs_page_test.cpp
+++ b/tests/contract/docs/logs_page_test.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// Returns the log events in the sources of the pool program.
+/// Returns the log events in the sources of the pool program and in the
+/// platform folder.
 std::set<std::string> events_in_code()
 {
     std::set<std::string> events;
@@ -40,8 +41,8 @@
 
 } // namespace
 
-// Guards against a logged event that the page lacks, and against a documented
-// event that no process writes.
+// Guards against a logged event that is missing in docs/LOGS.md, and against a
+// documented event that no source file writes.
 TEST(logs_page, documents_exactly_the_events_in_the_code)
 {
     std::set<std::string> documented_events;
--- a/tests/contract/inputs/peer_inputs_test.cpp
+++ b/tests/contract/inputs/peer_inputs_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 #include <span>
 
-// Malformed frames that were once accepted from peers.
+// Tests that malformed frames from peers are refused.
 namespace fuchsia::tests::contract::inputs
 {
 
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Anyone who could connect to the port could crash the process with a single
-// frame that has a message type but no message.
+// If a frame with a message type but no message were accepted, anyone who can
+// connect to the peer port could crash the process with a single frame.
 TEST(peer_inputs, frame_without_message_is_refused)
 {
     for (auto kind = static_cast<int>(schema::message_NONE) + 1;
@@ -40,8 +40,9 @@
     }
 }
 
-// An answer with an invalid HTTP status, or with a result code that is not in
-// the table, crashed the member that forwarded it.
+// An answer with an invalid HTTP status would crash the member that forwards
+// it. Decoding accepts a result code that is not in the table: `row_of` returns
+// the first row of the table for such a code.
 TEST(peer_inputs, forwarded_answer_with_invalid_status_is_refused)
 {
     using core::common::result_code;
--- a/tests/process/entry_test.cpp
+++ b/tests/process/entry_test.cpp
@@ -138,6 +138,8 @@
 
 } // namespace
 
+// Guards against a bid that runs more than once, or gets different answers,
+// when a caller repeats it with the same idempotency key at every entry.
 TEST(entry_process, bid_runs_once_and_every_entry_gives_the_same_answer)
 {
     entry_deployment system("alike");
--- a/tests/process/operators_test.cpp
+++ b/tests/process/operators_test.cpp
@@ -261,6 +261,8 @@
 
 } // namespace
 
+// Guards against a contract, or its withdrawal, that is reported as in force
+// everywhere but is missing on one of the planners.
 TEST_F(operators, contract_takes_effect_on_all_planners_and_can_be_withdrawn)
 {
     auto const put = run({"contract", "put", contract("mill", 9), "--wait"});
@@ -282,6 +284,8 @@
     EXPECT_EQ(run({"contract", "show", "mill"}, {1}).status, 1);
 }
 
+// Guards against a change of a data centre's state that is missing on another
+// planner, and against accepting a misspelt name of a data centre.
 TEST_F(operators, data_centre_is_taken_out_and_in_again)
 {
     EXPECT_EQ(run({"data-centre", "out", "kochi-a", "--wait"}).status, 0);
@@ -405,6 +409,8 @@
     EXPECT_THAT(put.text, HasSubstr("accepted as revision 1"));
 }
 
+// Guards against removing a planner that still runs, against commands that fail
+// because of a dead planner, and against `--wait` for a removed planner.
 TEST_F(operators, dead_planner_is_skipped_and_can_be_removed)
 {
     EXPECT_EQ(run({"member", "remove", "planner", names[1], "--gone"}).status,
@@ -447,6 +453,8 @@
     }
 }
 
+// Guards against accepting invalid input, unknown names or a wrong token, and
+// against a planner that stops because of them.
 TEST_F(operators, invalid_input_is_refused_and_planners_keep_running)
 {
     auto const bad = write("bad.json", R"({"customer":"mill"})");
--- a/tests/unit/pool/operators_test.cpp
+++ b/tests/unit/pool/operators_test.cpp
@@ -96,8 +96,8 @@
 }
 
 // Over a slow link the configuration is already outdated when it arrives. If a
-// long watch followed, the instance would refuse jobs until that watch is
-// answered.
+// long watch followed, the instance would refuse jobs until the answer to that
+// watch.
 TEST_F(pool_operator_follower, watch_after_slow_first_read_is_short)
 {
     follower.start(now);
@@ -116,7 +116,8 @@
 TEST_F(pool_operator_follower,
        watches_without_changes_stay_within_the_store_history)
 {
-    // The store's revision grows by one per second in this test.
+    // Time for which the store keeps a revision. The store's revision grows by
+    // one per second in this test.
     constexpr auto history = 20s;
     follower.start(now);
     answer_call(take_call(), ports::kv_status::done);
--- a/tests/unit/pool/operators_unsynced_test.cpp
+++ b/tests/unit/pool/operators_unsynced_test.cpp
@@ -12,7 +12,8 @@
 {
 
 constexpr std::string_view operators_prefix = "operators/";
-// Callers wait for 3 s, of which a new connection may take 0.7 s.
+// Time limit of an answer: callers wait for 3 s, of which a new connection may
+// take 0.7 s.
 constexpr auto answer_limit = 2300ms;
 
 bool concerns_operators(ports::kv_operation const& call)
@@ -23,7 +24,8 @@
            (watch != nullptr && watch->prefix == operators_prefix);
 }
 
-// Makes the store drop all requests of the instance for operators' keys.
+// Makes the store drop all reads and watches of operators' keys that come from
+// the instance `affected`.
 void cut_off_operators(pool_simulation& simulation, std::size_t affected)
 {
     simulation.store_fault =
@@ -60,8 +62,9 @@
 
 } // namespace
 
-// Reads that fail for a minute must show in the log, but with few lines. They
-// used to leave none.
+// Guards against failing reads of the configuration that leave no line in the
+// log, and against a log line for each of them: a minute of failures must leave
+// a few lines.
 TEST(pool_operators_unsynced, repeated_read_failures_are_logged_rarely)
 {
     pool_simulation simulation;
@@ -100,9 +103,9 @@
     EXPECT_TRUE(was_answered_with<ports::job_status>(simulation, request));
 }
 
-// With an outdated configuration the queue of a job may have been deleted, so
-// the instance must refuse new jobs, and the load balancer must send callers
-// elsewhere.
+// The queue of a job may have been deleted since an outdated configuration was
+// read, so the instance must refuse new jobs and report that it is not ready,
+// for the load balancer to send callers elsewhere.
 TEST(pool_operators_unsynced, jobs_are_refused_and_the_instance_is_not_ready)
 {
     pool_simulation simulation;
@@ -120,8 +123,8 @@
     EXPECT_NE(text_of(readiness.back()).find("ready=false"), std::string::npos);
 }
 
-// With an outdated configuration the queue may have been deleted, so its count
-// of waiting jobs must not be reported.
+// A queue may have been deleted since an outdated configuration was read, so
+// the instance must not report the number of jobs waiting in the queue.
 TEST(pool_operators_unsynced, no_waiting_count_with_an_outdated_configuration)
 {
     pool_simulation simulation;
@@ -133,7 +136,8 @@
     simulation.run(10s);
     for (int attempt = 0; attempt < 10; ++attempt)
     {
-        // The store's revision advances, so that the age of a count is known.
+        // The job advances the store's revision, so that the age of a count is
+        // known.
         simulation.submit(owner, std::to_string(attempt), simple_job(1, 100ms));
         EXPECT_EQ(simulation.reported_waiting_jobs(cut_off), std::nullopt);
         simulation.run(700ms);
@@ -141,7 +145,7 @@
 }
 
 // Consecutive calls to a store that does not answer must not take longer than
-// the caller waits, or it gets no answer instead of a refusal.
+// the caller waits, or the caller gets no answer instead of a refusal.
 TEST(pool_operators_unsynced, query_is_answered_within_the_caller_timeout)
 {
     std::vector<std::set<std::size_t>> const lost_read_sets{{1, 2}, {1, 3}};
@@ -170,8 +174,8 @@
     }
 }
 
-// A cancellation must be answered in time even if its read from the store takes
-// almost the whole time limit of that call and its commit is lost.
+// A cancellation must be answered in time even if the read of its job takes
+// almost the whole time limit of a store call and the commit is lost.
 TEST(pool_operators_unsynced,
      cancellation_is_answered_within_the_caller_timeout)
 {
--- a/tests/unit/pool/revision_times_test.cpp
+++ b/tests/unit/pool/revision_times_test.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// Failure: a record is considered newer than it is when answers arrive late or
-// out of order.
+// Guards against considering a record newer than it is when answers arrive late
+// or out of order.
 TEST(revision_times, the_age_of_a_record_counts_from_the_time_the_call_was_sent)
 {
     revision_times times;
@@ -33,8 +33,8 @@
     EXPECT_EQ(times.complete_until(30), at(3000ms));
 }
 
-// Failure: an answer without a revision counts as an answer from an empty
-// store.
+// Guards against taking an answer without a revision for an answer from an
+// empty store.
 TEST(revision_times, an_answer_without_a_revision_is_ignored)
 {
     revision_times times;
@@ -42,7 +42,8 @@
     EXPECT_FALSE(times.complete_until(100).has_value());
 }
 
-// Failure: an instance fails on a malformed record of waiting jobs.
+// Guards against accepting a malformed record of waiting jobs, on which an
+// instance would fail.
 TEST(backlog, a_malformed_record_is_rejected_with_a_reason)
 {
     for (auto const* const text : {"",
--- a/tools/load/bench.hpp
+++ b/tools/load/bench.hpp
@@ -17,8 +17,9 @@
 /// tasks each. Adds every start and stop call to a worker to `decisions`.
 void bench_tasks(signature& decisions);
 
-/// Runs both simulations and prints their decisions per second and, as the last
-/// line, the signature that commit messages carry. Returns the exit status.
+/// Runs both simulations and prints the number and rate of their decisions and,
+/// as the last line, the signature that commit messages carry. Returns the exit
+/// status.
 int run_bench(std::ostream& out);
 
 } // namespace fuchsia::tools::load
--- a/tools/load/bench_tasks.cpp
+++ b/tools/load/bench_tasks.cpp
@@ -48,7 +48,8 @@
         self_.peer_address = {"10.0.0.1", 8091};
         self_.http_address = {"10.0.0.1", 8090};
         // The single planner of the bench does the work that nine planners
-        // share, so its store write limit is higher.
+        // share otherwise, so its limit of store writes is higher than the
+        // default.
         core::tasks::planner_settings settings;
         settings.store.writes_per_second = 400;
         settings.store.write_burst = 400;
@@ -165,8 +166,9 @@
             core::common::to_milliseconds(loop_.now().time_since_epoch()));
     }
 
-    // The latency of a service grows with the number of attempts on its worker,
-    // so that the planner has interference to learn.
+    // Returns the p99 latency of a service, which grows with the number of
+    // attempts on its worker, so that the planner has interference to learn;
+    // 0 for a batch task.
     static std::uint64_t latency_us(attempt const& current,
                                     std::size_t neighbours)
     {
--- a/tools/load/schedule.hpp
+++ b/tools/load/schedule.hpp
@@ -11,17 +11,17 @@
 {
 
 /// Open-loop schedule of the requests of one stream. The times depend only on
-/// the seed, not on the answers.
+/// the shape, the phases and the seed, not on the answers.
 class arrival_stream
 {
 public:
     struct shape
     {
-        double rate = 0; ///< Arrivals per second at factor 1.
-        bool poisson = true;
-        core::common::duration from{};
-        core::common::duration until{};
-        std::uint32_t burst_size = 0;
+        double rate = 0;     ///< Arrivals per second at factor 1.
+        bool poisson = true; ///< Poisson arrivals; otherwise evenly spaced.
+        core::common::duration from{};  ///< Offset from the start of the run.
+        core::common::duration until{}; ///< Offset of the end; 0: run's end.
+        std::uint32_t burst_size = 0;   ///< Requests per burst; 0: no bursts.
         core::common::duration burst_every = std::chrono::seconds(1);
     };
 
@@ -29,8 +29,8 @@
                    std::vector<phase> phases,
                    std::uint64_t seed);
 
-    /// Returns the time of the next request from the beginning of the run;
-    /// nothing after the last one.
+    /// Returns the time of the next request, counted from the start of the run;
+    /// empty after the last request.
     std::optional<core::common::duration> next();
 
 private:
--- a/tools/load/submitter.hpp
+++ b/tools/load/submitter.hpp
@@ -19,8 +19,9 @@
     std::uint64_t unanswered = 0; ///< No final answer after all attempts.
 };
 
-/// Submits the jobs of an experiment. If a planner does not answer, the job is
-/// sent to the next one. The retry is safe because it has the same job id.
+/// Submits the jobs of an experiment. If a planner does not answer, or answers
+/// with a server error or 429, the job is sent to the next planner after a
+/// pause. The retry is safe because it has the same job id.
 class submitter
 {
 public:
--- a/tools/soak/observation_log.hpp
+++ b/tools/soak/observation_log.hpp
@@ -18,10 +18,10 @@
 
     observation_log(std::string const& path, sink on_observation);
     void append(event new_event);
-    /// Writes an action of the soak itself to the file, without calling the
-    /// sink.
+    /// Writes a line about the soak test itself, such as the start of a
+    /// process, to the file, without calling the sink.
     void append_comment(std::string const& text);
-    /// Creation time of the log: zero of the times in the file.
+    /// Creation time of the log. Times in the file count from it.
     core::common::time_point created_at() const noexcept;
 
 private:
--- a/tools/soak/observed_history.hpp
+++ b/tools/soak/observed_history.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-// Observations so far, by job and task.
+// History of a soak run by job and task, built from its observations.
 namespace fuchsia::tools::soak
 {
 
@@ -67,11 +67,13 @@
     /// Whether all tasks of the step have ended as done. Always false for a
     /// long-running step.
     bool step_done(std::uint32_t step) const;
-    /// Time when the last task ended as done; empty if not all have.
+    /// Time when the last task ended as done; empty if a task has not, and
+    /// always empty for a job with a long-running step.
     std::optional<core::common::time_point> completed_at() const;
-    /// Time when the first task used up its attempts; empty if none has.
+    /// Time when the first task had failed in all its attempts; empty if no
+    /// task has. Tasks of long-running steps do not count.
     std::optional<core::common::time_point> failed_at() const;
-    /// Whether the job was accepted and no cancel may have taken effect.
+    /// Whether the job was accepted and no cancel can have taken effect.
     bool must_complete() const;
 };
 
@@ -86,8 +88,8 @@
     std::vector<violation> violations;
 
     /// Time from which a cancel of the job must take effect, as known at `at`.
-    /// An unanswered cancel counts too, once it has had enough time to be
-    /// acknowledged.
+    /// A cancel that was not acknowledged but may have taken effect counts too,
+    /// once the time limit of an acknowledgement has passed without a fault.
     std::optional<core::common::time_point>
     cancelled_since(job_history const& job, core::common::time_point at) const;
     /// Returns whether no fault was active for `length` before `at` and for the
