--- a/src/programs/entry/entry_metrics.cpp
+++ b/src/programs/entry/entry_metrics.cpp
@@ -51,7 +51,7 @@
           "Age of the newest proof of membership",
           adapters::metrics::seconds(status.proof_age));
     gauge("fuchsia_may_act",
-          "1 while a proof of membership is valid",
+          "1 while a proof of membership stands",
           status.may_act ? 1 : 0);
     gauge("fuchsia_config_revision",
           "Configuration revision in force",
@@ -72,7 +72,7 @@
           "Requests that wait for a slot",
           static_cast<double>(status.queued));
     gauge("fuchsia_requests_open",
-          "Known requests, including those that may still run somewhere",
+          "Requests known, those that may still run somewhere included",
           static_cast<double>(status.open));
     gauge("fuchsia_keys_remembered",
           "Idempotency keys remembered",
@@ -93,10 +93,10 @@
             "Requests passed to a peer for a free slot",
             static_cast<double>(counts.spilled));
     counter("fuchsia_keys_joined_total",
-            "Requests that waited for another request with their key",
+            "Sendings that waited for another sending of their key",
             static_cast<double>(counts.joined_keys));
     counter("fuchsia_keys_replayed_total",
-            "Requests answered with the remembered answer of their key",
+            "Sendings that got the remembered answer of their key",
             static_cast<double>(counts.replayed_keys));
     counter("fuchsia_takeovers_total",
             "Partitions taken over without their keys",
--- a/src/programs/pool/pool_metrics.cpp
+++ b/src/programs/pool/pool_metrics.cpp
@@ -19,9 +19,8 @@
     {{"fuchsia_pool_accept_seconds", "Submission to answer"},
      {"fuchsia_pool_wait_seconds", "Acceptance to first start"},
      {"fuchsia_pool_job_seconds", "Acceptance to recorded end"},
-     {"fuchsia_pool_end_durable_seconds", "End heard to end written durably"},
-     {"fuchsia_pool_takeover_seconds",
-      "Claim until the running tasks are known"}}};
+     {"fuchsia_pool_end_durable_seconds", "End heard to end written"},
+     {"fuchsia_pool_takeover_seconds", "Claim to knowing what runs"}}};
 
 // In the order of the alternatives of `ports::kv_operation`.
 constexpr std::array<char const*, 7> store_kinds{
@@ -83,7 +82,7 @@
     {
         histogram = &registry_.latency(
             "fuchsia_pool_store_seconds",
-            "Calls to the store",
+            "Calls of the store",
             {{"kind", store_kinds[kind]}, {"result", store_results[result]}});
     }
     histogram->Observe(seconds(now - found->second.started_at));
@@ -141,24 +140,22 @@
         "Starts without an answer",
         counts.starts_unclear);
     set("fuchsia_pool_tasks_done", "Tasks done", counts.tasks_done);
-    set("fuchsia_pool_tasks_failed",
-        "Attempts that failed",
-        counts.tasks_failed);
+    set("fuchsia_pool_tasks_failed", "Runs that failed", counts.tasks_failed);
     set("fuchsia_pool_tasks_lost",
-        "Attempts lost with their worker or lease",
+        "Runs that ended with their worker or lease",
         counts.tasks_lost);
     set("fuchsia_pool_paced",
-        "Changes of a task's speed limit",
+        "Changes of a task's speed",
         counts.speed_limit_changes);
     set("fuchsia_pool_evicted",
-        "Tasks evicted from the workers of serving tasks",
+        "Tasks moved away from serving ones",
         counts.evicted);
     set("fuchsia_pool_regrouped",
-        "Serving tasks moved to workers where they keep out less work",
+        "Serving tasks moved to where they keep less work out",
         counts.rebalanced);
-    set("fuchsia_pool_rounds", "Rounds of placing tasks", counts.rounds);
+    set("fuchsia_pool_rounds", "Rounds of placing", counts.rounds);
     set("fuchsia_pool_workers_scored",
-        "Workers scored for a task",
+        "Workers looked at for a task",
         counts.scored);
     set("fuchsia_pool_jobs_finished", "Jobs ended", counts.jobs_finished);
     set("fuchsia_pool_commits_waiting",
@@ -166,7 +163,7 @@
         active_owner->commits().waiting());
     registry_
         .gauge("fuchsia_pool_commit_lag_seconds",
-               "Age of the oldest entry that is not durable yet")
+               "How long the oldest entry that is not durable has waited")
         .Set(seconds(active_owner->commits().lag(now)));
 }
 
